--- /dev/null
+++ b/internal/link/golden_test.go
@@ -0,0 +1,345 @@
+package link_test
+
+import (
+	"bytes"
+	"context"
+	"encoding/binary"
+	"encoding/hex"
+	"errors"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"lupinpond/internal/link"
+)
+
+// golden reads testdata/golden/NAME.hex: hexadecimal digits, split by any white space.
+func golden(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "golden", name+".hex"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	b, err := hex.DecodeString(strings.Join(strings.Fields(string(text)), ""))
+	if err != nil {
+		t.Fatalf("%s: %v", name, err)
+	}
+	return b
+}
+
+// sameBytes compares encoded bytes and shows both in hexadecimal.
+func sameBytes(t *testing.T, name string, got, want []byte) {
+	t.Helper()
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s: bytes differ\n got %x\nwant %x", name, got, want)
+	}
+}
+
+// started is a time with nanoseconds, in a zone other than UTC.
+var started = time.Date(2021, 3, 4, 5, 6, 7, 89, time.FixedZone("", 2*60*60))
+
+func fullReport() *link.Report {
+	return &link.Report{Waiting: 41, Running: 42, Busy: 0.4375, Memory: 1 << 33, Cold: 0.1}
+}
+
+// goldenFrame is a message, its kind on the wire and the name of the file with its bytes.
+type goldenFrame struct {
+	name string
+	kind byte
+	body any
+}
+
+// goldenFrames are messages of every kind: with every field set to a distinct value, and with all fields zero.
+func goldenFrames() []goldenFrame {
+	return []goldenFrame{
+		{"hello-full", 1, &link.Hello{Version: 1, Name: "w-1", Started: started, Launches: 64, MaxFrame: 16777216,
+			Cut: []link.CutLoad{
+				{Function: "resize", Version: "v7", Events: []link.CutEvent{{Event: "e-1", MayRun: true}, {Event: "e-2"}}},
+				{Function: "thumb", Version: "v8"}},
+			WarmUp: 1234567890 * time.Nanosecond}},
+		{"hello-empty", 1, &link.Hello{}},
+		{"launch-full", 2, &link.Launch{Seq: 11, Event: "e-12", Number: 13, Function: "f-14", Type: "t-15", Tenant: "n-16",
+			Key: "k-17", Window: 18 * time.Second, Left: 19 * time.Millisecond, Client: "c-20", Body: []byte{0, 21, 255}}},
+		{"launch-empty", 2, &link.Launch{}},
+		{"answer-full", 3, &link.Answer{Seq: 31, Event: "e-32", Code: link.Withdrawn, Warmth: link.LoadFailed, Company: 35,
+			Worked: 36 * time.Microsecond, Report: fullReport(), Repeat: true, Reason: "r-39", Body: []byte("b-40")}},
+		{"answer-empty", 3, &link.Answer{}},
+		{"cancel-full", 4, &link.Cancel{Seq: 1 << 40}},
+		{"cancel-empty", 4, &link.Cancel{}},
+		{"order-full", 5, &link.Order{Seq: 51, Function: "f-52", Copies: 53}},
+		{"order-empty", 5, &link.Order{}},
+		{"ordered-full", 6, &link.Ordered{Seq: 61, Code: link.Missing, Copies: 63, Reason: "r-64"}},
+		{"ordered-empty", 6, &link.Ordered{}},
+		{"probe-full", 7, &link.Probe{Seq: 71}},
+		{"probe-empty", 7, &link.Probe{}},
+		{"echo-full", 8, &link.Echo{Seq: 81, Report: fullReport()}},
+		{"echo-empty", 8, &link.Echo{}},
+		{"goodbye-full", 9, &link.Goodbye{Reason: "r-91"}},
+		{"goodbye-empty", 9, &link.Goodbye{}},
+	}
+}
+
+// TestGoldenFrames: each message encodes to the bytes on file, and those bytes decode to the message.
+func TestGoldenFrames(t *testing.T) {
+	for _, f := range goldenFrames() {
+		t.Run(f.name, func(t *testing.T) {
+			got, err := link.Append(nil, f.body)
+			if err != nil {
+				t.Fatal(err)
+			}
+			want := golden(t, f.name)
+			sameBytes(t, f.name, got, want)
+			if len(want) < 6 || int(binary.BigEndian.Uint32(want)) != len(want)-4 || want[4] != f.kind {
+				t.Fatalf("file %s: header %x does not tell its length %d and kind %d", f.name, want, len(want)-4, f.kind)
+			}
+			back, err := link.NewReader(bytes.NewReader(want), len(want)-4).Next()
+			if err != nil {
+				t.Fatal(err)
+			}
+			if h, is := back.(*link.Hello); is {
+				if exp := f.body.(*link.Hello); !h.Started.Equal(exp.Started) {
+					t.Errorf("%s: started got %v, want %v", f.name, h.Started, exp.Started)
+				} else {
+					h.Started = exp.Started // the same moment, perhaps of another zone
+				}
+			}
+			if !reflect.DeepEqual(back, f.body) {
+				t.Errorf("%s: decoded\n got %+v\nwant %+v", f.name, back, f.body)
+			}
+		})
+	}
+}
+
+// TestGoldenCodes: the numbers of the codes, of the warmth and of the kinds, and which codes say that the launch never ran.
+func TestGoldenCodes(t *testing.T) {
+	for i, c := range []link.Code{link.Done, link.Failed, link.Full, link.Missing, link.NotStarted, link.Withdrawn} {
+		if int(c) != i {
+			t.Errorf("code: got %d, want %d", c, i)
+		}
+		if got, want := c.NeverRan(), i >= 2 && i <= 4; got != want {
+			t.Errorf("code %d: never ran got %v, want %v", i, got, want)
+		}
+	}
+	for i, w := range []link.Warmth{link.Untold, link.FoundWarm, link.BeganLoad, link.AwaitedLoad, link.LoadFailed} {
+		if int(w) != i {
+			t.Errorf("warmth: got %d, want %d", w, i)
+		}
+	}
+	for i, k := range []link.Kind{link.KindHello, link.KindLaunch, link.KindAnswer, link.KindCancel, link.KindOrder,
+		link.KindOrdered, link.KindProbe, link.KindEcho, link.KindGoodbye} {
+		if int(k) != i+1 {
+			t.Errorf("kind: got %d, want %d", k, i+1)
+		}
+	}
+	if link.Version != 1 || link.MaxFrame != 16777216 {
+		t.Errorf("version, longest frame: got %d, %d, want 1, 16777216", link.Version, link.MaxFrame)
+	}
+}
+
+// TestGoldenRefusals: frames that are not of the protocol, and one with a field that this version does not know.
+func TestGoldenRefusals(t *testing.T) {
+	for name, text := range map[string]string{
+		"no length":              "00000000",
+		"over the limit":         "01000001",
+		"kind 0":                 "0000000200a0",
+		"kind 10":                "000000020aa0",
+		"no body":                "0000000104",
+		"not a map":              "00000003048101",
+		"a key twice":            "0000000604a201010102",
+		"map of indefinite size": "0000000504bf0101ff",
+		"bytes after the body":   "0000000504a1010100",
+	} {
+		raw, err := hex.DecodeString(text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if body, err := link.NewReader(bytes.NewReader(raw), link.MaxFrame).Next(); !errors.Is(err, link.ErrProtocol) {
+			t.Errorf("%s (%s): got %+v, %v, want %v", name, text, body, err, link.ErrProtocol)
+		}
+	}
+	raw, err := hex.DecodeString("0000000704a20107186301") // cancel, 1: 7, 99: 1
+	if err != nil {
+		t.Fatal(err)
+	}
+	body, err := link.NewReader(bytes.NewReader(raw), link.MaxFrame).Next()
+	if want := (&link.Cancel{Seq: 7}); err != nil || !reflect.DeepEqual(body, want) {
+		t.Errorf("unknown field: got %+v, %v, want %+v", body, err, want)
+	}
+}
+
+// deadline bounds every exchange on a real connection; it is reached only where the test fails.
+const deadline = 20 * time.Second
+
+// expect reads as many bytes as are wanted and compares them.
+func expect(t *testing.T, conn net.Conn, name string, want []byte) {
+	t.Helper()
+	got := make([]byte, len(want))
+	n, err := io.ReadFull(conn, got)
+	if err != nil {
+		t.Fatalf("%s: %v after %x, want %x", name, err, got[:n], want)
+	}
+	sameBytes(t, name, got, want)
+}
+
+func send(t *testing.T, conn net.Conn, b []byte) {
+	t.Helper()
+	if _, err := conn.Write(b); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// goldenHandler is a handler that answers a keyed launch at once and any other when it is cancelled.
+type goldenHandler struct{ got chan any }
+
+func (h goldenHandler) Launch(front string, l *link.Launch, reply func(*link.Answer)) func() {
+	h.got <- l
+	if l.Key == "" {
+		return func() { reply(&link.Answer{Code: link.NotStarted, Reason: "cancelled by " + front}) }
+	}
+	reply(&link.Answer{Seq: 1, Event: "other", Code: link.Done, Body: []byte("ok")}) // the server sets seq and event
+	return nil
+}
+
+func (h goldenHandler) Order(_ string, o *link.Order, reply func(*link.Ordered)) {
+	h.got <- o
+	reply(&link.Ordered{Seq: 9, Copies: o.Copies})
+}
+
+func (h goldenHandler) Report() *link.Report { return fullReport() }
+
+// TestGoldenServer: a worker's bytes on a connection, for each message that a front end sends.
+func TestGoldenServer(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	h := goldenHandler{got: make(chan any, 4)}
+	s := &link.Server{Hello: link.Hello{Name: "w-1", Started: started, Launches: 8, WarmUp: 5}, Handler: h}
+	ended := make(chan error, 1)
+	go func() { ended <- s.Serve(ctx, listener) }()
+	defer func() {
+		stop()
+		if err := <-ended; err != nil {
+			t.Errorf("serve: got %v, want nil", err)
+		}
+	}()
+	dial := func() net.Conn {
+		conn, err := net.DialTimeout("tcp", listener.Addr().String(), deadline)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := conn.SetDeadline(time.Now().Add(deadline)); err != nil {
+			t.Fatal(err)
+		}
+		return conn
+	}
+	conn := dial()
+	defer conn.Close()
+	send(t, conn, golden(t, "peer-hello"))
+	expect(t, conn, "server-hello", golden(t, "server-hello"))
+	send(t, conn, golden(t, "launch-full"))
+	expect(t, conn, "server-answer", golden(t, "server-answer"))
+	send(t, conn, golden(t, "launch-empty"))
+	send(t, conn, golden(t, "cancel-empty"))
+	// The server may read the cancel only after it knows how to cancel, as it reads one frame at a time.
+	expect(t, conn, "server-cancelled", golden(t, "server-cancelled"))
+	send(t, conn, golden(t, "order-full"))
+	expect(t, conn, "server-ordered", golden(t, "server-ordered"))
+	send(t, conn, golden(t, "probe-full"))
+	echo := golden(t, "echo-full") // of call 81; the probe is call 71
+	echo[bytes.Index(echo, []byte{0x18, 81})+1] = 71
+	expect(t, conn, "server-echo", echo)
+	s.Goodbye("r-91")
+	expect(t, conn, "server-goodbye", golden(t, "goodbye-full"))
+	for i, want := range []any{goldenFrames()[2].body, goldenFrames()[3].body, &link.Order{Seq: 51, Function: "f-52", Copies: 53}} {
+		if got := <-h.got; !reflect.DeepEqual(got, want) {
+			t.Errorf("handler's call %d:\n got %+v\nwant %+v", i, got, want)
+		}
+	}
+	send(t, conn, golden(t, "goodbye-empty"))
+	if b, err := io.ReadAll(conn); err != nil || len(b) != 0 {
+		t.Errorf("after goodbye: got %x, %v, want the end", b, err)
+	}
+}
+
+// told is what a call of a peer ended with.
+func told(t *testing.T, c chan link.Outcome) link.Outcome {
+	t.Helper()
+	select {
+	case o := <-c:
+		return o
+	case <-time.After(deadline):
+		t.Fatal("no outcome")
+		return link.Outcome{}
+	}
+}
+
+// TestGoldenPeer: a front end's bytes on a connection. The time left of a launch depends on the clock, so that one launch
+// has a time that is up (0 on the wire).
+func TestGoldenPeer(t *testing.T) {
+	here, there := net.Pipe()
+	if err := there.SetDeadline(time.Now().Add(deadline)); err != nil {
+		t.Fatal(err)
+	}
+	p := link.NewPeer("front-1", "w-1", "addr", link.Limits{Dial: deadline, Queue: deadline, Stall: deadline, Calls: 8, Bytes: 1 << 20},
+		func(context.Context, string) (net.Conn, error) { return here, nil })
+	greeted := make(chan *link.Hello, 1)
+	p.Greeted = func(h *link.Hello) { greeted <- h }
+	ctx, stop := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	go func() { ended <- p.Run(ctx) }()
+	defer func() {
+		stop()
+		if err := <-ended; err != nil {
+			t.Errorf("run: got %v, want nil", err)
+		}
+	}()
+	outcomes := make(chan link.Outcome, 1)
+	done := func(o link.Outcome) { outcomes <- o }
+
+	p.Probe(done)
+	expect(t, there, "peer-hello", golden(t, "peer-hello"))
+	send(t, there, golden(t, "hello-full"))
+	expect(t, there, "peer-probe", []byte{0, 0, 0, 4, 7, 0xa1, 1, 1})
+	echo := golden(t, "echo-full") // of call 81; the probe is call 1
+	echo = bytes.Replace(echo, []byte{0x18, 81}, []byte{1}, 1)
+	echo[3]--
+	send(t, there, echo)
+	if o, want := told(t, outcomes), (&link.Echo{Seq: 1, Report: fullReport()}); o.Fate != link.Answered || !reflect.DeepEqual(o.Echo, want) {
+		t.Errorf("probe: got %+v, want answered, %+v", o, want)
+	}
+	if h := <-greeted; h.Name != "w-1" || h.Launches != 64 || !h.Started.Equal(started) || len(h.Cut) != 2 {
+		t.Errorf("hello: got %+v, want that of hello-full", h)
+	}
+
+	p.Order(link.Order{Seq: 99, Function: "f-52", Copies: 53}, done)
+	expect(t, there, "peer-order", golden(t, "peer-order"))
+	send(t, there, []byte{0, 0, 0, 8, 6, 0xa3, 1, 2, 2, 3, 3, 4})
+	if o, want := told(t, outcomes), (&link.Ordered{Seq: 2, Code: link.Missing, Copies: 4}); o.Fate != link.Answered || !reflect.DeepEqual(o.Ordered, want) {
+		t.Errorf("order: got %+v, want answered, %+v", o, want)
+	}
+
+	full := *goldenFrames()[2].body.(*link.Launch)
+	p.Launch(full, 0, done)
+	expect(t, there, "peer-launch", golden(t, "peer-launch"))
+	send(t, there, []byte{0, 0, 0, 12, 3, 0xa3, 1, 3, 2, 0x64, 'e', '-', '1', '2', 3, 2})
+	if o, want := told(t, outcomes), (&link.Answer{Seq: 3, Event: "e-12", Code: link.Full}); !o.NeverRan() || !reflect.DeepEqual(o.Answer, want) {
+		t.Errorf("launch: got %+v, want never ran, %+v", o, want)
+	}
+
+	c := p.Launch(link.Launch{Event: "e-2"}, 0, done)
+	expect(t, there, "peer-launch-short", golden(t, "peer-launch-short"))
+	c.Recall(true)
+	expect(t, there, "peer-cancel", []byte{0, 0, 0, 4, 4, 0xa1, 1, 4})
+	if o := told(t, outcomes); o.Fate != link.Recalled || o.NeverRan() {
+		t.Errorf("recalled launch: got %+v, want recalled, may have run", o)
+	}
+	p.Goodbye()
+	expect(t, there, "peer-goodbye", golden(t, "peer-goodbye"))
+}
