--- /dev/null
+++ b/internal/roster/golden_test.go
@@ -0,0 +1,269 @@
+package roster_test
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"reflect"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"lupinpond/internal/roster"
+)
+
+// deadline bounds every exchange; it is reached only where the test fails.
+const deadline = 20 * time.Second
+
+const (
+	fullJSON = `{"name":"w-1","addr":"10.0.0.1:8720","zone":"z-2","cell":"c-3","kind":"k-4","cores":5.5,"state":"in",` +
+		`"chunks":"10.0.0.1:8721","started":"2021-03-04T05:06:07.000000089Z"}`
+	emptyJSON = `{"name":"w-0","addr":"a","cores":0,"state":"draining","started":"0001-01-01T00:00:00Z"}`
+)
+
+func full() roster.Entry {
+	return roster.Entry{Name: "w-1", Addr: "10.0.0.1:8720", Zone: "z-2", Cell: "c-3", Kind: "k-4", Cores: 5.5,
+		State: roster.In, Chunks: "10.0.0.1:8721", Started: time.Date(2021, 3, 4, 5, 6, 7, 89, time.UTC)}
+}
+
+// exchange sends a request to a handler and gives the answer as text: status, the headers that are set, the body. There is
+// no Date header, as the handler is called without a server.
+func exchange(h http.Handler, method, target, body string) string {
+	w := httptest.NewRecorder()
+	h.ServeHTTP(w, httptest.NewRequest(method, target, strings.NewReader(body)))
+	text := fmt.Sprintf("%d\n", w.Code)
+	for _, name := range []string{"Allow", "Content-Type", "Retry-After", "X-Content-Type-Options"} {
+		if v := w.Header().Get(name); v != "" {
+			text += name + ": " + v + "\n"
+		}
+	}
+	return text + "\n" + w.Body.String()
+}
+
+func refusal(status int, reason string) string {
+	return fmt.Sprintf("%d\nContent-Type: text/plain; charset=utf-8\nX-Content-Type-Options: nosniff\n\n%s\n", status, reason)
+}
+
+// TestGoldenHandler: the answers of every endpoint but the stream, in one order, on one list.
+func TestGoldenHandler(t *testing.T) {
+	const (
+		none   = "204\n\n"
+		listed = "200\nContent-Type: application/json\n\n"
+		needed = "entry: a name as in the address, an addr and a known state are needed"
+	)
+	h := roster.New(nil).Handler()
+	for i, x := range []struct{ method, target, body, want string }{
+		{"GET", "/v1/workers", "", listed + "null\n"},
+		{"PUT", "/v1/workers/w-1", fullJSON, none},
+		{"PUT", "/v1/workers/w-0?lease=1h", emptyJSON, none},
+		{"GET", "/v1/workers", "", listed + "[" + emptyJSON + "," + fullJSON + "]\n"},
+		{"PUT", "/v1/workers/w-2", fullJSON, refusal(400, needed)},
+		{"PUT", "/v1/workers/w-2", `{"name":"w-2","state":"in"}`, refusal(400, needed)},
+		{"PUT", "/v1/workers/w-2", `{"name":"w-2","addr":"a","state":"out"}`, refusal(400, needed)},
+		{"PUT", "/v1/workers/w-2", `{"name":"w-2","addr":"a"}`, refusal(400, needed)},
+		{"PUT", "/v1/workers/w-2", `{"name":"w-2","other":1}`, refusal(400, `entry: json: unknown field "other"`)},
+		{"PUT", "/v1/workers/w-2", ``, refusal(400, "entry: EOF")},
+		{"PUT", "/v1/workers/w-2", `{"name":"` + strings.Repeat("x", 64<<10) + `"}`, refusal(400, "entry: http: request body too large")},
+		{"PUT", "/v1/workers/w-1?lease=soon", fullJSON, refusal(400, "lease: a duration such as 3s")},
+		{"PUT", "/v1/workers/w-1?lease=-1s", fullJSON, refusal(400, "lease: a duration such as 3s")},
+		{"POST", "/v1/workers/w-1/drain", "", none},
+		{"GET", "/v1/workers", "", listed + "[" + emptyJSON + "," + strings.Replace(fullJSON, `"in"`, `"draining"`, 1) + "]\n"},
+		{"POST", "/v1/workers/w-1/gone", "", none},
+		{"GET", "/v1/workers", "", listed + "[" + emptyJSON + "]\n"},
+		{"POST", "/v1/workers/w-9/drain", "", refusal(404, "no such worker")},
+		{"POST", "/v1/workers/w-9/gone", "", refusal(404, "no such worker")},
+		{"POST", "/v1/workers", "", "405\nAllow: GET, HEAD\nContent-Type: text/plain; charset=utf-8\nX-Content-Type-Options: nosniff\n\nMethod Not Allowed\n"},
+		{"GET", "/v1/workers/w-0", "", "405\nAllow: PUT\nContent-Type: text/plain; charset=utf-8\nX-Content-Type-Options: nosniff\n\nMethod Not Allowed\n"},
+		{"GET", "/health", "", refusal(404, "404 page not found")},
+	} {
+		if got := exchange(h, x.method, x.target, x.body); got != x.want {
+			t.Errorf("%d: %s %s\n got %q\nwant %q", i, x.method, x.target, got, x.want)
+		}
+	}
+}
+
+// TestGoldenStream: the lines of the subscription. Empty lines are beats and come by the clock; they are left out.
+func TestGoldenStream(t *testing.T) {
+	var mu sync.Mutex
+	var fronts []string
+	r := roster.New(func(front string, _ time.Time, _ roster.News) {
+		mu.Lock()
+		defer mu.Unlock()
+		fronts = append(fronts, front)
+	})
+	s := httptest.NewServer(r.Handler())
+	defer s.Close()
+	ctx, stop := context.WithTimeout(context.Background(), deadline)
+	defer stop()
+	r.Set(full())
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.URL+"/v1/list?front=front-1", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp, err := s.Client().Do(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	if got := resp.Header.Get("Content-Type"); resp.StatusCode != 200 || got != "application/x-ndjson" {
+		t.Errorf("stream: got %d, %q, want 200, application/x-ndjson", resp.StatusCode, got)
+	}
+	in := bufio.NewReader(resp.Body)
+	line := func(want string) {
+		t.Helper()
+		for {
+			got, err := in.ReadString('\n')
+			if err != nil {
+				t.Fatalf("stream: %v, want %q", err, want)
+			}
+			if got != "\n" {
+				if got != want {
+					t.Errorf("stream:\n got %q\nwant %q", got, want)
+				}
+				return
+			}
+		}
+	}
+	line(`{"version":1,"whole":true,"entries":[` + fullJSON + "]}\n")
+	r.Mark("w-1", roster.Draining)
+	line(`{"version":2,"whole":false,"entries":[` + strings.Replace(fullJSON, `"in"`, `"draining"`, 1) + "]}\n")
+	r.Mark("w-1", roster.Gone)
+	line(`{"version":3,"whole":false,"entries":[` + strings.Replace(fullJSON, `"in"`, `"gone"`, 1) + "]}\n")
+	mu.Lock()
+	defer mu.Unlock()
+	if want := []string{"front-1", "front-1", "front-1"}; !reflect.DeepEqual(fronts, want) {
+		t.Errorf("front ends told: got %q, want %q", fronts, want)
+	}
+}
+
+// TestGoldenEmptyStream: the first line where no worker is known.
+func TestGoldenEmptyStream(t *testing.T) {
+	s := httptest.NewServer(roster.New(nil).Handler())
+	defer s.Close()
+	ctx, stop := context.WithTimeout(context.Background(), deadline)
+	defer stop()
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.URL+"/v1/list", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp, err := s.Client().Do(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	want := `{"version":0,"whole":true,"entries":null}` + "\n"
+	if got, err := bufio.NewReader(resp.Body).ReadString('\n'); err != nil || got != want {
+		t.Errorf("stream: got %q, %v, want %q", got, err, want)
+	}
+}
+
+// canned is a transport that notes the request and gives a fixed answer.
+type canned struct {
+	status  int
+	body    string
+	request string // method, URL and body
+}
+
+func (c *canned) RoundTrip(req *http.Request) (*http.Response, error) {
+	c.request = req.Method + " " + req.URL.String() + "\n"
+	if len(req.Header) > 0 {
+		c.request += fmt.Sprintf("%v\n", req.Header) // the clients set none of their own
+	}
+	if req.Body != nil {
+		b, err := io.ReadAll(req.Body)
+		if err != nil {
+			return nil, err
+		}
+		c.request += string(b)
+	}
+	return &http.Response{StatusCode: c.status, Status: fmt.Sprintf("%d %s", c.status, http.StatusText(c.status)), Header: http.Header{},
+		Body: io.NopCloser(bytes.NewBufferString(c.body)), Request: req}, nil
+}
+
+// TestGoldenClient: the requests of the client, and what it makes of the answers.
+func TestGoldenClient(t *testing.T) {
+	ctx := context.Background()
+	const base = "http://list:8710"
+	odd := full()
+	odd.Name = "w/1 ü"
+	for _, x := range []struct {
+		name    string
+		status  int
+		body    string
+		call    func(roster.Client) (any, error)
+		request string
+		want    any
+		err     string
+	}{
+		{"put", 204, "", func(c roster.Client) (any, error) { return nil, c.Put(ctx, full(), 3*time.Second) },
+			"PUT " + base + "/v1/workers/w-1?lease=3s\n" + fullJSON, nil, ""},
+		{"put an odd name", 400, "no\n", func(c roster.Client) (any, error) { return nil, c.Put(ctx, odd, 90*time.Second) },
+			"PUT " + base + "/v1/workers/w%2F1%20%C3%BC?lease=1m30s\n" + strings.Replace(fullJSON, "w-1", "w/1 ü", 1), nil,
+			"lproster: 400 Bad Request: no"},
+		{"drain", 204, "", func(c roster.Client) (any, error) { return nil, c.Mark(ctx, "w-1", roster.Draining) },
+			"POST " + base + "/v1/workers/w-1/drain\n", nil, ""},
+		{"gone", 404, "no such worker\n", func(c roster.Client) (any, error) { return nil, c.Mark(ctx, "w-1", roster.Gone) },
+			"POST " + base + "/v1/workers/w-1/gone\n", nil, "lproster: 404 Not Found: no such worker"},
+		{"in", 204, "", func(c roster.Client) (any, error) { return nil, c.Mark(ctx, "w-1", roster.In) },
+			"", nil, `a worker can't be marked as "in"`},
+		{"workers", 200, "[" + fullJSON + "]\n", func(c roster.Client) (any, error) { return c.Workers(ctx) },
+			"GET " + base + "/v1/workers\n", []roster.Entry{full()}, ""},
+		{"no workers", 200, "null\n", func(c roster.Client) (any, error) { return c.Workers(ctx) },
+			"GET " + base + "/v1/workers\n", []roster.Entry(nil), ""},
+		{"no list", 200, "x", func(c roster.Client) (any, error) { return c.Workers(ctx) }, "GET " + base + "/v1/workers\n",
+			[]roster.Entry(nil), "lproster sent no list\ninvalid character 'x' looking for beginning of value"},
+	} {
+		wire := &canned{status: x.status, body: x.body}
+		got, err := x.call(roster.Client{Base: base, HTTP: &http.Client{Transport: wire}})
+		text := ""
+		if err != nil {
+			text = err.Error()
+		}
+		if wire.request != x.request {
+			t.Errorf("%s: request\n got %q\nwant %q", x.name, wire.request, x.request)
+		}
+		if text != x.err || !reflect.DeepEqual(got, x.want) {
+			t.Errorf("%s: answer\n got %+v, %q\nwant %+v, %q", x.name, got, text, x.want, x.err)
+		}
+	}
+}
+
+// TestGoldenWatch: the request of a subscription, the messages it hands over and how it ends.
+func TestGoldenWatch(t *testing.T) {
+	const base = "http://list:8710"
+	whole := `{"version":7,"whole":true,"entries":[` + fullJSON + "]}\n"
+	seven := roster.News{Version: 7, Whole: true, Entries: []roster.Entry{full()}}
+	for _, x := range []struct {
+		name   string
+		status int
+		body   string
+		want   []roster.News
+		err    string
+	}{
+		{"ends", 200, "\n" + whole + "\n" + `{"version":8,"whole":false,"entries":null}` + "\n", []roster.News{seven, {Version: 8}},
+			"watch the list: unexpected EOF"},
+		{"bad state", 200, whole + `{"version":8,"whole":false,"entries":[{"name":"w-1","state":"out"}]}` + "\n", []roster.News{seven},
+			`watch the list: list version 8, entry 0: worker "w-1" in state "out"`},
+		{"no JSON", 200, "x\n", nil, "watch the list: invalid character 'x' looking for beginning of value"},
+		{"refused", 503, "", nil, "watch the list: status 503 Service Unavailable"},
+	} {
+		wire := &canned{status: x.status, body: x.body}
+		var got []roster.News
+		err := roster.Watch(context.Background(), &http.Client{Transport: wire}, base, "front 1&x", func(n roster.News) { got = append(got, n) })
+		if want := "GET " + base + "/v1/list?front=front+1%26x\n"; wire.request != want {
+			t.Errorf("%s: request got %q, want %q", x.name, wire.request, want)
+		}
+		if err == nil {
+			err = errors.New("none")
+		}
+		if err.Error() != x.err || !reflect.DeepEqual(got, x.want) {
+			t.Errorf("%s:\n got %+v, %q\nwant %+v, %q", x.name, got, err, x.want, x.err)
+		}
+	}
+}
