--- /dev/null
+++ b/internal/store/golden_test.go
@@ -0,0 +1,258 @@
+package store_test
+
+import (
+	"bytes"
+	"context"
+	"encoding/hex"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"lupinpond/internal/config"
+	"lupinpond/internal/pack"
+	"lupinpond/internal/store"
+)
+
+// golden reads testdata/golden/NAME.hex: hexadecimal digits, split by any white space.
+func golden(t *testing.T, name string) string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "golden", name+".hex"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	b, err := hex.DecodeString(strings.Join(strings.Fields(string(text)), ""))
+	if err != nil {
+		t.Fatalf("%s: %v", name, err)
+	}
+	return string(b)
+}
+
+// goldenFolder writes the package whose release and chunk are on file.
+func goldenFolder(t *testing.T, version string) string {
+	t.Helper()
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, "entry"), []byte("#!/bin/sh\necho golden\n"), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := pack.Write(dir, pack.Manifest{Name: "f-1", Version: version, Type: "t-2", Kind: pack.Process, Lanes: 3,
+		Memory: 4 << 20, Time: config.Time(5 * time.Second), Entry: "entry"}); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+// goldenExchange sends a request to a handler and gives the answer as text: status, the headers that are set, the body.
+// There is no Date header, as the handler is called without a server.
+func goldenExchange(h http.Handler, method, target, body string, head ...string) string {
+	w := httptest.NewRecorder()
+	r := httptest.NewRequest(method, target, strings.NewReader(body))
+	for i := 0; i+1 < len(head); i += 2 {
+		r.Header.Set(head[i], head[i+1])
+	}
+	h.ServeHTTP(w, r)
+	text := fmt.Sprintf("%d\n", w.Code)
+	for _, name := range []string{"Accept-Ranges", "Allow", "Content-Length", "Content-Range", "Content-Type", "Etag", "Last-Modified",
+		"Retry-After", "X-Content-Type-Options"} {
+		if v := w.Header().Get(name); v != "" {
+			text += name + ": " + v + "\n"
+		}
+	}
+	return text + "\n" + w.Body.String()
+}
+
+func goldenRefusal(status int, reason string) string {
+	return fmt.Sprintf("%d\nContent-Type: text/plain; charset=utf-8\nX-Content-Type-Options: nosniff\n\n%s\n", status, reason)
+}
+
+// goldenContent is the answer with a whole body that has a digest as its ETag.
+func goldenContent(kind, digest, body string) string {
+	return fmt.Sprintf("200\nAccept-Ranges: bytes\nContent-Length: %d\nContent-Type: %s\nEtag: %q\n\n%s", len(body), kind, digest, body)
+}
+
+const (
+	chunkDigest = "c03a8e0740a3848402667c2bc8a0157ce5ce1433501b71b834c117d6144e1b93"
+	firstDigest = "b2d70c43af12f543f94cbc7fcccbc3108610c2a0edfe7533221120c5f95bdd9e"
+	otherDigest = "c673e7812d8a894e078b59e1020616a104bdd05742245cd749f586c4b157a16b"
+	notThere    = "00000000000000000000000000000000000000000000000000000000000000ff"
+)
+
+// TestGoldenHandler: the answers of every endpoint, in one order, on one store.
+func TestGoldenHandler(t *testing.T) {
+	const (
+		none = "204\n\n"
+		told = "200\nContent-Type: application/json\n\n"
+		gone = "404 page not found"
+	)
+	dir := t.TempDir()
+	s, err := store.Open(store.Options{Folder: dir, Capacity: store.Capacity{Requests: 4}, Grace: time.Hour})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { s.Close() })
+	h := s.Handler(true)
+	packed, first, other := golden(t, "chunk"), golden(t, "release-v1"), golden(t, "release-v2")
+	entry := func(version, digest string) string {
+		return `{"name":"f-1","version":"` + version + `","digest":"` + digest + `"}`
+	}
+	for i, x := range []struct {
+		method, target, body string
+		head                 []string
+		want                 string
+	}{
+		{"GET", "/v1/packages", "", nil, goldenContent("application/json", "d53d18c23212ea7b6300594bb89bce60218f6eff2b9d628b8cc42d3e79bbd5ab", "[]")},
+		{"GET", "/v1/counts", "", nil, told + `{"served":0,"bytes":0,"turned-away":0,"stopped":0,"stops":0,"most":0,"chunks":0}` + "\n"},
+		{"POST", "/v1/missing", `["` + chunkDigest + `"]`, nil, told + `["` + chunkDigest + `"]` + "\n"},
+		{"POST", "/v1/releases", first, nil, goldenRefusal(409, "the release names chunks that are not there: chunk "+chunkDigest[:12]+": stat FOLDER/chunks/"+
+			chunkDigest[:2]+"/"+chunkDigest+": no such file or directory")},
+		{"PUT", "/v1/chunks/" + chunkDigest, packed, nil, none},
+		{"PUT", "/v1/chunks/" + chunkDigest, packed, nil, none},
+		{"PUT", "/v1/chunks/" + notThere, packed, nil, goldenRefusal(400, "chunk 000000000000: not the content that the digest names")},
+		{"PUT", "/v1/chunks/xyz", packed, nil, goldenRefusal(400, "digest of 3 letters, 64 are needed")},
+		{"POST", "/v1/missing", `["` + chunkDigest + `"]`, nil, told + "[]\n"},
+		{"POST", "/v1/missing", `["xyz"]`, nil, goldenRefusal(400, "digest of 3 letters, 64 are needed")},
+		{"POST", "/v1/missing", `{}`, nil, goldenRefusal(400, "json: cannot unmarshal object into Go value of type []string")},
+		{"POST", "/v1/releases", first, nil, told + entry("v1", firstDigest) + "\n"},
+		{"POST", "/v1/releases", "x", nil, goldenRefusal(400, "release: unexpected EOF")},
+		{"GET", "/v1/packages", "", nil, goldenContent("application/json", "f5f94ac09acfdb0069009ae4fbbf89d6cedb4a1f3322a8fc5e80f72e7dd6171e", "["+entry("v1", firstDigest)+"]")},
+		{"GET", "/v1/packages/f-1", "", nil, goldenContent("application/cbor", firstDigest, first)},
+		{"POST", "/v1/releases", other, nil, told + entry("v2", otherDigest) + "\n"},
+		{"GET", "/v1/packages/f-1", "", nil, goldenContent("application/cbor", otherDigest, other)},
+		{"GET", "/v1/packages/f-1/v1", "", nil, goldenContent("application/cbor", firstDigest, first)},
+		{"GET", "/v1/packages/f-1/v9", "", nil, goldenRefusal(404, `store: no release "v9" of "f-1": file does not exist`)},
+		{"GET", "/v1/packages/f-9", "", nil, goldenRefusal(404, `store: no release "" of "f-9": file does not exist`)},
+		{"GET", "/v1/chunks/" + chunkDigest, "", nil, goldenContent("application/zstd", chunkDigest, packed)},
+		{"GET", "/v1/chunks/" + chunkDigest, "", []string{"If-None-Match", `"` + chunkDigest + `"`},
+			fmt.Sprintf("304\nEtag: %q\n\n", chunkDigest)},
+		{"GET", "/v1/chunks/" + chunkDigest, "", []string{"Range", "bytes=1-4"},
+			fmt.Sprintf("206\nAccept-Ranges: bytes\nContent-Length: 4\nContent-Range: bytes 1-4/%d\nContent-Type: application/zstd\nEtag: %q\n\n%s",
+				len(packed), chunkDigest, packed[1:5])},
+		{"GET", "/v1/chunks/" + notThere, "", nil, goldenRefusal(404, "chunk "+notThere+" is not here")},
+		{"GET", "/v1/chunks/xyz", "", nil, goldenRefusal(400, "digest of 3 letters, 64 are needed")},
+		{"GET", "/v1/counts", "", nil, told + fmt.Sprintf(`{"served":3,"bytes":%d,"turned-away":0,"stopped":0,"stops":0,"most":3,"chunks":1}`,
+			3*len(packed)) + "\n"},
+		{"DELETE", "/v1/packages/f-1/v2", "", nil, goldenRefusal(400, "store: v2 is the newest version of f-1: publish another one first")},
+		{"DELETE", "/v1/packages/f-1/v1", "", nil, none},
+		{"DELETE", "/v1/packages/f-1/v1", "", nil, goldenRefusal(404, "store: no version v1 of f-1: file does not exist")},
+		{"POST", "/v1/stop", "", nil, goldenRefusal(400, `time: invalid duration ""`)},
+		{"POST", "/v1/stop?for=-1s", "", nil, goldenRefusal(400, "for: a duration above 0")},
+		{"POST", "/v1/counts", "", nil, "405\nAllow: GET, HEAD\nContent-Type: text/plain; charset=utf-8\nX-Content-Type-Options: nosniff\n\nMethod Not Allowed\n"},
+		{"GET", "/v1/other", "", nil, goldenRefusal(404, gone)},
+	} {
+		// One refusal tells the store's folder, which differs from run to run.
+		got := strings.ReplaceAll(goldenExchange(h, x.method, x.target, x.body, x.head...), dir, "FOLDER")
+		if got != x.want {
+			t.Errorf("%d: %s %s\n got %q\nwant %q", i, x.method, x.target, got, x.want)
+		}
+	}
+	if got, want := goldenExchange(s.Handler(false), "POST", "/v1/releases", first), goldenRefusal(404, gone); got != want {
+		t.Errorf("publishing is off: got %q, want %q", got, want)
+	}
+
+	// What is left of a stop depends on the clock: it is checked and then replaced.
+	if got := goldenExchange(h, "POST", "/v1/stop?for=1h", ""); got != none {
+		t.Errorf("stop: got %q, want %q", got, none)
+	}
+	got := goldenExchange(h, "GET", "/v1/packages", "")
+	_, after, _ := strings.Cut(got, "Retry-After: ")
+	after, _, _ = strings.Cut(after, "\n")
+	if n, err := strconv.Atoi(after); err != nil || n < 1 || n > 3600 {
+		t.Errorf("stopped: Retry-After got %q, want whole seconds from 1 to 3600", after)
+	}
+	want := "503\nContent-Type: text/plain; charset=utf-8\nRetry-After: N\nX-Content-Type-Options: nosniff\n\nthe store has stopped\n"
+	if got = strings.Replace(got, "Retry-After: "+after, "Retry-After: N", 1); got != want {
+		t.Errorf("stopped:\n got %q\nwant %q", got, want)
+	}
+	want = told + fmt.Sprintf(`{"served":3,"bytes":%d,"turned-away":0,"stopped":1,"stops":1,"most":3,"chunks":1}`, 3*len(packed)) + "\n"
+	if got := goldenExchange(h, "GET", "/v1/counts", ""); got != want {
+		t.Errorf("counts of a stopped store:\n got %q\nwant %q", got, want)
+	}
+}
+
+// TestGoldenTurnAway: a store that serves nothing at a time turns the first fetch away.
+func TestGoldenTurnAway(t *testing.T) {
+	s, err := store.Open(store.Options{Folder: t.TempDir(), Grace: time.Hour})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { s.Close() })
+	want := "429\nContent-Type: text/plain; charset=utf-8\nRetry-After: 2\nX-Content-Type-Options: nosniff\n\ntoo many fetches at a time\n"
+	if got := goldenExchange(s.Handler(false), "GET", "/v1/packages", ""); got != want {
+		t.Errorf("got %q, want %q", got, want)
+	}
+}
+
+// TestGoldenClient: the requests of the client, with their bodies, against a store. The packed chunk on file is what the
+// zstd encoder in use makes; another release of that library may pack the same content into other bytes.
+func TestGoldenClient(t *testing.T) {
+	s, err := store.Open(store.Options{Folder: t.TempDir(), Capacity: store.Capacity{Requests: 4}, Grace: time.Hour})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var mu sync.Mutex
+	var requests []string
+	h := s.Handler(true)
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		b, err := io.ReadAll(r.Body)
+		if err != nil {
+			t.Error(err)
+		}
+		mu.Lock()
+		requests = append(requests, r.Method+" "+r.RequestURI+" "+r.Header.Get("Content-Type")+"\n"+string(b))
+		mu.Unlock()
+		r.Body = io.NopCloser(bytes.NewReader(b))
+		h.ServeHTTP(w, r)
+	}))
+	client := &http.Client{Transport: &http.Transport{}}
+	t.Cleanup(func() {
+		client.CloseIdleConnections()
+		server.Close()
+		s.Close()
+	})
+	c, ctx := store.Client{Base: server.URL, HTTP: client}, context.Background()
+	sent, err := c.Publish(ctx, goldenFolder(t, "v1"))
+	if want := (store.Entry{Name: "f-1", Version: "v1", Digest: firstDigest}); err != nil || sent.Entry != want {
+		t.Fatalf("publish: got %+v, %v, want %+v", sent.Entry, err, want)
+	}
+	if _, err := c.Packages(ctx); err != nil {
+		t.Error(err)
+	}
+	if b, err := c.Release(ctx, "f-1", ""); err != nil || string(b) != golden(t, "release-v1") {
+		t.Errorf("release: got %x, %v, want release-v1", b, err)
+	}
+	if _, err := c.Release(ctx, "f/1 x", "v/1"); err == nil || err.Error() != `store: 404 Not Found: store: no release "v/1" of "f/1 x": file does not exist` {
+		t.Errorf("release that is not there: got %v", err)
+	}
+	b, err := c.Chunk(ctx, sent.Release.Chunks()[0].Digest)
+	if err != nil || string(b) != golden(t, "chunk") {
+		t.Errorf("chunk: got %x, %v, want that on file", b, err)
+	}
+	n, err := c.Counts(ctx)
+	if want := (store.Counts{Served: 1, Bytes: int64(len(b)), Most: 1, Chunks: 1}); err != nil || !reflect.DeepEqual(n, want) {
+		t.Errorf("counts: got %+v, %v, want %+v", n, err, want)
+	}
+	want := []string{
+		"POST /v1/missing \n" + `["` + chunkDigest + `"]`,
+		"PUT /v1/chunks/" + chunkDigest + " \n" + golden(t, "chunk"),
+		"POST /v1/releases \n" + golden(t, "release-v1"),
+		"GET /v1/packages \n",
+		"GET /v1/packages/f-1 \n",
+		"GET /v1/packages/f%2F1%20x/v%2F1 \n",
+		"GET /v1/chunks/" + chunkDigest + " \n",
+		"GET /v1/counts \n",
+	}
+	mu.Lock()
+	defer mu.Unlock()
+	if !slices.Equal(requests, want) {
+		t.Errorf("requests:\n got %q\nwant %q", requests, want)
+	}
+}
