--- /dev/null
+++ b/internal/keys/compat_test.go
@@ -0,0 +1,70 @@
+package keys_test
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"lupinpond/internal/keys"
+)
+
+// A register file that an earlier version wrote keeps its claims. The clock kept in the file stands in the year 2200 and
+// goes on from there, so that no verdict depends on the date of the run.
+func TestStoredRegisterIsRead(t *testing.T) {
+	stored, err := os.ReadFile("testdata/stored/register.bolt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, "register.bolt"), stored, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	type claim struct {
+		key, claim string
+		said       keys.Said
+		holder     string
+		body       string
+	}
+	check := func(r *keys.Register, c claim) {
+		t.Helper()
+		said, have, err := r.Claim(c.key, c.claim, time.Hour)
+		if err != nil || said != c.said || have.Claim != c.holder || string(have.Body) != c.body {
+			t.Errorf("claim %q of key %q: got %d, holder %q, answer %q, error %v; want %d, holder %q, answer %q",
+				c.claim, c.key, said, have.Claim, have.Body, err, c.said, c.holder, c.body)
+		}
+	}
+	for life := 1; life <= 2; life++ {
+		r, err := keys.Open(dir, 3) // held, settled, expired
+		if err != nil {
+			t.Fatalf("life %d: got error %v, want none", life, err)
+		}
+		check(r, claim{"held", "second", keys.Held, "first", ""})
+		check(r, claim{"held", "first", keys.Granted, "first", ""}) // asked again
+		check(r, claim{"settled", "second", keys.Done, "first", "the stored answer"})
+		_, have, err := r.Claim("held", "second", time.Hour)
+		if from, to := time.Date(2200, 12, 1, 0, 0, 0, 0, time.UTC), time.Date(2201, 2, 1, 0, 0, 0, 0, time.UTC); err != nil ||
+			have.Until.Before(from) || have.Until.After(to) {
+			t.Errorf("end of the window of key %q: got %v, error %v, want between %v and %v", "held", have.Until, err, from, to)
+		}
+		if life == 2 {
+			// The stored number of keys counts: the register is full until the expired key is swept away.
+			check(r, claim{"released", "second", keys.Granted, "second", ""})
+			if said, _, err := r.Claim("unknown", "second", time.Hour); !errors.Is(err, keys.ErrFull) {
+				t.Errorf("claim beyond the limit: got %d, error %v, want error %v", said, err, keys.ErrFull)
+			}
+		}
+		if err := r.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	r, err := keys.Open(dir, 100)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer r.Close()
+	check(r, claim{"expired", "second", keys.Granted, "second", ""})
+	check(r, claim{"released", "third", keys.Held, "second", ""})
+	check(r, claim{"settled", "third", keys.Done, "first", "the stored answer"})
+}
