--- /dev/null
+++ b/internal/steady/compat_test.go
@@ -0,0 +1,41 @@
+package steady_test
+
+import (
+	"bytes"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"lupinpond/internal/kept"
+	"lupinpond/internal/steady"
+)
+
+// A clock mark that an earlier version encoded is read, written in the same bytes, and the clock goes on from it: the mark
+// is of another boot and far ahead of the system's time, so that the clock begins exactly there.
+func TestStoredMarkIsRead(t *testing.T) {
+	stored, err := os.ReadFile("testdata/stored/mark.cbor")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got steady.Mark
+	if err := cbor.Unmarshal(stored, &got); err != nil {
+		t.Fatal(err)
+	}
+	at := time.Date(2200, 1, 1, 0, 0, 0, 123456789, time.UTC)
+	if want := 90*time.Minute + 5; got.Boot != "stored" || got.Up != want || !got.At.Equal(at) {
+		t.Errorf("got %+v, want boot %q, up %v, at %v", got, "stored", want, at)
+	}
+	again, err := kept.Mode().Marshal(got)
+	if err != nil || !bytes.Equal(again, stored) {
+		t.Errorf("encoded again: got %x, error %v, want %x", again, err, stored)
+	}
+	now, mark := steady.Continue(got)
+	if !mark.At.Equal(at) {
+		t.Errorf("the clock goes on from %v, want %v", mark.At, at)
+	}
+	if got := now(); got.Before(at) {
+		t.Errorf("clock: got %v, want %v or later", got, at)
+	}
+}
