--- /dev/null
+++ b/internal/store/compat_test.go
@@ -0,0 +1,66 @@
+package store_test
+
+import (
+	"bytes"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"testing"
+
+	"lupinpond/internal/layer"
+	"lupinpond/internal/store"
+)
+
+// A store's folder that an earlier version wrote lists its releases under their digests, and each is read and built whole
+// from its chunks, which are verified.
+func TestStoredStoreIsRead(t *testing.T) {
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS("testdata/stored")); err != nil {
+		t.Fatal(err)
+	}
+	s, c := open(t, dir, store.Capacity{Requests: 64}, 0)
+	digests := map[string]string{
+		"1": "be53225e517c90ae351309a91d743ec091f7c91ace05f02e1a0a23ede6cc06ce",
+		"2": "58ebc6fc50361c794501e494982bb519c4be59007724de828b0f38a67909bd9b",
+	}
+	want := []store.Entry{{Name: "f", Version: "2", Digest: digests["2"]}}
+	if got, err := c.Packages(t.Context()); err != nil || !slices.Equal(got, want) {
+		t.Errorf("releases: got %+v, error %v, want %+v", got, err, want)
+	}
+	if n, err := s.Collect(); err != nil || n != 0 {
+		t.Errorf("collected: got %d chunks, error %v, want 0: every chunk is named by a release", n, err)
+	}
+	for i, version := range []string{"1", "2"} {
+		encoded, err := c.Release(t.Context(), "f", version)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got := layer.Sum(encoded).String(); got != digests[version] {
+			t.Errorf("release %s: got digest %s, want %s", version, got, digests[version])
+		}
+		r, err := layer.Decode(encoded)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if m, err := r.Package(); err != nil || m.Name != "f" || m.Version != version || m.Memory != 1<<20 {
+			t.Errorf("release %s: got manifest %+v, error %v, want name f, version %s, memory %d", version, m, err, version, 1<<20)
+		}
+		if again, err := layer.Encode(r); err != nil || !bytes.Equal(again, encoded) {
+			t.Errorf("release %s encoded again: got %x, error %v, want %x", version, again, err, encoded)
+		}
+		content := make([]byte, 3000) // as folder drew it
+		_, _ = rand.NewChaCha8([32]byte{byte(i + 1)}).Read(content)
+		chunks := r.Chunks()
+		if len(chunks) != 1 {
+			t.Fatalf("release %s: got %d chunks, want 1", version, len(chunks))
+		}
+		packed, err := c.Chunk(t.Context(), chunks[0].Digest)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got, err := layer.Unpack(chunks[0].Digest, packed); err != nil || !bytes.Equal(got, content) {
+			t.Errorf("release %s: got chunk of %d bytes, error %v, want the %d bytes that were stored", version, len(got), err, len(content))
+		}
+		whole(t, c, version)
+	}
+}
