--- /dev/null
+++ b/internal/resp/golden_test.go
@@ -0,0 +1,121 @@
+package resp_test
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"lupinpond/internal/resp"
+)
+
+// goldenCommands are the requests sent to workers, as words and as the exact bytes on the wire.
+var goldenCommands = []struct {
+	words []string
+	wire  string
+}{
+	{[]string{"FN", "00000000000000a1", "class=pay,key=7f3a9c21e0b4d655,wait=1500,once=m1", "body\r\nbytes"},
+		"*4\r\n$2\r\nFN\r\n$16\r\n00000000000000a1\r\n$48\r\nclass=pay,key=7f3a9c21e0b4d655,wait=1500,once=m1\r\n$11\r\nbody\r\nbytes\r\n"},
+	{[]string{"FN", "00000000000000a2", "class=pay,key=7f3a9c21e0b4d655,wait=1", ""},
+		"*4\r\n$2\r\nFN\r\n$16\r\n00000000000000a2\r\n$37\r\nclass=pay,key=7f3a9c21e0b4d655,wait=1\r\n$0\r\n\r\n"},
+	{[]string{"KILL", "00000000000000a1"}, "*2\r\n$4\r\nKILL\r\n$16\r\n00000000000000a1\r\n"},
+	{[]string{"SPAWN", "t1", "key=7f3a9c21e0b4d655,n=2"}, "*3\r\n$5\r\nSPAWN\r\n$2\r\nt1\r\n$24\r\nkey=7f3a9c21e0b4d655,n=2\r\n"},
+	{[]string{"TOP", "t2"}, "*2\r\n$3\r\nTOP\r\n$2\r\nt2\r\n"},
+}
+
+// The encoder writes exactly the golden bytes, and ReadCommands decodes them to the same words.
+func TestGoldenCommands(t *testing.T) {
+	var stream strings.Builder
+	for _, c := range goldenCommands {
+		if got := string(resp.Append(nil, c.words...)); got != c.wire {
+			t.Errorf("%q:\n got %q\nwant %q", c.words, got, c.wire)
+		}
+		stream.WriteString(c.wire)
+	}
+	i := 0
+	err := resp.ReadCommands(strings.NewReader(stream.String()), 64, func(words []string, size int) error {
+		want := goldenCommands[i]
+		if fmt.Sprintf("%q", words) != fmt.Sprintf("%q", want.words) || size != len(want.wire) {
+			t.Errorf("command %d:\n got %q, %d bytes\nwant %q, %d bytes", i, words, size, want.words, len(want.wire))
+		}
+		i++
+		return nil
+	})
+	if !errors.Is(err, io.EOF) || i != len(goldenCommands) {
+		t.Errorf("got %d commands, %v\nwant %d, EOF", i, err, len(goldenCommands))
+	}
+}
+
+// The connection carries the request and, after a recall, the cancellation, byte for byte and nothing else.
+func TestGoldenConnection(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	ctx, stop := context.WithCancel(context.Background())
+	pool := resp.NewPool(ctx, limits)
+	defer pool.Wait()
+	defer stop()
+	request, kill := goldenCommands[0], goldenCommands[2]
+	done := make(chan resp.Answer, 1)
+	call := pool.Worker(listener.Addr().String()).Call(request.words[1], resp.Fixed([]byte(request.wire)), true,
+		func(a resp.Answer) { done <- a })
+	conn, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	if err := conn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	got := make([]byte, len(request.wire))
+	if _, err := io.ReadFull(conn, got); err != nil || string(got) != request.wire {
+		t.Fatalf(" got %q, %v\nwant %q", got, err, request.wire)
+	}
+	call.Recall([]byte(kill.wire))
+	rest, err := io.ReadAll(conn) // a connection with a recalled call closes after the cancellation
+	if err != nil || string(rest) != kill.wire {
+		t.Errorf(" got %q, %v\nwant %q", rest, err, kill.wire)
+	}
+	if a := <-done; a.Fate != resp.GivenUp {
+		t.Errorf("got fate %v, want %v", a.Fate, resp.GivenUp)
+	}
+}
+
+// Answers of workers decode to their words, and the second word to its name=value pairs.
+func TestGoldenAnswers(t *testing.T) {
+	for _, c := range []struct{ wire, words, pairs string }{
+		{"*4\r\n$16\r\n00000000000000a1\r\n$2\r\nok\r\n$38\r\nhow=ready,stats=busy_reqs:1;pending:0,x\r\n$4\r\ndone\r\n", "", ""},
+		{"*4\r\n$2\r\na1\r\n$2\r\nok\r\n$37\r\nhow=ready,stats=busy_reqs:1;pending:0\r\n$6\r\ndo\r\nne\r\n",
+			`["a1" "ok" "how=ready,stats=busy_reqs:1;pending:0" "do\r\nne"]`, "map[how:ready stats:busy_reqs:1;pending:0]"},
+		{"*4\r\n$2\r\na1\r\n$7\r\nnothing\r\n$1\r\n-\r\n$0\r\n\r\n", `["a1" "nothing" "-" ""]`, "map[]"},
+		{"*4\r\n$2\r\na1\r\n$7\r\nrefused\r\n$1\r\n-\r\n$0\r\n\r\n", `["a1" "refused" "-" ""]`, "map[]"},
+		{"*4\r\n$2\r\na1\r\n$5\r\nstale\r\n$1\r\n-\r\n$0\r\n\r\n", `["a1" "stale" "-" ""]`, "map[]"},
+		{"*4\r\n$2\r\na1\r\n$5\r\nerror\r\n$12\r\nhow=no_image\r\n$0\r\n\r\n", `["a1" "error" "how=no_image" ""]`, "map[how:no_image]"},
+		{"*4\r\n$2\r\nt1\r\n$2\r\nok\r\n$3\r\nn=2\r\n$0\r\n\r\n", `["t1" "ok" "n=2" ""]`, "map[n:2]"},
+		{"*3\r\n$2\r\nt2\r\n$3\r\nyes\r\n$15\r\nstats=pending:3\r\n", `["t2" "yes" "stats=pending:3"]`, "map[stats:pending:3]"},
+		{"*2\r\n$2\r\nt2\r\n$2\r\nno\r\n", `["t2" "no"]`, ""},
+	} {
+		words, taken, err := resp.Parse([]byte(c.wire), 64)
+		if c.words == "" { // a length that does not match its word
+			if !errors.Is(err, resp.ErrMalformed) {
+				t.Errorf("%q:\n got %q, %v\nwant %v", c.wire, words, err, resp.ErrMalformed)
+			}
+			continue
+		}
+		if got := fmt.Sprintf("%q", words); err != nil || taken != len(c.wire) || got != c.words {
+			t.Errorf("%q:\n got %s, %d bytes, %v\nwant %s, %d bytes", c.wire, got, taken, err, c.words, len(c.wire))
+			continue
+		}
+		if len(words) > 2 {
+			if got := fmt.Sprint(resp.Pairs(string(words[2]))); got != c.pairs {
+				t.Errorf("%q:\n got %s\nwant %s", words[2], got, c.pairs)
+			}
+		}
+	}
+}
