--- /dev/null
+++ b/internal/feed/golden_test.go
@@ -0,0 +1,111 @@
+package feed_test
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"lupinpond/internal/feed"
+)
+
+// The client sends exactly these bytes, at the start and after event 7; only the address of the test's listener is replaced.
+func TestGoldenRequest(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	addr := listener.Addr().String()
+	told := make(chan feed.Event, 2)
+	f := feed.New(addr, feed.Limits{Wait: 60 * time.Second, Answer: 20 * time.Second, Slow: 20 * time.Second, Bytes: 1 << 16},
+		slog.New(slog.DiscardHandler), func(e feed.Event) { told <- e })
+	ctx, stop := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	go func() { ended <- f.Run(ctx) }()
+	defer func() {
+		stop()
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	}()
+	conn, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	if err := conn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	in := bufio.NewReader(conn)
+	head := func() string {
+		var b strings.Builder
+		for {
+			line, err := in.ReadString('\n')
+			b.WriteString(line)
+			if err != nil {
+				t.Fatalf("got %q, %v", b.String(), err)
+			}
+			if line == "\r\n" {
+				return strings.ReplaceAll(b.String(), addr, "ADDR")
+			}
+		}
+	}
+	const want = "GET /journal?tail=%d&max_wait=60000 HTTP/1.1\r\nHost: ADDR\r\nUser-Agent: Go-http-client/1.1\r\n" +
+		"Accept-Encoding: gzip\r\n\r\n"
+	if got := head(); got != fmt.Sprintf(want, 0) {
+		t.Errorf("\n got %q\nwant %q", got, fmt.Sprintf(want, 0))
+	}
+	const body = `{"pos":7,"entries":[{"pos":7,"hosts":{"whole":true,"hosts":[]}}]}`
+	if _, err := io.WriteString(conn, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)); err != nil {
+		t.Fatal(err)
+	}
+	if e := <-told; e.Number != 7 {
+		t.Errorf("got event %d, want 7", e.Number)
+	}
+	if got := head(); got != fmt.Sprintf(want, 7) {
+		t.Errorf("\n got %q\nwant %q", got, fmt.Sprintf(want, 7))
+	}
+}
+
+// Every form of answer decodes to these values: a whole list, a change with each state, an event of another kind, none.
+func TestGoldenNews(t *testing.T) {
+	for _, c := range []struct{ text, want string }{
+		{`{"pos":5,"entries":[{"pos":1,"hosts":{"seq":1,"whole":true,"hosts":[{"host":"w1","dial":"127.0.0.1:9","site":"z","class":"k",` +
+			`"block":2,"health":"up","share":4.5,"born_ms":1700000000123}]}},{"pos":4,"other":1},{"pos":5,"hosts":{"hosts":[` +
+			`{"host":"w1","dial":"127.0.0.1:9","health":"draining"},{"host":"w2","health":"removed"}]}}]}`,
+			"last 5; event 1 whole true {w1 127.0.0.1:9 z k 2 up 4.5 1700000000123}; event 4 no list; " +
+				"event 5 whole false {w1 127.0.0.1:9   0 draining 0 0} {w2    0 removed 0 0}"},
+		{`{"pos":5,"entries":[]}`, "last 5"},
+		{`{"pos":5}`, "last 5"},
+		{`{"pos":5,"entries":[{"hosts":{}}]}`, "error journal: an event without its number"},
+		{`{"pos":5,"entries":[{"pos":5,"hosts":{"hosts":[{"host":"w","dial":"127.0.0.1:1","health":"well"}]}}]}`,
+			`error journal: event 5: worker "w" is "well"`},
+		{`{"pos":5,"entries":[{"pos":5,"hosts":{"hosts":[{"host":"w","dial":"x","health":"up"}]}}]}`,
+			`error journal: event 5: worker "w": address x: missing port in address`},
+	} {
+		n, err := feed.Parse([]byte(c.text))
+		got := fmt.Sprint("last ", n.Last)
+		if err != nil {
+			got = "error " + err.Error()
+		}
+		for _, e := range n.Events {
+			if e.List == nil {
+				got += fmt.Sprintf("; event %d no list", e.Number)
+				continue
+			}
+			got += fmt.Sprintf("; event %d whole %v", e.Number, e.List.Whole)
+			for _, w := range e.List.Workers {
+				got += fmt.Sprintf(" {%v %v %v %v %v %v %v %v}", w.Name, w.Addr, w.Zone, w.Kind, w.Cell, w.State, w.Size, w.Born)
+			}
+		}
+		if got != c.want {
+			t.Errorf("%s\n got %s\nwant %s", c.text, got, c.want)
+		}
+	}
+}
