--- /dev/null
+++ b/internal/thrift/golden_test.go
@@ -0,0 +1,153 @@
+package thrift_test
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"lupinpond/internal/thrift"
+)
+
+// goldenDispatch is a framed request in the strict binary protocol: dispatch, number 7, {1: {"id": "a1"}, 2: "body"}.
+const goldenDispatch = "\x00\x00\x00\x35" + "\x80\x01\x00\x01" + "\x00\x00\x00\x08dispatch" + "\x00\x00\x00\x07" +
+	"\x0d\x00\x01\x0b\x0b\x00\x00\x00\x01" + "\x00\x00\x00\x02id" + "\x00\x00\x00\x02a1" + "\x0b\x00\x02\x00\x00\x00\x04body" + "\x00"
+
+// goldenResult, goldenThrown and goldenRefusal are the forms of answers: a result struct in field 0, an exception struct in
+// field 1, an application exception.
+const (
+	goldenResult = "\x00\x00\x00\x31" + "\x80\x01\x00\x02" + "\x00\x00\x00\x08dispatch" + "\x00\x00\x00\x07" +
+		"\x0c\x00\x00" + "\x0b\x00\x01\x00\x00\x00\x04done" + "\x0d\x00\x02\x0b\x0b\x00\x00\x00\x00" + "\x02\x00\x03\x01" + "\x00" + "\x00"
+	goldenThrown = "\x00\x00\x00\x31" + "\x80\x01\x00\x02" + "\x00\x00\x00\x08dispatch" + "\x00\x00\x00\x07" +
+		"\x0c\x00\x01" + "\x0d\x00\x01\x0b\x0b\x00\x00\x00\x01" + "\x00\x00\x00\x05after" + "\x00\x00\x00\x0212" + "\x00" + "\x00"
+	goldenRefusal = "\x00\x00\x00\x26" + "\x80\x01\x00\x03" + "\x00\x00\x00\x08dispatch" + "\x00\x00\x00\x07" +
+		"\x0b\x00\x01\x00\x00\x00\x03why" + "\x08\x00\x02\x00\x00\x00\x04" + "\x00"
+)
+
+// texts makes binaries readable in messages.
+func texts(bins map[int16][]byte) map[int16]string {
+	m := map[int16]string{}
+	for id, b := range bins {
+		m[id] = string(b)
+	}
+	return m
+}
+
+// The writer gives exactly the golden bytes, for each type of value and kind of message.
+func TestGoldenFrames(t *testing.T) {
+	request := thrift.NewWriter("dispatch", thrift.Call, 7)
+	request.Texts(1, "id", "a1")
+	request.Binary(2, []byte("body"))
+	result := thrift.NewWriter("dispatch", thrift.Reply, 7)
+	result.Struct(0)
+	result.Binary(1, []byte("done"))
+	result.Texts(2)
+	result.Bool(3, true)
+	result.End()
+	thrown := thrift.NewWriter("dispatch", thrift.Reply, 7)
+	thrown.Struct(1)
+	thrown.Texts(1, "after", "12")
+	thrown.End()
+	oneway := thrift.NewWriter("cancelRequest", thrift.Oneway, -2)
+	oneway.I32(1, 7)
+	oneway.Bool(2, false)
+	for _, c := range []struct {
+		name string
+		got  []byte
+		want string
+	}{
+		{"request", request.Frame(), goldenDispatch},
+		{"result", result.Frame(), goldenResult},
+		{"exception of the service", thrown.Frame(), goldenThrown},
+		{"application exception", thrift.Refusal("dispatch", 7, thrift.BadSequence, "why"), goldenRefusal},
+		{"oneway", oneway.Frame(), "\x00\x00\x00\x25" + "\x80\x01\x00\x04" + "\x00\x00\x00\x0dcancelRequest" + "\xff\xff\xff\xfe" +
+			"\x08\x00\x01\x00\x00\x00\x07" + "\x02\x00\x02\x00" + "\x00"},
+	} {
+		if string(c.got) != c.want {
+			t.Errorf("%s:\n got %x\nwant %x", c.name, c.got, c.want)
+		}
+	}
+	codes := fmt.Sprint(thrift.UnknownMethod, thrift.BadSequence, thrift.InternalError, thrift.ProtocolError)
+	if codes != "1 4 6 7" {
+		t.Errorf("codes of application exceptions: got %s, want 1 4 6 7", codes)
+	}
+}
+
+// Golden requests and answers decode to these values.
+func TestGoldenDecoding(t *testing.T) {
+	m, err := thrift.Parse([]byte(goldenDispatch[4:]))
+	got := fmt.Sprintf("%s %d %d %v", m.Name, m.Kind, m.Seq, err)
+	if want := "dispatch 1 7 <nil>"; got != want {
+		t.Errorf("got %s, want %s", got, want)
+	}
+	a, err := thrift.ReadArgs(m.Args)
+	got = fmt.Sprintf("%v %v %v %v %v", a.Maps, texts(a.Bins), a.Ints, a.Bools, err)
+	if want := `map[1:map[id:a1]] map[2:body] map[] map[] <nil>`; got != want {
+		t.Errorf("got %s, want %s", got, want)
+	}
+	// a double, a list and a struct are skipped; an i32 and a bool are kept
+	a, err = thrift.ReadArgs([]byte("\x04\x00\x09\x00\x00\x00\x00\x00\x00\x00\x00" + "\x0f\x00\x08\x08\x00\x00\x00\x01\x00\x00\x00\x05" +
+		"\x0c\x00\x07\x03\x00\x01\x05\x00" + "\x08\x00\x01\xff\xff\xff\xfe" + "\x02\x00\x03\x01" + "\x00"))
+	got = fmt.Sprintf("%v %v %v %v %v", a.Maps, texts(a.Bins), a.Ints, a.Bools, err)
+	if want := "map[] map[] map[1:-2] map[3:true] <nil>"; got != want {
+		t.Errorf("got %s, want %s", got, want)
+	}
+	for wire, want := range map[string]string{
+		goldenResult:  `0 map[2:map[]] map[1:done] map[3:true] <nil>`,
+		goldenThrown:  `1 map[1:map[after:12]] map[] map[] <nil>`,
+		goldenRefusal: `0 map[] map[] map[] thrift: malformed: no result`,
+	} {
+		m, err := thrift.ReadMessage(bytes.NewReader([]byte(wire)), 1<<10)
+		if err != nil {
+			t.Errorf("%x: %v", wire, err)
+			continue
+		}
+		field, a, err := m.Result()
+		if got := fmt.Sprintf("%d %v %v %v %v", field, a.Maps, texts(a.Bins), a.Bools, err); got != want {
+			t.Errorf("%x:\n got %s\nwant %s", wire, got, want)
+		}
+	}
+}
+
+// The server passes on golden requests and writes golden answers; to bytes that are no message it writes one application
+// exception and closes the connection.
+func TestGoldenServer(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := thrift.NewServer(listener, thrift.Limits{Frame: 1 << 10, Open: 4, Conns: 4, Mute: 20 * time.Second, Idle: 20 * time.Second,
+		Write: 20 * time.Second, Rest: time.Second}, func(c *thrift.Conn, m thrift.Message) {
+		c.Begin(m.Seq, func() {})
+		c.Answer(m.Seq, []byte(goldenResult))
+	})
+	ctx, stop := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	go func() { ended <- server.Run(ctx) }()
+	defer func() {
+		stop()
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	}()
+	conn, err := net.Dial("tcp", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	if err := conn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.WriteString(conn, goldenDispatch+"\x00\x00\x00\x04\x00\x01\x00\x01"); err != nil {
+		t.Fatal(err)
+	}
+	got, err := io.ReadAll(conn)
+	want := goldenResult + "\x00\x00\x00\x49" + "\x80\x01\x00\x03" + "\x00\x00\x00\x00" + "\x00\x00\x00\x00" +
+		"\x0b\x00\x01\x00\x00\x00\x2ethrift: malformed: not of the strict version 1" + "\x08\x00\x02\x00\x00\x00\x07" + "\x00"
+	if err != nil || string(got) != want {
+		t.Errorf("\n got %q, %v\nwant %q", got, err, want)
+	}
+}
