--- /dev/null
+++ b/internal/invoke/golden_test.go
@@ -0,0 +1,162 @@
+package invoke_test
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"net/http"
+	"net/http/httptest"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"lupinpond/internal/config"
+	"lupinpond/internal/invoke"
+)
+
+// spelled is a recorded response as text: status, header lines in sorted order, body.
+func spelled(w *httptest.ResponseRecorder) string {
+	var b strings.Builder
+	fmt.Fprintln(&b, w.Code)
+	for _, name := range slices.Sorted(maps.Keys(w.Header())) {
+		fmt.Fprintf(&b, "%s: %s\n", name, strings.Join(w.Header()[name], ", "))
+	}
+	return b.String() + "\n" + w.Body.String()
+}
+
+// Each ending is this status, these headers and this body, to the byte.
+func TestGoldenAnswers(t *testing.T) {
+	for _, c := range []struct {
+		answer invoke.Answer
+		want   string
+	}{
+		{invoke.Answer{Ending: invoke.Completed, Event: "f-1", Launches: 2, Body: []byte("ran\x00")},
+			"200\nContent-Length: 4\nContent-Type: application/octet-stream\nLupin-Event: f-1\nLupin-Launches: 2\n\nran\x00"},
+		{invoke.Answer{Ending: invoke.Rejected, Event: "f-2", Launches: 1, Back: 1200 * time.Millisecond, Reason: "no room"},
+			"503\nContent-Type: application/problem+json\nLupin-Back-Ms: 1200\nLupin-Event: f-2\nLupin-Launches: 1\nRetry-After: 2\n\n" +
+				`{"type":"urn:lupinpond:deferred","title":"Deferred: try again later","status":503,"detail":"no room","event":"f-2","launches":1}` + "\n"},
+		{invoke.Answer{Ending: invoke.Rejected, Event: "f-2"},
+			"503\nContent-Type: application/problem+json\nLupin-Event: f-2\nLupin-Launches: 0\n\n" +
+				`{"type":"urn:lupinpond:deferred","title":"Deferred: try again later","status":503,"event":"f-2"}` + "\n"},
+		{invoke.Answer{Ending: invoke.Failed, Event: "f-3", Launches: 3, MayRun: true, Reason: "broken"},
+			"502\nContent-Type: application/problem+json\nLupin-Event: f-3\nLupin-Launches: 3\n\n" +
+				`{"type":"urn:lupinpond:dead-lettered","title":"Dead-lettered","status":502,"detail":"broken","event":"f-3","may-have-run":true,"launches":3}` + "\n"},
+		{invoke.Answer{Ending: invoke.Failed, Event: "f-4"},
+			"502\nContent-Type: application/problem+json\nLupin-Event: f-4\nLupin-Launches: 0\n\n" +
+				`{"type":"urn:lupinpond:dead-lettered","title":"Dead-lettered","status":502,"event":"f-4","may-have-run":false}` + "\n"},
+		{invoke.Answer{Ending: invoke.NotTaken, Reason: "this front end takes no event now"},
+			"503\nConnection: close\nContent-Type: application/problem+json\n\n" +
+				`{"type":"urn:lupinpond:not-taken","title":"Not taken","status":503,"detail":"this front end takes no event now"}` + "\n"},
+		{invoke.Answer{Ending: invoke.InHand, Event: "f-5", Back: 500 * time.Microsecond, Reason: "twin"},
+			"409\nContent-Type: application/problem+json\nLupin-Back-Ms: 1\nRetry-After: 1\n\n" +
+				`{"type":"urn:lupinpond:not-taken","title":"In hand already","status":409,"detail":"twin","event":"f-5"}` + "\n"},
+	} {
+		w := httptest.NewRecorder()
+		invoke.Write(w, c.answer)
+		if got := spelled(w); got != c.want {
+			t.Errorf("%+v:\n got %q\nwant %q", c.answer, got, c.want)
+		}
+	}
+	names := fmt.Sprint(invoke.Completed, invoke.Rejected, invoke.Failed, invoke.NotTaken, invoke.InHand)
+	if want := "completed rejected failed not_taken in_hand"; names != want {
+		t.Errorf("names of endings:\n got %s\nwant %s", names, want)
+	}
+}
+
+const goldenSettings = `
+fleet:
+  types:
+    - {name: once, effect: at-most-once, target: 1s, max-age: 6s}
+    - {name: keyed, effect: keyed, group: all, window: 5s, target: 1s, max-age: 4s}
+  tenants: [{name: acme, share: 1}, {name: other, share: 1}]
+  loading: {orders: false, on-miss: load, keep: 8s}
+  allowed: {launches: 2}
+  stop-sending-within: 1s
+  ask-list-within: 1s
+  quantum: 1ms
+functions:
+  - {name: pay, type: once, tenant: acme, lanes: 1, memory: 1MiB}
+  - {name: tax, type: keyed, lanes: 1, memory: 1MiB}
+front:
+  limits: {body: 8B}
+`
+
+// reader serves requests by the catalogue: a refusal is the problem as it is, a call its fields.
+func reader(t *testing.T) http.Handler {
+	f, err := config.Parse("golden.yaml", []byte(goldenSettings))
+	if err != nil {
+		t.Fatal(err)
+	}
+	catalogue, mux := invoke.NewCatalogue(f), http.NewServeMux()
+	mux.HandleFunc("POST /v1/functions/{name}/invocations", func(w http.ResponseWriter, r *http.Request) {
+		c, p := catalogue.Read(w, r)
+		if p != nil {
+			p.Write(w)
+			return
+		}
+		fmt.Fprintf(w, "%s %s %q %q %q %q %v %v %q", c.Function.Name, c.Type.Name, c.Tenant, c.Source, c.ID, c.Key, c.Patience, c.Repeat, c.Body)
+	})
+	return mux
+}
+
+// brokenBody fails with an error of its own.
+type brokenBody struct{}
+
+func (brokenBody) Read([]byte) (int, error) { return 0, errors.New("cut") }
+
+// The request headers of the API are read under these names, and each refusal is exactly this problem.
+func TestGoldenRequests(t *testing.T) {
+	handler := reader(t)
+	for _, c := range []struct{ function, headers, body, want string }{
+		{"pay", "", "x", `200 pay once "acme" "" "" "" 6s false "x"`},
+		{"pay", "Ce-Specversion: 1.0|Ce-Type: once|Ce-Source: s|Ce-Id: i|Lupin-Tenant: acme|Lupin-Repeat: 1|Prefer: wait=1.5|Idempotency-Key: k",
+			"x", `200 pay once "acme" "s" "i" "" 1.5s true "x"`},
+		{"pay", `Prefer: handling=strict, wait="2";x=1`, "", `200 pay once "acme" "" "" "" 2s false ""`},
+		{"pay", "Prefer: wait=60|Lupin-Repeat: true", "", `200 pay once "acme" "" "" "" 6s false ""`},
+		{"tax", `Idempotency-Key: "k"|Lupin-Tenant: other|Ce-Id: i`, "", `200 tax keyed "other" "" "i" "other\ntax\nk" 4s false ""`},
+		{"tax", "Ce-Id: i|Ce-Source: s", "", `200 tax keyed "" "s" "i" "\ntax\ns\ni" 4s false ""`},
+		{"none", "", "", problem(404, "Not Found", `no function \"none\"`)},
+		{"pay", "Ce-Specversion: 0.3", "", problem(400, "Bad Request", `ce-specversion \"0.3\", 1.0 is taken`)},
+		{"pay", "Ce-Type: keyed", "", problem(400, "Bad Request", `ce-type \"keyed\", but pay takes events of type once`)},
+		{"pay", "Ce-Id: " + strings.Repeat("i", 257), "",
+			problem(400, "Bad Request", `ce-id or Idempotency-Key longer than 256 bytes, or ce-source than 1024`)},
+		{"pay", "Ce-Source: " + strings.Repeat("s", 1025), "",
+			problem(400, "Bad Request", `ce-id or Idempotency-Key longer than 256 bytes, or ce-source than 1024`)},
+		{"pay", "Idempotency-Key: " + strings.Repeat("k", 257), "",
+			problem(400, "Bad Request", `ce-id or Idempotency-Key longer than 256 bytes, or ce-source than 1024`)},
+		{"pay", "Lupin-Tenant: other", "", problem(403, "Forbidden", `pay belongs to another tenant`)},
+		{"tax", "Lupin-Tenant: nobody|Ce-Id: i", "", problem(403, "Forbidden", `no tenant \"nobody\"`)},
+		{"tax", "", "", problem(400, "Bad Request", `an event of the keyed type keyed needs Idempotency-Key or ce-id`)},
+		{"pay", "Prefer: wait=soon", "", problem(400, "Bad Request", `Prefer: wait=soon is no time in seconds`)},
+		{"pay", "Prefer: respond-async", "", problem(501, "Not Implemented", `deferred calls (respond-async) are not built yet`)},
+		{"pay", "", "123456789", problem(413, "Request Entity Too Large", `the body is longer than 8 bytes`)},
+		{"pay", "", "broken", problem(400, "Bad Request", `the body broke off: cut`)},
+	} {
+		r := httptest.NewRequest(http.MethodPost, "/v1/functions/"+c.function+"/invocations", strings.NewReader(c.body))
+		if c.body == "broken" {
+			r = httptest.NewRequest(http.MethodPost, "/v1/functions/"+c.function+"/invocations", brokenBody{})
+		}
+		for line := range strings.SplitSeq(c.headers, "|") {
+			if name, value, is := strings.Cut(line, ": "); is {
+				r.Header.Add(name, value)
+			}
+		}
+		w := httptest.NewRecorder()
+		handler.ServeHTTP(w, r)
+		got := fmt.Sprint(w.Code, " ", w.Body.String())
+		if w.Code != 200 {
+			got = spelled(w)
+			got = strings.Replace(got, "Connection: close\n", "", 1) // of MaxBytesReader, not of the API
+		}
+		if got != c.want {
+			t.Errorf("%s, %.80s:\n got %q\nwant %q", c.function, c.headers, got, c.want)
+		}
+	}
+}
+
+// problem is a refused request as spelled gives it; detail as JSON spells it.
+func problem(status int, title, detail string) string {
+	return fmt.Sprintf("%d\nContent-Type: application/problem+json\n\n"+
+		`{"type":"urn:lupinpond:request","title":"%s","status":%d,"detail":"%s"}`+"\n", status, title, status, detail)
+}
