--- /dev/null
+++ b/internal/gate/golden_test.go
@@ -0,0 +1,101 @@
+package gate_test
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"lupinpond/internal/config"
+)
+
+// volatile are parts of responses that depend on time, with what stands in their place before they are compared.
+var volatile = []struct {
+	part *regexp.Regexp
+	name string
+}{
+	{regexp.MustCompile(`\r\nDate: [^\r]+\r\n`), "\r\nDate: D\r\n"},
+	{regexp.MustCompile(`\r\nLupin-Back-Ms: [0-9]+\r\n`), "\r\nLupin-Back-Ms: N\r\n"},
+	{regexp.MustCompile(`\r\nRetry-After: [0-9]+\r\n`), "\r\nRetry-After: N\r\n"},
+}
+
+// raw sends a request as bytes on a connection of its own and gives the whole response, volatile parts replaced.
+func (r *rig) raw(request string) string {
+	r.t.Helper()
+	conn, err := net.Dial("tcp", r.addr)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	defer conn.Close()
+	if err := conn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
+		r.t.Fatal(err)
+	}
+	if _, err := io.WriteString(conn, request); err != nil {
+		r.t.Fatal(err)
+	}
+	b, err := io.ReadAll(conn)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	got := string(b)
+	for _, v := range volatile {
+		got = v.part.ReplaceAllString(got, v.name)
+	}
+	return got
+}
+
+// posted is a request of the invoke API; headers end with CRLF each.
+func posted(path, headers, body string) string {
+	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\nConnection: close\r\n%sContent-Length: %d\r\n\r\n%s", path, headers, len(body), body)
+}
+
+// refusal is the response to a refused request.
+func refusal(status, body string) string {
+	return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Type: application/problem+json\r\nDate: D\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s",
+		status, len(body), body)
+}
+
+// closing is a refusal after which the server closes the connection whatever the client asks: the header comes first.
+func closing(status, body string) string {
+	first, rest, _ := strings.Cut(strings.Replace(refusal(status, body), "Connection: close\r\n", "", 1), "\r\n")
+	return first + "\r\nConnection: close\r\n" + rest
+}
+
+// Responses on the wire are to the byte what they were: handled, and refused before an event was in hand.
+func TestGoldenResponses(t *testing.T) {
+	r := start(t, func(f *config.File) { f.Front.Limits.Body = 64 })
+	const path = "/v1/functions/preview/invocations"
+	for _, c := range []struct{ request, want string }{
+		{posted("/v1/functions/none/invocations", "", "x"), refusal("404 Not Found",
+			`{"type":"urn:lupinpond:request","title":"Not Found","status":404,"detail":"no function \"none\""}`+"\n")},
+		{posted("/v2", "", ""), refusal("404 Not Found",
+			`{"type":"urn:lupinpond:request","title":"Not Found","status":404,"detail":"POST /v2"}`+"\n")},
+		{"GET " + path + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", refusal("404 Not Found",
+			`{"type":"urn:lupinpond:request","title":"Not Found","status":404,"detail":"GET `+path+`"}`+"\n")},
+		{posted(path, "Prefer: respond-async\r\n", ""), refusal("501 Not Implemented",
+			`{"type":"urn:lupinpond:request","title":"Not Implemented","status":501,"detail":"deferred calls (respond-async) are not built yet"}`+"\n")},
+		{posted(path, "Lupin-Tenant: ravi-foods\r\n", ""), refusal("403 Forbidden",
+			`{"type":"urn:lupinpond:request","title":"Forbidden","status":403,"detail":"preview belongs to another tenant"}`+"\n")},
+		{posted(path, "", strings.Repeat("x", 65)), closing("413 Request Entity Too Large",
+			`{"type":"urn:lupinpond:request","title":"Request Entity Too Large","status":413,"detail":"the body is longer than 64 bytes"}`+"\n")},
+		{posted(path, "Ce-Id: i\r\nCe-Source: s\r\nPrefer: wait=3\r\n", "preview/i 5ms"),
+			"HTTP/1.1 200 OK\r\nContent-Length: 18\r\nContent-Type: application/octet-stream\r\nLupin-Event: f-1\r\nLupin-Launches: 1\r\nDate: D\r\nConnection: close\r\n\r\npreview/i released"},
+	} {
+		if got := r.raw(c.request); got != c.want {
+			t.Errorf("%.60q:\n got %q\nwant %q", c.request, got, c.want)
+		}
+	}
+}
+
+// A front end that takes no event says so, with its connection closed.
+func TestGoldenNotTaken(t *testing.T) {
+	r := start(t, func(f *config.File) { f.Front.Limits.InHand = 0 })
+	want := closing("503 Service Unavailable",
+		`{"type":"urn:lupinpond:not-taken","title":"Not taken","status":503,"detail":"this front end takes no event now"}`+"\n")
+	if got := r.raw(posted("/v1/functions/preview/invocations", "", "x")); got != want {
+		t.Errorf("\n got %q\nwant %q", got, want)
+	}
+}
