--- a/cmd/lpstore/main.go
+++ b/cmd/artifact-store/main.go
@@ -1,4 +1,4 @@
-// Command lpstore is the store of packages.
+// Command artifact-store is the store of packages.
 package main
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/alecthomas/kong"
 	"golang.org/x/sync/errgroup"
 
-	"lupinpond/internal/config"
-	"lupinpond/internal/serve"
-	"lupinpond/internal/store"
-	"lupinpond/internal/telemetry"
+	"lupinpond/internal/artifact/artifactstore"
+	"lupinpond/internal/base/config"
+	"lupinpond/internal/base/httpserver"
+	"lupinpond/internal/base/telemetry"
 )
 
 type flags struct {
@@ -36,9 +36,9 @@
 
 func main() {
 	var f flags
-	kong.Parse(&f, kong.Name("lpstore"), kong.Description("The store of packages: releases, chunks, a stated capacity."))
+	kong.Parse(&f, kong.Name("artifact-store"), kong.Description("The store of packages: releases, chunks, a stated capacity."))
 	if err := run(f); err != nil {
-		fmt.Fprintln(os.Stderr, "lpstore:", err)
+		fmt.Fprintln(os.Stderr, "artifact-store:", err)
 		os.Exit(1)
 	}
 }
@@ -51,7 +51,7 @@
 		return errors.New("--requests, --stop-for and --collect are above 0, --rate, --stop and --grace not below")
 	}
 	log := telemetry.New(os.Stderr, f.Flags)
-	s, err := store.Open(store.Options{Folder: f.Folder, Grace: f.Grace, Log: log, Capacity: store.Capacity{Rate: f.Rate * 1e6,
+	s, err := artifactstore.Open(artifactstore.Options{Folder: f.Folder, Grace: f.Grace, Log: log, Capacity: artifactstore.Capacity{Rate: f.Rate * 1e6,
 		Requests: f.Requests, Stop: f.Stop, StopIn: time.Second, StopFor: f.StopFor}})
 	if err != nil {
 		return err
@@ -65,7 +65,7 @@
 	defer stop()
 	server := &http.Server{Handler: s.Handler(!f.ReadOnly), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: time.Minute, MaxHeaderBytes: 16 << 10}
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return serve.Until(ctx, server, listener, 10*time.Second) })
+	g.Go(func() error { return httpserver.Until(ctx, server, listener, 10*time.Second) })
 	g.Go(func() error { return s.Run(ctx, f.Collect) })
 	log.Info("store listens", "address", listener.Addr().String())
 	return g.Wait()
--- a/cmd/lpgate/main.go
+++ b/cmd/gateway/main.go
@@ -1,4 +1,4 @@
-// Command lpgate is a front end.
+// Command gateway is a front end.
 package main
 
 import (
@@ -13,12 +13,13 @@
 
 	"github.com/alecthomas/kong"
 
-	"lupinpond/internal/capture"
-	"lupinpond/internal/config"
-	"lupinpond/internal/gate"
-	"lupinpond/internal/platform"
-	"lupinpond/internal/roster"
-	"lupinpond/internal/telemetry"
+	"lupinpond/internal/base/capture"
+	"lupinpond/internal/base/config"
+	"lupinpond/internal/base/telemetry"
+	"lupinpond/internal/gateway"
+	"lupinpond/internal/gateway/fleetconfig"
+	"lupinpond/internal/gateway/platform"
+	"lupinpond/internal/registry"
 )
 
 type flags struct {
@@ -40,10 +41,10 @@
 
 func main() {
 	var f flags
-	kong.Parse(&f, kong.Name("lpgate"), kong.Description("A front end of lupinpond: takes events over HTTP and has workers "+
+	kong.Parse(&f, kong.Name("gateway"), kong.Description("A front end of lupinpond: takes events over HTTP and has workers "+
 		"run them. On SIGTERM it takes no new events, answers every event in hand and ends."))
 	if err := run(f); err != nil {
-		fmt.Fprintln(os.Stderr, "lpgate:", err)
+		fmt.Fprintln(os.Stderr, "gateway:", err)
 		os.Exit(1)
 	}
 }
@@ -55,9 +56,9 @@
 	if f.Config != "" {
 		return platform.Run(f.Config, log, platform.Options{Metrics: f.Metrics, Dropped: lossy.Dropped})
 	}
-	file, err := config.Default()
+	file, err := fleetconfig.Default()
 	if f.Settings != "" {
-		file, err = config.Read(f.Settings)
+		file, err = fleetconfig.Read(f.Settings)
 	}
 	if err != nil {
 		return err
@@ -71,13 +72,13 @@
 	if err := config.Loopback(file.Front.Listen); err != nil {
 		return err
 	}
-	o := gate.Options{Name: f.Name, Self: f.Index, Peers: f.Peers, Seed: uint64(time.Now().UnixNano()), File: file, Log: log}
+	o := gateway.Options{Name: f.Name, Self: f.Index, Peers: f.Peers, Seed: uint64(time.Now().UnixNano()), File: file, Log: log}
 	if f.KeepList != "" {
-		if o.Stale, err = gate.ReadList(f.KeepList); err != nil { // an unreadable one is as none: the list comes anew
+		if o.Stale, err = gateway.ReadList(f.KeepList); err != nil { // an unreadable one is as none: the list comes anew
 			log.Warn("starting without a kept list", "err", err)
 		}
-		o.Known = func(n roster.News) {
-			if err := gate.WriteList(f.KeepList, n); err != nil {
+		o.Known = func(n registry.News) {
+			if err := gateway.WriteList(f.KeepList, n); err != nil {
 				log.Error("the list is not kept", "err", err)
 			}
 		}
@@ -112,7 +113,7 @@
 	if o.Listener, err = net.Listen("tcp", file.Front.Listen); err != nil {
 		return err
 	}
-	g, err := gate.New(o)
+	g, err := gateway.New(o)
 	if err != nil {
 		return errors.Join(err, o.Listener.Close())
 	}
--- a/cmd/lpgate/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -16,11 +16,11 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/resp"
-	"lupinpond/internal/thrift"
+	"lupinpond/internal/gateway/resp"
+	"lupinpond/internal/gateway/thrift"
 )
 
-// The test's own program is lpgate where this is set, to its name and arguments.
+// The test's own program is the gateway where this is set, to its name and arguments.
 const asProgram = "LPGATE_TEST_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -129,7 +129,7 @@
 		t.Fatal(err)
 	}
 	program := exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %q", sockets, os.Args[0]))
-	program.Env = append(os.Environ(), asProgram+"=lpgate", "GW_CONFIG="+path)
+	program.Env = append(os.Environ(), asProgram+"=gateway", "GW_CONFIG="+path)
 	program.Stderr = os.Stderr
 	if err := program.Start(); err != nil {
 		t.Fatal(err)
--- a/cmd/lpgate/process_test.go
+++ b/cmd/gateway/process_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// program is lpgate as a process of its own, with one worker that a test reads.
+// program is the gateway as a process of its own, with one worker that a test reads.
 type program struct {
 	*exec.Cmd
 	t        *testing.T
@@ -25,7 +25,7 @@
 	came     chan time.Time
 }
 
-// startProgram starts lpgate with arguments and waits until it is ready; log gets its log.
+// startProgram starts the gateway with arguments and waits until it is ready; log gets its log.
 func startProgram(t *testing.T, log *os.File, args ...string) *program {
 	t.Helper()
 	p := &program{t: t, attempts: make(chan []string, 10000), came: make(chan time.Time, 10000)}
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	p.Cmd = exec.Command(os.Args[0], args...)
-	p.Env = append(os.Environ(), asProgram+"="+strings.Join(append([]string{"lpgate"}, args...), " "), "GW_CONFIG="+path)
+	p.Env = append(os.Environ(), asProgram+"="+strings.Join(append([]string{"gateway"}, args...), " "), "GW_CONFIG="+path)
 	p.Stderr = log
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
--- a/cmd/lpctl/main.go
+++ b/cmd/lpctl/main.go
@@ -17,9 +17,9 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 	"github.com/willabides/kongplete"
 
-	"lupinpond/internal/ask"
-	"lupinpond/internal/config"
-	"lupinpond/internal/telemetry"
+	"lupinpond/internal/base/httpclient"
+	"lupinpond/internal/base/telemetry"
+	"lupinpond/internal/gateway/fleetconfig"
 	"lupinpond/internal/worker"
 )
 
@@ -79,11 +79,11 @@
 }
 
 // settings reads a file, or the defaults where none is named.
-func settings(path string) (config.File, error) {
+func settings(path string) (fleetconfig.File, error) {
 	if path == "" {
-		return config.Default()
+		return fleetconfig.Default()
 	}
-	return config.Read(path)
+	return fleetconfig.Read(path)
 }
 
 // newTable is a table on standard output; Render prints it.
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := ask.Do(ctx, http.DefaultClient, http.MethodPost, c.Control+"/v1/trouble", body, 4096); err != nil {
+	if _, err := httpclient.Do(ctx, http.DefaultClient, http.MethodPost, c.Control+"/v1/trouble", body, 4096); err != nil {
 		return fmt.Errorf("worker: %w", err)
 	}
 	return nil
@@ -123,10 +123,10 @@
 // Run checks a file.
 func (c *checkCmd) Run(_ *slog.Logger) error {
 	if c.File == "" {
-		_, err := os.Stdout.Write(config.DefaultText())
+		_, err := os.Stdout.Write(fleetconfig.DefaultText())
 		return err
 	}
-	f, err := config.Read(c.File)
+	f, err := fleetconfig.Read(c.File)
 	if err != nil {
 		return err
 	}
--- a/cmd/lpctl/packages.go
+++ b/cmd/lpctl/packages.go
@@ -9,35 +9,35 @@
 
 	"github.com/jedib0t/go-pretty/v6/table"
 
-	"lupinpond/internal/ask"
-	"lupinpond/internal/layer"
-	"lupinpond/internal/pack"
-	"lupinpond/internal/store"
+	"lupinpond/internal/artifact/artifactstore"
+	"lupinpond/internal/artifact/layer"
+	"lupinpond/internal/artifact/manifest"
+	"lupinpond/internal/base/httpclient"
 )
 
 type storeFlag struct {
-	Store string `default:"http://127.0.0.1:8730" help:"Address of lpstore."`
+	Store string `default:"http://127.0.0.1:8730" help:"Address of the artifact store."`
 }
 
-func (f storeFlag) client() store.Client {
-	return store.Client{Base: f.Store, HTTP: http.DefaultClient}
+func (f storeFlag) client() artifactstore.Client {
+	return artifactstore.Client{Base: f.Store, HTTP: http.DefaultClient}
 }
 
 type publishCmd struct {
 	storeFlag
-	Folder string `arg:"" type:"existingdir" help:"The package: its content and the manifest that lpworker pack has written."`
+	Folder string `arg:"" type:"existingdir" help:"The package: its content and the manifest that worker pack has written."`
 	Dry    bool   `help:"Send nothing; say what a worker that has the newest release would fetch."`
 }
 
 // Run publishes a package and says what its release makes workers fetch.
 func (c *publishCmd) Run(ctx context.Context, _ *slog.Logger) error {
-	p, err := pack.Open(c.Folder)
+	p, err := manifest.Open(c.Folder)
 	if err != nil {
 		return err
 	}
 	old, since := layer.Release{}, "a worker without any release"
 	b, err := c.client().Release(ctx, p.Name, "")
-	var refused *ask.Refused
+	var refused *httpclient.Refused
 	switch {
 	case err == nil:
 		if old, err = layer.Decode(b); err != nil {
--- a/cmd/lpctl/rehearse.go
+++ b/cmd/lpctl/rehearse.go
@@ -17,12 +17,12 @@
 	"github.com/schollz/progressbar/v3"
 	"golang.org/x/sync/errgroup"
 
-	"lupinpond/days"
-	"lupinpond/internal/config"
-	"lupinpond/internal/core"
-	"lupinpond/internal/corelog"
-	"lupinpond/internal/rehearse"
-	"lupinpond/internal/rules"
+	"lupinpond/internal/gateway/core"
+	"lupinpond/internal/gateway/fleetconfig"
+	"lupinpond/internal/gateway/replay"
+	"lupinpond/internal/testbed/checker"
+	"lupinpond/internal/testbed/scenario"
+	"lupinpond/scenarios"
 )
 
 type rehearseCmd struct {
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	all, err := rehearse.All(days.Files, f)
+	all, err := scenario.All(scenarios.Files, f)
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 		}
 		return nil
 	}
-	var chosen []rehearse.Day
+	var chosen []scenario.Day
 	if c.All {
 		chosen = all
 	}
@@ -64,14 +64,14 @@
 			if err != nil {
 				return err
 			}
-			d, err := rehearse.Read(name, b, f)
+			d, err := scenario.Read(name, b, f)
 			if err != nil {
 				return err
 			}
 			chosen = append(chosen, d)
 			continue
 		}
-		i := slices.IndexFunc(all, func(d rehearse.Day) bool { return d.Name == name })
+		i := slices.IndexFunc(all, func(d scenario.Day) bool { return d.Name == name })
 		if i < 0 {
 			return fmt.Errorf("no day %q; lpctl rehearse --list names them", name)
 		}
@@ -87,7 +87,7 @@
 	return c.tell(results)
 }
 
-func (c *rehearseCmd) play(ctx context.Context, chosen []rehearse.Day, f config.File, log *slog.Logger) ([]rehearse.Result, error) {
+func (c *rehearseCmd) play(ctx context.Context, chosen []scenario.Day, f fleetconfig.File, log *slog.Logger) ([]scenario.Result, error) {
 	var out io.Writer = os.Stderr
 	if c.JSON {
 		out = io.Discard
@@ -102,7 +102,7 @@
 		_ = bar.Add(max(0, to-parts[i])) // nobody may be looking
 		parts[i] = max(to, parts[i])
 	}
-	results := make([]rehearse.Result, len(chosen))
+	results := make([]scenario.Result, len(chosen))
 	g, ctx := errgroup.WithContext(ctx)
 	jobs := c.Jobs
 	if jobs == 0 {
@@ -113,7 +113,7 @@
 	g.SetLimit(max(1, jobs))
 	for i, d := range chosen {
 		g.Go(func() error {
-			o := rehearse.Options{File: f, Log: log, Progress: func(part float64) { move(i, int(100*part)) }}
+			o := scenario.Options{File: f, Log: log, Progress: func(part float64) { move(i, int(100*part)) }}
 			if c.Workers == "runtime" {
 				o.Payroll, o.Alone = c.Payroll, c.Alone
 			}
@@ -121,7 +121,7 @@
 				o.Keep = filepath.Join(c.Keep, d.Name)
 			}
 			var err error
-			results[i], err = rehearse.Play(ctx, d, o)
+			results[i], err = scenario.Play(ctx, d, o)
 			move(i, 100)
 			return err
 		})
@@ -129,7 +129,7 @@
 	return results, g.Wait()
 }
 
-func (c *rehearseCmd) tell(results []rehearse.Result) error {
+func (c *rehearseCmd) tell(results []scenario.Result) error {
 	kept := 0
 	for _, r := range results {
 		if r.Kept() {
@@ -184,11 +184,11 @@
 
 // Run judges a folder.
 func (c *rulesCmd) Run(_ *slog.Logger) error {
-	facts, err := rules.Load(c.Folder)
+	facts, err := checker.Load(c.Folder)
 	if err != nil {
 		return err
 	}
-	v, err := rules.Judge(facts)
+	v, err := checker.Judge(facts)
 	if err != nil {
 		return err
 	}
@@ -232,7 +232,7 @@
 	}
 	defer in.Close()
 	var now time.Duration
-	told, err := corelog.Replay(in, func(e *core.Entry, a *corelog.Action) {
+	told, err := replay.Replay(in, func(e *core.Entry, a *replay.Action) {
 		if e != nil {
 			now = e.Now
 		}
--- a/cmd/lpctl/scale.go
+++ b/cmd/lpctl/scale.go
@@ -9,14 +9,14 @@
 	"os"
 	"os/exec"
 
-	"lupinpond/internal/scale"
-	"lupinpond/internal/slope"
+	"lupinpond/internal/testbed/costmodel"
+	"lupinpond/internal/testbed/scale"
 )
 
 // scaleCmd plays a scale run.
 type scaleCmd struct {
 	Plan    string `arg:"" help:"File of the plan." type:"path"`
-	Gate    string `default:"bin/lpgate" help:"Program of the real front ends, as the deploy file builds it." type:"path"`
+	Gate    string `default:"bin/gateway" help:"Program of the real front ends, as the deploy file builds it." type:"path"`
 	Check   bool   `help:"Only check the plan, and print what it takes."`
 	JSON    bool   `help:"The result as JSON in place of the tables."`
 	Samples string `help:"File for one JSON line a sample." type:"path"`
@@ -139,13 +139,13 @@
 	if len(c.Sizes) < 4 {
 		return errSizes
 	}
-	figures := map[string][]slope.Point{}
+	figures := map[string][]costmodel.Point{}
 	var names []string
 	note := func(size int, name string, value float64) {
 		if figures[name] == nil {
 			names = append(names, name)
 		}
-		figures[name] = append(figures[name], slope.Point{Size: float64(size), Value: value})
+		figures[name] = append(figures[name], costmodel.Point{Size: float64(size), Value: value})
 	}
 	for _, size := range c.Sizes {
 		sized := plan
@@ -182,7 +182,7 @@
 		}
 	}
 	for _, name := range names {
-		fit, err := slope.FitPoints(figures[name])
+		fit, err := costmodel.FitPoints(figures[name])
 		if err != nil {
 			fmt.Printf("%s: no fit: %v\n", name, err)
 			continue
--- a/cmd/lpctl/slopes.go
+++ b/cmd/lpctl/slopes.go
@@ -7,7 +7,7 @@
 	"os"
 	"runtime"
 
-	"lupinpond/internal/slope"
+	"lupinpond/internal/testbed/costmodel"
 )
 
 // slopesCmd measures the decision core at several sizes. Each size runs by itself, one after the other, on one processor core.
@@ -49,13 +49,13 @@
 	}
 	out := newTable("size", "us a request", "% of a core", "us an idle tick", "us a change", "ms a whole list", "B a worker",
 		"B a worker, used", "heap MiB", "orders a request", "probes a request", "served")
-	var points []slope.Point
+	var points []costmodel.Point
 	for _, size := range sizes {
-		f, err := slope.Core(c.load(size))
+		f, err := costmodel.Core(c.load(size))
 		if err != nil {
 			return err
 		}
-		points = append(points, slope.Point{Size: float64(size), Value: f.RequestMicros})
+		points = append(points, costmodel.Point{Size: float64(size), Value: f.RequestMicros})
 		if c.JSON {
 			if err := json.NewEncoder(os.Stdout).Encode(f); err != nil {
 				return err
@@ -73,7 +73,7 @@
 		return nil
 	}
 	out.Render()
-	fit, err := slope.FitPoints(points)
+	fit, err := costmodel.FitPoints(points)
 	if err != nil {
 		fmt.Println("no fit:", err)
 		return nil
@@ -83,8 +83,8 @@
 }
 
 // load is what is measured at one size.
-func (c *slopesCmd) load(size int) slope.Load {
-	l := slope.Load{Workers: c.Workers, Functions: c.Functions, FrontEnds: c.FrontEnds, Rate: c.Rate, Skew: c.Skew, Requests: c.Requests, Seed: c.Seed}
+func (c *slopesCmd) load(size int) costmodel.Load {
+	l := costmodel.Load{Workers: c.Workers, Functions: c.Functions, FrontEnds: c.FrontEnds, Rate: c.Rate, Skew: c.Skew, Requests: c.Requests, Seed: c.Seed}
 	switch c.By {
 	case "workers":
 		l.Workers = size
--- a/cmd/lpctl/soak.go
+++ b/cmd/lpctl/soak.go
@@ -9,7 +9,7 @@
 	"os/exec"
 	"time"
 
-	"lupinpond/internal/soak"
+	"lupinpond/internal/testbed/soak"
 )
 
 // soakCmd plays a soak test.
@@ -20,7 +20,7 @@
 	Rate      float64       `default:"12" help:"Requests a second at each front end."`
 	For       time.Duration `default:"30s" help:"How long troubles are begun."`
 	Quiet     time.Duration `default:"1s" help:"Time without trouble at the begin."`
-	Gate      string        `default:"bin/lpgate" help:"Program of the front ends, as the deploy file builds it." type:"path"`
+	Gate      string        `default:"bin/gateway" help:"Program of the front ends, as the deploy file builds it." type:"path"`
 	Dir       string        `help:"Folder for configurations and logs of the front ends; a temporary one by default, which stays if a rule was broken." type:"path"`
 	Inject    bool          `help:"A third of the front ends runs under strace, which makes system calls fail now and then."`
 	Verbose   bool          `short:"v" help:"A line for each trouble."`
--- a/cmd/lpctl/up.go
+++ b/cmd/lpctl/up.go
@@ -14,9 +14,9 @@
 
 	"github.com/jedib0t/go-pretty/v6/table"
 
-	"lupinpond/internal/invoke"
-	"lupinpond/internal/rehearse"
-	"lupinpond/internal/roster"
+	"lupinpond/internal/gateway/invoke"
+	"lupinpond/internal/registry"
+	"lupinpond/internal/testbed/scenario"
 )
 
 type upCmd struct {
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	return rehearse.Up(ctx, f, c.Fronts, c.Workers, log, func(fronts []string, list string) {
+	return scenario.Up(ctx, f, c.Fronts, c.Workers, log, func(fronts []string, list string) {
 		fmt.Printf("front ends: %v\nlist of workers: %s\n\ntry:\n", fronts, list)
 		fn := f.Functions[0].Name
 		fmt.Printf("  lpctl invoke --front http://%s %s 'a salary'\n", fronts[0], fn)
@@ -117,7 +117,7 @@
 }
 
 type workersCmd struct {
-	List  string `default:"http://127.0.0.1:8710" help:"Address of lproster."`
+	List  string `default:"http://127.0.0.1:8710" help:"Address of the registry."`
 	Drain string `help:"Mark this worker as draining."`
 	Gone  string `help:"Mark this worker as gone."`
 	JSON  bool   `help:"The list as JSON."`
@@ -125,8 +125,8 @@
 
 // Run shows or changes the list.
 func (c *workersCmd) Run(ctx context.Context, _ *slog.Logger) error {
-	list := roster.Client{Base: c.List, HTTP: http.DefaultClient}
-	for name, state := range map[string]roster.State{c.Drain: roster.Draining, c.Gone: roster.Gone} {
+	list := registry.Client{Base: c.List, HTTP: http.DefaultClient}
+	for name, state := range map[string]registry.State{c.Drain: registry.Draining, c.Gone: registry.Gone} {
 		if name == "" {
 			continue
 		}
--- a/cmd/lproster/main.go
+++ b/cmd/registry/main.go
@@ -1,4 +1,4 @@
-// Command lproster keeps the list of workers and pushes its changes to front ends.
+// Command registry keeps the list of workers and pushes its changes to front ends.
 package main
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/alecthomas/kong"
 	"golang.org/x/sync/errgroup"
 
-	"lupinpond/internal/config"
-	"lupinpond/internal/roster"
-	"lupinpond/internal/serve"
-	"lupinpond/internal/telemetry"
+	"lupinpond/internal/base/config"
+	"lupinpond/internal/base/httpserver"
+	"lupinpond/internal/base/telemetry"
+	"lupinpond/internal/registry"
 )
 
 type flags struct {
@@ -30,10 +30,10 @@
 
 func main() {
 	var f flags
-	kong.Parse(&f, kong.Name("lproster"), kong.Description("The list of workers. Workers put themselves on it under a lease; "+
+	kong.Parse(&f, kong.Name("registry"), kong.Description("The list of workers. Workers put themselves on it under a lease; "+
 		"front ends subscribe to its changes."))
 	if err := run(f); err != nil {
-		fmt.Fprintln(os.Stderr, "lproster:", err)
+		fmt.Fprintln(os.Stderr, "registry:", err)
 		os.Exit(1)
 	}
 }
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	r := roster.New(func(front string, _ time.Time, n roster.News) {
+	r := registry.New(func(front string, _ time.Time, n registry.News) {
 		log.Debug("list told", "front", front, "version", n.Version, "whole", n.Whole, "entries", len(n.Entries))
 	})
 	r.Late(f.Late)
@@ -60,7 +60,7 @@
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return r.Run(ctx) })
-	g.Go(func() error { return serve.Until(ctx, server, listener, 0) })
+	g.Go(func() error { return httpserver.Until(ctx, server, listener, 0) })
 	log.Info("list of workers listens", "address", listener.Addr().String())
 	return g.Wait()
 }
--- a/cmd/lpworker/main.go
+++ b/cmd/worker/main.go
@@ -1,4 +1,4 @@
-// Command lpworker is a worker.
+// Command worker is a worker.
 package main
 
 import (
@@ -18,18 +18,18 @@
 	"github.com/alecthomas/kong"
 	"golang.org/x/sync/errgroup"
 
-	"lupinpond/internal/admit"
-	"lupinpond/internal/cache"
-	"lupinpond/internal/config"
-	"lupinpond/internal/keys"
-	"lupinpond/internal/pack"
-	"lupinpond/internal/roster"
-	"lupinpond/internal/runner"
-	"lupinpond/internal/serve"
-	"lupinpond/internal/store"
-	"lupinpond/internal/supply"
-	"lupinpond/internal/telemetry"
+	"lupinpond/internal/artifact/artifactstore"
+	"lupinpond/internal/artifact/cache"
+	"lupinpond/internal/artifact/distribution"
+	"lupinpond/internal/artifact/manifest"
+	"lupinpond/internal/base/config"
+	"lupinpond/internal/base/httpserver"
+	"lupinpond/internal/base/telemetry"
+	"lupinpond/internal/registry"
 	"lupinpond/internal/worker"
+	"lupinpond/internal/worker/admission"
+	"lupinpond/internal/worker/idempotency"
+	"lupinpond/internal/worker/runner"
 )
 
 type cli struct {
@@ -44,14 +44,14 @@
 	Name      string        `required:"" help:"Name in the list of workers."`
 	Listen    string        `default:"127.0.0.1:0" help:"Where front ends come."`
 	Folder    string        `required:"" help:"This worker's own folder: journal, fetched packages, compiled code." type:"path"`
-	Store     string        `default:"http://127.0.0.1:8730" help:"Address of lpstore."`
+	Store     string        `default:"http://127.0.0.1:8730" help:"Address of the artifact store."`
 	Refresh   time.Duration `default:"2s" help:"Between two questions for new releases."`
 	Chunks    string        `default:"127.0.0.1:0" help:"Where it gives chunks to other workers of the list."`
 	Cache     int64         `default:"1024" help:"MiB of chunks kept on disk."`
 	Network   float64       `default:"1000" help:"MB a second that its network carries."`
 	Share     float64       `default:"0.25" help:"Part of that given to other workers at the most."`
 	Patience  time.Duration `default:"30s" help:"How long one chunk is looked for."`
-	List      string        `default:"http://127.0.0.1:8710" help:"Address of lproster; empty: it is put on no list."`
+	List      string        `default:"http://127.0.0.1:8710" help:"Address of the registry; empty: it is put on no list."`
 	Lease     time.Duration `default:"3s" help:"Unless renewed for so long it is taken off the list."`
 	Zone      string        `default:"zone-0"`
 	Cell      string        `default:"0"`
@@ -94,7 +94,7 @@
 	o := worker.Options{Name: c.Name, Folder: c.Folder, Refresh: c.Refresh, Self: self, Launches: 256, Overhead: 96 << 20, Answer: 12 << 20,
 		Ready: time.Minute, Grace: time.Second, Sample: 50 * time.Millisecond, Log: log,
 		MostLog: c.MostLog << 20,
-		Limits:  admit.Limits{Memory: c.Memory << 20, Running: c.Running, Waiting: c.Waiting, Loads: c.Loads, Keep: c.Keep, OnMiss: c.OnMiss}}
+		Limits:  admission.Limits{Memory: c.Memory << 20, Running: c.Running, Waiting: c.Waiting, Loads: c.Loads, Keep: c.Keep, OnMiss: c.OnMiss}}
 	if c.Effects != "" {
 		if o.Effects, err = os.OpenFile(c.Effects, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644); err != nil {
 			return err
@@ -102,19 +102,19 @@
 		defer func() { err = errors.Join(err, o.Effects.Close()) }()
 	}
 	if len(c.Registers) > 0 {
-		if o.Group, err = keys.NewGroup(c.Registers, c.Lease, log); err != nil {
+		if o.Group, err = idempotency.NewGroup(c.Registers, c.Lease, log); err != nil {
 			return err
 		}
 		defer o.Group.Close()
 	}
-	var peers atomic.Pointer[[]supply.Peer]
-	peers.Store(&[]supply.Peer{})
+	var peers atomic.Pointer[[]distribution.Peer]
+	peers.Store(&[]distribution.Peer{})
 	chunks, err := cache.Open(c.Folder, c.Cache<<20, log)
 	if err != nil {
 		return err
 	}
-	o.Supply, err = supply.New(supply.Options{Name: c.Name, Folder: c.Folder, Store: store.Client{Base: c.Store, HTTP: &http.Client{}},
-		Cache: chunks, Peers: func() []supply.Peer { return *peers.Load() }, Capacity: c.Network * 1e6, Part: c.Share, Slots: 2 * c.Running,
+	o.Supply, err = distribution.New(distribution.Options{Name: c.Name, Folder: c.Folder, Store: artifactstore.Client{Base: c.Store, HTTP: &http.Client{}},
+		Cache: chunks, Peers: func() []distribution.Peer { return *peers.Load() }, Capacity: c.Network * 1e6, Part: c.Share, Slots: 2 * c.Running,
 		Patience: c.Patience, Parallel: 16, Log: log})
 	if err != nil {
 		return err
@@ -140,16 +140,16 @@
 	g, serving := errgroup.WithContext(serving)
 	g.Go(func() error { return w.Run(serving, listener) })
 	giver := &http.Server{Handler: o.Supply.Handler(), ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 16 << 10}
-	g.Go(func() error { return serve.Until(serving, giver, gives, 0) })
+	g.Go(func() error { return httpserver.Until(serving, giver, gives, 0) })
 	if c.Control != "" {
 		orders, err := net.Listen("tcp", c.Control)
 		if err != nil {
 			return err
 		}
 		control := &http.Server{Handler: w.Control(), ReadHeaderTimeout: 5 * time.Second}
-		g.Go(func() error { return serve.Until(serving, control, orders, 0) })
+		g.Go(func() error { return httpserver.Until(serving, control, orders, 0) })
 	}
-	entry := roster.Entry{Name: c.Name, Addr: listener.Addr().String(), Zone: c.Zone, Cell: c.Cell, Kind: c.Kind, Cores: c.Cores, State: roster.In,
+	entry := registry.Entry{Name: c.Name, Addr: listener.Addr().String(), Zone: c.Zone, Cell: c.Cell, Kind: c.Kind, Cores: c.Cores, State: registry.In,
 		Started: time.Now(), Chunks: gives.Addr().String()}
 	g.Go(func() error {
 		defer stop()
@@ -169,8 +169,8 @@
 }
 
 // listed keeps the worker on the list until ctx ends, then it is marked as draining; and learns who else gives chunks.
-func (c *serveCmd) listed(ctx context.Context, e roster.Entry, peers *atomic.Pointer[[]supply.Peer], log *slog.Logger) {
-	list := roster.Client{Base: c.List, HTTP: &http.Client{Timeout: c.Lease}}
+func (c *serveCmd) listed(ctx context.Context, e registry.Entry, peers *atomic.Pointer[[]distribution.Peer], log *slog.Logger) {
+	list := registry.Client{Base: c.List, HTTP: &http.Client{Timeout: c.Lease}}
 	put := func() {
 		if err := list.Put(context.WithoutCancel(ctx), e, c.Lease); err != nil { // the last one says that it drains
 			log.Warn("not put on the list", "err", err)
@@ -179,10 +179,10 @@
 		if err != nil {
 			return // those that it knows go on being asked
 		}
-		var all []supply.Peer
+		var all []distribution.Peer
 		for _, x := range listed {
-			if x.Chunks != "" && x.State == roster.In {
-				all = append(all, supply.Peer{Name: x.Name, Addr: x.Chunks})
+			if x.Chunks != "" && x.State == registry.In {
+				all = append(all, distribution.Peer{Name: x.Name, Addr: x.Chunks})
 			}
 		}
 		peers.Store(&all)
@@ -192,7 +192,7 @@
 	for put(); ; put() {
 		select {
 		case <-ctx.Done():
-			e.State = roster.Draining
+			e.State = registry.Draining
 			put()
 			return
 		case <-tick.C:
@@ -217,7 +217,7 @@
 	if err := os.MkdirAll(c.Folder, 0o755); err != nil {
 		return err
 	}
-	r, err := keys.Open(c.Folder, c.Most)
+	r, err := idempotency.Open(c.Folder, c.Most)
 	if err != nil {
 		return err
 	}
@@ -228,9 +228,9 @@
 	}
 	server := &http.Server{Handler: r.Handler(), ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 16 << 10}
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return serve.Until(ctx, server, listener, 10*time.Second) })
+	g.Go(func() error { return httpserver.Until(ctx, server, listener, 10*time.Second) })
 	g.Go(func() error {
-		return serve.Every(ctx, time.Second, func() error {
+		return httpserver.Every(ctx, time.Second, func() error {
 			_, err := r.Sweep()
 			return err
 		})
@@ -253,7 +253,7 @@
 
 // Run writes the manifest.
 func (c *packCmd) Run() error {
-	p, err := pack.Write(c.Folder, pack.Manifest{Name: c.Name, Version: c.Version, Type: c.Type, Kind: c.Kind, Entry: c.Entry,
+	p, err := manifest.Write(c.Folder, manifest.Manifest{Name: c.Name, Version: c.Version, Type: c.Type, Kind: c.Kind, Entry: c.Entry,
 		Lanes: c.Lanes, Memory: config.Size(c.Memory << 20), Time: config.Time(c.Time)})
 	if err != nil {
 		return err
@@ -276,13 +276,13 @@
 
 func main() {
 	var c cli
-	k := kong.Parse(&c, kong.Name("lpworker"), kong.Description("A worker of lupinpond: loads packages and runs events."))
+	k := kong.Parse(&c, kong.Name("worker"), kong.Description("A worker of lupinpond: loads packages and runs events."))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	k.BindTo(ctx, (*context.Context)(nil))
 	k.Bind(telemetry.New(os.Stderr, c.Flags))
 	if err := k.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "lpworker:", err)
+		fmt.Fprintln(os.Stderr, "worker:", err)
 		stop()
 		os.Exit(1)
 	}
--- a/internal/store/client.go
+++ b/internal/artifact/artifactstore/client.go
@@ -1,4 +1,4 @@
-package store
+package artifactstore
 
 import (
 	"bytes"
@@ -11,8 +11,8 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"lupinpond/internal/ask"
-	"lupinpond/internal/layer"
+	"lupinpond/internal/artifact/layer"
+	"lupinpond/internal/base/httpclient"
 )
 
 // Client asks a store at Base, such as http://127.0.0.1:8730.
@@ -134,7 +134,7 @@
 }
 
 func (c Client) ask(ctx context.Context, method, path string, body []byte, most int64) ([]byte, error) {
-	b, err := ask.Do(ctx, c.HTTP, method, c.Base+path, body, most)
+	b, err := httpclient.Do(ctx, c.HTTP, method, c.Base+path, body, most)
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
--- a/internal/store/compat_test.go
+++ b/internal/artifact/artifactstore/compat_test.go
@@ -1,4 +1,4 @@
-package store_test
+package artifactstore_test
 
 import (
 	"bytes"
@@ -7,8 +7,8 @@
 	"slices"
 	"testing"
 
-	"lupinpond/internal/layer"
-	"lupinpond/internal/store"
+	"lupinpond/internal/artifact/artifactstore"
+	"lupinpond/internal/artifact/layer"
 )
 
 // A store's folder that an earlier version wrote lists its releases under their digests, and each is read and built whole
@@ -18,12 +18,12 @@
 	if err := os.CopyFS(dir, os.DirFS("testdata/stored")); err != nil {
 		t.Fatal(err)
 	}
-	s, c := open(t, dir, store.Capacity{Requests: 64}, 0)
+	s, c := open(t, dir, artifactstore.Capacity{Requests: 64}, 0)
 	digests := map[string]string{
 		"1": "be53225e517c90ae351309a91d743ec091f7c91ace05f02e1a0a23ede6cc06ce",
 		"2": "58ebc6fc50361c794501e494982bb519c4be59007724de828b0f38a67909bd9b",
 	}
-	want := []store.Entry{{Name: "f", Version: "2", Digest: digests["2"]}}
+	want := []artifactstore.Entry{{Name: "f", Version: "2", Digest: digests["2"]}}
 	if got, err := c.Packages(t.Context()); err != nil || !slices.Equal(got, want) {
 		t.Errorf("releases: got %+v, error %v, want %+v", got, err, want)
 	}
--- a/internal/store/crowd.go
+++ b/internal/artifact/artifactstore/crowd.go
@@ -1,4 +1,4 @@
-package store
+package artifactstore
 
 import "time"
 
--- a/internal/store/golden_test.go
+++ b/internal/artifact/artifactstore/golden_test.go
@@ -1,4 +1,4 @@
-package store_test
+package artifactstore_test
 
 import (
 	"bytes"
@@ -18,9 +18,9 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/config"
-	"lupinpond/internal/pack"
-	"lupinpond/internal/store"
+	"lupinpond/internal/artifact/artifactstore"
+	"lupinpond/internal/artifact/manifest"
+	"lupinpond/internal/base/config"
 )
 
 // golden reads testdata/golden/NAME.hex: hexadecimal digits, split by any white space.
@@ -44,7 +44,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "entry"), []byte("#!/bin/sh\necho golden\n"), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := pack.Write(dir, pack.Manifest{Name: "f-1", Version: version, Type: "t-2", Kind: pack.Process, Lanes: 3,
+	if _, err := manifest.Write(dir, manifest.Manifest{Name: "f-1", Version: version, Type: "t-2", Kind: manifest.Process, Lanes: 3,
 		Memory: 4 << 20, Time: config.Time(5 * time.Second), Entry: "entry"}); err != nil {
 		t.Fatal(err)
 	}
@@ -94,7 +94,7 @@
 		gone = "404 page not found"
 	)
 	dir := t.TempDir()
-	s, err := store.Open(store.Options{Folder: dir, Capacity: store.Capacity{Requests: 4}, Grace: time.Hour})
+	s, err := artifactstore.Open(artifactstore.Options{Folder: dir, Capacity: artifactstore.Capacity{Requests: 4}, Grace: time.Hour})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -180,7 +180,7 @@
 
 // TestGoldenTurnAway: a store that serves nothing at a time turns the first fetch away.
 func TestGoldenTurnAway(t *testing.T) {
-	s, err := store.Open(store.Options{Folder: t.TempDir(), Grace: time.Hour})
+	s, err := artifactstore.Open(artifactstore.Options{Folder: t.TempDir(), Grace: time.Hour})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -194,7 +194,7 @@
 // TestGoldenClient: the requests of the client, with their bodies, against a store. The packed chunk on file is what the
 // zstd encoder in use makes; another release of that library may pack the same content into other bytes.
 func TestGoldenClient(t *testing.T) {
-	s, err := store.Open(store.Options{Folder: t.TempDir(), Capacity: store.Capacity{Requests: 4}, Grace: time.Hour})
+	s, err := artifactstore.Open(artifactstore.Options{Folder: t.TempDir(), Capacity: artifactstore.Capacity{Requests: 4}, Grace: time.Hour})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -218,9 +218,9 @@
 		server.Close()
 		s.Close()
 	})
-	c, ctx := store.Client{Base: server.URL, HTTP: client}, context.Background()
+	c, ctx := artifactstore.Client{Base: server.URL, HTTP: client}, context.Background()
 	sent, err := c.Publish(ctx, goldenFolder(t, "v1"))
-	if want := (store.Entry{Name: "f-1", Version: "v1", Digest: firstDigest}); err != nil || sent.Entry != want {
+	if want := (artifactstore.Entry{Name: "f-1", Version: "v1", Digest: firstDigest}); err != nil || sent.Entry != want {
 		t.Fatalf("publish: got %+v, %v, want %+v", sent.Entry, err, want)
 	}
 	if _, err := c.Packages(ctx); err != nil {
@@ -237,7 +237,7 @@
 		t.Errorf("chunk: got %x, %v, want that on file", b, err)
 	}
 	n, err := c.Counts(ctx)
-	if want := (store.Counts{Served: 1, Bytes: int64(len(b)), Most: 1, Chunks: 1}); err != nil || !reflect.DeepEqual(n, want) {
+	if want := (artifactstore.Counts{Served: 1, Bytes: int64(len(b)), Most: 1, Chunks: 1}); err != nil || !reflect.DeepEqual(n, want) {
 		t.Errorf("counts: got %+v, %v, want %+v", n, err, want)
 	}
 	want := []string{
--- a/internal/store/store.go
+++ b/internal/artifact/artifactstore/store.go
@@ -1,7 +1,7 @@
-// Package store is the store of packages: chunks in files, releases in an embedded database, HTTP to fetch and publish, and
+// Package artifactstore is the store of packages: chunks in files, releases in an embedded database, HTTP to fetch and publish, and
 // a stated capacity past which fetches are turned away. A release is there whole or not at all, and no chunk that one names
 // is ever collected.
-package store
+package artifactstore
 
 import (
 	"bytes"
@@ -24,9 +24,9 @@
 	bolt "go.etcd.io/bbolt"
 	"golang.org/x/time/rate"
 
-	"lupinpond/internal/kept"
-	"lupinpond/internal/layer"
-	"lupinpond/internal/serve"
+	"lupinpond/internal/artifact/layer"
+	"lupinpond/internal/base/durable"
+	"lupinpond/internal/base/httpserver"
 )
 
 const format = 1
@@ -101,7 +101,7 @@
 	if err := os.MkdirAll(filepath.Join(o.Folder, "chunks"), 0o755); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	db, err := kept.Open(filepath.Join(o.Folder, "releases.bolt"), format, bucketReleases, bucketNewest)
+	db, err := durable.Open(filepath.Join(o.Folder, "releases.bolt"), format, bucketReleases, bucketNewest)
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
@@ -178,7 +178,7 @@
 		return errors.Join(fmt.Errorf("store: chunk %.12s: %w", d, err), os.Remove(tmp.Name()))
 	}
 	s.o.Fail(PointNamed)
-	return kept.SyncFolder(dir)
+	return durable.SyncFolder(dir)
 }
 
 // Missing are those of the chunks that the store does not have. Those that it has are not collected within the grace.
@@ -513,7 +513,7 @@
 
 // Run collects every so often until ctx ends.
 func (s *Store) Run(ctx context.Context, every time.Duration) error {
-	return serve.Every(ctx, every, func() error {
+	return httpserver.Every(ctx, every, func() error {
 		if n, err := s.Collect(); err != nil {
 			s.o.Log.Error("nothing collected", "err", err)
 		} else if n > 0 {
--- a/internal/store/store_test.go
+++ b/internal/artifact/artifactstore/store_test.go
@@ -1,4 +1,4 @@
-package store_test
+package artifactstore_test
 
 import (
 	"bufio"
@@ -20,11 +20,11 @@
 
 	"go.uber.org/goleak"
 
-	"lupinpond/internal/ask"
-	"lupinpond/internal/config"
-	"lupinpond/internal/layer"
-	"lupinpond/internal/pack"
-	"lupinpond/internal/store"
+	"lupinpond/internal/artifact/artifactstore"
+	"lupinpond/internal/artifact/layer"
+	"lupinpond/internal/artifact/manifest"
+	"lupinpond/internal/base/config"
+	"lupinpond/internal/base/httpclient"
 )
 
 func TestMain(m *testing.M) {
@@ -41,13 +41,13 @@
 	if err := os.WriteFile(filepath.Join(dir, "entry"), content, 0o755); err != nil {
 		return "", err
 	}
-	_, err := pack.Write(dir, pack.Manifest{Name: "f", Version: version, Type: "t", Kind: pack.Process, Lanes: 1, Memory: 1 << 20,
+	_, err := manifest.Write(dir, manifest.Manifest{Name: "f", Version: version, Type: "t", Kind: manifest.Process, Lanes: 1, Memory: 1 << 20,
 		Time: config.Time(time.Second), Entry: "entry"})
 	return dir, err
 }
 
-func open(t *testing.T, dir string, c store.Capacity, grace time.Duration) (*store.Store, store.Client) {
-	s, err := store.Open(store.Options{Folder: dir, Capacity: c, Grace: grace})
+func open(t *testing.T, dir string, c artifactstore.Capacity, grace time.Duration) (*artifactstore.Store, artifactstore.Client) {
+	s, err := artifactstore.Open(artifactstore.Options{Folder: dir, Capacity: c, Grace: grace})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,13 +58,13 @@
 		server.Close()
 		s.Close()
 	})
-	return s, store.Client{Base: server.URL, HTTP: client}
+	return s, artifactstore.Client{Base: server.URL, HTTP: client}
 }
 
 // doomed publishes version 2 and kills itself at a step of it.
 func doomed(dir string) {
 	at, _ := strconv.Atoi(os.Getenv("LP_TEST_AT"))
-	s, err := store.Open(store.Options{Folder: dir, Capacity: store.Capacity{Requests: 64}, Fail: func(point string) {
+	s, err := artifactstore.Open(artifactstore.Options{Folder: dir, Capacity: artifactstore.Capacity{Requests: 64}, Fail: func(point string) {
 		if at--; at == 0 {
 			fmt.Println("at", point)
 			_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
@@ -101,7 +101,7 @@
 	points := map[string]int{}
 	for at, over := 1, false; !over; at += 3 {
 		dir := t.TempDir()
-		s, err := store.Open(store.Options{Folder: dir, Capacity: store.Capacity{Requests: 64}})
+		s, err := artifactstore.Open(artifactstore.Options{Folder: dir, Capacity: artifactstore.Capacity{Requests: 64}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -111,7 +111,7 @@
 		}
 		server := httptest.NewServer(s.Handler(true))
 		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-		if _, err := (store.Client{Base: server.URL, HTTP: client}).Publish(t.Context(), first); err != nil {
+		if _, err := (artifactstore.Client{Base: server.URL, HTTP: client}).Publish(t.Context(), first); err != nil {
 			t.Fatal(err)
 		}
 		server.Close()
@@ -123,7 +123,7 @@
 		out, err := cmd.Output()
 		over = err == nil // it came to its end
 		points[strings.TrimSpace(string(out))]++
-		_, c := open(t, dir, store.Capacity{Requests: 64}, 0)
+		_, c := open(t, dir, artifactstore.Capacity{Requests: 64}, 0)
 		all, err := c.Packages(t.Context())
 		if err != nil || len(all) != 1 || over && all[0].Version != "2" {
 			t.Fatalf("killed at step %d: %+v, %v", at, all, err)
@@ -144,7 +144,7 @@
 }
 
 // whole fetches a release with all of its chunks and verifies it.
-func whole(t *testing.T, c store.Client, version string) {
+func whole(t *testing.T, c artifactstore.Client, version string) {
 	t.Helper()
 	b, err := c.Release(t.Context(), "f", version)
 	if err != nil {
@@ -172,7 +172,7 @@
 // Collecting takes what no release names and nothing else; a release whose chunks are gone is refused, and publishing again
 // brings them; the newest version can't be withdrawn; a published version can't change.
 func TestCollect(t *testing.T) {
-	s, c := open(t, t.TempDir(), store.Capacity{Requests: 64}, 0)
+	s, c := open(t, t.TempDir(), artifactstore.Capacity{Requests: 64}, 0)
 	one, err := folder(t.TempDir(), "1", 1, 512<<10)
 	if err != nil {
 		t.Fatal(err)
@@ -189,7 +189,7 @@
 	}
 	whole(t, c, "1")
 	r := layer.Release{Format: layer.Format}
-	if r.Manifest, err = os.ReadFile(filepath.Join(one, pack.File)); err != nil {
+	if r.Manifest, err = os.ReadFile(filepath.Join(one, manifest.File)); err != nil {
 		t.Fatal(err)
 	}
 	r.Layers = []layer.Layer{{Name: "entry", Files: []layer.File{{Path: "entry", Chunks: []layer.Ref{{Digest: layer.Sum(loose), Size: len(loose)}}}}}}
@@ -197,7 +197,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Publish(b); !errors.Is(err, store.ErrMissing) {
+	if _, err := s.Publish(b); !errors.Is(err, artifactstore.ErrMissing) {
 		t.Error("a release without its chunks was published: ", err)
 	}
 	if err := s.PutChunk(layer.Sum(loose), layer.Pack(loose)); err != nil {
@@ -233,7 +233,7 @@
 
 // Past its capacity the store turns away with a time to come back; pushed far past it, it stops; ranges and conditions work.
 func TestHTTP(t *testing.T) {
-	s, c := open(t, t.TempDir(), store.Capacity{Requests: 1, Stop: 4, StopIn: time.Hour, StopFor: time.Hour}, time.Hour)
+	s, c := open(t, t.TempDir(), artifactstore.Capacity{Requests: 1, Stop: 4, StopIn: time.Hour, StopFor: time.Hour}, time.Hour)
 	content := []byte(strings.Repeat("content ", 1000))
 	packed := layer.Pack(content)
 	d := layer.Sum(content)
@@ -261,11 +261,11 @@
 		}
 	}
 	now := time.Second
-	w := store.NewCrowd(store.Capacity{Requests: 2, Stop: 3, StopIn: time.Second, StopFor: 5 * time.Second})
-	var said []store.Verdict
+	w := artifactstore.NewCrowd(artifactstore.Capacity{Requests: 2, Stop: 3, StopIn: time.Second, StopFor: 5 * time.Second})
+	var said []artifactstore.Verdict
 	for range 8 {
 		v, after := w.Ask(now)
-		if v != store.Serve && after <= 0 {
+		if v != artifactstore.Serve && after <= 0 {
 			t.Error("no time to come back")
 		}
 		said = append(said, v)
@@ -275,11 +275,11 @@
 	}
 	w.Ended()
 	w.Ended()
-	if v, _ := w.Ask(now + 5*time.Second); v != store.Serve {
+	if v, _ := w.Ask(now + 5*time.Second); v != artifactstore.Serve {
 		t.Error("still stopped: ", v)
 	}
 	s.Stop(time.Hour)
-	var refused *ask.Refused
+	var refused *httpclient.Refused
 	if _, err := c.Chunk(context.Background(), d); !errors.As(err, &refused) || refused.Status != 503 || refused.After <= 0 {
 		t.Error(err)
 	}
@@ -290,7 +290,7 @@
 
 // Bad requests are told why and change nothing.
 func FuzzHandler(f *testing.F) {
-	s, err := store.Open(store.Options{Folder: f.TempDir(), Capacity: store.Capacity{Requests: 64}})
+	s, err := artifactstore.Open(artifactstore.Options{Folder: f.TempDir(), Capacity: artifactstore.Capacity{Requests: 64}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/cache/cache.go
+++ b/internal/artifact/cache/cache.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"lupinpond/internal/layer"
+	"lupinpond/internal/artifact/layer"
 )
 
 // version names the folder; another version's folder is left alone and not read.
--- a/internal/cache/cache_test.go
+++ b/internal/artifact/cache/cache_test.go
@@ -12,8 +12,8 @@
 
 	"pgregory.net/rapid"
 
-	"lupinpond/internal/cache"
-	"lupinpond/internal/layer"
+	"lupinpond/internal/artifact/cache"
+	"lupinpond/internal/artifact/layer"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
--- a/internal/cache/compat_test.go
+++ b/internal/artifact/cache/compat_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
-	"lupinpond/internal/cache"
-	"lupinpond/internal/layer"
+	"lupinpond/internal/artifact/cache"
+	"lupinpond/internal/artifact/layer"
 )
 
 // Chunks that an earlier version cached are found under their digests and verified. The digests are written out: they are
--- a/internal/supply/bench_test.go
+++ b/internal/artifact/distribution/bench_test.go
@@ -1,4 +1,4 @@
-package supply_test
+package distribution_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/store"
+	"lupinpond/internal/artifact/artifactstore"
 )
 
 // BenchmarkColdFleet is the time in which all live workers have a package of 4 MiB that none has, beside the ideal (the
@@ -25,7 +25,7 @@
 		b.Run(c.name, func(b *testing.B) {
 			for range b.N {
 				sees := func(i, j int) bool { return !c.alone }
-				f := newFleet(b, c.workers, store.Capacity{Requests: c.requests, Rate: rate}, 5*time.Minute, 1e9, sees)
+				f := newFleet(b, c.workers, artifactstore.Capacity{Requests: c.requests, Rate: rate}, 5*time.Minute, 1e9, sees)
 				sent := f.publish("1", size, 0)
 				f.refresh()
 				at := time.Now()
--- a/internal/supply/supply.go
+++ b/internal/artifact/distribution/distribution.go
@@ -1,6 +1,6 @@
-// Package supply brings packages to a worker: chunks from its own disk, from other workers, from the store, as internal/fetch
+// Package distribution brings packages to a worker: chunks from its own disk, from other workers, from the store, as internal/artifact/fetch
 // decides; and gives chunks to other workers.
-package supply
+package distribution
 
 import (
 	"context"
@@ -18,12 +18,12 @@
 	"github.com/google/renameio/v2"
 	"golang.org/x/sync/errgroup"
 
-	"lupinpond/internal/ask"
-	"lupinpond/internal/cache"
-	"lupinpond/internal/fetch"
-	"lupinpond/internal/layer"
-	"lupinpond/internal/pack"
-	"lupinpond/internal/store"
+	"lupinpond/internal/artifact/artifactstore"
+	"lupinpond/internal/artifact/cache"
+	"lupinpond/internal/artifact/fetch"
+	"lupinpond/internal/artifact/layer"
+	"lupinpond/internal/artifact/manifest"
+	"lupinpond/internal/base/httpclient"
 )
 
 // Peer is another worker that gives chunks.
@@ -33,7 +33,7 @@
 type Options struct {
 	Name     string // of this worker
 	Folder   string // its releases are kept there
-	Store    store.Client
+	Store    artifactstore.Client
 	Cache    *cache.Cache
 	Peers    func() []Peer // listed workers that give chunks; this one may be among them. nil: none
 	Capacity float64       // bytes a second of its network
@@ -80,7 +80,7 @@
 
 type release struct {
 	layer.Release
-	manifest pack.Manifest
+	manifest manifest.Manifest
 	digest   string
 }
 
@@ -202,10 +202,10 @@
 }
 
 // Packages are the manifests of the newest known releases.
-func (s *Supplier) Packages() []pack.Manifest {
+func (s *Supplier) Packages() []manifest.Manifest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var all []pack.Manifest
+	var all []manifest.Manifest
 	for _, r := range s.releases {
 		all = append(all, r.manifest)
 	}
@@ -230,7 +230,7 @@
 		if err == nil && layer.Sum(b).String() != e.Digest {
 			err = layer.ErrCorrupt
 		}
-		var refused *ask.Refused
+		var refused *httpclient.Refused
 		if errors.As(err, &refused) || ctx.Err() != nil {
 			return fmt.Errorf("release %s of %s: %w", e.Version, e.Name, err)
 		}
@@ -253,15 +253,15 @@
 
 // Bring puts a release of a package, the newest or the one before that is not forgotten, into a folder that does not exist
 // yet. It is built once; further copies are links to the same files.
-func (s *Supplier) Bring(ctx context.Context, name, version, folder string) (pack.Package, error) {
+func (s *Supplier) Bring(ctx context.Context, name, version, folder string) (manifest.Package, error) {
 	r, base, err := s.ready(ctx, name, version)
 	if err != nil {
-		return pack.Package{}, err
+		return manifest.Package{}, err
 	}
 	if err := links(r.Release, base, folder); err != nil {
-		return pack.Package{}, errors.Join(fmt.Errorf("bring %s version %s: %w", name, version, err), os.RemoveAll(folder))
+		return manifest.Package{}, errors.Join(fmt.Errorf("bring %s version %s: %w", name, version, err), os.RemoveAll(folder))
 	}
-	return pack.Open(folder)
+	return manifest.Open(folder)
 }
 
 // Prepare has all of a release here, so that it can be brought whatever becomes of the store.
@@ -330,7 +330,7 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
-	names := []string{pack.File}
+	names := []string{manifest.File}
 	for _, l := range r.Layers {
 		for _, f := range l.Files {
 			names = append(names, f.Path)
@@ -523,7 +523,7 @@
 	packed, err = s.o.Store.Chunk(ctx, d)
 	stop()
 	outcome, after := fetch.Good, time.Duration(0)
-	var refused *ask.Refused
+	var refused *httpclient.Refused
 	switch {
 	case err == nil:
 		if content, err = layer.Unpack(d, packed); err != nil {
--- a/internal/supply/supply_test.go
+++ b/internal/artifact/distribution/distribution_test.go
@@ -1,4 +1,4 @@
-package supply_test
+package distribution_test
 
 import (
 	"context"
@@ -18,12 +18,12 @@
 
 	"go.uber.org/goleak"
 
-	"lupinpond/internal/cache"
-	"lupinpond/internal/config"
-	"lupinpond/internal/layer"
-	"lupinpond/internal/pack"
-	"lupinpond/internal/store"
-	"lupinpond/internal/supply"
+	"lupinpond/internal/artifact/artifactstore"
+	"lupinpond/internal/artifact/cache"
+	"lupinpond/internal/artifact/distribution"
+	"lupinpond/internal/artifact/layer"
+	"lupinpond/internal/artifact/manifest"
+	"lupinpond/internal/base/config"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -31,7 +31,7 @@
 // fleet is a store and workers' suppliers, each with a server of its own.
 type fleet struct {
 	t       testing.TB
-	store   *store.Store
+	store   *artifactstore.Store
 	base    string
 	patient time.Duration
 	workers []*member
@@ -39,7 +39,7 @@
 }
 
 type member struct {
-	*supply.Supplier
+	*distribution.Supplier
 	name   string
 	folder string
 	server *httptest.Server
@@ -48,10 +48,10 @@
 	cache  *cache.Cache
 }
 
-func newFleet(t testing.TB, n int, c store.Capacity, patience time.Duration, rate float64, sees func(i, j int) bool) *fleet {
+func newFleet(t testing.TB, n int, c artifactstore.Capacity, patience time.Duration, rate float64, sees func(i, j int) bool) *fleet {
 	f := &fleet{t: t, patient: patience}
 	var err error
-	if f.store, err = store.Open(store.Options{Folder: t.TempDir(), Capacity: c, Grace: time.Hour}); err != nil {
+	if f.store, err = artifactstore.Open(artifactstore.Options{Folder: t.TempDir(), Capacity: c, Grace: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
 	handler := f.store.Handler(true)
@@ -80,11 +80,11 @@
 		f.workers = append(f.workers, m)
 	}
 	for i, m := range f.workers {
-		f.open(m, rate, func() []supply.Peer {
-			var all []supply.Peer
+		f.open(m, rate, func() []distribution.Peer {
+			var all []distribution.Peer
 			for j, x := range f.workers {
 				if sees == nil || sees(i, j) {
-					all = append(all, supply.Peer{Name: x.name, Addr: x.server.Listener.Addr().String()})
+					all = append(all, distribution.Peer{Name: x.name, Addr: x.server.Listener.Addr().String()})
 				}
 			}
 			return all
@@ -94,12 +94,12 @@
 	return f
 }
 
-func (f *fleet) open(m *member, rate float64, peers func() []supply.Peer) {
+func (f *fleet) open(m *member, rate float64, peers func() []distribution.Peer) {
 	var err error
 	if m.cache, err = cache.Open(m.folder, 1<<30, slog.New(slog.DiscardHandler)); err != nil {
 		f.t.Fatal(err)
 	}
-	m.Supplier, err = supply.New(supply.Options{Name: m.name, Folder: m.folder, Store: store.Client{Base: f.base, HTTP: &http.Client{}},
+	m.Supplier, err = distribution.New(distribution.Options{Name: m.name, Folder: m.folder, Store: artifactstore.Client{Base: f.base, HTTP: &http.Client{}},
 		Cache: m.cache, Peers: peers, Capacity: rate, Part: 0.5, Slots: 8, Patience: f.patient, Parallel: 16})
 	if err != nil {
 		f.t.Fatal(err)
@@ -115,7 +115,7 @@
 }
 
 // publish makes a package of random content, with every change-th KiB other than in version 0.
-func (f *fleet) publish(version string, size int, change int) store.Sent {
+func (f *fleet) publish(version string, size int, change int) artifactstore.Sent {
 	f.t.Helper()
 	folder := f.t.TempDir()
 	content := make([]byte, size)
@@ -127,11 +127,11 @@
 	if err := os.WriteFile(filepath.Join(folder, "entry"), content, 0o755); err != nil {
 		f.t.Fatal(err)
 	}
-	if _, err := pack.Write(folder, pack.Manifest{Name: "f", Version: version, Type: "t", Kind: pack.Process, Lanes: 1, Memory: 1 << 20,
+	if _, err := manifest.Write(folder, manifest.Manifest{Name: "f", Version: version, Type: "t", Kind: manifest.Process, Lanes: 1, Memory: 1 << 20,
 		Time: config.Time(time.Second), Entry: "entry"}); err != nil {
 		f.t.Fatal(err)
 	}
-	sent, err := store.Client{Base: f.base, HTTP: &http.Client{}}.Publish(context.Background(), folder)
+	sent, err := artifactstore.Client{Base: f.base, HTTP: &http.Client{}}.Publish(context.Background(), folder)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -175,7 +175,7 @@
 	return int(n.Load())
 }
 
-var easy = store.Capacity{Requests: 64}
+var easy = artifactstore.Capacity{Requests: 64}
 
 // Fifty workers start cold on the same package: every chunk leaves the store three times at the most, by its own count, and
 // what peers give in place of a chunk is never used, every time counted.
@@ -213,7 +213,7 @@
 
 // A store that takes a tenth of what would come at once, and a fifth of the workers killed midway: all the others finish.
 func TestCrowdedStoreAndDeaths(t *testing.T) {
-	f := newFleet(t, 20, store.Capacity{Requests: 2, Rate: 8e6}, 60*time.Second, 1e9, nil)
+	f := newFleet(t, 20, artifactstore.Capacity{Requests: 2, Rate: 8e6}, 60*time.Second, 1e9, nil)
 	f.publish("1", 2<<20, 0)
 	f.refresh()
 	var all sync.WaitGroup
@@ -275,7 +275,7 @@
 	if c := f.store.Counts(); c.Served-served > 4*Homes || c.Served == served {
 		t.Errorf("%d chunks came from the store, two were held by nobody", c.Served-served)
 	}
-	again, err := supply.New(supply.Options{Name: holder.name, Folder: holder.folder, Store: store.Client{Base: f.base, HTTP: &http.Client{}},
+	again, err := distribution.New(distribution.Options{Name: holder.name, Folder: holder.folder, Store: artifactstore.Client{Base: f.base, HTTP: &http.Client{}},
 		Cache: holder.cache, Patience: 30 * time.Second, Parallel: 4}) // its next life builds anew
 	if err != nil {
 		t.Fatal(err)
@@ -371,10 +371,10 @@
 	if err := f.workers[0].Forget("f"); err != nil {
 		t.Error(err)
 	}
-	if _, err := f.workers[0].Bring(context.Background(), "f", "1", filepath.Join(f.workers[0].folder, "y")); !errors.Is(err, supply.ErrUnknown) {
+	if _, err := f.workers[0].Bring(context.Background(), "f", "1", filepath.Join(f.workers[0].folder, "y")); !errors.Is(err, distribution.ErrUnknown) {
 		t.Error("a version that is forgotten was brought: ", err)
 	}
-	again, err := supply.New(supply.Options{Name: "w0", Folder: f.workers[0].folder, Store: store.Client{Base: "http://127.0.0.1:1", HTTP: &http.Client{}},
+	again, err := distribution.New(distribution.Options{Name: "w0", Folder: f.workers[0].folder, Store: artifactstore.Client{Base: "http://127.0.0.1:1", HTTP: &http.Client{}},
 		Cache: f.workers[0].cache, Patience: time.Second})
 	if err != nil {
 		t.Fatal(err)
@@ -397,7 +397,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := supply.New(supply.Options{Name: m.name, Folder: t.TempDir(), Store: store.Client{Base: f.base, HTTP: &http.Client{}}, Cache: small,
+	s, err := distribution.New(distribution.Options{Name: m.name, Folder: t.TempDir(), Store: artifactstore.Client{Base: f.base, HTTP: &http.Client{}}, Cache: small,
 		Patience: 10 * time.Second, Parallel: 4})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/supply/give.go
+++ b/internal/artifact/distribution/give.go
@@ -1,4 +1,4 @@
-package supply
+package distribution
 
 import (
 	"bytes"
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"lupinpond/internal/fetch"
-	"lupinpond/internal/layer"
+	"lupinpond/internal/artifact/fetch"
+	"lupinpond/internal/artifact/layer"
 )
 
 // Headers of a request for a chunk.
--- a/internal/supply/golden_test.go
+++ b/internal/artifact/distribution/golden_test.go
@@ -1,4 +1,4 @@
-package supply_test
+package distribution_test
 
 import (
 	"bytes"
@@ -15,10 +15,10 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/cache"
-	"lupinpond/internal/layer"
-	"lupinpond/internal/store"
-	"lupinpond/internal/supply"
+	"lupinpond/internal/artifact/artifactstore"
+	"lupinpond/internal/artifact/cache"
+	"lupinpond/internal/artifact/distribution"
+	"lupinpond/internal/artifact/layer"
 )
 
 // goldenExchange sends a request to a handler and gives the answer as text: status, the headers that are set, the body.
@@ -54,15 +54,15 @@
 func (f trip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
 // goldenSupplier makes worker w-1 with a network of one byte a second.
-func goldenSupplier(t *testing.T, storage trip, peers ...supply.Peer) (*supply.Supplier, *cache.Cache) {
+func goldenSupplier(t *testing.T, storage trip, peers ...distribution.Peer) (*distribution.Supplier, *cache.Cache) {
 	t.Helper()
 	dir := t.TempDir()
 	c, err := cache.Open(dir, 1<<30, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := supply.New(supply.Options{Name: "w-1", Folder: dir, Cache: c, Peers: func() []supply.Peer { return peers },
-		Store:    store.Client{Base: "http://store:8730", HTTP: &http.Client{Transport: storage}},
+	s, err := distribution.New(distribution.Options{Name: "w-1", Folder: dir, Cache: c, Peers: func() []distribution.Peer { return peers },
+		Store:    artifactstore.Client{Base: "http://store:8730", HTTP: &http.Client{Transport: storage}},
 		Capacity: 1, Part: 1, Slots: 1, Patience: 10 * time.Minute, Parallel: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -149,7 +149,7 @@
 		s, _ := goldenSupplier(t, func(r *http.Request) (*http.Response, error) {
 			note("store", r)
 			return &http.Response{StatusCode: 200, Status: "200 OK", Header: http.Header{}, Body: io.NopCloser(bytes.NewReader(packed)), Request: r}, nil
-		}, supply.Peer{Name: "w-2", Addr: peer.Listener.Addr().String()})
+		}, distribution.Peer{Name: "w-2", Addr: peer.Listener.Addr().String()})
 		if got, want := goldenExchange(s.Handler(), "GET", "/v1/chunks/"+d.String(), "Lupin-Wait", "20s"), goldenChunk(d, packed); got != want {
 			t.Errorf("%s: got %q, want %q", x.content, got, want)
 		}
--- a/internal/supply/word_test.go
+++ b/internal/artifact/distribution/word_test.go
@@ -1,9 +1,9 @@
-package supply
+package distribution
 
 import (
 	"testing"
 
-	"lupinpond/internal/fetch"
+	"lupinpond/internal/artifact/fetch"
 )
 
 // What a peer says in place of a chunk is read within bounds, or refused.
--- a/internal/layer/layer.go
+++ b/internal/artifact/layer/layer.go
@@ -21,7 +21,7 @@
 	"github.com/restic/chunker"
 	"github.com/zeebo/blake3"
 
-	"lupinpond/internal/pack"
+	"lupinpond/internal/artifact/manifest"
 )
 
 // Format is the version of releases and chunks that this program writes and reads.
@@ -124,8 +124,8 @@
 }
 
 // Package is the manifest, read.
-func (r Release) Package() (pack.Manifest, error) {
-	return pack.ReadManifest("manifest.yaml", r.Manifest)
+func (r Release) Package() (manifest.Manifest, error) {
+	return manifest.ReadManifest("manifest.yaml", r.Manifest)
 }
 
 // Encode writes a release; its digest is that of the bytes.
@@ -166,7 +166,7 @@
 	if _, err := r.Package(); err != nil {
 		return r, fmt.Errorf("release: %w", err)
 	}
-	seen := map[string]bool{pack.File: true}
+	seen := map[string]bool{manifest.File: true}
 	for i, l := range r.Layers {
 		for j, f := range l.Files {
 			at := fmt.Sprintf("release: layer %d, file %d (%.80q)", i, j, f.Path)
@@ -193,7 +193,7 @@
 
 // Cut makes a release of a package's folder and hands each chunk's content to keep, in order; the same one may come again.
 func Cut(folder string, keep func(Ref, []byte) error) (r Release, err error) {
-	p, err := pack.Open(folder)
+	p, err := manifest.Open(folder)
 	if err != nil {
 		return r, err
 	}
@@ -201,7 +201,7 @@
 		return r, err
 	}
 	r.Format = Format
-	if r.Manifest, err = os.ReadFile(filepath.Join(folder, pack.File)); err != nil {
+	if r.Manifest, err = os.ReadFile(filepath.Join(folder, manifest.File)); err != nil {
 		return r, err
 	}
 	err = filepath.WalkDir(folder, func(name string, d fs.DirEntry, err error) error {
@@ -209,7 +209,7 @@
 			return err
 		}
 		rel, err := filepath.Rel(folder, name)
-		if err != nil || rel == pack.File {
+		if err != nil || rel == manifest.File {
 			return err
 		}
 		if !d.Type().IsRegular() {
@@ -299,7 +299,7 @@
 }
 
 // Build writes a release's files into a folder that does not exist yet; content gives the chunks.
-func Build(r Release, folder string, content func(Ref) ([]byte, error)) (p pack.Package, err error) {
+func Build(r Release, folder string, content func(Ref) ([]byte, error)) (p manifest.Package, err error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return p, err
 	}
@@ -315,10 +315,10 @@
 			}
 		}
 	}
-	if err := os.WriteFile(filepath.Join(folder, pack.File), r.Manifest, 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(folder, manifest.File), r.Manifest, 0o644); err != nil {
 		return p, err
 	}
-	return pack.Open(folder)
+	return manifest.Open(folder)
 }
 
 func buildFile(f File, name string, content func(Ref) ([]byte, error)) error {
--- a/internal/layer/layer_test.go
+++ b/internal/artifact/layer/layer_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/config"
-	"lupinpond/internal/layer"
-	"lupinpond/internal/pack"
+	"lupinpond/internal/artifact/layer"
+	"lupinpond/internal/artifact/manifest"
+	"lupinpond/internal/base/config"
 )
 
 func packageOf(t testing.TB, content map[string][]byte) string {
@@ -25,7 +25,7 @@
 			t.Fatal(err)
 		}
 	}
-	if _, err := pack.Write(dir, pack.Manifest{Name: "f", Version: "1", Type: "t", Kind: pack.Process, Lanes: 1, Memory: 1 << 20,
+	if _, err := manifest.Write(dir, manifest.Manifest{Name: "f", Version: "1", Type: "t", Kind: manifest.Process, Lanes: 1, Memory: 1 << 20,
 		Time: config.Time(time.Second), Entry: "entry"}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/pack/pack.go
+++ b/internal/artifact/manifest/manifest.go
@@ -1,6 +1,6 @@
-// Package pack reads packages: a folder with manifest.yaml and the content that it names. A small model is a package
+// Package manifest reads packages: a folder with manifest.yaml and the content that it names. A small model is a package
 // like any other: a scoring function with its weights in its content. docs/operate/worker.md has the format.
-package pack
+package manifest
 
 import (
 	"encoding/hex"
@@ -11,11 +11,11 @@
 	"path/filepath"
 	"strings"
 
+	"lupinpond/internal/base/config"
+
 	"github.com/goccy/go-yaml"
 	"github.com/google/renameio/v2"
 	"github.com/zeebo/blake3"
-
-	"lupinpond/internal/config"
 )
 
 // Format is the version of the manifest that this program reads.
--- a/internal/pack/pack_test.go
+++ b/internal/artifact/manifest/manifest_test.go
@@ -1,4 +1,4 @@
-package pack_test
+package manifest_test
 
 import (
 	"errors"
@@ -7,11 +7,11 @@
 	"strings"
 	"testing"
 
-	"lupinpond/internal/config"
-	"lupinpond/internal/pack"
+	"lupinpond/internal/artifact/manifest"
+	"lupinpond/internal/base/config"
 )
 
-const manifest = `format: 1
+const manifestText = `format: 1
 name: preview
 version: "1"
 type: pay-preview
@@ -35,7 +35,7 @@
 		{"lanes: 2", "lane: 2", "m:6:1: unknown field"},
 		{"0000\"", "00zz\"", "m:10:9: digest:"},
 	} {
-		_, err := pack.ReadManifest("m", []byte(strings.Replace(manifest, c.old, c.new, 1)))
+		_, err := manifest.ReadManifest("m", []byte(strings.Replace(manifestText, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %s", c.new, err, c.want)
 		}
@@ -44,31 +44,31 @@
 	if err := os.WriteFile(filepath.Join(dir, "entry"), []byte("content"), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	m, err := pack.ReadManifest("m", []byte(manifest))
+	m, err := manifest.ReadManifest("m", []byte(manifestText))
 	if err != nil {
 		t.Fatal(err)
 	}
 	m.Entry = "entry"
-	if _, err := pack.Write(dir, m); err != nil {
+	if _, err := manifest.Write(dir, m); err != nil {
 		t.Fatal(err)
 	}
-	p, err := pack.Open(dir)
+	p, err := manifest.Open(dir)
 	if err != nil || p.Verify() != nil {
 		t.Fatal(err, p.Verify())
 	}
 	if err := os.WriteFile(filepath.Join(dir, "entry"), []byte("Content"), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Verify(); !errors.Is(err, pack.ErrDigest) {
+	if err := p.Verify(); !errors.Is(err, manifest.ErrDigest) {
 		t.Error(err)
 	}
 }
 
 func FuzzManifest(f *testing.F) {
-	f.Add([]byte(manifest))
+	f.Add([]byte(manifestText))
 	f.Add([]byte("format: 1\nname: {}\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		m, err := pack.ReadManifest("m", b)
+		m, err := manifest.ReadManifest("m", b)
 		var at *config.Error
 		if err != nil && (!errors.As(err, &at) || at.Line < 1) {
 			t.Errorf("no place: %v", err)
--- a/internal/capture/compat_test.go
+++ b/internal/base/capture/compat_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/capture"
+	"lupinpond/internal/base/capture"
 )
 
 // A capture file that an earlier version wrote is read in full: its head, its records by kind and side, and their bytes.
--- a/internal/kept/kept.go
+++ b/internal/base/durable/durable.go
@@ -1,5 +1,5 @@
-// Package kept opens the files in which registers and the store keep what survives them, and encodes what is kept.
-package kept
+// Package durable opens the files in which registers and the store keep what survives them, and encodes what is kept.
+package durable
 
 import (
 	"bytes"
--- a/internal/kept/kept_test.go
+++ b/internal/base/durable/durable_test.go
@@ -1,4 +1,4 @@
-package kept_test
+package durable_test
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 
 	bolt "go.etcd.io/bbolt"
 
-	"lupinpond/internal/kept"
+	"lupinpond/internal/base/durable"
 )
 
 var bucket = []byte("b")
@@ -16,7 +16,7 @@
 // A file that a full disk cut short while it was made holds nothing: it is made anew. One that was made whole never is.
 func TestUnfinishedFileIsMadeAnew(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f.bolt")
-	db, err := kept.Open(path, 1, bucket)
+	db, err := durable.Open(path, 1, bucket)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 		if err := os.WriteFile(cut, make([]byte, size), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		db, err := kept.Open(cut, 1, bucket)
+		db, err := durable.Open(cut, 1, bucket)
 		if err != nil {
 			t.Errorf("%d bytes: %v", size, err)
 			continue
@@ -46,7 +46,7 @@
 	if err := os.WriteFile(spoilt, make([]byte, len(whole)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if db, err := kept.Open(spoilt, 1, bucket); err == nil {
+	if db, err := durable.Open(spoilt, 1, bucket); err == nil {
 		t.Error("a file of full size that can't be read is taken", db.Close())
 	}
 }
--- a/internal/steady/compat_test.go
+++ b/internal/base/durableclock/compat_test.go
@@ -1,4 +1,4 @@
-package steady_test
+package durableclock_test
 
 import (
 	"bytes"
@@ -8,8 +8,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"lupinpond/internal/kept"
-	"lupinpond/internal/steady"
+	"lupinpond/internal/base/durable"
+	"lupinpond/internal/base/durableclock"
 )
 
 // A clock mark that an earlier version encoded is read, written in the same bytes, and the clock goes on from it: the mark
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got steady.Mark
+	var got durableclock.Mark
 	if err := cbor.Unmarshal(stored, &got); err != nil {
 		t.Fatal(err)
 	}
@@ -27,11 +27,11 @@
 	if want := 90*time.Minute + 5; got.Boot != "stored" || got.Up != want || !got.At.Equal(at) {
 		t.Errorf("got %+v, want boot %q, up %v, at %v", got, "stored", want, at)
 	}
-	again, err := kept.Mode().Marshal(got)
+	again, err := durable.Mode().Marshal(got)
 	if err != nil || !bytes.Equal(again, stored) {
 		t.Errorf("encoded again: got %x, error %v, want %x", again, err, stored)
 	}
-	now, mark := steady.Continue(got)
+	now, mark := durableclock.Continue(got)
 	if !mark.At.Equal(at) {
 		t.Errorf("the clock goes on from %v, want %v", mark.At, at)
 	}
--- a/internal/steady/steady.go
+++ b/internal/base/durableclock/durableclock.go
@@ -1,6 +1,6 @@
-// Package steady has a clock for what is kept over restarts: it goes on as it went, whatever happens to the system's time,
+// Package durableclock has a clock for what is kept over restarts: it goes on as it went, whatever happens to the system's time,
 // as long as the machine is not booted anew.
-package steady
+package durableclock
 
 import (
 	"os"
--- a/internal/steady/steady_test.go
+++ b/internal/base/durableclock/durableclock_test.go
@@ -1,4 +1,4 @@
-package steady
+package durableclock
 
 import (
 	"testing"
--- a/internal/ask/ask.go
+++ b/internal/base/httpclient/httpclient.go
@@ -1,6 +1,6 @@
-// Package ask asks the project's own HTTP interfaces: a request with a body, an answer within bounds, a refusal with its
+// Package httpclient asks the project's own HTTP interfaces: a request with a body, an answer within bounds, a refusal with its
 // reason and the time to come back.
-package ask
+package httpclient
 
 import (
 	"bytes"
--- a/internal/serve/serve.go
+++ b/internal/base/httpserver/httpserver.go
@@ -1,5 +1,5 @@
-// Package serve runs HTTP servers, and what is done every so often, for as long as a context lasts.
-package serve
+// Package httpserver runs HTTP servers, and what is done every so often, for as long as a context lasts.
+package httpserver
 
 import (
 	"context"
--- a/internal/chance/chance.go
+++ b/internal/base/random/random.go
@@ -1,5 +1,5 @@
-// Package chance has a small source of random numbers and a hash. It takes nothing from the clock or the machine.
-package chance
+// Package random has a small source of random numbers and a hash. It takes nothing from the clock or the machine.
+package random
 
 // Source is a multiply-with-carry generator.
 type Source struct{ state uint64 }
--- a/internal/telemetry/lossy_test.go
+++ b/internal/base/telemetry/lossy_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/telemetry"
+	"lupinpond/internal/base/telemetry"
 )
 
 // blocked is a reader that stands still until it is released.
--- a/internal/gate/act.go
+++ b/internal/gateway/act.go
@@ -1,4 +1,4 @@
-package gate
+package gateway
 
 import (
 	"context"
@@ -9,13 +9,13 @@
 	"slices"
 	"time"
 
-	"lupinpond/choice"
-	"lupinpond/internal/capture"
-	"lupinpond/internal/link"
-	"lupinpond/internal/roster"
+	"lupinpond/internal/base/capture"
+	"lupinpond/internal/registry"
+	"lupinpond/internal/workerrpc"
+	"lupinpond/scheduler"
 )
 
-// links is the way out over the worker protocol, with the list from lproster.
+// links is the way out over the worker protocol, with the worker list from the registry.
 type links struct{ *Gate }
 
 // peer finds a worker's link; nil: none.
@@ -27,7 +27,7 @@
 
 // recaller gives a call up as the settings allow.
 type recaller struct {
-	*link.Call
+	*workerrpc.Call
 	tell bool
 }
 
@@ -35,15 +35,15 @@
 func (r recaller) Recall() { r.Call.Recall(r.tell) }
 
 // Send sends a launch to a worker.
-func (l links) Send(e *Request, launch int, worker string, departure *Departure, done func(choice.Outcome, []byte)) Sent {
+func (l links) Send(e *Request, launch int, worker string, departure *Departure, done func(scheduler.Outcome, []byte)) Sent {
 	left, leaves := departure.Left() // the link tells what is left of it when it writes
 	if !leaves {
-		done(choice.Outcome{Result: choice.TooLate}, nil)
+		done(scheduler.Outcome{Result: scheduler.TooLate}, nil)
 		return nil
 	}
 	p := l.peer(worker)
 	if p == nil {
-		done(choice.Outcome{Result: choice.Unreached}, nil)
+		done(scheduler.Outcome{Result: scheduler.Unreached}, nil)
 		return nil
 	}
 	c := e.Call
@@ -55,72 +55,72 @@
 		_, leaves := departure.Left()
 		return leaves
 	}
-	return recaller{p.LaunchIf(link.Launch{Event: e.Fact.ID, Number: launch, Function: c.Function.Name, Type: c.Type.Name,
+	return recaller{p.LaunchIf(workerrpc.Launch{Event: e.Fact.ID, Number: launch, Function: c.Function.Name, Type: c.Type.Name,
 		Tenant: c.Tenant, Key: c.Key, Window: window, Client: c.Source + "\n" + c.ID, Body: e.Body}, left, stillLeaves,
-		func(o link.Outcome) { done(l.outcome(o)) }), l.cancel}
+		func(o workerrpc.Outcome) { done(l.outcome(o)) }), l.cancel}
 }
 
 // outcome is how a launch ended, and its answer.
-func (l links) outcome(o link.Outcome) (out choice.Outcome, body []byte) {
+func (l links) outcome(o workerrpc.Outcome) (out scheduler.Outcome, body []byte) {
 	switch o.Fate {
-	case link.Unsent:
-		out.Result = choice.Unreached
-		if errors.Is(o.Err, link.ErrWithheld) {
-			out.Result = choice.TooLate
+	case workerrpc.Unsent:
+		out.Result = scheduler.Unreached
+		if errors.Is(o.Err, workerrpc.ErrWithheld) {
+			out.Result = scheduler.TooLate
 		}
-	case link.Broken:
-		out.Result = choice.Broken
-	case link.Recalled:
-		out.Result = choice.Cancelled
-	case link.Answered:
+	case workerrpc.Broken:
+		out.Result = scheduler.Broken
+	case workerrpc.Recalled:
+		out.Result = scheduler.Cancelled
+	case workerrpc.Answered:
 		a := o.Answer
-		out.Warmth, out.Load = choice.Warmth(a.Warmth), l.load(a.Report)
+		out.Warmth, out.Load = scheduler.Warmth(a.Warmth), l.load(a.Report)
 		switch a.Code {
-		case link.Done:
-			out.Result, body = choice.Completed, a.Body
-		case link.Full:
-			out.Result = choice.Full
-		case link.Missing:
-			out.Result = choice.Missing
-		case link.NotStarted: // drained or withdrawn before its start
-			out.Result = choice.Unreached
-		case link.Withdrawn:
-			out.Result = choice.Cancelled
+		case workerrpc.Done:
+			out.Result, body = scheduler.Completed, a.Body
+		case workerrpc.Full:
+			out.Result = scheduler.Full
+		case workerrpc.Missing:
+			out.Result = scheduler.Missing
+		case workerrpc.NotStarted: // drained or withdrawn before its start
+			out.Result = scheduler.Unreached
+		case workerrpc.Withdrawn:
+			out.Result = scheduler.Cancelled
 		default:
-			out.Result = choice.Failed
+			out.Result = scheduler.Failed
 		}
 	}
 	return out, body
 }
 
 // load tells of a report what the settings say that reports carry.
-func (g *Gate) load(r *link.Report) choice.Load {
+func (g *Gate) load(r *workerrpc.Report) scheduler.Load {
 	if r == nil || g.o.File.Fleet.Workers.Reports == "none" {
-		return choice.Load{}
+		return scheduler.Load{}
 	}
-	return choice.Load{Reported: true, QueueDepth: float64(r.Waiting)}
+	return scheduler.Load{Reported: true, QueueDepth: float64(r.Waiting)}
 }
 
 // Load sends a load order.
-func (l links) Load(o choice.LoadRequest, done func(copies int, r choice.Result)) Sent {
+func (l links) Load(o scheduler.LoadRequest, done func(copies int, r scheduler.Result)) Sent {
 	p := l.peer(o.Worker)
 	if p == nil {
-		done(o.Replicas, choice.Unreached)
+		done(o.Replicas, scheduler.Unreached)
 		return nil
 	}
-	p.Order(link.Order{Function: l.names[o.Function], Copies: o.Replicas}, func(out link.Outcome) {
+	p.Order(workerrpc.Order{Function: l.names[o.Function], Copies: o.Replicas}, func(out workerrpc.Outcome) {
 		switch {
-		case out.Fate == link.Unsent:
-			done(o.Replicas, choice.Unreached)
+		case out.Fate == workerrpc.Unsent:
+			done(o.Replicas, scheduler.Unreached)
 		case out.Ordered == nil:
-			done(o.Replicas, choice.Broken)
+			done(o.Replicas, scheduler.Broken)
 		default:
-			result := choice.Failed
+			result := scheduler.Failed
 			switch out.Ordered.Code {
-			case link.Done:
-				result = choice.Completed
-			case link.Full, link.NotStarted:
-				result = choice.Full
+			case workerrpc.Done:
+				result = scheduler.Completed
+			case workerrpc.Full, workerrpc.NotStarted:
+				result = scheduler.Full
 			}
 			done(out.Ordered.Copies, result)
 		}
@@ -129,20 +129,20 @@
 }
 
 // Probe asks a worker for a report.
-func (l links) Probe(worker string, done func(r choice.Result, load choice.Load)) Sent {
+func (l links) Probe(worker string, done func(r scheduler.Result, load scheduler.Load)) Sent {
 	p := l.peer(worker)
 	if p == nil {
-		done(choice.Unreached, choice.Load{})
+		done(scheduler.Unreached, scheduler.Load{})
 		return nil
 	}
-	p.Probe(func(o link.Outcome) {
+	p.Probe(func(o workerrpc.Outcome) {
 		switch {
 		case o.Echo != nil:
-			done(choice.Completed, l.load(o.Echo.Report))
-		case o.Fate == link.Unsent:
-			done(choice.Unreached, choice.Load{})
+			done(scheduler.Completed, l.load(o.Echo.Report))
+		case o.Fate == workerrpc.Unsent:
+			done(scheduler.Unreached, scheduler.Load{})
 		default:
-			done(choice.Broken, choice.Load{})
+			done(scheduler.Broken, scheduler.Load{})
 		}
 	})
 	return nil
@@ -173,7 +173,7 @@
 			return nil
 		case <-g.asked:
 		}
-		err := roster.Watch(ctx, client, g.o.File.Front.List, g.o.Name, func(n roster.News) { g.news(n) })
+		err := registry.Watch(ctx, client, g.o.File.Front.List, g.o.Name, func(n registry.News) { g.news(n) })
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -184,8 +184,8 @@
 
 // news takes a message of the list. Links to drained and gone workers are stopped at once, before the owner gets to it:
 // what waits in a write queue must not leave after the grace, even where the owner is stalled.
-func (g *Gate) news(n roster.News) {
-	var listings []choice.Member
+func (g *Gate) news(n registry.News) {
+	var listings []scheduler.Member
 	named := map[string]bool{}
 	g.peersMu.Lock()
 	within := Always
@@ -195,15 +195,15 @@
 	g.listedAt = time.Now()
 	for _, e := range n.Entries {
 		named[e.Name] = true
-		l := choice.Member{Worker: e.Name, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, Started: g.births.Started(e.Name, e.Started, within)}
+		l := scheduler.Member{Worker: e.Name, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, Started: g.births.Started(e.Name, e.Started, within)}
 		if g.o.File.Fleet.Workers.Sizes == "cores" {
 			l.Size = e.Cores
 		}
 		switch e.State {
-		case roster.Draining:
-			l.Condition = choice.Draining
-		case roster.Gone:
-			l.Condition = choice.Removed
+		case registry.Draining:
+			l.Condition = scheduler.Draining
+		case registry.Gone:
+			l.Condition = scheduler.Removed
 		}
 		listings = append(listings, l)
 		g.link(e)
@@ -225,14 +225,14 @@
 }
 
 // keep follows the list and gives the whole of it.
-func (g *Gate) keep(n roster.News, named map[string]bool) roster.News {
+func (g *Gate) keep(n registry.News, named map[string]bool) registry.News {
 	if n.Whole {
-		maps.DeleteFunc(g.known, func(name string, _ roster.Entry) bool { return !named[name] })
+		maps.DeleteFunc(g.known, func(name string, _ registry.Entry) bool { return !named[name] })
 	}
 	for _, e := range n.Entries {
 		g.known[e.Name] = e
 	}
-	whole := roster.News{Version: n.Version, Whole: true}
+	whole := registry.News{Version: n.Version, Whole: true}
 	for _, name := range slices.Sorted(maps.Keys(g.known)) {
 		whole.Entries = append(whole.Entries, g.known[name])
 	}
@@ -240,13 +240,13 @@
 }
 
 // link follows one entry of the list with the link to that worker.
-func (g *Gate) link(e roster.Entry) {
+func (g *Gate) link(e registry.Entry) {
 	p := g.peers[e.Name]
 	if p != nil && p.entry.Addr != e.Addr { // it listens elsewhere now
 		p.stop()
 		p = nil
 	}
-	if p == nil && e.State != roster.In {
+	if p == nil && e.State != registry.In {
 		return
 	}
 	if p == nil {
@@ -256,9 +256,9 @@
 			return dialer.DialContext(ctx, "tcp", addr)
 		})
 		ctx, stop := context.WithCancel(g.hard)
-		p = &peer{stop: stop, Peer: link.NewPeer(g.o.Name, e.Name, e.Addr, link.Limits{Dial: l.Dial.D(),
+		p = &peer{stop: stop, Peer: workerrpc.NewPeer(g.o.Name, e.Name, e.Addr, workerrpc.Limits{Dial: l.Dial.D(),
 			Queue: l.Queue.D(), Stall: l.Stall.D(), Calls: l.Calls, Bytes: int(l.Bytes)}, dial)}
-		p.Greeted = func(h *link.Hello) {
+		p.Greeted = func(h *workerrpc.Hello) {
 			if h.WarmUp > 0 {
 				g.log.Info("a worker warmed up in its last life", "worker", h.Name, "warm-up", h.WarmUp)
 			}
@@ -271,7 +271,7 @@
 		g.peers[e.Name] = p
 	}
 	p.entry = e
-	if e.State == roster.In {
+	if e.State == registry.In {
 		p.Resume()
 	} else {
 		p.Stop(g.grace)
--- a/internal/gate/births_test.go
+++ b/internal/gateway/births_test.go
@@ -1,4 +1,4 @@
-package gate
+package gateway
 
 import (
 	"testing"
--- a/internal/gate/checks.go
+++ b/internal/gateway/checks.go
@@ -1,12 +1,12 @@
-package gate
+package gateway
 
 import (
 	"time"
 
-	"lupinpond/choice"
-	"lupinpond/internal/core"
-	"lupinpond/internal/invariant"
-	"lupinpond/internal/window"
+	"lupinpond/internal/base/window"
+	"lupinpond/internal/gateway/core"
+	"lupinpond/internal/gateway/invariant"
+	"lupinpond/scheduler"
 )
 
 // requestChecks is what the invariants need to know of one request. It is kept apart from what the core and the scheduler
@@ -27,7 +27,7 @@
 }
 
 // ended notes the outcome of an attempt; only the first counts.
-func (c *requestChecks) ended(launch int, r choice.Result) {
+func (c *requestChecks) ended(launch int, r scheduler.Result) {
 	began, is := c.inFlight[launch]
 	if !is {
 		return
@@ -46,8 +46,8 @@
 	}
 	t := o.typeOf(e.Fact.Type)
 	switch {
-	case !c.mayHaveRun || t.Effect == choice.Idempotent:
-	case t.Effect == choice.AtMostOnce:
+	case !c.mayHaveRun || t.Effect == scheduler.Idempotent:
+	case t.Effect == scheduler.AtMostOnce:
 		o.monitor.Violated(invariant.RepeatOfAtMostOnce, id, "attempt", launch, "worker", worker)
 	case now >= c.ranSince+t.Window:
 		o.monitor.Violated(invariant.RepeatOutsideOfWindow, id, "attempt", launch, "worker", worker, "after", now-c.ranSince)
@@ -56,13 +56,13 @@
 }
 
 // typeOf finds a request type; one that the settings do not name must not run twice.
-func (o *Owner) typeOf(name string) choice.RequestType {
+func (o *Owner) typeOf(name string) scheduler.RequestType {
 	for _, t := range o.front.Types {
 		if t.Name == name {
 			return t
 		}
 	}
-	return choice.RequestType{Name: name, Effect: choice.AtMostOnce}
+	return scheduler.RequestType{Name: name, Effect: scheduler.AtMostOnce}
 }
 
 // checkAnswer notes a request's final answer; false: it has had one.
@@ -101,7 +101,7 @@
 func (c *loadChecks) submitted(now time.Duration) { c.arrived.Add(now, 1) }
 
 // checkLoad checks a load request. Sums are rounded so that none within the limit is counted.
-func (o *Owner) checkLoad(order choice.LoadRequest) {
+func (o *Owner) checkLoad(order scheduler.LoadRequest) {
 	c := &o.loads
 	if c.limits.Within <= 0 || order.Replicas <= 0 {
 		return
--- a/internal/core/core.go
+++ b/internal/gateway/core/core.go
@@ -1,7 +1,7 @@
-// Package core keeps what one front end has in hand: requests, attempts, timers and the calls to choice. It does no
+// Package core keeps what one front end has in hand: requests, attempts, timers and the calls to the scheduler. It does no
 // I/O, reads no clock and starts no goroutine: facts are told to it with their time, and it acts through an Actor.
 // The same facts at the same times give the same actions. The simulator's adapter, the gate, the tools and the
-// replay drive this one core. It decides nothing about requests, attempts or loads; choice does.
+// replay drive this one core. It decides nothing about requests, attempts or loads; the scheduler does.
 package core
 
 import (
@@ -12,21 +12,21 @@
 	"slices"
 	"time"
 
-	"lupinpond/choice"
+	"lupinpond/scheduler"
 )
 
 // Actor carries out what the core says. It is called while a fact is being told and must not call back into the core.
 type Actor interface {
-	Send(e *choice.Request, launch int, worker string)         // attempt is counted from 0
-	Complete(e *choice.Request, launch int)                    // the answer of that attempt is the request's
-	Reject(e *choice.Request, back time.Duration, mayRun bool) // back 0: no time to come back is named
-	Fail(e *choice.Request, launches int, mayRun bool)         // mayRun: it may have run
-	Cancel(e *choice.Request, launch int, worker string)       // stop waiting for that attempt
-	Load(o choice.LoadRequest)                                 // a load request
-	Probe(worker string)                                       //
-	Subscribe()                                                // subscribe to the list of workers
-	Wake(after time.Duration)                                  // call Woke so much later
-	Ended(e *choice.Request, launches int, outcome Ending)     // bookkeeping: nothing follows for this request
+	Send(e *scheduler.Request, launch int, worker string)         // attempt is counted from 0
+	Complete(e *scheduler.Request, launch int)                    // the answer of that attempt is the request's
+	Reject(e *scheduler.Request, back time.Duration, mayRun bool) // back 0: no time to come back is named
+	Fail(e *scheduler.Request, launches int, mayRun bool)         // mayRun: it may have run
+	Cancel(e *scheduler.Request, launch int, worker string)       // stop waiting for that attempt
+	Load(o scheduler.LoadRequest)                                 // a load request
+	Probe(worker string)                                          //
+	Subscribe()                                                   // subscribe to the list of workers
+	Wake(after time.Duration)                                     // call Woke so much later
+	Ended(e *scheduler.Request, launches int, outcome Ending)     // bookkeeping: nothing follows for this request
 }
 
 // Ending is how the core let go of a request.
@@ -52,7 +52,7 @@
 	Memory float64 `cbor:"2,keyasint"`
 }
 
-// Loading is how functions come to workers; see choice.Scheduler.Loading.
+// Loading is how functions come to workers; see scheduler.Scheduler.Loading.
 type Loading struct {
 	Requests bool          `cbor:"1,keyasint"`
 	OnMiss   bool          `cbor:"2,keyasint"` // workers load on a miss
@@ -63,7 +63,7 @@
 	Share    float64       `cbor:"7,keyasint"` // and so many for each request
 }
 
-// SlowStart is what a worker that has just started stands; see choice.Scheduler.ColdStarts.
+// SlowStart is what a worker that has just started stands; see scheduler.Scheduler.ColdStarts.
 type SlowStart struct {
 	From      float64       `cbor:"1,keyasint"` // least part of its capacity at the start
 	WarmAfter time.Duration `cbor:"2,keyasint"`
@@ -73,27 +73,27 @@
 
 // Settings is all that a core is started with.
 type Settings struct {
-	Seed            uint64               `cbor:"1,keyasint"`
-	Self            int                  `cbor:"2,keyasint"` // its number among the front ends, from 0
-	FrontEnds       int                  `cbor:"3,keyasint"` // how many there are, itself included
-	Quantum         time.Duration        `cbor:"4,keyasint"` // least time between two calls
-	Types           []choice.RequestType `cbor:"5,keyasint"`
-	Tenants         []Tenant             `cbor:"6,keyasint"`
-	MaxAttempts     int                  `cbor:"7,keyasint"` // most attempts of a request
-	Cancel          bool                 `cbor:"8,keyasint"`
-	Probe           bool                 `cbor:"9,keyasint"`
-	MaxRetryAfter   time.Duration        `cbor:"10,keyasint"` // longest time to come back that clients honour; 0: none is named
-	Loading         Loading              `cbor:"11,keyasint"`
-	SlowStart       SlowStart            `cbor:"12,keyasint"`
-	SubscribeWithin time.Duration        `cbor:"13,keyasint"` // the list must be asked for at least so often; 0: it comes unasked
-	Kinds           []Kind               `cbor:"15,keyasint,omitempty"`
-	Zone            string               `cbor:"16,keyasint,omitempty"` // its own, where attempts to other zones cost something
-	Deadlines       bool                 `cbor:"14,keyasint"`           // the core itself times attempts out when their client's time is up
+	Seed            uint64                  `cbor:"1,keyasint"`
+	Self            int                     `cbor:"2,keyasint"` // its number among the front ends, from 0
+	FrontEnds       int                     `cbor:"3,keyasint"` // how many there are, itself included
+	Quantum         time.Duration           `cbor:"4,keyasint"` // least time between two calls
+	Types           []scheduler.RequestType `cbor:"5,keyasint"`
+	Tenants         []Tenant                `cbor:"6,keyasint"`
+	MaxAttempts     int                     `cbor:"7,keyasint"` // most attempts of a request
+	Cancel          bool                    `cbor:"8,keyasint"`
+	Probe           bool                    `cbor:"9,keyasint"`
+	MaxRetryAfter   time.Duration           `cbor:"10,keyasint"` // longest time to come back that clients honour; 0: none is named
+	Loading         Loading                 `cbor:"11,keyasint"`
+	SlowStart       SlowStart               `cbor:"12,keyasint"`
+	SubscribeWithin time.Duration           `cbor:"13,keyasint"` // the list must be asked for at least so often; 0: it comes unasked
+	Kinds           []Kind                  `cbor:"15,keyasint,omitempty"`
+	Zone            string                  `cbor:"16,keyasint,omitempty"` // its own, where attempts to other zones cost something
+	Deadlines       bool                    `cbor:"14,keyasint"`           // the core itself times attempts out when their client's time is up
 }
 
 // tracked is one request in hand.
 type tracked struct {
-	request    *choice.Request
+	request    *scheduler.Request
 	number     uint64 // in the order of arrival, so that equal deadlines keep an order
 	attempts   int
 	worker     string        // of the last attempt
@@ -106,7 +106,7 @@
 
 // Core is one front end's state. It is not safe for use by several goroutines.
 type Core struct {
-	scheduler *choice.Scheduler
+	scheduler *scheduler.Scheduler
 	actor     Actor
 	own       bool // it keeps the deadlines
 	requests  map[string]*tracked
@@ -117,12 +117,12 @@
 	note      func(Entry)
 }
 
-// ErrInHand says that a request of that id is in hand already.
+// ErrDuplicate reports that a request with the same id is in flight already.
 var ErrDuplicate = errors.New("an event of this id is in hand")
 
 // New starts a core that acts through actor.
 func New(f Settings, actor Actor) *Core {
-	c := choice.New(f.Seed, f.Self, f.FrontEnds, f.Quantum)
+	c := scheduler.New(f.Seed, f.Self, f.FrontEnds, f.Quantum)
 	for _, t := range f.Types {
 		c.AddType(t)
 	}
@@ -147,13 +147,13 @@
 func (c *Core) InHand() int { return len(c.requests) }
 
 // Members is the list of workers as the module knows it, in the order of their names.
-func (c *Core) Members() []choice.Member { return c.scheduler.Members() }
+func (c *Core) Members() []scheduler.Member { return c.scheduler.Members() }
 
 // FleetState is what the scheduler makes of its fleet.
-func (c *Core) FleetState() choice.FleetState { return c.scheduler.FleetState() }
+func (c *Core) FleetState() scheduler.FleetState { return c.scheduler.FleetState() }
 
 // UpdateMembership tells news of the list; where it is whole, workers that it does not name are gone.
-func (c *Core) UpdateMembership(now time.Duration, whole bool, news []choice.Member) {
+func (c *Core) UpdateMembership(now time.Duration, whole bool, news []scheduler.Member) {
 	c.record(Entry{Op: OpListed, Now: now, Flag: whole, News: news})
 	c.scheduler.UpdateMembership(now, whole, news)
 }
@@ -165,7 +165,7 @@
 }
 
 // Submit tells of a request that a client sent. Its id must be new; ErrInHand otherwise, and nothing is done.
-func (c *Core) Submit(now time.Duration, e *choice.Request) error {
+func (c *Core) Submit(now time.Duration, e *scheduler.Request) error {
 	if c.requests[e.ID] != nil {
 		return ErrDuplicate
 	}
@@ -198,7 +198,7 @@
 
 // Outcome tells how an attempt of a request ended. It is for the attempt that is in flight; any other, late or
 // doubled or of a request never in hand, is not told to the module, and false is returned.
-func (c *Core) Outcome(now time.Duration, id string, launch int, o choice.Outcome) bool {
+func (c *Core) Outcome(now time.Duration, id string, launch int, o scheduler.Outcome) bool {
 	c.record(Entry{Op: OpOutcome, Now: now, ID: id, Launch: launch, Outcome: o})
 	h := c.requests[id]
 	if h == nil || launch != h.attempts-1 || !h.request.InFlight() {
@@ -208,11 +208,11 @@
 	return true
 }
 
-func (c *Core) outcome(now time.Duration, h *tracked, o choice.Outcome) {
-	handled := o.Result == choice.Completed && !h.clientGone
-	o.Final = o.Final || o.Result == choice.Completed || h.clientGone
+func (c *Core) outcome(now time.Duration, h *tracked, o scheduler.Outcome) {
+	handled := o.Result == scheduler.Completed && !h.clientGone
+	o.Final = o.Final || o.Result == scheduler.Completed || h.clientGone
 	switch o.Result {
-	case choice.Failed, choice.TimedOut, choice.Broken, choice.Cancelled, choice.Completed:
+	case scheduler.Failed, scheduler.TimedOut, scheduler.Broken, scheduler.Cancelled, scheduler.Completed:
 		h.mayRun = true
 	}
 	launch := h.attempts - 1
@@ -240,14 +240,14 @@
 }
 
 // Probed tells how a probe ended; took is the time from the probe to its answer.
-func (c *Core) Probed(now time.Duration, worker string, r choice.Result, l choice.Load, took time.Duration) {
-	c.record(Entry{Op: OpProbed, Now: now, Worker: worker, Outcome: choice.Outcome{Result: r, Load: l, Took: took}})
+func (c *Core) Probed(now time.Duration, worker string, r scheduler.Result, l scheduler.Load, took time.Duration) {
+	c.record(Entry{Op: OpProbed, Now: now, Worker: worker, Outcome: scheduler.Outcome{Result: r, Load: l, Took: took}})
 	c.scheduler.Probed(now, worker, r, l, took)
 }
 
 // Loaded tells how a load request ended; took is the time from the order to its answer.
-func (c *Core) Loaded(now time.Duration, o choice.LoadRequest, r choice.Result, took time.Duration) {
-	c.record(Entry{Op: OpLoaded, Now: now, Order: o, Outcome: choice.Outcome{Result: r, Took: took}})
+func (c *Core) Loaded(now time.Duration, o scheduler.LoadRequest, r scheduler.Result, took time.Duration) {
+	c.record(Entry{Op: OpLoaded, Now: now, Order: o, Outcome: scheduler.Outcome{Result: r, Took: took}})
 	c.scheduler.Loaded(now, o, r, took)
 }
 
@@ -266,7 +266,7 @@
 	for len(c.ends) > 0 && c.ends[0].deadline <= now {
 		h := heap.Pop(&c.ends).(*tracked)
 		if h.request.InFlight() {
-			c.outcome(now, h, choice.Outcome{Worker: h.worker, Took: now - h.sentAt, Result: choice.TimedOut})
+			c.outcome(now, h, scheduler.Outcome{Worker: h.worker, Took: now - h.sentAt, Result: scheduler.TimedOut})
 		}
 	}
 	steps := c.scheduler.Tick(now)
@@ -300,17 +300,17 @@
 }
 
 // act carries out one answer of the module.
-func (c *Core) act(now time.Duration, h *tracked, a choice.Decision) {
+func (c *Core) act(now time.Duration, h *tracked, a scheduler.Decision) {
 	switch a.Verb {
-	case choice.Send:
+	case scheduler.Send:
 		h.attempts, h.worker, h.sentAt = h.attempts+1, a.Worker, now
 		c.actor.Send(a.Request, h.attempts-1, a.Worker)
-	case choice.Reject:
+	case scheduler.Reject:
 		c.actor.Reject(a.Request, a.RetryAfter, h.mayRun)
 		c.drop(h, Rejected)
-	case choice.Cancel:
+	case scheduler.Cancel:
 		c.actor.Cancel(a.Request, a.Attempt, h.worker)
-	case choice.Fail:
+	case scheduler.Fail:
 		c.actor.Fail(a.Request, h.attempts, h.mayRun)
 		c.drop(h, Failed)
 	}
--- a/internal/core/core_test.go
+++ b/internal/gateway/core/core_test.go
@@ -10,9 +10,9 @@
 
 	"pgregory.net/rapid"
 
-	"lupinpond/choice"
-	"lupinpond/internal/core"
-	"lupinpond/internal/corelog"
+	"lupinpond/internal/gateway/core"
+	"lupinpond/internal/gateway/replay"
+	"lupinpond/scheduler"
 )
 
 const ms = time.Millisecond
@@ -31,32 +31,32 @@
 	}
 }
 
-func (a *told) Send(e *choice.Request, n int, worker string) {
+func (a *told) Send(e *scheduler.Request, n int, worker string) {
 	a.out[e.ID] = n
 	a.say("launch %s %d at %s", e.ID, n, worker)
 }
-func (a *told) Complete(e *choice.Request, n int) {
+func (a *told) Complete(e *scheduler.Request, n int) {
 	a.endings[e.ID]++
 	a.say("handle %s by launch %d", e.ID, n)
 }
-func (a *told) Reject(e *choice.Request, _ time.Duration, ran bool) {
+func (a *told) Reject(e *scheduler.Request, _ time.Duration, ran bool) {
 	a.endings[e.ID]++
 	a.say("defer %s, may have run %v", e.ID, ran)
 }
-func (a *told) Fail(e *choice.Request, n int, ran bool) {
+func (a *told) Fail(e *scheduler.Request, n int, ran bool) {
 	a.endings[e.ID]++
 	a.say("dead-letter %s after %d launches, may have run %v", e.ID, n, ran)
 }
-func (a *told) Cancel(e *choice.Request, n int, worker string) {
+func (a *told) Cancel(e *scheduler.Request, n int, worker string) {
 	a.say("withdraw %s %d at %s", e.ID, n, worker)
 }
-func (a *told) Load(o choice.LoadRequest) {
+func (a *told) Load(o scheduler.LoadRequest) {
 	a.say("order %d of %d at %s", o.Replicas, o.Function, o.Worker)
 }
 func (a *told) Probe(worker string) { a.say("probe %s", worker) }
 func (a *told) Subscribe()          {}
 func (a *told) Wake(time.Duration)  {}
-func (a *told) Ended(e *choice.Request, _ int, how core.Ending) {
+func (a *told) Ended(e *scheduler.Request, _ int, how core.Ending) {
 	a.ended[e.ID]++
 	a.say("ended %s %d", e.ID, how)
 }
@@ -67,18 +67,18 @@
 
 func front() core.Settings {
 	return core.Settings{Seed: 7, FrontEnds: 1, Quantum: 2 * ms, MaxAttempts: 4, Cancel: true, MaxRetryAfter: 500 * ms, Deadlines: true,
-		Types: []choice.RequestType{{Name: "free", Objective: time.Second}, {Name: "once", Effect: choice.AtMostOnce, Objective: time.Second},
-			{Name: "zone", Effect: choice.IdempotencyKey, Group: choice.GroupZone, Window: 300 * ms, Objective: time.Second}},
+		Types: []scheduler.RequestType{{Name: "free", Objective: time.Second}, {Name: "once", Effect: scheduler.AtMostOnce, Objective: time.Second},
+			{Name: "zone", Effect: scheduler.IdempotencyKey, Group: scheduler.GroupZone, Window: 300 * ms, Objective: time.Second}},
 		Loading: core.Loading{OnMiss: true, Keep: 10 * time.Second, Limit: 5 * time.Second}}
 }
 
-var workers = []choice.Member{{Worker: "a", Zone: "1"}, {Worker: "b", Zone: "1"}, {Worker: "c", Zone: "2"}}
+var workers = []scheduler.Member{{Worker: "a", Zone: "1"}, {Worker: "b", Zone: "1"}, {Worker: "c", Zone: "2"}}
 
 // begin has request e of a type sent.
 func begin(a core.Actor, kind string) (*core.Core, time.Duration) {
 	c, now := core.New(front(), a), time.Hour
 	c.UpdateMembership(now, true, workers)
-	e := &choice.Request{ID: "e", Type: kind, Function: 1, TimeLeft: 2 * time.Second, Concurrency: 1}
+	e := &scheduler.Request{ID: "e", Type: kind, Function: 1, TimeLeft: 2 * time.Second, Concurrency: 1}
 	fmt.Println(c.Submit(now, e), c.Submit(now, e))
 	c.Settle(now)
 	return c, now
@@ -89,12 +89,12 @@
 	a := newTold(true)
 	c, now := begin(a, "once")
 	now += 2 * time.Second
-	fmt.Println(c.Outcome(now, "e", 0, choice.Outcome{Result: choice.Completed, Took: 2 * time.Second}))
+	fmt.Println(c.Outcome(now, "e", 0, scheduler.Outcome{Result: scheduler.Completed, Took: 2 * time.Second}))
 	c.Settle(now)
 	c, now = begin(a, "once")
 	now += 2 * time.Second
 	c.Settle(now)
-	fmt.Println(c.Outcome(now, "e", 0, choice.Outcome{Result: choice.Completed, Took: 2 * time.Second}))
+	fmt.Println(c.Outcome(now, "e", 0, scheduler.Outcome{Result: scheduler.Completed, Took: 2 * time.Second}))
 	fmt.Println(c.InHand())
 	// Output:
 	// <nil> an event of this id is in hand
@@ -131,7 +131,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a := newTold(false)
 		var tape bytes.Buffer
-		c, rec := corelog.Start(front(), a, &tape)
+		c, rec := replay.Start(front(), a, &tape)
 		now := time.Hour
 		c.UpdateMembership(now, true, workers)
 		left := map[string]bool{}
@@ -142,7 +142,7 @@
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
 			case 0, 1:
 				kind := rapid.SampledFrom([]string{"free", "once", "zone", "unheard"}).Draw(t, "type")
-				e := &choice.Request{ID: fmt.Sprint(n), Type: kind, Function: uint64(n % 3), Concurrency: 1,
+				e := &scheduler.Request{ID: fmt.Sprint(n), Type: kind, Function: uint64(n % 3), Concurrency: 1,
 					TimeLeft: time.Duration(rapid.IntRange(1, 3000).Draw(t, "patience")) * ms}
 				if err := c.Submit(now, e); err != nil {
 					t.Fatal(err)
@@ -153,7 +153,7 @@
 				if is && rapid.Bool().Draw(t, "stale") {
 					launch--
 				}
-				c.Outcome(now, id, launch, choice.Outcome{Result: choice.Result(rapid.IntRange(0, 8).Draw(t, "result")), Took: ms})
+				c.Outcome(now, id, launch, scheduler.Outcome{Result: scheduler.Result(rapid.IntRange(0, 8).Draw(t, "result")), Took: ms})
 			case 4:
 				if c.ClientGone(now, id) {
 					left[id] = true
@@ -161,8 +161,8 @@
 			case 5:
 				i := rapid.IntRange(0, 2).Draw(t, "worker")
 				l := workers[i]
-				l.Condition = choice.Condition(rapid.IntRange(0, 2).Draw(t, "condition"))
-				c.UpdateMembership(now, rapid.Bool().Draw(t, "whole"), []choice.Member{l})
+				l.Condition = scheduler.Condition(rapid.IntRange(0, 2).Draw(t, "condition"))
+				c.UpdateMembership(now, rapid.Bool().Draw(t, "whole"), []scheduler.Member{l})
 			case 6:
 				c.EndBy(now, now+time.Duration(rapid.IntRange(0, 5000).Draw(t, "end"))*ms)
 			}
@@ -185,13 +185,13 @@
 		if rec.Err() != nil {
 			t.Fatal(rec.Err())
 		}
-		if told, err := corelog.Replay(bytes.NewReader(tape.Bytes()), nil); err != nil || told.Facts == 0 {
+		if told, err := replay.Replay(bytes.NewReader(tape.Bytes()), nil); err != nil || told.Facts == 0 {
 			t.Fatalf("%+v: %v", told, err)
 		}
 		cut := rapid.IntRange(1, tape.Len()-1).Draw(t, "cut")
 		// cut short as by a kill: torn, or an action is missing at its end; what is there agrees
-		if told, err := corelog.Replay(bytes.NewReader(tape.Bytes()[:cut]), nil); err != nil &&
-			!(errors.Is(err, corelog.ErrDiffers) && strings.HasSuffix(err.Error(), "is missing")) && told.Facts > 0 {
+		if told, err := replay.Replay(bytes.NewReader(tape.Bytes()[:cut]), nil); err != nil &&
+			!(errors.Is(err, replay.ErrDiffers) && strings.HasSuffix(err.Error(), "is missing")) && told.Facts > 0 {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
 	})
@@ -206,7 +206,7 @@
 		c.UpdateMembership(now, true, workers[:rapid.IntRange(0, 3).Draw(t, "workers")])
 		n := 0
 		came := func() {
-			e := &choice.Request{ID: fmt.Sprint(n), Type: rapid.SampledFrom([]string{"free", "once", "zone"}).Draw(t, "type"),
+			e := &scheduler.Request{ID: fmt.Sprint(n), Type: rapid.SampledFrom([]string{"free", "once", "zone"}).Draw(t, "type"),
 				Function: uint64(n % 3), Concurrency: 1, TimeLeft: 100 * time.Second}
 			if err := c.Submit(now, e); err != nil {
 				t.Fatal(err)
@@ -248,12 +248,12 @@
 
 func FuzzReplay(f *testing.F) {
 	var tape bytes.Buffer
-	c, _ := corelog.Start(front(), newTold(false), &tape)
+	c, _ := replay.Start(front(), newTold(false), &tape)
 	c.UpdateMembership(time.Hour, true, workers)
 	c.Settle(time.Hour)
 	f.Add(tape.Bytes())
 	f.Fuzz(func(t *testing.T, b []byte) {
-		told, err := corelog.Replay(bytes.NewReader(b), nil)
+		told, err := replay.Replay(bytes.NewReader(b), nil)
 		if err == nil && told.Front.Seed == 0 && told.Facts > len(b) {
 			t.Error("more facts than bytes")
 		}
@@ -265,7 +265,7 @@
 	a := newTold(false)
 	c, now := core.New(front(), a), time.Hour
 	c.UpdateMembership(now, true, workers)
-	if err := c.Submit(now, &choice.Request{ID: "e", Type: "free", Function: 1, TimeLeft: 20 * time.Second, Concurrency: 1}); err != nil {
+	if err := c.Submit(now, &scheduler.Request{ID: "e", Type: "free", Function: 1, TimeLeft: 20 * time.Second, Concurrency: 1}); err != nil {
 		t.Fatal(err)
 	}
 	until := func(launch int) {
@@ -280,14 +280,14 @@
 		t.Fatal("launch", launch, "never left")
 	}
 	until(0)
-	if !c.Outcome(now, "e", 0, choice.Outcome{Result: choice.Broken, Took: ms}) {
+	if !c.Outcome(now, "e", 0, scheduler.Outcome{Result: scheduler.Broken, Took: ms}) {
 		t.Error("the outcome is not taken")
 	}
 	until(1)
-	if c.Outcome(now, "e", 0, choice.Outcome{Result: choice.Completed, Took: ms}) || a.endings["e"] != 0 {
+	if c.Outcome(now, "e", 0, scheduler.Outcome{Result: scheduler.Completed, Took: ms}) || a.endings["e"] != 0 {
 		t.Error("a late answer to the first launch is taken for one to the second")
 	}
-	if !c.Outcome(now, "e", 1, choice.Outcome{Result: choice.Completed, Took: ms}) || a.endings["e"] != 1 {
+	if !c.Outcome(now, "e", 1, scheduler.Outcome{Result: scheduler.Completed, Took: ms}) || a.endings["e"] != 1 {
 		t.Error("the second's is not")
 	}
 }
--- a/internal/core/entry.go
+++ b/internal/gateway/core/entry.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"lupinpond/choice"
+	"lupinpond/scheduler"
 )
 
 // Op names a fact told to a core.
@@ -26,17 +26,17 @@
 
 // Entry is one fact as it was told: what a recording holds. Fields that the fact does not have are zero.
 type Entry struct {
-	Op      Op                 `cbor:"1,keyasint"`
-	Now     time.Duration      `cbor:"2,keyasint"`
-	ID      string             `cbor:"3,keyasint,omitempty"`
-	Launch  int                `cbor:"4,keyasint,omitempty"`
-	Flag    bool               `cbor:"5,keyasint,omitempty"`
-	Worker  string             `cbor:"6,keyasint,omitempty"`
-	News    []choice.Member    `cbor:"7,keyasint,omitempty"`
-	Event   *choice.Request    `cbor:"8,keyasint,omitempty"`
-	Outcome choice.Outcome     `cbor:"9,keyasint,omitempty"`
-	Order   choice.LoadRequest `cbor:"10,keyasint,omitempty"`
-	By      time.Duration      `cbor:"11,keyasint,omitempty"`
+	Op      Op                    `cbor:"1,keyasint"`
+	Now     time.Duration         `cbor:"2,keyasint"`
+	ID      string                `cbor:"3,keyasint,omitempty"`
+	Launch  int                   `cbor:"4,keyasint,omitempty"`
+	Flag    bool                  `cbor:"5,keyasint,omitempty"`
+	Worker  string                `cbor:"6,keyasint,omitempty"`
+	News    []scheduler.Member    `cbor:"7,keyasint,omitempty"`
+	Event   *scheduler.Request    `cbor:"8,keyasint,omitempty"`
+	Outcome scheduler.Outcome     `cbor:"9,keyasint,omitempty"`
+	Order   scheduler.LoadRequest `cbor:"10,keyasint,omitempty"`
+	By      time.Duration         `cbor:"11,keyasint,omitempty"`
 }
 
 // Record has every fact from now on given to note before it takes effect; nil ends it.
@@ -49,8 +49,8 @@
 }
 
 // facts replicas what is known of a request when it comes, without what the module keeps in it.
-func facts(e *choice.Request) *choice.Request {
-	return &choice.Request{ID: e.ID, Type: e.Type, Tenant: e.Tenant, Function: e.Function, TimeLeft: e.TimeLeft,
+func facts(e *scheduler.Request) *scheduler.Request {
+	return &scheduler.Request{ID: e.ID, Type: e.Type, Tenant: e.Tenant, Function: e.Function, TimeLeft: e.TimeLeft,
 		Concurrency: e.Concurrency, Memory: e.Memory, LoadTime: e.LoadTime, Retry: e.Retry}
 }
 
--- a/internal/gate/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -1,4 +1,4 @@
-package gate_test
+package gateway_test
 
 import (
 	"bytes"
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	"lupinpond/choice"
-	"lupinpond/internal/core"
-	"lupinpond/internal/corelog"
-	"lupinpond/internal/gate"
-	"lupinpond/internal/invoke"
+	"lupinpond/internal/gateway"
+	"lupinpond/internal/gateway/core"
+	"lupinpond/internal/gateway/invoke"
+	"lupinpond/internal/gateway/replay"
+	"lupinpond/scheduler"
 )
 
 // lateWorkers tell the results of load requests and probes twice, about when these time out.
@@ -25,7 +25,7 @@
 }
 
 // tell calls done twice at some time around the limit.
-func (w *lateWorkers) tell(done func()) gate.Sent {
+func (w *lateWorkers) tell(done func()) gateway.Sent {
 	for range 2 {
 		w.telling.Add(1)
 		time.AfterFunc(w.limit/2+rand.N(w.limit), func() {
@@ -36,17 +36,17 @@
 	return w
 }
 
-func (w *lateWorkers) Send(_ *gate.Request, _ int, _ string, _ *gate.Departure, done func(choice.Outcome, []byte)) gate.Sent {
-	done(choice.Outcome{Result: choice.Completed, Warmth: choice.FoundWarm}, nil)
+func (w *lateWorkers) Send(_ *gateway.Request, _ int, _ string, _ *gateway.Departure, done func(scheduler.Outcome, []byte)) gateway.Sent {
+	done(scheduler.Outcome{Result: scheduler.Completed, Warmth: scheduler.FoundWarm}, nil)
 	return nil
 }
 
-func (w *lateWorkers) Load(o choice.LoadRequest, done func(int, choice.Result)) gate.Sent {
-	return w.tell(func() { done(o.Replicas, choice.Completed) })
+func (w *lateWorkers) Load(o scheduler.LoadRequest, done func(int, scheduler.Result)) gateway.Sent {
+	return w.tell(func() { done(o.Replicas, scheduler.Completed) })
 }
 
-func (w *lateWorkers) Probe(_ string, done func(choice.Result, choice.Load)) gate.Sent {
-	return w.tell(func() { done(choice.Completed, choice.Load{}) })
+func (w *lateWorkers) Probe(_ string, done func(scheduler.Result, scheduler.Load)) gateway.Sent {
+	return w.tell(func() { done(scheduler.Completed, scheduler.Load{}) })
 }
 
 func (w *lateWorkers) Subscribe() {}
@@ -62,17 +62,17 @@
 func TestResultsThatCrossTheirTimeouts(t *testing.T) {
 	w := &lateWorkers{limit: 10 * time.Millisecond}
 	var record bytes.Buffer
-	owner := gate.NewOwner(gate.OwnerOptions{Core: core.Settings{Seed: 1, FrontEnds: 10, Quantum: time.Millisecond, MaxAttempts: 3, Deadlines: true, Probe: true,
+	owner := gateway.NewOwner(gateway.OwnerOptions{Core: core.Settings{Seed: 1, FrontEnds: 10, Quantum: time.Millisecond, MaxAttempts: 3, Deadlines: true, Probe: true,
 		Loading: core.Loading{Requests: true, Keep: 50 * time.Millisecond, Limit: 10 * time.Millisecond},
-		Types:   []choice.RequestType{{Name: "call", Objective: 100 * time.Millisecond}}}, Workers: w, Record: &record, LoadTimeout: w.limit, ProbeLimit: w.limit})
+		Types:   []scheduler.RequestType{{Name: "call", Objective: 100 * time.Millisecond}}}, Workers: w, Record: &record, LoadTimeout: w.limit, ProbeLimit: w.limit})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- owner.Run(ctx) }()
-	owner.UpdateMembership(true, []choice.Member{{Worker: "a"}, {Worker: "b"}, {Worker: "c"}}, nil)
+	owner.UpdateMembership(true, []scheduler.Member{{Worker: "a"}, {Worker: "b"}, {Worker: "c"}}, nil)
 	var answered sync.WaitGroup
 	for i := range 400 {
 		answered.Add(1)
-		owner.Submit(&gate.Request{Fact: &choice.Request{ID: fmt.Sprint("e", i), Type: "call", Function: uint64(i % 40), TimeLeft: time.Second, Concurrency: 1},
+		owner.Submit(&gateway.Request{Fact: &scheduler.Request{ID: fmt.Sprint("e", i), Type: "call", Function: uint64(i % 40), TimeLeft: time.Second, Concurrency: 1},
 			Reply: func(invoke.Answer) { answered.Done() }})
 		time.Sleep(time.Millisecond)
 	}
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	sent, heard := map[string]int{}, map[core.Op]int{}
-	if _, err := corelog.Replay(&record, func(e *core.Entry, a *corelog.Action) {
+	if _, err := replay.Replay(&record, func(e *core.Entry, a *replay.Action) {
 		if a != nil {
 			sent[a.Verb]++
 		} else {
--- a/internal/gate/departure.go
+++ b/internal/gateway/departure.go
@@ -1,10 +1,10 @@
-package gate
+package gateway
 
 import (
 	"time"
 
-	"lupinpond/choice"
-	"lupinpond/internal/invariant"
+	"lupinpond/internal/gateway/invariant"
+	"lupinpond/scheduler"
 )
 
 // Figures of the protocol that invariants are checked by.
@@ -66,9 +66,9 @@
 }
 
 // mayRun tells whether an attempt that ended so may have run.
-func mayRun(r choice.Result) bool {
+func mayRun(r scheduler.Result) bool {
 	switch r {
-	case choice.Failed, choice.TimedOut, choice.Broken, choice.Cancelled, choice.Completed:
+	case scheduler.Failed, scheduler.TimedOut, scheduler.Broken, scheduler.Cancelled, scheduler.Completed:
 		return true
 	}
 	return false
--- a/internal/feed/golden_test.go
+++ b/internal/gateway/discovery/golden_test.go
@@ -1,4 +1,4 @@
-package feed_test
+package discovery_test
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/feed"
+	"lupinpond/internal/gateway/discovery"
 )
 
 // The client sends exactly these bytes, at the start and after event 7; only the address of the test's listener is replaced.
@@ -22,9 +22,9 @@
 	}
 	defer listener.Close()
 	addr := listener.Addr().String()
-	told := make(chan feed.Event, 2)
-	f := feed.New(addr, feed.Limits{Wait: 60 * time.Second, Answer: 20 * time.Second, Slow: 20 * time.Second, Bytes: 1 << 16},
-		slog.New(slog.DiscardHandler), func(e feed.Event) { told <- e })
+	told := make(chan discovery.Event, 2)
+	f := discovery.New(addr, discovery.Limits{Wait: 60 * time.Second, Answer: 20 * time.Second, Slow: 20 * time.Second, Bytes: 1 << 16},
+		slog.New(slog.DiscardHandler), func(e discovery.Event) { told <- e })
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- f.Run(ctx) }()
@@ -89,7 +89,7 @@
 		{`{"pos":5,"entries":[{"pos":5,"hosts":{"hosts":[{"host":"w","dial":"x","health":"up"}]}}]}`,
 			`error journal: event 5: worker "w": address x: missing port in address`},
 	} {
-		n, err := feed.Parse([]byte(c.text))
+		n, err := discovery.Parse([]byte(c.text))
 		got := fmt.Sprint("last ", n.Last)
 		if err != nil {
 			got = "error " + err.Error()
--- a/internal/feed/slow_test.go
+++ b/internal/gateway/discovery/slow_test.go
@@ -1,4 +1,4 @@
-package feed_test
+package discovery_test
 
 import (
 	"context"
@@ -10,14 +10,14 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/feed"
+	"lupinpond/internal/gateway/discovery"
 )
 
 // follow runs a feed of a service until the test ends; it tells the numbers of the events.
-func follow(t *testing.T, l feed.Limits, handle http.HandlerFunc) (told chan int64) {
+func follow(t *testing.T, l discovery.Limits, handle http.HandlerFunc) (told chan int64) {
 	service := httptest.NewServer(handle)
 	told = make(chan int64, 100)
-	f := feed.New(service.Listener.Addr().String(), l, slog.New(slog.DiscardHandler), func(e feed.Event) { told <- e.Number })
+	f := discovery.New(service.Listener.Addr().String(), l, slog.New(slog.DiscardHandler), func(e discovery.Event) { told <- e.Number })
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- f.Run(ctx) }()
@@ -43,7 +43,7 @@
 	}
 }
 
-var slow = feed.Limits{Wait: 20 * time.Millisecond, Answer: 20 * time.Millisecond, Slow: 10 * time.Second, Bytes: 1 << 16}
+var slow = discovery.Limits{Wait: 20 * time.Millisecond, Answer: 20 * time.Millisecond, Slow: 10 * time.Second, Bytes: 1 << 16}
 
 // A service that takes ten times as long as usual for every answer is heard all the same.
 func TestSlowService(t *testing.T) {
--- a/internal/feed/feed.go
+++ b/internal/gateway/discovery/watch.go
@@ -1,6 +1,6 @@
-// Package feed follows the numbered changes of the list of workers at a journal service, by asking for what came after
+// Package discovery follows the numbered changes of the list of workers at a journal service, by asking for what came after
 // the last one known. Parse does no I/O.
-package feed
+package discovery
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 
 	"github.com/cenkalti/backoff/v5"
 
-	"lupinpond/internal/ask"
+	"lupinpond/internal/base/httpclient"
 )
 
 // Worker is one line of the list.
@@ -298,7 +298,7 @@
 	url := "http://" + addr + "/journal?tail=" + strconv.FormatInt(after, 10) +
 		"&max_wait=" + strconv.FormatInt(f.limits.Wait.Milliseconds(), 10)
 	asked := time.Now()
-	b, err := ask.Do(ctx, client, http.MethodGet, url, nil, f.limits.Bytes)
+	b, err := httpclient.Do(ctx, client, http.MethodGet, url, nil, f.limits.Bytes)
 	a.took = time.Since(asked)
 	if err != nil {
 		a.err = err
--- a/internal/feed/feed_test.go
+++ b/internal/gateway/discovery/watch_test.go
@@ -1,4 +1,4 @@
-package feed_test
+package discovery_test
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"go.uber.org/goleak"
 
-	"lupinpond/internal/feed"
+	"lupinpond/internal/gateway/discovery"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -35,18 +35,18 @@
 }
 
 func TestParse(t *testing.T) {
-	n, err := feed.Parse([]byte(news(1, 2)))
+	n, err := discovery.Parse([]byte(news(1, 2)))
 	if err != nil || n.Last != 2 || len(n.Events) != 2 || !n.Events[0].List.Whole || n.Events[1].List.Workers[0].Name != "w2" {
 		t.Error(n, err)
 	}
 	for _, bad := range []string{"", "{", news(1)[:80], `{"pos":1,"entries":[{"hosts":{"hosts":[]}}]}`,
 		`{"pos":1,"entries":[{"pos":1,"hosts":{"hosts":[{"host":"w","dial":"x","health":"up"}]}}]}`,
 		`{"pos":1,"entries":[{"pos":1,"hosts":{"hosts":[{"host":"w","dial":"127.0.0.1:1","health":"well"}]}}]}`} {
-		if n, err := feed.Parse([]byte(bad)); err == nil {
+		if n, err := discovery.Parse([]byte(bad)); err == nil {
 			t.Errorf("%s is taken as %+v", bad, n)
 		}
 	}
-	if n, err := feed.Parse([]byte(`{"pos":3,"entries":[{"pos":3,"other":1}]}`)); err != nil || n.Events[0].List != nil {
+	if n, err := discovery.Parse([]byte(`{"pos":3,"entries":[{"pos":3,"other":1}]}`)); err != nil || n.Events[0].List != nil {
 		t.Error("an event of another sort", n, err)
 	}
 }
@@ -54,7 +54,7 @@
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(news(1, 2)))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		n, err := feed.Parse(b)
+		n, err := discovery.Parse(b)
 		for _, e := range n.Events {
 			if err != nil || e.Number <= 0 {
 				t.Error(e, err)
@@ -63,7 +63,7 @@
 	})
 }
 
-var limits = feed.Limits{Wait: 20 * time.Millisecond, Answer: 200 * time.Millisecond, Bytes: 1 << 16}
+var limits = discovery.Limits{Wait: 20 * time.Millisecond, Answer: 200 * time.Millisecond, Bytes: 1 << 16}
 
 // An answer that breaks off is as none, a silent service is asked again, at another address the numbers go on, and each
 // event is told once.
@@ -98,8 +98,8 @@
 	}
 	first := script(says(news(1)), breaks, says(news(2)), says(`{"pos":2,"entries":[]}`), says("noise"))
 	second := script(says(news(2, 3)))
-	told := make(chan feed.Event, 10)
-	f := feed.New(first.Listener.Addr().String(), limits, slog.New(slog.DiscardHandler), func(e feed.Event) { told <- e })
+	told := make(chan discovery.Event, 10)
+	f := discovery.New(first.Listener.Addr().String(), limits, slog.New(slog.DiscardHandler), func(e discovery.Event) { told <- e })
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- f.Run(ctx) }()
@@ -141,8 +141,8 @@
 	defer service.Close()
 	l := limits
 	l.Wait = time.Hour
-	told := make(chan feed.Event, 1)
-	f := feed.New(mute.Addr().String(), l, slog.New(slog.DiscardHandler), func(e feed.Event) { told <- e })
+	told := make(chan discovery.Event, 1)
+	f := discovery.New(mute.Addr().String(), l, slog.New(slog.DiscardHandler), func(e discovery.Event) { told <- e })
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- f.Run(ctx) }()
@@ -158,8 +158,8 @@
 }
 
 // follows runs a feed whose service answers one after the other, and then says nothing; it tells what was asked for.
-func follows(t *testing.T, answers ...string) (told chan feed.Event, asked chan string, stop func()) {
-	told, asked = make(chan feed.Event, 100), make(chan string, 100)
+func follows(t *testing.T, answers ...string) (told chan discovery.Event, asked chan string, stop func()) {
+	told, asked = make(chan discovery.Event, 100), make(chan string, 100)
 	left := make(chan string, len(answers))
 	for _, a := range answers {
 		left <- a
@@ -175,7 +175,7 @@
 	}))
 	l := limits
 	l.Wait = time.Minute
-	f := feed.New(service.Listener.Addr().String(), l, slog.New(slog.DiscardHandler), func(e feed.Event) { told <- e })
+	f := discovery.New(service.Listener.Addr().String(), l, slog.New(slog.DiscardHandler), func(e discovery.Event) { told <- e })
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- f.Run(ctx) }()
--- a/internal/config/config.go
+++ b/internal/gateway/fleetconfig/config.go
@@ -1,100 +1,34 @@
-// Package config reads the YAML files that programs start with. It is strict: an unknown key, a value without its unit
-// or a contradiction is one message with file, line and column, before anything listens.
-package config
+// Package fleetconfig reads the YAML file of a fleet: request types, tenants, functions, limits and the gateway itself. It is
+// strict: a value that contradicts another is one error with file, line and column, before anything listens.
+package fleetconfig
 
 import (
 	"bytes"
 	_ "embed" // the defaults
-	"errors"
 	"fmt"
-	"math"
-	"net"
 	"net/url"
 	"os"
-	"strconv"
 	"strings"
-	"time"
 
 	"github.com/cespare/xxhash/v2"
-	"github.com/goccy/go-yaml"
-	"github.com/goccy/go-yaml/ast"
-	"github.com/goccy/go-yaml/parser"
 
-	"lupinpond/choice"
-	"lupinpond/internal/core"
+	"lupinpond/internal/base/config"
+	"lupinpond/internal/gateway/core"
+	"lupinpond/scheduler"
 )
 
 //go:embed defaults.yaml
 var defaults []byte
 
-// Time is a duration with its unit, such as 1.5s.
-type Time time.Duration
-
-// UnmarshalYAML takes a text such as 250ms; a bare number has no unit and is refused.
-func (t *Time) UnmarshalYAML(node ast.Node) error {
-	text := scalar(node)
-	d, err := time.ParseDuration(text)
-	if err != nil {
-		return misread(node, "%q is no time with a unit, such as 250ms or 1.5s", text)
-	}
-	if d < 0 {
-		return misread(node, "%q: a time is at least 0", text)
-	}
-	*t = Time(d)
-	return nil
-}
-
-// MarshalYAML spells the time with its unit.
-func (t Time) MarshalYAML() ([]byte, error) { return []byte(time.Duration(t).String()), nil }
-
-// D is the time as a Duration.
-func (t Time) D() time.Duration { return time.Duration(t) }
-
-// Size is a number of bytes with its unit, such as 384MiB.
-type Size int64
-
-// UnmarshalYAML takes a text such as 16KiB.
-func (s *Size) UnmarshalYAML(node ast.Node) error {
-	text := scalar(node)
-	for i, unit := range []string{"GiB", "MiB", "KiB", "B"} {
-		number, found := strings.CutSuffix(text, unit)
-		if !found {
-			continue
-		}
-		n, err := strconv.ParseInt(strings.TrimSpace(number), 10, 64)
-		shift := []int{30, 20, 10, 0}[i]
-		if err != nil || n < 0 || n > math.MaxInt64>>shift {
-			break
-		}
-		*s = Size(n << shift)
-		return nil
-	}
-	return misread(node, "%q is no size with a unit, such as 16KiB or 384MiB", text)
-}
-
-// MarshalYAML spells the size in bytes.
-func (s Size) MarshalYAML() ([]byte, error) { return fmt.Appendf(nil, "%dB", int64(s)), nil }
-
-func scalar(node ast.Node) string { return strings.Trim(strings.TrimSpace(node.String()), `"'`) }
-
-// misread is a mistake in one value; Strict adds the file.
-func misread(node ast.Node, format string, args ...any) error {
-	e := &Error{Line: 1, Column: 1, Reason: fmt.Sprintf(format, args...)}
-	if t := node.GetToken(); t != nil {
-		e.Line, e.Column = t.Position.Line, t.Position.Column
-	}
-	return e
-}
-
 // EventType is what is known beforehand of the events of one type.
 type EventType struct {
-	Name    string  `yaml:"name"`
-	Effect  string  `yaml:"effect"` // redeliverable, keyed or at-most-once
-	Group   string  `yaml:"group"`  // of a keyed type: all, zone or cell
-	Window  Time    `yaml:"window"` // of a keyed type: repeats are dropped for so long
-	Target  Time    `yaml:"target"`
-	MaxAge  Time    `yaml:"max-age"`
-	Benefit float64 `yaml:"benefit"`
+	Name    string      `yaml:"name"`
+	Effect  string      `yaml:"effect"` // redeliverable, keyed or at-most-once
+	Group   string      `yaml:"group"`  // of a keyed type: all, zone or cell
+	Window  config.Time `yaml:"window"` // of a keyed type: repeats are dropped for so long
+	Target  config.Time `yaml:"target"`
+	MaxAge  config.Time `yaml:"max-age"`
+	Benefit float64     `yaml:"benefit"`
 }
 
 // Tenant is a tenant and its share, in events a second at all front ends together.
@@ -105,26 +39,26 @@
 
 // Ration bounds load orders: in any time of Within, Free and Share for each event that came.
 type Ration struct {
-	Within Time    `yaml:"within"`
-	Free   float64 `yaml:"free"`
-	Share  float64 `yaml:"share"`
+	Within config.Time `yaml:"within"`
+	Free   float64     `yaml:"free"`
+	Share  float64     `yaml:"share"`
 }
 
 // Loading is how functions come to workers.
 type Loading struct {
-	Orders     bool   `yaml:"orders"`
-	OnMiss     string `yaml:"on-miss"` // load: the event waits there for the load; miss: it comes back
-	Keep       Time   `yaml:"keep"`    // an idle copy stays at least so long
-	OrderLimit Time   `yaml:"order-limit"`
-	Ration     Ration `yaml:"ration"`
+	Orders     bool        `yaml:"orders"`
+	OnMiss     string      `yaml:"on-miss"` // load: the event waits there for the load; miss: it comes back
+	Keep       config.Time `yaml:"keep"`    // an idle copy stays at least so long
+	OrderLimit config.Time `yaml:"order-limit"`
+	Ration     Ration      `yaml:"ration"`
 }
 
 // Cold is what a worker that has just started stands.
 type Cold struct {
-	From         float64 `yaml:"from"`
-	WarmAfter    Time    `yaml:"warm-after"`
-	FallMultiple float64 `yaml:"fall-multiple"`
-	Fall         Time    `yaml:"fall"`
+	From         float64     `yaml:"from"`
+	WarmAfter    config.Time `yaml:"warm-after"`
+	FallMultiple float64     `yaml:"fall-multiple"`
+	Fall         config.Time `yaml:"fall"`
 }
 
 // Workers is what the list and the load reports tell of workers.
@@ -136,16 +70,16 @@
 
 // Kind is a kind of worker.
 type Kind struct {
-	Name   string `yaml:"name"`
-	Memory Size   `yaml:"memory"`
+	Name   string      `yaml:"name"`
+	Memory config.Size `yaml:"memory"`
 }
 
 // Allowed is what a front end may do.
 type Allowed struct {
-	Launches   int  `yaml:"launches"`
-	Cancel     bool `yaml:"cancel"`
-	Probe      bool `yaml:"probe"`
-	RetryAfter Time `yaml:"retry-after"` // longest time to come back that clients honour; 0s: none is named
+	Launches   int         `yaml:"launches"`
+	Cancel     bool        `yaml:"cancel"`
+	Probe      bool        `yaml:"probe"`
+	RetryAfter config.Time `yaml:"retry-after"` // longest time to come back that clients honour; 0s: none is named
 	// SecondCopies lets launches of one event overlap. The module launches none; rule 2 is judged by it.
 	SecondCopies bool `yaml:"second-copies"`
 }
@@ -159,20 +93,20 @@
 	Workers           Workers     `yaml:"workers"`
 	Crossing          bool        `yaml:"crossing"` // launches to other zones than front.zone cost something
 	Allowed           Allowed     `yaml:"allowed"`
-	AnswerSlack       Time        `yaml:"answer-slack"`        // after a client's time a final answer still counts
-	StopSendingWithin Time        `yaml:"stop-sending-within"` // after word of a drain
-	AskListWithin     Time        `yaml:"ask-list-within"`     // without a subscription the list is asked for so often
-	Quantum           Time        `yaml:"quantum"`             // least time between two calls of the module
+	AnswerSlack       config.Time `yaml:"answer-slack"`        // after a client's time a final answer still counts
+	StopSendingWithin config.Time `yaml:"stop-sending-within"` // after word of a drain
+	AskListWithin     config.Time `yaml:"ask-list-within"`     // without a subscription the list is asked for so often
+	Quantum           config.Time `yaml:"quantum"`             // least time between two calls of the module
 }
 
 // Function is an entry of the catalogue.
 type Function struct {
-	Name     string `yaml:"name"`
-	Type     string `yaml:"type"`
-	Tenant   string `yaml:"tenant"`
-	Lanes    int    `yaml:"lanes"`
-	Memory   Size   `yaml:"memory"`
-	LoadTime Time   `yaml:"load-time"` // usual; 0s: not told
+	Name     string      `yaml:"name"`
+	Type     string      `yaml:"type"`
+	Tenant   string      `yaml:"tenant"`
+	Lanes    int         `yaml:"lanes"`
+	Memory   config.Size `yaml:"memory"`
+	LoadTime config.Time `yaml:"load-time"` // usual; 0s: not told
 }
 
 // ID is the number by which the module knows a function.
@@ -180,28 +114,28 @@
 
 // FrontLimits bound what clients can take of a front end.
 type FrontLimits struct {
-	Header      Size `yaml:"header"`
-	Body        Size `yaml:"body"`
-	Connections int  `yaml:"connections"`
-	InHand      int  `yaml:"in-hand"`
-	Read        Time `yaml:"read"`  // for a whole request
-	Write       Time `yaml:"write"` // for a whole answer
-	Idle        Time `yaml:"idle"`  // between requests
+	Header      config.Size `yaml:"header"`
+	Body        config.Size `yaml:"body"`
+	Connections int         `yaml:"connections"`
+	InHand      int         `yaml:"in-hand"`
+	Read        config.Time `yaml:"read"`  // for a whole request
+	Write       config.Time `yaml:"write"` // for a whole answer
+	Idle        config.Time `yaml:"idle"`  // between requests
 }
 
 // Link bounds the connections to workers.
 type Link struct {
-	Dial  Time `yaml:"dial"`
-	Queue Time `yaml:"queue"`
-	Stall Time `yaml:"stall"`
-	Calls int  `yaml:"calls"`
-	Bytes Size `yaml:"bytes"`
+	Dial  config.Time `yaml:"dial"`
+	Queue config.Time `yaml:"queue"`
+	Stall config.Time `yaml:"stall"`
+	Calls int         `yaml:"calls"`
+	Bytes config.Size `yaml:"bytes"`
 }
 
 // Front is one front end.
 type Front struct {
 	Listen string      `yaml:"listen"`
-	List   string      `yaml:"list"` // where lproster answers
+	List   string      `yaml:"list"` // where the registry answers
 	Zone   string      `yaml:"zone"` // its own, as the list spells it; only with fleet.crossing
 	Limits FrontLimits `yaml:"limits"`
 	Link   Link        `yaml:"link"`
@@ -214,18 +148,6 @@
 	Front     Front      `yaml:"front"`
 }
 
-// Error is a mistake in a file, with its place.
-type Error struct {
-	File         string
-	Line, Column int
-	Reason       string
-}
-
-// Error says file, line, column and reason.
-func (e *Error) Error() string {
-	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Reason)
-}
-
 // Default is the embedded file.
 func Default() (File, error) { return Parse("built-in defaults", defaults) }
 
@@ -252,59 +174,15 @@
 		}
 		f.Front = d.Front
 	}
-	if err := Strict(name, b, &f); err != nil {
+	if err := config.Strict(name, b, &f); err != nil {
 		return File{}, err
 	}
 	if at, reason := f.contradiction(); reason != "" {
-		return File{}, At(name, b, at, reason)
+		return File{}, config.At(name, b, at, reason)
 	}
 	return f, nil
 }
 
-// Strict decodes one YAML document into v; a mistake becomes an *Error.
-func Strict(name string, b []byte, v any) error {
-	if len(b) > 4<<20 {
-		return &Error{File: name, Line: 1, Column: 1, Reason: "longer than 4 MiB"}
-	}
-	err := yaml.NewDecoder(bytes.NewReader(b), yaml.Strict(), yaml.DisallowUnknownField()).Decode(v)
-	if err == nil {
-		return nil
-	}
-	var mine *Error
-	if errors.As(err, &mine) {
-		return &Error{File: name, Line: mine.Line, Column: mine.Column, Reason: mine.Reason}
-	}
-	var y yaml.Error
-	if errors.As(err, &y) && y.GetToken() != nil {
-		p := y.GetToken().Position
-		return &Error{File: name, Line: p.Line, Column: p.Column, Reason: y.GetMessage()}
-	}
-	reason := strings.TrimSpace(err.Error())
-	if reason == "EOF" {
-		reason = "the file is empty"
-	}
-	return &Error{File: name, Line: 1, Column: 1, Reason: reason}
-}
-
-// At makes an Error for the place of a YAML path such as $.fleet.types[0].name, or of what is nearest above it.
-func At(name string, b []byte, path, reason string) error {
-	e := &Error{File: name, Line: 1, Column: 1, Reason: strings.TrimPrefix(path, "$.") + ": " + reason}
-	file, err := parser.ParseBytes(b, 0)
-	for err == nil && len(path) > 1 {
-		if p, perr := yaml.PathString(path); perr == nil {
-			if node, nerr := p.FilterFile(file); nerr == nil && node != nil && node.GetToken() != nil {
-				if m, is := node.(*ast.MappingNode); is && len(m.Values) > 0 {
-					node = m.Values[0].Key
-				}
-				e.Line, e.Column = node.GetToken().Position.Line, node.GetToken().Position.Column
-				return e
-			}
-		}
-		path = path[:max(1, strings.LastIndexAny(path, ".["))]
-	}
-	return e
-}
-
 // contradiction finds the first value that can't be, with its path.
 func (f File) contradiction() (path, reason string) {
 	for _, find := range []func() (path, reason string){f.Fleet.mistakenType, f.Fleet.mistakenTenant, f.Fleet.mistake, f.mixed,
@@ -431,10 +309,10 @@
 // mistake finds the first value of a front end's settings that can't be.
 func (f Front) mistake() (path, reason string) {
 	lim, link := f.Limits, f.Link
-	if err := Loopback(f.Listen); err != nil {
+	if err := config.Loopback(f.Listen); err != nil {
 		return "$.front.listen", err.Error()
 	}
-	if u, err := url.Parse(f.List); err != nil || u.Scheme != "http" || Loopback(u.Host) != nil {
+	if u, err := url.Parse(f.List); err != nil || u.Scheme != "http" || config.Loopback(u.Host) != nil {
 		return "$.front.list", fmt.Sprintf("%q is no http address on loopback", f.List)
 	}
 	switch {
@@ -446,7 +324,7 @@
 		return "$.front.limits", "read, write and idle are more than 0s"
 	case link.Dial <= 0 || link.Queue <= 0 || link.Stall <= 0:
 		return "$.front.link", "dial, queue and stall are more than 0s"
-	case link.Calls < 1 || link.Bytes < Size(lim.Body):
+	case link.Calls < 1 || link.Bytes < config.Size(lim.Body):
 		return "$.front.link", "at least 1 call, and bytes for at least one whole body"
 	}
 	return "", ""
@@ -480,21 +358,6 @@
 	return "", ""
 }
 
-// Loopback refuses an address of a socket that is not on loopback.
-func Loopback(addr string) error {
-	host, port, err := net.SplitHostPort(addr)
-	if err != nil {
-		return fmt.Errorf("%q is no address with a port", addr)
-	}
-	if n, err := strconv.Atoi(port); err != nil || n < 0 || n > 65535 {
-		return fmt.Errorf("%q: the port is no number from 0 to 65535", addr)
-	}
-	if ip := net.ParseIP(host); host != "localhost" && (ip == nil || !ip.IsLoopback()) {
-		return fmt.Errorf("%q is not on loopback", addr)
-	}
-	return nil
-}
-
 // Core is what the core of front end self of peers is started with.
 func (f File) Core(seed uint64, self, peers int) core.Settings {
 	front := core.Settings{Seed: seed, Self: self, FrontEnds: peers, Quantum: f.Fleet.Quantum.D(), Deadlines: true,
@@ -519,19 +382,19 @@
 }
 
 // Choice is the event type as the module takes it.
-func (t EventType) Choice() choice.RequestType {
-	e := choice.RequestType{Name: t.Name, Window: t.Window.D(), Objective: t.Target.D()}
+func (t EventType) Choice() scheduler.RequestType {
+	e := scheduler.RequestType{Name: t.Name, Window: t.Window.D(), Objective: t.Target.D()}
 	switch t.Effect {
 	case "keyed":
-		e.Effect = choice.IdempotencyKey
+		e.Effect = scheduler.IdempotencyKey
 	case "at-most-once":
-		e.Effect = choice.AtMostOnce
+		e.Effect = scheduler.AtMostOnce
 	}
 	switch t.Group {
 	case "zone":
-		e.Group = choice.GroupZone
+		e.Group = scheduler.GroupZone
 	case "cell":
-		e.Group = choice.GroupCell
+		e.Group = scheduler.GroupCell
 	}
 	return e
 }
--- a/internal/config/config_test.go
+++ b/internal/gateway/fleetconfig/config_test.go
@@ -1,16 +1,17 @@
-package config_test
+package fleetconfig_test
 
 import (
 	"errors"
 	"strings"
 	"testing"
 
-	"lupinpond/internal/config"
+	"lupinpond/internal/base/config"
+	"lupinpond/internal/gateway/fleetconfig"
 )
 
 // Every mistake is one message with file, line and column, at the value that is wrong.
 func TestMistakesHaveTheirPlace(t *testing.T) {
-	text := string(config.DefaultText())
+	text := string(fleetconfig.DefaultText())
 	for _, c := range []struct{ old, new, want string }{
 		{"effect: at-most-once", "effect: twice", `f.yaml:4:38: fleet.types[0].effect: "twice" is not`},
 		{"target: 1500ms", "target: 1500", `f.yaml:4:60: "1500" is no time with a unit`},
@@ -34,27 +35,27 @@
 		{text, "fleet: [", "f.yaml:1:"},
 	} {
 		broken := strings.Replace(text, c.old, c.new, 1)
-		_, err := config.Parse("f.yaml", []byte(broken))
+		_, err := fleetconfig.Parse("f.yaml", []byte(broken))
 		var at *config.Error
 		if !errors.As(err, &at) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q for %q: got %v, want %s", c.new, c.old, err, c.want)
 		}
 	}
-	if _, err := config.Default(); err != nil {
+	if _, err := fleetconfig.Default(); err != nil {
 		t.Error(err)
 	}
 	miss := strings.NewReplacer("on-miss: load", "on-miss: miss", "launches: 6", "launches: 1").Replace(text)
-	if _, err := config.Parse("f.yaml", []byte(miss)); err == nil || !strings.Contains(err.Error(), "fleet.allowed.launches: with") {
+	if _, err := fleetconfig.Parse("f.yaml", []byte(miss)); err == nil || !strings.Contains(err.Error(), "fleet.allowed.launches: with") {
 		t.Errorf("misses with one launch: %v", err)
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(config.DefaultText())
+	f.Add(fleetconfig.DefaultText())
 	f.Add([]byte("fleet: {types: [{name: a, effect: keyed}]}"))
 	f.Add([]byte("a: &a [*a]"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		file, err := config.Parse("f", b)
+		file, err := fleetconfig.Parse("f", b)
 		var at *config.Error
 		if err != nil && (!errors.As(err, &at) || at.Line < 1) {
 			t.Errorf("no place: %v", err)
--- a/internal/config/golden_test.go
+++ b/internal/gateway/fleetconfig/golden_test.go
@@ -1,4 +1,4 @@
-package config_test
+package fleetconfig_test
 
 import (
 	_ "embed" // the golden file
@@ -11,7 +11,8 @@
 
 	"github.com/goccy/go-yaml"
 
-	"lupinpond/internal/config"
+	"lupinpond/internal/base/config"
+	"lupinpond/internal/gateway/fleetconfig"
 )
 
 //go:embed testdata/golden/every.yaml
@@ -59,12 +60,12 @@
 
 // The set of keys is this one, and a file with every one of them is read and has every value.
 func TestGoldenKeys(t *testing.T) {
-	f, err := config.Parse("every.yaml", everyKey)
+	f, err := fleetconfig.Parse("every.yaml", everyKey)
 	if err != nil {
 		t.Fatal(err)
 	}
 	set := map[string]bool{}
-	keys(set, "", reflect.TypeFor[config.File](), reflect.ValueOf(f))
+	keys(set, "", reflect.TypeFor[fleetconfig.File](), reflect.ValueOf(f))
 	if got, want := strings.Join(slices.Sorted(maps.Keys(set)), " "), strings.Join(strings.Fields(goldenKeys), " "); got != want {
 		t.Errorf("\n got %s\nwant %s", got, want)
 	}
@@ -80,12 +81,12 @@
 
 // Times and sizes are written with these units, and read again.
 func TestGoldenUnits(t *testing.T) {
-	b, err := yaml.Marshal(config.Function{Name: "pay", Type: "once", Tenant: "acme", Lanes: 2, Memory: 256 << 20, LoadTime: 1500e6})
+	b, err := yaml.Marshal(fleetconfig.Function{Name: "pay", Type: "once", Tenant: "acme", Lanes: 2, Memory: 256 << 20, LoadTime: 1500e6})
 	want := "name: pay\ntype: once\ntenant: acme\nlanes: 2\nmemory: 268435456B\nload-time: 1.5s\n"
 	if err != nil || string(b) != want {
 		t.Errorf("\n got %q, %v\nwant %q", b, err, want)
 	}
-	var f config.Function
+	var f fleetconfig.Function
 	if err := config.Strict("f", b, &f); err != nil || f.Memory != 256<<20 || f.LoadTime != 1500e6 {
 		t.Errorf("got %v, %v", f, err)
 	}
--- a/internal/gate/gate.go
+++ b/internal/gateway/gateway.go
@@ -1,8 +1,8 @@
-// Package gate is a front end on real sockets: clients over HTTP on one side, workers over the link on the other, the
-// list from lproster, and one goroutine that owns the core. Sockets have goroutines of their own; they put facts into a
+// Package gateway is a front end on real sockets: clients over HTTP on one side, workers over the link on the other, the
+// worker list from the registry, and one goroutine that owns the core. Sockets have goroutines of their own; they put facts into a
 // mailbox, and the owner tells them to the core, moment by moment, and carries out what it says. The gate decides
 // nothing about events, launches or loads.
-package gate
+package gateway
 
 import (
 	"context"
@@ -18,13 +18,14 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"lupinpond/choice"
-	"lupinpond/internal/capture"
-	"lupinpond/internal/config"
-	"lupinpond/internal/invariant"
-	"lupinpond/internal/invoke"
-	"lupinpond/internal/link"
-	"lupinpond/internal/roster"
+	"lupinpond/internal/base/capture"
+	"lupinpond/internal/base/config"
+	"lupinpond/internal/gateway/fleetconfig"
+	"lupinpond/internal/gateway/invariant"
+	"lupinpond/internal/gateway/invoke"
+	"lupinpond/internal/registry"
+	"lupinpond/internal/workerrpc"
+	"lupinpond/scheduler"
 )
 
 // Options are what a Gate is made from. File and Listener are needed; the rest has a zero value that works.
@@ -32,12 +33,12 @@
 	Name        string // of this life of the front end; events' ids begin with it
 	Self, Peers int    // its number among the front ends, and how many there are
 	Seed        uint64
-	File        config.File
+	File        fleetconfig.File
 	Listener    net.Listener
-	Tap         *capture.Tap      // sees every socket; nil: none
-	Record      io.Writer         // gets a recording of the core; nil: none
-	Stale       *roster.News      // the list as last known before the start, perhaps out of date; nil: none
-	Known       func(roster.News) // told the whole list, after every change, to be kept for the next start; may be nil
+	Tap         *capture.Tap        // sees every socket; nil: none
+	Record      io.Writer           // gets a recording of the core; nil: none
+	Stale       *registry.News      // the list as last known before the start, perhaps out of date; nil: none
+	Known       func(registry.News) // told the whole list, after every change, to be kept for the next start; may be nil
 	Log         *slog.Logger
 }
 
@@ -70,7 +71,7 @@
 
 	peersMu sync.Mutex
 	peers   map[string]*peer
-	known   map[string]roster.Entry // the list as it was told
+	known   map[string]registry.Entry // the list as it was told
 	births  *Births
 	// when the list was last told
 	listedAt time.Time
@@ -81,8 +82,8 @@
 
 // peer is a worker's link and how to end it.
 type peer struct {
-	*link.Peer
-	entry roster.Entry
+	*workerrpc.Peer
+	entry registry.Entry
 	stop  context.CancelFunc
 }
 
@@ -103,7 +104,7 @@
 	g := &Gate{o: o, catalogue: invoke.NewCatalogue(o.File), log: o.Log.With("front", o.Name),
 		grace:  o.File.Fleet.StopSendingWithin.D() / 2,
 		cancel: o.File.Fleet.Allowed.Cancel, names: map[uint64]string{},
-		peers: map[string]*peer{}, known: map[string]roster.Entry{}, asked: make(chan struct{}, 1)}
+		peers: map[string]*peer{}, known: map[string]registry.Entry{}, asked: make(chan struct{}, 1)}
 	for _, f := range o.File.Functions {
 		if other, twice := g.names[f.ID()]; twice {
 			return nil, fmt.Errorf("gate: functions %q and %q have the same number", f.Name, other)
@@ -296,7 +297,7 @@
 	id := fmt.Sprintf("%s-%d", g.o.Name, g.number.Add(1))
 	reply := make(chan invoke.Answer, 1)
 	e := &Request{Call: call, Twin: twin(call), Body: call.Body, Reply: func(a invoke.Answer) { reply <- a },
-		Fact: &choice.Request{ID: id, Type: call.Type.Name, Tenant: call.Tenant, Function: call.Function.ID(),
+		Fact: &scheduler.Request{ID: id, Type: call.Type.Name, Tenant: call.Tenant, Function: call.Function.ID(),
 			TimeLeft: call.Patience, Concurrency: call.Function.Lanes, Memory: float64(call.Function.Memory),
 			LoadTime: call.Function.LoadTime.D(), Retry: call.Repeat}}
 	g.Submit(e)
--- a/internal/gate/gate_test.go
+++ b/internal/gateway/gateway_test.go
@@ -1,4 +1,4 @@
-package gate_test
+package gateway_test
 
 import (
 	"bytes"
@@ -18,14 +18,15 @@
 
 	"go.uber.org/goleak"
 
-	"lupinpond/internal/admit"
-	"lupinpond/internal/config"
-	"lupinpond/internal/crew"
-	"lupinpond/internal/faults"
-	"lupinpond/internal/gate"
-	"lupinpond/internal/invoke"
-	"lupinpond/internal/pack"
-	"lupinpond/internal/roster"
+	"lupinpond/internal/artifact/manifest"
+	"lupinpond/internal/base/config"
+	"lupinpond/internal/gateway"
+	"lupinpond/internal/gateway/fleetconfig"
+	"lupinpond/internal/gateway/invoke"
+	"lupinpond/internal/registry"
+	"lupinpond/internal/testbed/localfleet"
+	"lupinpond/internal/worker/admission"
+	"lupinpond/internal/worker/faultinject"
 )
 
 var payroll string // the program of all packages, built once
@@ -34,7 +35,7 @@
 	dir, err := os.MkdirTemp("", "payroll")
 	if err == nil {
 		payroll = filepath.Join(dir, "payroll")
-		err = crew.Build(payroll, "lupinpond/examples/payroll", pack.Process)
+		err = localfleet.Build(payroll, "lupinpond/examples/payroll", manifest.Process)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -49,12 +50,12 @@
 // rig is one front end, the list and two workers of the worker runtime.
 type rig struct {
 	t       *testing.T
-	file    config.File
-	gate    *gate.Gate
+	file    fleetconfig.File
+	gate    *gateway.Gate
 	addr    string
-	roster  *roster.Roster
-	workers []crew.Worker
-	entries []roster.Entry
+	roster  *registry.Roster
+	workers []localfleet.Worker
+	entries []registry.Entry
 	effects string // what ran, written by the copies
 	record  bytes.Buffer
 	drain   context.CancelFunc
@@ -62,19 +63,19 @@
 	done    chan struct{}
 }
 
-func start(t *testing.T, change func(*config.File)) *rig {
-	file, err := config.Default()
+func start(t *testing.T, change func(*fleetconfig.File)) *rig {
+	file, err := fleetconfig.Default()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if change != nil {
 		change(&file)
 	}
-	r := &rig{t: t, file: file, roster: roster.New(nil), done: make(chan struct{})}
+	r := &rig{t: t, file: file, roster: registry.New(nil), done: make(chan struct{})}
 	list := httptest.NewServer(r.roster.Handler())
 	t.Cleanup(list.Close)
 	dir := t.TempDir()
-	releases, err := crew.NewReleases(filepath.Join(dir, "store"), payroll, file, crew.Easy)
+	releases, err := localfleet.NewReleases(filepath.Join(dir, "store"), payroll, file, localfleet.Easy)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,15 +88,15 @@
 	t.Cleanup(func() { effects.Close() })
 	for i := range 2 {
 		name := fmt.Sprint("w", i)
-		w := crew.NewRuntime(crew.RuntimeOptions{Name: name, Folder: filepath.Join(dir, name), Store: releases, Effects: effects,
-			Limits: admit.Limits{Memory: 16 * 64 << 20, Running: 8, Waiting: 100, Loads: 4, Keep: time.Minute,
+		w := localfleet.NewRuntime(localfleet.RuntimeOptions{Name: name, Folder: filepath.Join(dir, name), Store: releases, Effects: effects,
+			Limits: admission.Limits{Memory: 16 * 64 << 20, Running: 8, Waiting: 100, Loads: 4, Keep: time.Minute,
 				OnMiss: file.Fleet.Loading.OnMiss == "load"}})
 		addr, started, err := w.Start("", true)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(w.Stop)
-		e := roster.Entry{Name: w.Name(), Addr: addr, Zone: "z", Kind: "box", Cores: 4, State: roster.In, Started: started}
+		e := registry.Entry{Name: w.Name(), Addr: addr, Zone: "z", Kind: "box", Cores: 4, State: registry.In, Started: started}
 		r.workers, r.entries = append(r.workers, w), append(r.entries, e)
 		r.roster.Set(e)
 	}
@@ -105,7 +106,7 @@
 	}
 	r.addr = listener.Addr().String()
 	r.file.Front.List = list.URL
-	r.gate, err = gate.New(gate.Options{Name: "f", File: r.file, Listener: listener, Seed: 1, Record: &r.record})
+	r.gate, err = gateway.New(gateway.Options{Name: "f", File: r.file, Listener: listener, Seed: 1, Record: &r.record})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,14 +171,14 @@
 	}
 }
 
-func (r *rig) trouble(change func(*faults.Troubles)) {
+func (r *rig) trouble(change func(*faultinject.Troubles)) {
 	for _, w := range r.workers {
 		w.Trouble(change)
 	}
 }
 
 func (r *rig) ran(kind string) int {
-	runs, err := crew.Effects(r.effects)
+	runs, err := localfleet.Effects(r.effects)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -198,14 +199,14 @@
 	r := start(t, nil)
 	r.wants("gross-salary", "1", 2*time.Second, 200, " released")
 	r.wants("release-ravi", "0", 2*time.Second, 200, " released")
-	r.trouble(func(x *faults.Troubles) { x.Errors = true })
+	r.trouble(func(x *faultinject.Troubles) { x.Errors = true })
 	r.wants("gross-salary", "2", 2*time.Second, 502, `"may-have-run":true`)
-	r.trouble(func(x *faults.Troubles) { x.Errors, x.Refuse = false, "indus-textiles" })
+	r.trouble(func(x *faultinject.Troubles) { x.Errors, x.Refuse = false, "indus-textiles" })
 	resp := r.wants("gross-salary", "3", time.Second, 503, invoke.ProblemDeferred)
 	if resp.Header.Get("Retry-After") == "" || resp.Header.Get(invoke.HeaderBack) == "" {
 		t.Error("deferred without a time to come back")
 	}
-	r.trouble(func(x *faults.Troubles) { x.Refuse, x.Hang = "", true })
+	r.trouble(func(x *faultinject.Troubles) { x.Refuse, x.Hang = "", true })
 	r.wants("release-ravi", "4", 300*time.Millisecond, 502, `"may-have-run":true`)
 	r.wants("preview", "5", 300*time.Millisecond, 503, invoke.ProblemDeferred)
 	if n := r.ran("salary-release"); n != 3 { // none of the one that was told to fail
@@ -217,7 +218,7 @@
 func TestTwoEventsWithOneID(t *testing.T) {
 	r := start(t, nil)
 	r.wants("gross-salary", "0", 2*time.Second, 200, " released") // loaded
-	r.trouble(func(x *faults.Troubles) { x.Hang = true })
+	r.trouble(func(x *faultinject.Troubles) { x.Hang = true })
 	var both sync.WaitGroup
 	both.Go(func() { r.wants("gross-salary", "one", time.Second, 502, "dead-lettered") })
 	r.until("the first runs", func() bool { return r.ran("salary-release") == 2 })
@@ -226,7 +227,7 @@
 	if n := r.ran("salary-release"); n != 2 {
 		t.Errorf("%d runs", n)
 	}
-	r.trouble(func(x *faults.Troubles) { x.Hang = false })
+	r.trouble(func(x *faultinject.Troubles) { x.Hang = false })
 	r.wants("gross-salary", "one", 4*time.Second, 200, " released") // no longer in hand
 }
 
@@ -234,7 +235,7 @@
 func TestClientGoneWhileItRuns(t *testing.T) {
 	r := start(t, nil)
 	r.wants("gross-salary", "0", 2*time.Second, 200, " released") // loaded
-	r.trouble(func(x *faults.Troubles) { x.Hang = true })
+	r.trouble(func(x *faultinject.Troubles) { x.Hang = true })
 	ctx, leave := context.WithCancel(context.Background())
 	gone := make(chan error, 1)
 	go func() {
@@ -278,7 +279,7 @@
 	r.wants("gross-salary", "1", 2*time.Second, 200, " released") // loaded
 	r.until("known", func() bool { return r.gate.Counts(context.Background()).Completed == 1 })
 	var all sync.WaitGroup
-	r.trouble(func(x *faults.Troubles) { x.Slow = 20 })
+	r.trouble(func(x *faultinject.Troubles) { x.Slow = 20 })
 	before := r.ran("salary-release")
 	all.Go(func() { r.wants("gross-salary", "2", 900*time.Millisecond, 200, " released") })
 	r.until("it runs", func() bool { return r.ran("salary-release") > before })
@@ -301,7 +302,7 @@
 // On the signal to end: what is in hand is answered, nothing new is taken, and it ends.
 func TestDrain(t *testing.T) {
 	r := start(t, nil)
-	r.trouble(func(x *faults.Troubles) { x.Slow = 100 })
+	r.trouble(func(x *faultinject.Troubles) { x.Slow = 100 })
 	var all sync.WaitGroup
 	for i := range 8 {
 		all.Go(func() { r.wants("tax-slab", fmt.Sprint(i), 4*time.Second, 200, " released") })
@@ -332,7 +333,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g, err := gate.New(gate.Options{Name: "next", File: r.file, Listener: listener, Seed: 2})
+	g, err := gateway.New(gateway.Options{Name: "next", File: r.file, Listener: listener, Seed: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -370,7 +371,7 @@
 
 // What clients can take is bounded: bodies, headers, connections, events in hand, time to send a request.
 func TestLimits(t *testing.T) {
-	r := start(t, func(f *config.File) {
+	r := start(t, func(f *fleetconfig.File) {
 		f.Front.Limits.Body, f.Front.Limits.Header, f.Front.Limits.InHand = 64, 4096, 1
 		f.Front.Limits.Read, f.Front.Limits.Connections = config.Time(300*time.Millisecond), 20
 	})
@@ -405,7 +406,7 @@
 		}
 	}
 	r.wants("gross-salary", "0", 2*time.Second, 200, " released") // loaded
-	r.trouble(func(x *faults.Troubles) { x.Hang = true })
+	r.trouble(func(x *faultinject.Troubles) { x.Hang = true })
 	var one sync.WaitGroup
 	one.Go(func() { r.wants("gross-salary", "1", time.Second, 502, "dead-lettered") })
 	r.until("one in hand", func() bool { return r.ran("salary-release") == 2 })
@@ -436,7 +437,7 @@
 }
 
 func FuzzHead(f *testing.F) {
-	file, err := config.Default()
+	file, err := fleetconfig.Default()
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/gate/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -1,4 +1,4 @@
-package gate_test
+package gateway_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/config"
+	"lupinpond/internal/gateway/fleetconfig"
 )
 
 // volatile are parts of responses that depend on time, with what stands in their place before they are compared.
@@ -66,7 +66,7 @@
 
 // Responses on the wire are to the byte what they were: handled, and refused before an event was in hand.
 func TestGoldenResponses(t *testing.T) {
-	r := start(t, func(f *config.File) { f.Front.Limits.Body = 64 })
+	r := start(t, func(f *fleetconfig.File) { f.Front.Limits.Body = 64 })
 	const path = "/v1/functions/preview/invocations"
 	for _, c := range []struct{ request, want string }{
 		{posted("/v1/functions/none/invocations", "", "x"), refusal("404 Not Found",
@@ -92,7 +92,7 @@
 
 // A front end that takes no event says so, with its connection closed.
 func TestGoldenNotTaken(t *testing.T) {
-	r := start(t, func(f *config.File) { f.Front.Limits.InHand = 0 })
+	r := start(t, func(f *fleetconfig.File) { f.Front.Limits.InHand = 0 })
 	want := closing("503 Service Unavailable",
 		`{"type":"urn:lupinpond:not-taken","title":"Not taken","status":503,"detail":"this front end takes no event now"}`+"\n")
 	if got := r.raw(posted("/v1/functions/preview/invocations", "", "x")); got != want {
--- a/internal/gate/invariants_test.go
+++ b/internal/gateway/invariants_test.go
@@ -1,4 +1,4 @@
-package gate_test
+package gateway_test
 
 import (
 	"context"
@@ -9,18 +9,18 @@
 	"testing"
 	"time"
 
-	"lupinpond/choice"
-	"lupinpond/internal/core"
-	"lupinpond/internal/gate"
-	"lupinpond/internal/invariant"
-	"lupinpond/internal/invoke"
-	"lupinpond/internal/overlays"
+	"lupinpond/internal/gateway"
+	"lupinpond/internal/gateway/core"
+	"lupinpond/internal/gateway/invariant"
+	"lupinpond/internal/gateway/invoke"
+	"lupinpond/internal/testbed/mutationtest"
+	"lupinpond/scheduler"
 )
 
 // sending is one attempt that came to the test's way out.
 type sending struct {
-	departure *gate.Departure
-	done      func(choice.Outcome, []byte)
+	departure *gateway.Departure
+	done      func(scheduler.Outcome, []byte)
 }
 
 // leaves has the attempt leave, if it may.
@@ -31,49 +31,49 @@
 }
 
 // ends ends the attempt.
-func (s sending) ends(r choice.Result) { s.done(choice.Outcome{Result: r}, nil) }
+func (s sending) ends(r scheduler.Result) { s.done(scheduler.Outcome{Result: r}, nil) }
 
 // manual is a way out whose attempts and load requests the test carries on.
 type manual struct {
 	sent  chan sending
-	loads chan choice.LoadRequest
+	loads chan scheduler.LoadRequest
 	fast  bool // load requests are carried out at once
 }
 
-func (m *manual) Send(_ *gate.Request, _ int, _ string, d *gate.Departure, done func(choice.Outcome, []byte)) gate.Sent {
+func (m *manual) Send(_ *gateway.Request, _ int, _ string, d *gateway.Departure, done func(scheduler.Outcome, []byte)) gateway.Sent {
 	m.sent <- sending{d, done}
 	return nil
 }
 
-func (m *manual) Load(o choice.LoadRequest, done func(int, choice.Result)) gate.Sent {
+func (m *manual) Load(o scheduler.LoadRequest, done func(int, scheduler.Result)) gateway.Sent {
 	m.loads <- o
 	if m.fast {
-		done(o.Replicas, choice.Completed)
+		done(o.Replicas, scheduler.Completed)
 	}
 	return nil
 }
 
-func (m *manual) Probe(string, func(choice.Result, choice.Load)) gate.Sent { return nil }
-func (m *manual) Subscribe()                                               {}
+func (m *manual) Probe(string, func(scheduler.Result, scheduler.Load)) gateway.Sent { return nil }
+func (m *manual) Subscribe()                                                        {}
 
 // scene is an owner with a few workers and a way out that the test carries on.
 type scene struct {
 	*manual
 	t        *testing.T
-	owner    *gate.Owner
+	owner    *gateway.Owner
 	answered chan invoke.Answer
 	ended    sync.WaitGroup
 }
 
-func newScene(t *testing.T, kind choice.RequestType, loading core.Loading) *scene {
+func newScene(t *testing.T, kind scheduler.RequestType, loading core.Loading) *scene {
 	kind.Name, kind.Objective = "call", 100*time.Millisecond
-	s := &scene{manual: &manual{sent: make(chan sending, 100), loads: make(chan choice.LoadRequest, 100)}, t: t,
+	s := &scene{manual: &manual{sent: make(chan sending, 100), loads: make(chan scheduler.LoadRequest, 100)}, t: t,
 		answered: make(chan invoke.Answer, 100)}
-	s.owner = gate.NewOwner(gate.OwnerOptions{Core: core.Settings{Seed: 1, FrontEnds: 1, Quantum: time.Millisecond, MaxAttempts: 5, Deadlines: true,
-		Loading: loading, Types: []choice.RequestType{kind}}, Workers: s, LoadTimeout: time.Minute, ProbeLimit: time.Minute,
+	s.owner = gateway.NewOwner(gateway.OwnerOptions{Core: core.Settings{Seed: 1, FrontEnds: 1, Quantum: time.Millisecond, MaxAttempts: 5, Deadlines: true,
+		Loading: loading, Types: []scheduler.RequestType{kind}}, Workers: s, LoadTimeout: time.Minute, ProbeLimit: time.Minute,
 		Monitor: invariant.NewMonitor(slog.New(slog.DiscardHandler))})
 	run(t, s.owner)
-	s.owner.UpdateMembership(true, []choice.Member{{Worker: "a"}, {Worker: "b"}, {Worker: "c"}}, nil)
+	s.owner.UpdateMembership(true, []scheduler.Member{{Worker: "a"}, {Worker: "b"}, {Worker: "c"}}, nil)
 	return s
 }
 
@@ -81,8 +81,8 @@
 var onMiss = core.Loading{OnMiss: true, Keep: time.Minute}
 
 // submit submits a request of a function.
-func (s *scene) submit(id string, function uint64, left time.Duration) *gate.Request {
-	e := &gate.Request{Fact: &choice.Request{ID: id, Type: "call", Function: function, TimeLeft: left, Concurrency: 1},
+func (s *scene) submit(id string, function uint64, left time.Duration) *gateway.Request {
+	e := &gateway.Request{Fact: &scheduler.Request{ID: id, Type: "call", Function: function, TimeLeft: left, Concurrency: 1},
 		Reply: func(a invoke.Answer) { s.answered <- a }}
 	s.ended.Add(1)
 	e.Gone = s.ended.Done
@@ -113,35 +113,35 @@
 // scenes are crossings in which a guard keeps an invariant. Each ends with all requests ended.
 var scenes = map[string]func(t *testing.T) *scene{
 	"ClientLeft": func(t *testing.T) *scene {
-		s := newScene(t, choice.RequestType{}, onMiss)
+		s := newScene(t, scheduler.RequestType{}, onMiss)
 		e := s.submit("e", 1, 10*time.Second)
 		x := s.first()
 		s.owner.ClientGone(e)
 		time.Sleep(150 * time.Millisecond)
 		x.leaves()
-		x.ends(choice.TooLate)
+		x.ends(scheduler.TooLate)
 		return s
 	},
 	"NoTimeLeft": func(t *testing.T) *scene {
-		s := newScene(t, choice.RequestType{}, onMiss)
+		s := newScene(t, scheduler.RequestType{}, onMiss)
 		s.submit("e", 1, 100*time.Millisecond)
 		x := s.first()
 		time.Sleep(400 * time.Millisecond)
 		x.leaves()
-		x.ends(choice.TooLate)
+		x.ends(scheduler.TooLate)
 		return s
 	},
 	"SlowDeparture": func(t *testing.T) *scene {
-		s := newScene(t, choice.RequestType{}, onMiss)
+		s := newScene(t, scheduler.RequestType{}, onMiss)
 		s.submit("e", 1, 10*time.Second)
 		x := s.first()
 		time.Sleep(250 * time.Millisecond)
 		x.leaves()
-		x.ends(choice.Completed)
+		x.ends(scheduler.Completed)
 		return s
 	},
 	"SecondOutcome": func(t *testing.T) *scene {
-		s := newScene(t, choice.RequestType{}, core.Loading{Requests: true, Keep: time.Minute, Limit: time.Minute})
+		s := newScene(t, scheduler.RequestType{}, core.Loading{Requests: true, Keep: time.Minute, Limit: time.Minute})
 		s.fast = true
 		const others = 6 // have replicas loaded at all workers
 		var all []sending
@@ -156,70 +156,70 @@
 			all = append(all, x)
 		}
 		for _, x := range all {
-			x.ends(choice.Completed)
+			x.ends(scheduler.Completed)
 		}
 		for range others - len(all) {
-			s.first().ends(choice.Completed)
+			s.first().ends(scheduler.Completed)
 		}
 		s.submit("e", 1, 10*time.Second)
 		x := s.first()
-		x.ends(choice.Full)
+		x.ends(scheduler.Full)
 		y := s.first()
-		x.ends(choice.Full)
+		x.ends(scheduler.Full)
 		z, came := s.next(300 * time.Millisecond)
-		y.ends(choice.Completed)
+		y.ends(scheduler.Completed)
 		if came {
-			z.ends(choice.Completed)
+			z.ends(scheduler.Completed)
 		}
 		return s
 	},
 	"AtMostOnce": func(t *testing.T) *scene {
-		s := newScene(t, choice.RequestType{Effect: choice.AtMostOnce}, onMiss)
+		s := newScene(t, scheduler.RequestType{Effect: scheduler.AtMostOnce}, onMiss)
 		s.submit("e", 1, time.Second)
-		s.first().ends(choice.Broken)
+		s.first().ends(scheduler.Broken)
 		if x, came := s.next(500 * time.Millisecond); came {
-			x.ends(choice.Completed)
+			x.ends(scheduler.Completed)
 		}
 		return s
 	},
 	"WindowOver": func(t *testing.T) *scene {
-		s := newScene(t, choice.RequestType{Effect: choice.IdempotencyKey, Window: 100 * time.Millisecond}, onMiss)
+		s := newScene(t, scheduler.RequestType{Effect: scheduler.IdempotencyKey, Window: 100 * time.Millisecond}, onMiss)
 		s.submit("e", 1, 2*time.Second)
 		x := s.first()
 		time.Sleep(150 * time.Millisecond)
-		x.ends(choice.Broken)
+		x.ends(scheduler.Broken)
 		if x, came := s.next(500 * time.Millisecond); came {
-			x.ends(choice.Completed)
+			x.ends(scheduler.Completed)
 		}
 		return s
 	},
 	"NoOutcome": func(t *testing.T) *scene {
-		s := newScene(t, choice.RequestType{}, onMiss)
+		s := newScene(t, scheduler.RequestType{}, onMiss)
 		s.submit("e", 1, 100*time.Millisecond)
 		x := s.first()
 		time.Sleep(800 * time.Millisecond)
-		x.ends(choice.Full)
+		x.ends(scheduler.Full)
 		for {
 			y, came := s.next(200 * time.Millisecond)
 			if !came {
 				return s
 			}
-			y.ends(choice.Full)
+			y.ends(scheduler.Full)
 		}
 	},
 	"Rejected": func(t *testing.T) *scene {
-		s := newScene(t, choice.RequestType{}, onMiss)
+		s := newScene(t, scheduler.RequestType{}, onMiss)
 		s.submit("e", 1, 200*time.Millisecond)
 		for {
 			x, came := s.next(400 * time.Millisecond)
 			if !came {
 				return s
 			}
-			x.ends(choice.Full)
+			x.ends(scheduler.Full)
 		}
 	},
 	"ManyLoads": func(t *testing.T) *scene {
-		s := newScene(t, choice.RequestType{}, core.Loading{Requests: true, Keep: time.Minute, Limit: time.Minute, Within: 10 * time.Second, Free: 2})
+		s := newScene(t, scheduler.RequestType{}, core.Loading{Requests: true, Keep: time.Minute, Limit: time.Minute, Within: 10 * time.Second, Free: 2})
 		for function := range uint64(10) {
 			s.submit(fmt.Sprint("e", function), function, 300*time.Millisecond)
 		}
@@ -262,15 +262,15 @@
 	{"ClientLeft", "departure.go", "if d.request.clientGone.Load() != 0 {", "if false {", invariant.AttemptAfterClientLeft},
 	{"NoTimeLeft", "departure.go", "if now >= d.by {", "if false {", invariant.AttemptPastDeadline},
 	{"SlowDeparture", "departure.go", "d.told = d.by - now", "d.told = d.by - d.decided", invariant.DeadlineOverstated},
-	{"SecondOutcome", "../core/core.go", "h == nil || launch != h.attempts-1 ||", "h == nil ||", invariant.AttemptInParallel},
-	{"AtMostOnce", "../../choice/choice.go", "(late || e.typ.Effect == AtMostOnce)", "late", invariant.RepeatOfAtMostOnce},
-	{"WindowOver", "../../choice/choice.go", "late := e.typ.Effect == IdempotencyKey &&", "late := false &&", invariant.RepeatOutsideOfWindow},
-	{"NoOutcome", "../core/core.go", "h := heap.Pop(&c.ends).(*tracked)\n\t\tif h.request.InFlight() {", "h := heap.Pop(&c.ends).(*tracked)\n\t\tif false {",
+	{"SecondOutcome", "core/core.go", "h == nil || launch != h.attempts-1 ||", "h == nil ||", invariant.AttemptInParallel},
+	{"AtMostOnce", "../../scheduler/scheduler.go", "(late || e.typ.Effect == AtMostOnce)", "late", invariant.RepeatOfAtMostOnce},
+	{"WindowOver", "../../scheduler/scheduler.go", "late := e.typ.Effect == IdempotencyKey &&", "late := false &&", invariant.RepeatOutsideOfWindow},
+	{"NoOutcome", "core/core.go", "h := heap.Pop(&c.ends).(*tracked)\n\t\tif h.request.InFlight() {", "h := heap.Pop(&c.ends).(*tracked)\n\t\tif false {",
 		invariant.AnsweredLate},
-	{"Rejected", "../core/core.go", "c.actor.Reject(a.Request, a.RetryAfter, h.mayRun)", "c.actor.Reject(a.Request, a.RetryAfter, h.mayRun); c.actor.Reject(a.Request, 0, false)",
+	{"Rejected", "core/core.go", "c.actor.Reject(a.Request, a.RetryAfter, h.mayRun)", "c.actor.Reject(a.Request, a.RetryAfter, h.mayRun); c.actor.Reject(a.Request, 0, false)",
 		invariant.AnsweredTwice},
-	{"Rejected", "../core/core.go", "c.actor.Reject(a.Request, a.RetryAfter, h.mayRun)", "", invariant.NeverAnswered},
-	{"ManyLoads", "../../choice/loads.go", "return !c.loadsLimited ||", "return true ||", invariant.LoadOverLimit},
+	{"Rejected", "core/core.go", "c.actor.Reject(a.Request, a.RetryAfter, h.mayRun)", "", invariant.NeverAnswered},
+	{"ManyLoads", "../../scheduler/loads.go", "return !c.loadsLimited ||", "return true ||", invariant.LoadOverLimit},
 }
 
 // With its guard taken out, each invariant is seen to be violated.
@@ -278,7 +278,7 @@
 	for _, u := range unguarded {
 		t.Run(u.kind.String(), func(t *testing.T) {
 			t.Parallel()
-			out, passed, err := overlays.Test(t.Context(), t.TempDir(), u.file, u.text, u.instead, "^TestInvariantsHold$/^"+u.scene+"$")
+			out, passed, err := mutationtest.Test(t.Context(), t.TempDir(), u.file, u.text, u.instead, "^TestInvariantsHold$/^"+u.scene+"$")
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/invoke/golden_test.go
+++ b/internal/gateway/invoke/golden_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/config"
-	"lupinpond/internal/invoke"
+	"lupinpond/internal/gateway/fleetconfig"
+	"lupinpond/internal/gateway/invoke"
 )
 
 // spelled is a recorded response as text: status, header lines in sorted order, body.
@@ -84,7 +84,7 @@
 
 // reader serves requests by the catalogue: a refusal is the problem as it is, a call its fields.
 func reader(t *testing.T) http.Handler {
-	f, err := config.Parse("golden.yaml", []byte(goldenSettings))
+	f, err := fleetconfig.Parse("golden.yaml", []byte(goldenSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/invoke/invoke.go
+++ b/internal/gateway/invoke/invoke.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"lupinpond/internal/config"
+	"lupinpond/internal/gateway/fleetconfig"
 )
 
 // Headers of the API beside those of HTTP and CloudEvents.
@@ -27,8 +27,8 @@
 
 // Call is one event as a client sends it.
 type Call struct {
-	Function config.Function
-	Type     config.EventType
+	Function fleetconfig.Function
+	Type     fleetconfig.EventType
 	Tenant   string
 	Source   string // ce-source
 	ID       string // ce-id: the client's own name of the event
@@ -66,15 +66,15 @@
 
 // Catalogue finds functions and what is known of them.
 type Catalogue struct {
-	functions map[string]config.Function
-	types     map[string]config.EventType
+	functions map[string]fleetconfig.Function
+	types     map[string]fleetconfig.EventType
 	tenants   map[string]bool
 	body      int64
 }
 
 // NewCatalogue takes the catalogue of a file of settings.
-func NewCatalogue(f config.File) *Catalogue {
-	c := &Catalogue{functions: map[string]config.Function{}, types: map[string]config.EventType{},
+func NewCatalogue(f fleetconfig.File) *Catalogue {
+	c := &Catalogue{functions: map[string]fleetconfig.Function{}, types: map[string]fleetconfig.EventType{},
 		tenants: map[string]bool{}, body: int64(f.Front.Limits.Body)}
 	for _, fn := range f.Functions {
 		c.functions[fn.Name] = fn
--- a/internal/gate/latency_test.go
+++ b/internal/gateway/latency_test.go
@@ -1,4 +1,4 @@
-package gate_test
+package gateway_test
 
 import (
 	"bufio"
@@ -16,29 +16,29 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"lupinpond/internal/config"
-	"lupinpond/internal/gate"
-	"lupinpond/internal/link"
-	"lupinpond/internal/roster"
+	"lupinpond/internal/gateway"
+	"lupinpond/internal/gateway/fleetconfig"
+	"lupinpond/internal/registry"
+	"lupinpond/internal/workerrpc"
 )
 
 // atOnce is a worker that answers every event at once, from a copy that stands.
 type atOnce struct{}
 
-func (atOnce) Launch(_ string, _ *link.Launch, reply func(*link.Answer)) func() {
-	reply(&link.Answer{Code: link.Done, Warmth: link.FoundWarm, Worked: time.Microsecond, Report: &link.Report{}, Body: []byte("ok")})
+func (atOnce) Launch(_ string, _ *workerrpc.Launch, reply func(*workerrpc.Answer)) func() {
+	reply(&workerrpc.Answer{Code: workerrpc.Done, Warmth: workerrpc.FoundWarm, Worked: time.Microsecond, Report: &workerrpc.Report{}, Body: []byte("ok")})
 	return nil
 }
-func (atOnce) Order(_ string, o *link.Order, reply func(*link.Ordered)) {
-	reply(&link.Ordered{Code: link.Done, Copies: o.Copies})
+func (atOnce) Order(_ string, o *workerrpc.Order, reply func(*workerrpc.Ordered)) {
+	reply(&workerrpc.Ordered{Code: workerrpc.Done, Copies: o.Copies})
 }
-func (atOnce) Report() *link.Report { return &link.Report{} }
+func (atOnce) Report() *workerrpc.Report { return &workerrpc.Report{} }
 
 // bare is a front end over so many workers that answer at once.
 func bare(b *testing.B, workers int) (addr string, addrs []string, end func()) {
 	ctx, stop := context.WithCancel(context.Background())
 	var all sync.WaitGroup
-	r := roster.New(nil)
+	r := registry.New(nil)
 	list := httptest.NewServer(r.Handler())
 	for i := range workers {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,12 +46,12 @@
 			b.Fatal(err)
 		}
 		name := fmt.Sprint("w", i)
-		s := &link.Server{Hello: link.Hello{Name: name, Launches: 1000}, Handler: atOnce{}}
+		s := &workerrpc.Server{Hello: workerrpc.Hello{Name: name, Launches: 1000}, Handler: atOnce{}}
 		all.Go(func() { _ = s.Serve(ctx, listener) })
 		addrs = append(addrs, listener.Addr().String())
-		r.Set(roster.Entry{Name: name, Addr: addrs[i], Zone: "z", Cores: 4, State: roster.In})
+		r.Set(registry.Entry{Name: name, Addr: addrs[i], Zone: "z", Cores: 4, State: registry.In})
 	}
-	file, err := config.Default()
+	file, err := fleetconfig.Default()
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	g, err := gate.New(gate.Options{Name: "f", File: file, Listener: listener, Seed: 1})
+	g, err := gateway.New(gateway.Options{Name: "f", File: file, Listener: listener, Seed: 1})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -184,14 +184,14 @@
 					var d net.Dialer
 					return d.DialContext(ctx, "tcp", addr)
 				}
-				p := link.NewPeer("direct", "w0", addrs[0], link.Limits{Dial: time.Second, Queue: time.Second, Stall: time.Second,
+				p := workerrpc.NewPeer("direct", "w0", addrs[0], workerrpc.Limits{Dial: time.Second, Queue: time.Second, Stall: time.Second,
 					Calls: 10000, Bytes: 1 << 24}, dial)
 				gone := make(chan error, 1)
 				go func() { gone <- p.Run(ctx) }()
 				direct, failedDirect := openLoop(rate, lasts, func() error {
-					got := make(chan link.Outcome, 1)
-					p.Launch(link.Launch{Event: "e", Function: "preview", Body: []byte("x")}, time.Second, func(o link.Outcome) { got <- o })
-					if o := <-got; o.Fate != link.Answered {
+					got := make(chan workerrpc.Outcome, 1)
+					p.Launch(workerrpc.Launch{Event: "e", Function: "preview", Body: []byte("x")}, time.Second, func(o workerrpc.Outcome) { got <- o })
+					if o := <-got; o.Fate != workerrpc.Answered {
 						return o.Err
 					}
 					return nil
@@ -253,7 +253,7 @@
 		_, addrs, end := bare(b, 8)
 		defer end()
 		ctx, stop := context.WithCancel(context.Background())
-		p := link.NewPeer("direct", "w0", addrs[0], link.Limits{Dial: time.Second, Queue: time.Second, Stall: time.Second, Calls: 100,
+		p := workerrpc.NewPeer("direct", "w0", addrs[0], workerrpc.Limits{Dial: time.Second, Queue: time.Second, Stall: time.Second, Calls: 100,
 			Bytes: 1 << 20}, func(ctx context.Context, addr string) (net.Conn, error) {
 			var d net.Dialer
 			return d.DialContext(ctx, "tcp", addr)
@@ -261,8 +261,8 @@
 		gone := make(chan error, 1)
 		go func() { gone <- p.Run(ctx) }()
 		closed(b, func() error {
-			got := make(chan link.Outcome, 1)
-			p.Launch(link.Launch{Event: "e", Function: "preview", Body: []byte("x")}, time.Second, func(o link.Outcome) { got <- o })
+			got := make(chan workerrpc.Outcome, 1)
+			p.Launch(workerrpc.Launch{Event: "e", Function: "preview", Body: []byte("x")}, time.Second, func(o workerrpc.Outcome) { got <- o })
 			return (<-got).Err
 		})
 		stop()
--- a/internal/gate/keep.go
+++ b/internal/gateway/listfile.go
@@ -1,4 +1,4 @@
-package gate
+package gateway
 
 import (
 	"encoding/json"
@@ -9,11 +9,11 @@
 
 	"github.com/google/renameio/v2"
 
-	"lupinpond/internal/roster"
+	"lupinpond/internal/registry"
 )
 
 // ReadList reads a list that WriteList kept; nil where there is none yet.
-func ReadList(path string) (*roster.News, error) {
+func ReadList(path string) (*registry.News, error) {
 	b, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -21,7 +21,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("kept list: %w", err)
 	}
-	var n roster.News
+	var n registry.News
 	if err := json.Unmarshal(b, &n); err != nil {
 		return nil, fmt.Errorf("kept list %s: %w", path, err)
 	}
@@ -33,7 +33,7 @@
 }
 
 // WriteList keeps a list for the next start. A crash leaves the old one or the new one.
-func WriteList(path string, n roster.News) error {
+func WriteList(path string, n registry.News) error {
 	b, err := json.Marshal(n)
 	if err != nil {
 		return fmt.Errorf("keep list: %w", err)
--- a/internal/gate/owner.go
+++ b/internal/gateway/owner.go
@@ -1,4 +1,4 @@
-package gate
+package gateway
 
 import (
 	"context"
@@ -9,17 +9,17 @@
 	"sync/atomic"
 	"time"
 
-	"lupinpond/choice"
-	"lupinpond/internal/core"
-	"lupinpond/internal/corelog"
-	"lupinpond/internal/invariant"
-	"lupinpond/internal/invoke"
-	"lupinpond/internal/stall"
+	"lupinpond/internal/gateway/core"
+	"lupinpond/internal/gateway/invariant"
+	"lupinpond/internal/gateway/invoke"
+	"lupinpond/internal/gateway/replay"
+	"lupinpond/internal/gateway/stall"
+	"lupinpond/scheduler"
 )
 
 // Request is one request in hand, as the front end knows it beside the core.
 type Request struct {
-	Fact  *choice.Request
+	Fact  *scheduler.Request
 	Twin  string                // what must not be in hand twice; empty where a second one does no harm
 	Reply func(a invoke.Answer) // told the final answer, by the owner; must not wait
 	Gone  func()                // called when nothing follows for the request; may be nil
@@ -44,9 +44,9 @@
 type Workers interface {
 	// Each may give nil where nothing was sent, or nothing has to be given up. departure is asked when an attempt's bytes
 	// are about to be written.
-	Send(e *Request, launch int, worker string, departure *Departure, done func(o choice.Outcome, body []byte)) Sent
-	Load(o choice.LoadRequest, done func(copies int, r choice.Result)) Sent
-	Probe(worker string, done func(r choice.Result, l choice.Load)) Sent
+	Send(e *Request, launch int, worker string, departure *Departure, done func(o scheduler.Outcome, body []byte)) Sent
+	Load(o scheduler.LoadRequest, done func(copies int, r scheduler.Result)) Sent
+	Probe(worker string, done func(r scheduler.Result, l scheduler.Load)) Sent
 	Subscribe() // for the list
 }
 
@@ -58,7 +58,7 @@
 	started     chan struct{}
 	gone        chan struct{}
 	core        *core.Core
-	recorder    *corelog.Recorder
+	recorder    *replay.Recorder
 	workers     Workers
 	loadTimeout time.Duration // a load request that is not answered by then is lost
 	probeLimit  time.Duration // and a probe
@@ -99,7 +99,7 @@
 		endBy: math.MaxInt64, monitor: from.Monitor, log: from.Log, front: from.Core, loads: newLoadChecks(from.Core.Loading)}
 	o.box.kick = make(chan struct{}, 1)
 	if from.Record != nil {
-		o.core, o.recorder = corelog.Start(from.Core, o, from.Record)
+		o.core, o.recorder = replay.Start(from.Core, o, from.Record)
 	} else {
 		o.core = core.New(from.Core, o)
 	}
@@ -183,7 +183,7 @@
 
 // UpdateMembership tells news of the list of workers. adopted, which may be nil, is called in the same moment: until then the
 // core's decisions are for the workers that it knew before.
-func (o *Owner) UpdateMembership(whole bool, news []choice.Member, adopted func()) {
+func (o *Owner) UpdateMembership(whole bool, news []scheduler.Member, adopted func()) {
 	o.box.put(func(now time.Duration) {
 		o.core.UpdateMembership(now, whole, news)
 		if adopted != nil {
@@ -268,7 +268,7 @@
 }
 
 // Members asks for the workers that the core has on its list, in the order of their names; false once it has ended.
-func (o *Owner) Members(ctx context.Context) (members []choice.Member, running bool) {
+func (o *Owner) Members(ctx context.Context) (members []scheduler.Member, running bool) {
 	running = o.ask(ctx, func() { members = o.core.Members() })
 	return members, running
 }
@@ -336,11 +336,11 @@
 // The methods of core.Actor, called by the goroutine only.
 
 // Send sends an attempt to a worker, unless the client is gone by now: an attempt that begins later is a break.
-func (o *Owner) Send(fact *choice.Request, launch int, worker string) {
+func (o *Owner) Send(fact *scheduler.Request, launch int, worker string) {
 	e := o.requests[fact.ID]
 	if e.clientGone.Load() != 0 {
 		o.box.put(func(now time.Duration) {
-			o.core.Outcome(now, fact.ID, launch, choice.Outcome{Worker: worker, Result: choice.TooLate})
+			o.core.Outcome(now, fact.ID, launch, scheduler.Outcome{Worker: worker, Result: scheduler.TooLate})
 		})
 		return
 	}
@@ -352,13 +352,13 @@
 	o.trace("attempt", e, "attempt", launch, "worker", worker)
 	sent := time.Now()
 	departure := &Departure{owner: o, request: e, decided: o.Now(), by: min(e.submittedAt+fact.TimeLeft, o.endBy)}
-	l := o.workers.Send(e, launch, worker, departure, func(out choice.Outcome, body []byte) {
+	l := o.workers.Send(e, launch, worker, departure, func(out scheduler.Outcome, body []byte) {
 		o.box.put(func(now time.Duration) {
 			delete(e.inFlight, launch)
 			out.Worker, out.Took = worker, time.Since(sent)
 			e.checks.ended(launch, out.Result)
 			o.trace("attempt ended", e, "attempt", launch, "worker", worker, "result", out.Result.String(), "took", out.Took)
-			if out.Result == choice.Completed {
+			if out.Result == scheduler.Completed {
 				e.answer = body
 			}
 			if !o.core.Outcome(now, fact.ID, launch, out) {
@@ -372,14 +372,14 @@
 }
 
 // Complete answers the client.
-func (o *Owner) Complete(fact *choice.Request, launch int) {
+func (o *Owner) Complete(fact *scheduler.Request, launch int) {
 	o.counts.Completed++
 	e := o.requests[fact.ID]
 	o.reply(e, invoke.Answer{Ending: invoke.Completed, Launches: launch + 1, Body: e.answer})
 }
 
 // Reject answers the client that another try is harmless.
-func (o *Owner) Reject(fact *choice.Request, back time.Duration, _ bool) {
+func (o *Owner) Reject(fact *scheduler.Request, back time.Duration, _ bool) {
 	o.counts.Rejected++
 	e := o.requests[fact.ID]
 	o.reply(e, invoke.Answer{Ending: invoke.Rejected, Launches: e.sent, Back: back,
@@ -387,7 +387,7 @@
 }
 
 // Fail answers the client that no other try was possible.
-func (o *Owner) Fail(fact *choice.Request, launches int, mayRun bool) {
+func (o *Owner) Fail(fact *scheduler.Request, launches int, mayRun bool) {
 	o.counts.Failed++
 	o.reply(o.requests[fact.ID], invoke.Answer{Ending: invoke.Failed, Launches: launches, MayRun: mayRun,
 		Reason: "not handled; its type allows no other try"})
@@ -407,14 +407,14 @@
 }
 
 // Cancel gives an attempt up; its outcome is a fact of a moment to come.
-func (o *Owner) Cancel(fact *choice.Request, launch int, _ string) {
+func (o *Owner) Cancel(fact *scheduler.Request, launch int, _ string) {
 	if l := o.requests[fact.ID].inFlight[launch]; l != nil {
 		l.Recall()
 	}
 }
 
 // Ended forgets a request; attempts whose outcome was not waited for are given up.
-func (o *Owner) Ended(fact *choice.Request, _ int, _ core.Ending) {
+func (o *Owner) Ended(fact *scheduler.Request, _ int, _ core.Ending) {
 	e := o.requests[fact.ID]
 	o.checkEnd(e)
 	for _, l := range e.inFlight {
@@ -426,11 +426,11 @@
 }
 
 // Load sends a load request.
-func (o *Owner) Load(order choice.LoadRequest) {
+func (o *Owner) Load(order scheduler.LoadRequest) {
 	o.counts.LoadRequests++
 	o.checkLoad(order)
 	sent, answered := time.Now(), false
-	end := func(copies int, r choice.Result) {
+	end := func(copies int, r scheduler.Result) {
 		o.box.put(func(now time.Duration) {
 			if !answered {
 				answered = true
@@ -442,7 +442,7 @@
 	asked := order.Replicas
 	s := o.workers.Load(order, end)
 	time.AfterFunc(o.loadTimeout, func() {
-		end(asked, choice.TimedOut)
+		end(asked, scheduler.TimedOut)
 		recall(s)
 	})
 }
@@ -451,7 +451,7 @@
 func (o *Owner) Probe(worker string) {
 	o.counts.Probes++
 	sent, answered := time.Now(), false
-	end := func(r choice.Result, l choice.Load) {
+	end := func(r scheduler.Result, l scheduler.Load) {
 		o.box.put(func(now time.Duration) {
 			if !answered {
 				answered = true
@@ -461,7 +461,7 @@
 	}
 	s := o.workers.Probe(worker, end)
 	time.AfterFunc(o.probeLimit, func() {
-		end(choice.TimedOut, choice.Load{})
+		end(scheduler.TimedOut, scheduler.Load{})
 		recall(s)
 	})
 }
--- a/internal/gate/owner_test.go
+++ b/internal/gateway/owner_test.go
@@ -1,50 +1,50 @@
-package gate_test
+package gateway_test
 
 import (
 	"context"
 	"testing"
 	"time"
 
-	"lupinpond/choice"
-	"lupinpond/internal/core"
-	"lupinpond/internal/gate"
-	"lupinpond/internal/invoke"
+	"lupinpond/internal/gateway"
+	"lupinpond/internal/gateway/core"
+	"lupinpond/internal/gateway/invoke"
+	"lupinpond/scheduler"
 )
 
 // nowhere is a way out that has no connection to any worker.
 type nowhere struct {
-	owner    *gate.Owner
+	owner    *gateway.Owner
 	launched chan struct{}
 	recalled chan struct{} // an order was given up
 }
 
-func (n *nowhere) Send(e *gate.Request, _ int, _ string, _ *gate.Departure, _ func(choice.Outcome, []byte)) gate.Sent {
+func (n *nowhere) Send(e *gateway.Request, _ int, _ string, _ *gateway.Departure, _ func(scheduler.Outcome, []byte)) gateway.Sent {
 	n.owner.ClientGone(e)
 	n.launched <- struct{}{}
 	return nil
 }
 
-func (n *nowhere) Load(choice.LoadRequest, func(int, choice.Result)) gate.Sent { return n }
-func (n *nowhere) Probe(string, func(choice.Result, choice.Load)) gate.Sent    { return nil }
-func (n *nowhere) Subscribe()                                                  {}
-func (n *nowhere) Recall()                                                     { n.recalled <- struct{}{} }
+func (n *nowhere) Load(scheduler.LoadRequest, func(int, scheduler.Result)) gateway.Sent { return n }
+func (n *nowhere) Probe(string, func(scheduler.Result, scheduler.Load)) gateway.Sent    { return nil }
+func (n *nowhere) Subscribe()                                                           {}
+func (n *nowhere) Recall()                                                              { n.recalled <- struct{}{} }
 
 // nowhereAt starts an owner whose workers are nowhere, with one worker listed.
 func nowhereAt(t *testing.T, orders bool) *nowhere {
 	out := &nowhere{launched: make(chan struct{}, 1), recalled: make(chan struct{}, 100)}
-	out.owner = gate.NewOwner(gate.OwnerOptions{Core: front(orders), Workers: out, LoadTimeout: time.Millisecond, ProbeLimit: time.Second})
+	out.owner = gateway.NewOwner(gateway.OwnerOptions{Core: front(orders), Workers: out, LoadTimeout: time.Millisecond, ProbeLimit: time.Second})
 	run(t, out.owner)
-	out.owner.UpdateMembership(true, []choice.Member{{Worker: "w"}}, nil)
+	out.owner.UpdateMembership(true, []scheduler.Member{{Worker: "w"}}, nil)
 	return out
 }
 
 func front(orders bool) core.Settings {
 	return core.Settings{Seed: 1, FrontEnds: 1, Quantum: time.Millisecond, MaxAttempts: 1,
 		Loading: core.Loading{Requests: orders, OnMiss: true, Keep: time.Minute, Limit: time.Second},
-		Types:   []choice.RequestType{{Name: "call", Objective: 100 * time.Millisecond}}}
+		Types:   []scheduler.RequestType{{Name: "call", Objective: 100 * time.Millisecond}}}
 }
 
-func run(t *testing.T, o *gate.Owner) {
+func run(t *testing.T, o *gateway.Owner) {
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- o.Run(ctx) }()
@@ -61,9 +61,9 @@
 	nowhere
 }
 
-func (r *ready) Send(e *gate.Request, _ int, _ string, _ *gate.Departure, done func(choice.Outcome, []byte)) gate.Sent {
+func (r *ready) Send(e *gateway.Request, _ int, _ string, _ *gateway.Departure, done func(scheduler.Outcome, []byte)) gateway.Sent {
 	r.launched <- struct{}{}
-	done(choice.Outcome{Result: choice.Completed, Warmth: choice.FoundWarm}, nil)
+	done(scheduler.Outcome{Result: scheduler.Completed, Warmth: scheduler.FoundWarm}, nil)
 	return nil
 }
 
@@ -71,11 +71,11 @@
 // begins, and the event ends.
 func TestLeftBeforeItIsHeard(t *testing.T) {
 	out, gone := &ready{nowhere{launched: make(chan struct{}, 2)}}, make(chan struct{})
-	out.owner = gate.NewOwner(gate.OwnerOptions{Core: front(false), Workers: out, LoadTimeout: time.Millisecond, ProbeLimit: time.Second})
-	event := func(id string, reply func(invoke.Answer), gone func()) *gate.Request {
-		return &gate.Request{Fact: &choice.Request{ID: id, Type: "call", Function: 9, TimeLeft: 3 * time.Second, Concurrency: 1}, Reply: reply, Gone: gone}
+	out.owner = gateway.NewOwner(gateway.OwnerOptions{Core: front(false), Workers: out, LoadTimeout: time.Millisecond, ProbeLimit: time.Second})
+	event := func(id string, reply func(invoke.Answer), gone func()) *gateway.Request {
+		return &gateway.Request{Fact: &scheduler.Request{ID: id, Type: "call", Function: 9, TimeLeft: 3 * time.Second, Concurrency: 1}, Reply: reply, Gone: gone}
 	}
-	out.owner.UpdateMembership(true, []choice.Member{{Worker: "w"}}, nil)
+	out.owner.UpdateMembership(true, []scheduler.Member{{Worker: "w"}}, nil)
 	out.owner.Submit(event("first", func(invoke.Answer) { // the owner is here: it hears both of these together
 		second := event("second", func(a invoke.Answer) { t.Error("an answer to nobody:", a) }, func() { close(gone) })
 		out.owner.Submit(second)
@@ -91,7 +91,7 @@
 // A client that leaves while its launch found no worker has nothing to give up.
 func TestLeftWithoutLaunch(t *testing.T) {
 	out := nowhereAt(t, false)
-	out.owner.Submit(&gate.Request{Fact: &choice.Request{ID: "e", Type: "call", Function: 9, TimeLeft: 3 * time.Second, Concurrency: 1},
+	out.owner.Submit(&gateway.Request{Fact: &scheduler.Request{ID: "e", Type: "call", Function: 9, TimeLeft: 3 * time.Second, Concurrency: 1},
 		Reply: func(a invoke.Answer) { t.Error("an answer to nobody:", a) }})
 	<-out.launched
 	out.owner.Pause(0) // once it stands still for that, it has heard that the client left
@@ -100,18 +100,18 @@
 // An order that is not answered in time is given up: it would hold its connection for good.
 func TestLostOrder(t *testing.T) {
 	out := nowhereAt(t, true)
-	out.owner.Submit(&gate.Request{Fact: &choice.Request{ID: "e", Type: "call", Function: 9, TimeLeft: time.Minute, Concurrency: 1},
+	out.owner.Submit(&gateway.Request{Fact: &scheduler.Request{ID: "e", Type: "call", Function: 9, TimeLeft: time.Minute, Concurrency: 1},
 		Reply: func(invoke.Answer) {}})
 	<-out.recalled
 }
 
 // A request that is not taken, as one of its id is in hand, lets go of what was kept for it, as every other does.
 func TestRequestThatIsNotTakenIsLetGo(t *testing.T) {
-	out := &manual{sent: make(chan sending, 10), loads: make(chan choice.LoadRequest, 10)}
-	owner := gate.NewOwner(gate.OwnerOptions{Core: front(false), Workers: out, LoadTimeout: time.Millisecond, ProbeLimit: time.Second})
+	out := &manual{sent: make(chan sending, 10), loads: make(chan scheduler.LoadRequest, 10)}
+	owner := gateway.NewOwner(gateway.OwnerOptions{Core: front(false), Workers: out, LoadTimeout: time.Millisecond, ProbeLimit: time.Second})
 	answers, gone := make(chan invoke.Answer, 2), make(chan struct{}, 2)
 	for range 2 {
-		owner.Submit(&gate.Request{Fact: &choice.Request{ID: "e", Type: "call", Function: 9, TimeLeft: 3 * time.Second, Concurrency: 1},
+		owner.Submit(&gateway.Request{Fact: &scheduler.Request{ID: "e", Type: "call", Function: 9, TimeLeft: 3 * time.Second, Concurrency: 1},
 			Reply: func(a invoke.Answer) { answers <- a }, Gone: func() { gone <- struct{}{} }})
 	}
 	run(t, owner)
--- a/internal/platform/config.go
+++ b/internal/gateway/platform/config.go
@@ -12,9 +12,9 @@
 	"strconv"
 	"time"
 
-	"lupinpond/internal/core"
-	"lupinpond/internal/feed"
-	"lupinpond/internal/settings"
+	"lupinpond/internal/gateway/core"
+	"lupinpond/internal/gateway/discovery"
+	"lupinpond/internal/gateway/settings"
 )
 
 // Config is what the platform tells a front end.
@@ -23,7 +23,7 @@
 	Cores                 float64
 	Memory                int64 // bytes
 	Sockets               int
-	Known                 feed.News
+	Known                 discovery.News
 	Settings              settings.Paths
 	Front                 core.Settings
 }
@@ -82,7 +82,7 @@
 		return Config{}, fmt.Errorf("limits: cores and memory_mb above 0 and at least %d sockets are needed", leastSockets)
 	}
 	if len(file.Known) > 0 {
-		if c.Known, err = feed.Parse(file.Known); err != nil {
+		if c.Known, err = discovery.Parse(file.Known); err != nil {
 			return Config{}, fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/platform/engine.go
+++ b/internal/gateway/platform/engine.go
@@ -10,22 +10,22 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"lupinpond/choice"
-	"lupinpond/internal/feed"
-	"lupinpond/internal/gate"
-	"lupinpond/internal/invariant"
-	"lupinpond/internal/resp"
+	"lupinpond/internal/gateway"
+	"lupinpond/internal/gateway/discovery"
+	"lupinpond/internal/gateway/invariant"
+	"lupinpond/internal/gateway/resp"
+	"lupinpond/scheduler"
 )
 
 // engine is a front end without its clients: the owner of its core, the connections to workers, and the list.
 type engine struct {
-	*gate.Owner
+	*gateway.Owner
 	config  Config
 	log     *slog.Logger
 	workers *workers
-	births  *gate.Births // used by the list's goroutine
+	births  *gateway.Births // used by the list's goroutine
 	monitor *invariant.Monitor
-	feed    *feed.Feed
+	feed    *discovery.Feed
 	hard    context.Context // ends when nothing is left to do
 	stopped context.CancelFunc
 	applied func(number int64, whole bool) // called by the owner when the core has taken an event of the list service; may be nil
@@ -43,13 +43,13 @@
 	if c.Settings["report.source"] != "off" {
 		e.workers.report = "pending"
 	}
-	e.Owner = gate.NewOwner(gate.OwnerOptions{Core: c.Front, Workers: e.workers, Record: record, LoadTimeout: c.Front.Loading.Limit,
+	e.Owner = gateway.NewOwner(gateway.OwnerOptions{Core: c.Front, Workers: e.workers, Record: record, LoadTimeout: c.Front.Loading.Limit,
 		ProbeLimit: dial, Monitor: e.monitor, Log: e.log})
 	e.births = e.NewBirths()
 	grace := c.Settings.Time("rules.stop_sending_within", 500*time.Millisecond)
 	e.workers.grace = grace
 	wait := min(max(dial, journalWaits*grace), mostWait)
-	e.feed = feed.New(c.Journal, feed.Limits{Wait: wait, Answer: dial, Slow: max(dial, tellWithin-2*wait-dial),
+	e.feed = discovery.New(c.Journal, discovery.Limits{Wait: wait, Answer: dial, Slow: max(dial, tellWithin-2*wait-dial),
 		Bytes: c.Memory / feedMemory}, e.log, e.news)
 	return e
 }
@@ -91,21 +91,21 @@
 }
 
 // news takes an event of the journal.
-func (e *engine) news(event feed.Event) {
+func (e *engine) news(event discovery.Event) {
 	if event.List == nil {
 		e.told(event)
 		return
 	}
 	adopt := e.workers.news(event)
-	within := gate.Always
+	within := gateway.Always
 	if event.Within > 0 {
 		within = event.Within
 	}
 	named := map[string]bool{}
-	var listings []choice.Member
+	var listings []scheduler.Member
 	for _, w := range event.List.Workers {
 		named[w.Name] = true
-		l := choice.Member{Worker: w.Name, Zone: w.Zone, Kind: w.Kind, Cell: strconv.Itoa(w.Cell)}
+		l := scheduler.Member{Worker: w.Name, Zone: w.Zone, Kind: w.Kind, Cell: strconv.Itoa(w.Cell)}
 		if e.config.Settings.Sized() {
 			l.Size = w.Size
 		}
@@ -115,10 +115,10 @@
 		}
 		l.Started = e.births.Started(w.Name, born, within)
 		switch w.State {
-		case feed.Draining:
-			l.Condition = choice.Draining
-		case feed.Removed:
-			l.Condition = choice.Removed
+		case discovery.Draining:
+			l.Condition = scheduler.Draining
+		case discovery.Removed:
+			l.Condition = scheduler.Removed
 			e.births.Forget(w.Name)
 		}
 		listings = append(listings, l)
@@ -132,17 +132,17 @@
 }
 
 // logList logs an event of the list with how many workers it tells in each state.
-func (e *engine) logList(event feed.Event) {
+func (e *engine) logList(event discovery.Event) {
 	states := map[string]int{}
 	for _, w := range event.List.Workers {
 		states[w.State]++
 	}
-	e.log.Info("list changed", "event", event.Number, "whole", event.List.Whole, "up", states[feed.Up], "draining", states[feed.Draining],
-		"removed", states[feed.Removed])
+	e.log.Info("list changed", "event", event.Number, "whole", event.List.Whole, "up", states[discovery.Up], "draining", states[discovery.Draining],
+		"removed", states[discovery.Removed])
 }
 
 // told has the owner tell that the core has taken an event.
-func (e *engine) told(event feed.Event) {
+func (e *engine) told(event discovery.Event) {
 	if e.applied != nil {
 		e.Do(func() { e.applied(event.Number, event.List != nil && event.List.Whole) })
 	}
--- a/internal/platform/front.go
+++ b/internal/gateway/platform/front.go
@@ -12,11 +12,11 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"lupinpond/choice"
-	"lupinpond/internal/gate"
-	"lupinpond/internal/invariant"
-	"lupinpond/internal/invoke"
-	"lupinpond/internal/thrift"
+	"lupinpond/internal/gateway"
+	"lupinpond/internal/gateway/invariant"
+	"lupinpond/internal/gateway/invoke"
+	"lupinpond/internal/gateway/thrift"
+	"lupinpond/scheduler"
 )
 
 // Parts of what the platform allows that may be used for one purpose, and multiples of its times: protection, so that
@@ -61,7 +61,7 @@
 	f := &Front{engine: newEngine(c, log, record), listener: listener, reads: reads{keyed: map[string]bool{}, tenants: map[string]bool{}}}
 	f.reads.ages, f.longest = c.ages()
 	for _, t := range c.Front.Types {
-		f.reads.keyed[t.Name] = t.Effect == choice.IdempotencyKey
+		f.reads.keyed[t.Name] = t.Effect == scheduler.IdempotencyKey
 	}
 	for _, t := range c.Front.Tenants {
 		f.reads.tenants[t.Name] = true
@@ -153,9 +153,9 @@
 func (f *Front) dispatch(c *thrift.Conn, seq int32, args thrift.Args, refuse func(int32, string)) {
 	r, err := f.reads.read(args)
 	if err != nil {
-		r = request{fact: &choice.Request{}}
+		r = request{fact: &scheduler.Request{}}
 	}
-	e := &gate.Request{Fact: r.fact, Body: r.body, Call: invoke.Call{Key: r.mark},
+	e := &gateway.Request{Fact: r.fact, Body: r.body, Call: invoke.Call{Key: r.mark},
 		Reply: func(a invoke.Answer) { c.Answer(seq, spellAnswer(seq, a)) }}
 	// the number is checked first: an answer under one that is open would be the answer to another request
 	if !c.Begin(seq, func() { f.ClientGone(e) }) {
--- a/internal/platform/golden_test.go
+++ b/internal/gateway/platform/golden_test.go
@@ -21,7 +21,7 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/platform"
+	"lupinpond/internal/gateway/platform"
 )
 
 //go:embed testdata/golden/config.json
--- a/internal/platform/hollow.go
+++ b/internal/gateway/platform/hollow.go
@@ -7,9 +7,9 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"lupinpond/choice"
-	"lupinpond/internal/gate"
-	"lupinpond/internal/invoke"
+	"lupinpond/internal/gateway"
+	"lupinpond/internal/gateway/invoke"
+	"lupinpond/scheduler"
 )
 
 // Hollow is a front end with nothing in front of it: the same owner, core, connections to workers and list, and requests
@@ -52,6 +52,6 @@
 
 // SubmitDrawn takes a drawn request; reply is told its final answer, by the goroutine that owns the core, and must not wait.
 func (h *Hollow) SubmitDrawn(r Request, reply func(invoke.Answer)) {
-	h.Submit(&gate.Request{Fact: &choice.Request{ID: r.ID, Type: r.Class, Tenant: r.Tenant, Function: r.Function, TimeLeft: r.Wait,
+	h.Submit(&gateway.Request{Fact: &scheduler.Request{ID: r.ID, Type: r.Class, Tenant: r.Tenant, Function: r.Function, TimeLeft: r.Wait,
 		Concurrency: r.Lanes, Memory: r.Memory, LoadTime: r.LoadTime}, Reply: reply})
 }
--- a/internal/platform/invariants_test.go
+++ b/internal/gateway/platform/invariants_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/invariant"
-	"lupinpond/internal/overlays"
+	"lupinpond/internal/gateway/invariant"
+	"lupinpond/internal/testbed/mutationtest"
 )
 
 // oneBorn is a line of the list of a worker that has started late.
@@ -75,13 +75,13 @@
 	}{
 		{"DrainedWhileConnecting", "workers.go", "b.stopped.CompareAndSwap(0, int64(now))\n\tb.Stop()", "b.stopped.CompareAndSwap(0, int64(now))",
 			invariant.AttemptToDrained},
-		{"NextLife", "workers.go", "b := w.find(worker)\n\tif b == nil {\n\t\tdone(choice.Outcome{", "b := w.listed[worker]\n\tif b == nil {\n\t\tdone(choice.Outcome{",
+		{"NextLife", "workers.go", "b := w.find(worker)\n\tif b == nil {\n\t\tdone(scheduler.Outcome{", "b := w.listed[worker]\n\tif b == nil {\n\t\tdone(scheduler.Outcome{",
 			invariant.AttemptToOtherLife},
 		{"IdleUnderACall", "../thrift/conn.go", "return len(c.calls) == 0 && len(c.out) == 0 && !c.writing", "return len(c.out) == 0 && !c.writing",
 			invariant.ClosedUnanswered},
 	} {
 		t.Run(u.kind.String(), func(t *testing.T) {
-			out, passed, err := overlays.Test(t.Context(), t.TempDir(), u.file, u.text, u.instead, "^TestInvariantsHold$/^"+u.scene+"$")
+			out, passed, err := mutationtest.Test(t.Context(), t.TempDir(), u.file, u.text, u.instead, "^TestInvariantsHold$/^"+u.scene+"$")
 			if err != nil {
 				t.Fatal(err)
 			}
