--- a/internal/platform/metrics.go
+++ b/internal/gateway/platform/metrics.go
@@ -13,10 +13,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"lupinpond/choice"
-	"lupinpond/internal/gate"
-	"lupinpond/internal/serve"
-	"lupinpond/internal/thrift"
+	"lupinpond/internal/base/httpserver"
+	"lupinpond/internal/gateway"
+	"lupinpond/internal/gateway/thrift"
+	"lupinpond/scheduler"
 )
 
 // closings counts the ends of clients' connections by their reason.
@@ -24,8 +24,8 @@
 
 // status is the state of a front end at one moment, for logs and metrics.
 type status struct {
-	gate.Counts
-	Fleet                      choice.FleetState
+	gateway.Counts
+	Fleet                      scheduler.FleetState
 	Open, Connections          int64
 	ToWorkers, Stray, Position int64
 	LogLinesDropped            int64
@@ -60,7 +60,7 @@
 	}
 	for r := range more.GivenUp {
 		if n := more.GivenUp[r].Load(); n > 0 {
-			givenUp[choice.Reason(r).String()] = n
+			givenUp[scheduler.Reason(r).String()] = n
 		}
 	}
 	f.log.Log(context.Background(), level, "status", "violations", f.monitor.Counts(), "requests", s.Taken, "completed", s.Completed,
@@ -100,7 +100,7 @@
 	counter("requests_total", requests, int64(s.Failed), "ending", "failed")
 	counter("requests_total", requests, int64(s.ClientsLeft), "ending", "client_left")
 	for r := range more.GivenUp {
-		counter("requests_given_up_total", "Requests answered without being served, by reason.", more.GivenUp[r].Load(), "reason", choice.Reason(r).String())
+		counter("requests_given_up_total", "Requests answered without being served, by reason.", more.GivenUp[r].Load(), "reason", scheduler.Reason(r).String())
 	}
 	counter("attempts_total", "Attempts decided on.", int64(s.Attempts))
 	counter("retries_total", "Attempts of requests that had one before.", more.Retries.Load())
@@ -160,5 +160,5 @@
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	f.log.Info("metrics are served", "address", listener.Addr().String())
-	return serve.Until(ctx, &http.Server{Handler: mux, ReadHeaderTimeout: metricsHeader}, listener, 0)
+	return httpserver.Until(ctx, &http.Server{Handler: mux, ReadHeaderTimeout: metricsHeader}, listener, 0)
 }
--- a/internal/platform/metrics_test.go
+++ b/internal/gateway/platform/metrics_test.go
@@ -13,7 +13,7 @@
 
 	"log/slog"
 
-	"lupinpond/internal/platform"
+	"lupinpond/internal/gateway/platform"
 )
 
 // The state of a front end is served to Prometheus while it runs, and logged at SIGUSR1 and at the end.
--- a/internal/platform/platform_test.go
+++ b/internal/gateway/platform/platform_test.go
@@ -18,9 +18,9 @@
 
 	"go.uber.org/goleak"
 
-	"lupinpond/internal/platform"
-	"lupinpond/internal/resp"
-	"lupinpond/internal/thrift"
+	"lupinpond/internal/gateway/platform"
+	"lupinpond/internal/gateway/resp"
+	"lupinpond/internal/gateway/thrift"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/platform/request.go
+++ b/internal/gateway/platform/request.go
@@ -9,8 +9,8 @@
 	"time"
 	"unicode"
 
-	"lupinpond/choice"
-	"lupinpond/internal/thrift"
+	"lupinpond/internal/gateway/thrift"
+	"lupinpond/scheduler"
 )
 
 // Methods and fields of the service; numbers of its structs' fields.
@@ -32,7 +32,7 @@
 
 // request is an event as a client sends it.
 type request struct {
-	fact   *choice.Request
+	fact   *scheduler.Request
 	number uint64 // the id as a number
 	mark   string // of a keyed event, by which workers know a repeat
 	body   []byte
@@ -77,7 +77,7 @@
 	if err != nil || wait == 0 || patience > age+time.Millisecond { // rounded up
 		return request{}, fmt.Errorf("wait: %q is not from 1 to the max age in milliseconds", fields["wait"])
 	}
-	fact := &choice.Request{ID: id, Type: class, Tenant: tenant, Function: function, TimeLeft: patience}
+	fact := &scheduler.Request{ID: id, Type: class, Tenant: tenant, Function: function, TimeLeft: patience}
 	switch fields["retry"] {
 	case "", "0":
 	case "1":
@@ -111,7 +111,7 @@
 }
 
 // facts reads what is told of a request's function.
-func facts(e *choice.Request, text string) error {
+func facts(e *scheduler.Request, text string) error {
 	if text == "" {
 		return nil
 	}
--- a/internal/platform/run_test.go
+++ b/internal/gateway/platform/run_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/platform"
+	"lupinpond/internal/gateway/platform"
 )
 
 // logs tells a test the messages that are logged.
--- a/internal/platform/workers.go
+++ b/internal/gateway/platform/workers.go
@@ -9,11 +9,11 @@
 	"sync/atomic"
 	"time"
 
-	"lupinpond/choice"
-	"lupinpond/internal/feed"
-	"lupinpond/internal/gate"
-	"lupinpond/internal/invariant"
-	"lupinpond/internal/resp"
+	"lupinpond/internal/gateway"
+	"lupinpond/internal/gateway/discovery"
+	"lupinpond/internal/gateway/invariant"
+	"lupinpond/internal/gateway/resp"
+	"lupinpond/scheduler"
 )
 
 // backend is one life of a worker of the list.
@@ -57,7 +57,7 @@
 
 // news follows one event of the journal, before the owner hears of it: what waits to be written must not leave after the
 // grace, even where the owner stands still. adopt is to be called when the core has heard of the event.
-func (w *workers) news(e feed.Event) (adopt func()) {
+func (w *workers) news(e discovery.Event) (adopt func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	named, changed := map[string]bool{}, map[string]*backend{}
@@ -77,21 +77,21 @@
 }
 
 // follow follows one line of the list; the lock is held.
-func (w *workers) follow(l feed.Worker) {
+func (w *workers) follow(l discovery.Worker) {
 	b := w.listed[l.Name]
-	if b != nil && l.State != feed.Removed && (b.addr != l.Addr || b.born != l.Born) { // another life, perhaps elsewhere
+	if b != nil && l.State != discovery.Removed && (b.addr != l.Addr || b.born != l.Born) { // another life, perhaps elsewhere
 		b.stop(w.now())
 		delete(w.listed, l.Name)
 		b = nil
 	}
 	switch {
-	case l.State == feed.Up && b == nil:
+	case l.State == discovery.Up && b == nil:
 		w.listed[l.Name] = &backend{Worker: w.pool.Worker(l.Addr), addr: l.Addr, born: l.Born}
-	case l.State == feed.Up:
+	case l.State == discovery.Up:
 		b.resume()
 	case b != nil:
 		b.stop(w.now())
-		if l.State == feed.Removed {
+		if l.State == discovery.Removed {
 			delete(w.listed, l.Name)
 		}
 	}
@@ -144,10 +144,10 @@
 func (s sent) Recall() { s.Call.Recall(s.kill) }
 
 // Send sends an attempt to a worker.
-func (w *workers) Send(e *gate.Request, _ int, worker string, departure *gate.Departure, done func(choice.Outcome, []byte)) gate.Sent {
+func (w *workers) Send(e *gateway.Request, _ int, worker string, departure *gateway.Departure, done func(scheduler.Outcome, []byte)) gateway.Sent {
 	b := w.find(worker)
 	if b == nil {
-		done(choice.Outcome{Result: choice.Unreached}, nil)
+		done(scheduler.Outcome{Result: scheduler.Unreached}, nil)
 		return nil
 	}
 	id := e.Fact.ID
@@ -172,7 +172,7 @@
 }
 
 // spellRequest spells a request with the time that its client has left.
-func spellRequest(e *gate.Request, left time.Duration) []byte {
+func spellRequest(e *gateway.Request, left time.Duration) []byte {
 	fields := "class=" + e.Fact.Type + ",key=" + spell(e.Fact.Function) + ",wait=" + strconv.FormatInt(max(1, left.Milliseconds()), 10)
 	if e.Call.Key != "" {
 		fields += ",once=" + e.Call.Key
@@ -184,54 +184,54 @@
 const mostFields = 160
 
 // outcome is how a launch ended, and its answer.
-func (w *workers) outcome(a resp.Answer) (o choice.Outcome, body []byte) {
+func (w *workers) outcome(a resp.Answer) (o scheduler.Outcome, body []byte) {
 	switch a.Fate {
 	case resp.Unsent:
-		return choice.Outcome{Result: choice.Unreached}, nil
+		return scheduler.Outcome{Result: scheduler.Unreached}, nil
 	case resp.Withheld:
-		return choice.Outcome{Result: choice.TooLate}, nil
+		return scheduler.Outcome{Result: scheduler.TooLate}, nil
 	case resp.Broken:
-		return choice.Outcome{Result: choice.Broken}, nil
+		return scheduler.Outcome{Result: scheduler.Broken}, nil
 	case resp.GivenUp:
-		return choice.Outcome{Result: choice.Cancelled}, nil
+		return scheduler.Outcome{Result: scheduler.Cancelled}, nil
 	}
 	if len(a.Words) != 3 { // the request has run, and what came of it can't be told
-		return choice.Outcome{Result: choice.Broken}, nil
+		return scheduler.Outcome{Result: scheduler.Broken}, nil
 	}
 	fields := resp.Pairs(string(a.Words[1]))
 	o.Load = w.load(fields["stats"])
 	switch fields["how"] {
 	case "ready":
-		o.Warmth = choice.FoundWarm
+		o.Warmth = scheduler.FoundWarm
 	case "loaded":
-		o.Warmth = choice.BeganLoad
+		o.Warmth = scheduler.BeganLoad
 	case "queued":
-		o.Warmth = choice.AwaitedLoad
+		o.Warmth = scheduler.AwaitedLoad
 	case "no_image":
-		o.Warmth = choice.LoadFailed
+		o.Warmth = scheduler.LoadFailed
 	}
 	switch string(a.Words[0]) {
 	case "ok":
-		o.Result, body = choice.Completed, bytes.Clone(a.Words[2])
+		o.Result, body = scheduler.Completed, bytes.Clone(a.Words[2])
 	case "nothing":
-		o.Result = choice.Missing
+		o.Result = scheduler.Missing
 	case "refused":
-		o.Result = choice.Full
+		o.Result = scheduler.Full
 	case "stale":
-		o.Result = choice.TooLate
+		o.Result = scheduler.TooLate
 	case "error":
-		o.Result = choice.Failed
+		o.Result = scheduler.Failed
 	default:
-		o.Result = choice.Broken
+		o.Result = scheduler.Broken
 	}
 	return o, body
 }
 
 // Load sends a load order.
-func (w *workers) Load(o choice.LoadRequest, done func(copies int, r choice.Result)) gate.Sent {
+func (w *workers) Load(o scheduler.LoadRequest, done func(copies int, r scheduler.Result)) gateway.Sent {
 	b := w.find(o.Worker)
 	if b == nil {
-		done(o.Replicas, choice.Unreached)
+		done(o.Replicas, scheduler.Unreached)
 		return nil
 	}
 	tag := w.tag()
@@ -239,53 +239,53 @@
 	return sent{b.Call(tag, resp.Fixed(frame), false, func(a resp.Answer) {
 		switch {
 		case a.Fate == resp.Unsent:
-			done(o.Replicas, choice.Unreached)
+			done(o.Replicas, scheduler.Unreached)
 			return
 		case a.Fate != resp.Answered || len(a.Words) < 2:
-			done(o.Replicas, choice.Broken)
+			done(o.Replicas, scheduler.Broken)
 			return
 		}
 		copies, err := strconv.Atoi(resp.Pairs(string(a.Words[1]))["n"])
-		result := choice.Broken
+		result := scheduler.Broken
 		switch string(a.Words[0]) {
 		case "ok":
-			result = choice.Completed
+			result = scheduler.Completed
 			if err != nil {
 				copies = o.Replicas
 			}
 		case "refused":
-			result = choice.Full
+			result = scheduler.Full
 		case "error":
-			result = choice.Failed
+			result = scheduler.Failed
 		}
 		done(max(0, copies), result)
 	}), nil}
 }
 
 // Probe asks a worker for a report.
-func (w *workers) Probe(worker string, done func(choice.Result, choice.Load)) gate.Sent {
+func (w *workers) Probe(worker string, done func(scheduler.Result, scheduler.Load)) gateway.Sent {
 	b := w.find(worker)
 	if b == nil {
-		done(choice.Unreached, choice.Load{})
+		done(scheduler.Unreached, scheduler.Load{})
 		return nil
 	}
 	tag := w.tag()
 	return sent{b.Call(tag, resp.Fixed(resp.Append(nil, "TOP", tag)), false, func(a resp.Answer) {
 		switch {
 		case a.Fate == resp.Unsent:
-			done(choice.Unreached, choice.Load{})
+			done(scheduler.Unreached, scheduler.Load{})
 		case a.Fate != resp.Answered || len(a.Words) < 1:
-			done(choice.Broken, choice.Load{})
+			done(scheduler.Broken, scheduler.Load{})
 		case string(a.Words[0]) == "yes":
-			load := choice.Load{}
+			load := scheduler.Load{}
 			if len(a.Words) > 1 {
 				load = w.load(resp.Pairs(string(a.Words[1]))["stats"])
 			}
-			done(choice.Completed, load)
+			done(scheduler.Completed, load)
 		case string(a.Words[0]) == "no":
-			done(choice.Full, choice.Load{})
+			done(scheduler.Full, scheduler.Load{})
 		default:
-			done(choice.Failed, choice.Load{})
+			done(scheduler.Failed, scheduler.Load{})
 		}
 	}), nil}
 }
@@ -300,9 +300,9 @@
 }
 
 // load reads a load report.
-func (w *workers) load(text string) choice.Load {
+func (w *workers) load(text string) scheduler.Load {
 	if text == "" || w.report == "" {
-		return choice.Load{}
+		return scheduler.Load{}
 	}
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(part, ":")
@@ -310,7 +310,7 @@
 			continue
 		}
 		n, err := strconv.ParseFloat(value, 64)
-		return choice.Load{Reported: err == nil, QueueDepth: n}
+		return scheduler.Load{Reported: err == nil, QueueDepth: n}
 	}
-	return choice.Load{}
+	return scheduler.Load{}
 }
--- a/internal/corelog/compat_test.go
+++ b/internal/gateway/replay/compat_test.go
@@ -1,4 +1,4 @@
-package corelog_test
+package replay_test
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"lupinpond/internal/core"
-	"lupinpond/internal/corelog"
+	"lupinpond/internal/gateway/core"
+	"lupinpond/internal/gateway/replay"
 )
 
 // A recording that an earlier version made replays without a difference, and it holds every kind of action and fact that
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	verbs, ops := map[string]int{}, map[core.Op]int{}
-	told, err := corelog.Replay(bytes.NewReader(stored), func(fact *core.Entry, action *corelog.Action) {
+	told, err := replay.Replay(bytes.NewReader(stored), func(fact *core.Entry, action *replay.Action) {
 		if fact != nil {
 			ops[fact.Op]++
 		}
@@ -68,8 +68,8 @@
 			}
 			changed = append(changed, raw...)
 		}
-		if _, err := corelog.Replay(bytes.NewReader(changed), nil); !errors.Is(err, corelog.ErrDiffers) {
-			t.Errorf("item %d %s: got error %v, want %v", i, what, err, corelog.ErrDiffers)
+		if _, err := replay.Replay(bytes.NewReader(changed), nil); !errors.Is(err, replay.ErrDiffers) {
+			t.Errorf("item %d %s: got error %v, want %v", i, what, err, replay.ErrDiffers)
 		}
 	}
 	actions := 0
--- a/internal/corelog/corelog.go
+++ b/internal/gateway/replay/replay.go
@@ -1,6 +1,6 @@
-// Package corelog keeps recordings of a core: what it was started with, every fact it was told and everything it did,
+// Package replay keeps recordings of a core: what it was started with, every fact it was told and everything it did,
 // as a sequence of CBOR items (RFC 8742). A recording replayed on the same version gives the same actions.
-package corelog
+package replay
 
 import (
 	"errors"
@@ -10,8 +10,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"lupinpond/choice"
-	"lupinpond/internal/core"
+	"lupinpond/internal/gateway/core"
+	"lupinpond/scheduler"
 )
 
 const (
@@ -27,14 +27,14 @@
 
 // Action is one thing that a core did.
 type Action struct {
-	Verb   string             `cbor:"1,keyasint"` // launch, handle, defer, dead-letter, withdraw, order, probe, ask, wake, ended
-	ID     string             `cbor:"2,keyasint,omitempty"`
-	Launch int                `cbor:"3,keyasint,omitempty"`
-	Worker string             `cbor:"4,keyasint,omitempty"`
-	Time   time.Duration      `cbor:"5,keyasint,omitempty"`
-	MayRun bool               `cbor:"6,keyasint,omitempty"`
-	Order  choice.LoadRequest `cbor:"7,keyasint,omitempty"`
-	Ending core.Ending        `cbor:"8,keyasint,omitempty"`
+	Verb   string                `cbor:"1,keyasint"` // launch, handle, defer, dead-letter, withdraw, order, probe, ask, wake, ended
+	ID     string                `cbor:"2,keyasint,omitempty"`
+	Launch int                   `cbor:"3,keyasint,omitempty"`
+	Worker string                `cbor:"4,keyasint,omitempty"`
+	Time   time.Duration         `cbor:"5,keyasint,omitempty"`
+	MayRun bool                  `cbor:"6,keyasint,omitempty"`
+	Order  scheduler.LoadRequest `cbor:"7,keyasint,omitempty"`
+	Ending core.Ending           `cbor:"8,keyasint,omitempty"`
 }
 
 // String spells an action as replay shows it.
@@ -73,27 +73,27 @@
 	}
 }
 
-func (w watcher) Send(e *choice.Request, n int, worker string) {
+func (w watcher) Send(e *scheduler.Request, n int, worker string) {
 	w.do(Action{Verb: "launch", ID: e.ID, Launch: n, Worker: worker}, func(a core.Actor) { a.Send(e, n, worker) })
 }
 
-func (w watcher) Complete(e *choice.Request, n int) {
+func (w watcher) Complete(e *scheduler.Request, n int) {
 	w.do(Action{Verb: "handle", ID: e.ID, Launch: n}, func(a core.Actor) { a.Complete(e, n) })
 }
 
-func (w watcher) Reject(e *choice.Request, back time.Duration, ran bool) {
+func (w watcher) Reject(e *scheduler.Request, back time.Duration, ran bool) {
 	w.do(Action{Verb: "defer", ID: e.ID, Time: back, MayRun: ran}, func(a core.Actor) { a.Reject(e, back, ran) })
 }
 
-func (w watcher) Fail(e *choice.Request, n int, ran bool) {
+func (w watcher) Fail(e *scheduler.Request, n int, ran bool) {
 	w.do(Action{Verb: "dead-letter", ID: e.ID, Launch: n, MayRun: ran}, func(a core.Actor) { a.Fail(e, n, ran) })
 }
 
-func (w watcher) Cancel(e *choice.Request, n int, worker string) {
+func (w watcher) Cancel(e *scheduler.Request, n int, worker string) {
 	w.do(Action{Verb: "withdraw", ID: e.ID, Launch: n, Worker: worker}, func(a core.Actor) { a.Cancel(e, n, worker) })
 }
 
-func (w watcher) Load(o choice.LoadRequest) {
+func (w watcher) Load(o scheduler.LoadRequest) {
 	w.do(Action{Verb: "order", Order: o}, func(a core.Actor) { a.Load(o) })
 }
 
@@ -107,7 +107,7 @@
 	w.do(Action{Verb: "wake", Time: after}, func(a core.Actor) { a.Wake(after) })
 }
 
-func (w watcher) Ended(e *choice.Request, n int, how core.Ending) {
+func (w watcher) Ended(e *scheduler.Request, n int, how core.Ending) {
 	w.do(Action{Verb: "ended", ID: e.ID, Launch: n, Ending: how}, func(a core.Actor) { a.Ended(e, n, how) })
 }
 
--- a/internal/corelog/corelog_test.go
+++ b/internal/gateway/replay/replay_test.go
@@ -1,4 +1,4 @@
-package corelog_test
+package replay_test
 
 import (
 	"maps"
@@ -8,24 +8,24 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"lupinpond/choice"
-	"lupinpond/internal/core"
-	"lupinpond/internal/corelog"
+	"lupinpond/internal/gateway/core"
+	"lupinpond/internal/gateway/replay"
+	"lupinpond/scheduler"
 )
 
 // Recordings keep their form whatever the fields are called in the program: one made by an earlier version is read.
 func TestRecordingKeepsItsForm(t *testing.T) {
-	request := &choice.Request{ID: "r", TimeLeft: time.Second, Concurrency: 2, Memory: 3, LoadTime: 4, Retry: true, Type: "t", Tenant: "n", Function: 5}
+	request := &scheduler.Request{ID: "r", TimeLeft: time.Second, Concurrency: 2, Memory: 3, LoadTime: 4, Retry: true, Type: "t", Tenant: "n", Function: 5}
 	for _, form := range []struct {
 		value any
 		names []string
 	}{
 		{request, []string{"Function", "ID", "Lanes", "LoadTime", "Memory", "Patience", "Repeat", "Tenant", "Type"}},
-		{choice.RequestType{}, []string{"Effect", "Group", "Name", "Target", "Window"}},
-		{choice.Load{}, []string{"Told", "Waiting"}},
-		{choice.Outcome{}, []string{"Final", "Load", "Result", "Took", "Warmth", "Worker"}},
-		{choice.Member{}, []string{"Cell", "Condition", "Kind", "Size", "Started", "Worker", "Zone"}},
-		{choice.LoadRequest{}, []string{"Copies", "Function", "Worker"}},
+		{scheduler.RequestType{}, []string{"Effect", "Group", "Name", "Target", "Window"}},
+		{scheduler.Load{}, []string{"Told", "Waiting"}},
+		{scheduler.Outcome{}, []string{"Final", "Load", "Result", "Took", "Warmth", "Worker"}},
+		{scheduler.Member{}, []string{"Cell", "Condition", "Kind", "Size", "Started", "Worker", "Zone"}},
+		{scheduler.LoadRequest{}, []string{"Copies", "Function", "Worker"}},
 	} {
 		b, err := cbor.Marshal(form.value)
 		if err != nil {
@@ -39,7 +39,7 @@
 			t.Errorf("%T is recorded as %v, want %v", form.value, names, form.names)
 		}
 	}
-	for value, want := range map[any]int{core.OpListed: 1, core.OpEndBy: 10, choice.Completed: 0, choice.Missing: 8, core.Completed: 0,
+	for value, want := range map[any]int{core.OpListed: 1, core.OpEndBy: 10, scheduler.Completed: 0, scheduler.Missing: 8, core.Completed: 0,
 		core.Abandoned: 3} {
 		b, err := cbor.Marshal(value)
 		var got int
@@ -47,7 +47,7 @@
 			t.Errorf("%T is recorded as %d, want %d", value, got, want)
 		}
 	}
-	numbered, err := cbor.Marshal(corelog.Action{Verb: "launch", ID: "r", Launch: 2})
+	numbered, err := cbor.Marshal(replay.Action{Verb: "launch", ID: "r", Launch: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/resp/commands_test.go
+++ b/internal/gateway/resp/commands_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"testing/iotest"
 
-	"lupinpond/internal/resp"
+	"lupinpond/internal/gateway/resp"
 )
 
 // Commands come whole, however their bytes come, and reading ends with what can't be read or with the reader's own error.
--- a/internal/resp/crossing_test.go
+++ b/internal/gateway/resp/crossing_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"lupinpond/internal/resp"
+	"lupinpond/internal/gateway/resp"
 )
 
 // huge is more than the sockets take while nobody reads.
--- a/internal/resp/golden_test.go
+++ b/internal/gateway/resp/golden_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/resp"
+	"lupinpond/internal/gateway/resp"
 )
 
 // goldenCommands are the requests sent to workers, as words and as the exact bytes on the wire.
--- a/internal/resp/recall_race_test.go
+++ b/internal/gateway/resp/recall_race_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/resp"
+	"lupinpond/internal/gateway/resp"
 )
 
 // A call that is given up as its answer comes ends once, with one of the two, and no connection is held for it in the end.
--- a/internal/resp/resp_test.go
+++ b/internal/gateway/resp/resp_test.go
@@ -9,7 +9,7 @@
 
 	"go.uber.org/goleak"
 
-	"lupinpond/internal/resp"
+	"lupinpond/internal/gateway/resp"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/settings/front.go
+++ b/internal/gateway/settings/front.go
@@ -4,8 +4,8 @@
 	"strconv"
 	"strings"
 
-	"lupinpond/choice"
-	"lupinpond/internal/core"
+	"lupinpond/internal/gateway/core"
+	"lupinpond/scheduler"
 )
 
 // Front is what a core is started with.
@@ -15,7 +15,7 @@
 	for i := range int(p.Number("request_classes.count", 0)) {
 		at := "request_classes." + strconv.Itoa(i) + "."
 		age := p.Time(at+"give_up", 0)
-		f.Types = append(f.Types, choice.RequestType{Name: p[at+"name"], Effect: effect(p[at+"effect"]),
+		f.Types = append(f.Types, scheduler.RequestType{Name: p[at+"name"], Effect: effect(p[at+"effect"]),
 			Group: group(p[at+"dedup_scope"]), Window: p.Time(at+"window", 0),
 			Objective: p.Time(at+"aim", age)})
 	}
@@ -52,22 +52,22 @@
 // Sized tells whether the list of workers tells sizes that count.
 func (p Paths) Sized() bool { return p["weight_source"] == "nominal" || p["weight_source"] == "rough" }
 
-func effect(word string) choice.Effect {
+func effect(word string) scheduler.Effect {
 	switch word {
 	case "pure":
-		return choice.Idempotent
+		return scheduler.Idempotent
 	case "token":
-		return choice.IdempotencyKey
+		return scheduler.IdempotencyKey
 	}
-	return choice.AtMostOnce
+	return scheduler.AtMostOnce
 }
 
-func group(word string) choice.Group {
+func group(word string) scheduler.Group {
 	switch word {
 	case "all":
-		return choice.GroupAll
+		return scheduler.GroupAll
 	case "zone":
-		return choice.GroupZone
+		return scheduler.GroupZone
 	}
-	return choice.GroupCell
+	return scheduler.GroupCell
 }
--- a/internal/settings/golden_test.go
+++ b/internal/gateway/settings/golden_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"lupinpond/internal/settings"
+	"lupinpond/internal/gateway/settings"
 )
 
 // goldenObject sets every key that a front end's core reads.
--- a/internal/settings/settings_test.go
+++ b/internal/gateway/settings/settings_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"lupinpond/choice"
-	"lupinpond/internal/settings"
+	"lupinpond/internal/gateway/settings"
+	"lupinpond/scheduler"
 )
 
 // Nested JSON gives the paths that the simulator's first message has.
@@ -30,8 +30,8 @@
 	if len(f.Kinds) != 2 || f.Kinds[1].Name != "std" || f.Kinds[1].Memory != 187136.5 || f.Loading.Keep != 4750*time.Millisecond {
 		t.Errorf("%+v", f)
 	}
-	if len(f.Types) != 2 || f.Types[0].Effect != choice.Idempotent || f.Types[0].Objective != 1470*time.Millisecond ||
-		f.Types[1].Effect != choice.AtMostOnce || f.Types[1].Objective != 2*time.Second {
+	if len(f.Types) != 2 || f.Types[0].Effect != scheduler.Idempotent || f.Types[0].Objective != 1470*time.Millisecond ||
+		f.Types[1].Effect != scheduler.AtMostOnce || f.Types[1].Objective != 2*time.Second {
 		t.Errorf("%+v", f.Types)
 	}
 	if len(f.Tenants) != 1 || f.Tenants[0].Quota != 188 || f.MaxRetryAfter != 2*time.Second || p["empty.count"] != "0" {
--- a/internal/gate/shape_test.go
+++ b/internal/gateway/shape_test.go
@@ -1,4 +1,4 @@
-package gate_test
+package gateway_test
 
 import (
 	"bytes"
@@ -8,22 +8,22 @@
 
 	"github.com/goccy/go-yaml"
 
-	"lupinpond/internal/config"
-	"lupinpond/internal/core"
-	"lupinpond/internal/corelog"
-	"lupinpond/internal/crew"
+	"lupinpond/internal/gateway/core"
+	"lupinpond/internal/gateway/fleetconfig"
+	"lupinpond/internal/gateway/replay"
+	"lupinpond/internal/testbed/localfleet"
 )
 
 // One build serves a deployment whose workers answer a miss, report no waiting events and are told by kind and zone, by
 // its settings alone; the load reports and the list reach the module as those settings say.
 func TestOtherShape(t *testing.T) {
-	r := start(t, func(f *config.File) {
-		crew.OtherShape(f, "z")
-		f.Fleet.Workers.Kinds = []config.Kind{{Name: "box", Memory: 1 << 30}}
+	r := start(t, func(f *fleetconfig.File) {
+		localfleet.OtherShape(f, "z")
+		f.Fleet.Workers.Kinds = []fleetconfig.Kind{{Name: "box", Memory: 1 << 30}}
 		f.Front.List = "http://127.0.0.1:1"
 		b, err := yaml.Marshal(*f)
 		if err == nil {
-			_, err = config.Parse("other.yaml", b)
+			_, err = fleetconfig.Parse("other.yaml", b)
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -77,7 +77,7 @@
 // entries are the facts of a recording, which a replay repeats to the last action.
 func entries(t *testing.T, record *bytes.Buffer) (facts []core.Entry) {
 	t.Helper()
-	_, err := corelog.Replay(bytes.NewReader(record.Bytes()), func(e *core.Entry, _ *corelog.Action) {
+	_, err := replay.Replay(bytes.NewReader(record.Bytes()), func(e *core.Entry, _ *replay.Action) {
 		if e != nil {
 			facts = append(facts, *e)
 		}
--- a/internal/gate/stats.go
+++ b/internal/gateway/stats.go
@@ -1,22 +1,22 @@
-package gate
+package gateway
 
 import (
 	"context"
 	"log/slog"
 	"sync/atomic"
 
-	"lupinpond/choice"
-	"lupinpond/internal/invariant"
+	"lupinpond/internal/gateway/invariant"
+	"lupinpond/scheduler"
 )
 
 // Stats are an owner's numbers that may be read at any time.
 type Stats struct {
-	Retries      atomic.Int64                 // attempts of requests that had one before
-	Stalled      atomic.Int64                 // requests that were read right after the process had not run
-	WithheldLeft atomic.Int64                 // attempts that did not leave as their client had left
-	WithheldLate atomic.Int64                 // or had no time left
-	WithheldOld  atomic.Int64                 // or the process had not run since the decision
-	GivenUp      [choice.Reasons]atomic.Int64 // requests answered without being served, by reason
+	Retries      atomic.Int64                    // attempts of requests that had one before
+	Stalled      atomic.Int64                    // requests that were read right after the process had not run
+	WithheldLeft atomic.Int64                    // attempts that did not leave as their client had left
+	WithheldLate atomic.Int64                    // or had no time left
+	WithheldOld  atomic.Int64                    // or the process had not run since the decision
+	GivenUp      [scheduler.Reasons]atomic.Int64 // requests answered without being served, by reason
 }
 
 // Stats gives the owner's numbers.
@@ -39,9 +39,9 @@
 }
 
 // FleetState asks the owner what the core makes of its fleet; zero where it does not tell before ctx ends.
-func (o *Owner) FleetState(ctx context.Context) (f choice.FleetState) {
+func (o *Owner) FleetState(ctx context.Context) (f scheduler.FleetState) {
 	if !o.ask(ctx, func() { f = o.core.FleetState() }) {
-		return choice.FleetState{}
+		return scheduler.FleetState{}
 	}
 	return f
 }
--- a/internal/thrift/drain_test.go
+++ b/internal/gateway/thrift/drain_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/thrift"
+	"lupinpond/internal/gateway/thrift"
 )
 
 // listener holds connections back until it is opened, as a process that stands still does, and gives out conns that a
--- a/internal/thrift/evict_test.go
+++ b/internal/gateway/thrift/evict_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/thrift"
+	"lupinpond/internal/gateway/thrift"
 )
 
 // heldWrites is a connection whose writes wait until they are released, as with a client that does not read.
--- a/internal/thrift/golden_test.go
+++ b/internal/gateway/thrift/golden_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/thrift"
+	"lupinpond/internal/gateway/thrift"
 )
 
 // goldenDispatch is a framed request in the strict binary protocol: dispatch, number 7, {1: {"id": "a1"}, 2: "body"}.
--- a/internal/thrift/thrift_test.go
+++ b/internal/gateway/thrift/thrift_test.go
@@ -12,7 +12,7 @@
 
 	"go.uber.org/goleak"
 
-	"lupinpond/internal/thrift"
+	"lupinpond/internal/gateway/thrift"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/roster/client.go
+++ b/internal/registry/client.go
@@ -1,4 +1,4 @@
-package roster
+package registry
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"net/url"
 	"time"
 
-	"lupinpond/internal/ask"
+	"lupinpond/internal/base/httpclient"
 )
 
 const mostAnswer = 16 << 20
@@ -48,15 +48,15 @@
 	}
 	var entries []Entry
 	if err := json.Unmarshal(text, &entries); err != nil {
-		return nil, errors.Join(errors.New("lproster sent no list"), err)
+		return nil, errors.Join(errors.New("registry sent no list"), err)
 	}
 	return entries, nil
 }
 
 func (c Client) ask(ctx context.Context, method, path string, body []byte) ([]byte, error) {
-	b, err := ask.Do(ctx, c.HTTP, method, c.Base+path, body, mostAnswer)
+	b, err := httpclient.Do(ctx, c.HTTP, method, c.Base+path, body, mostAnswer)
 	if err != nil {
-		return nil, fmt.Errorf("lproster: %w", err)
+		return nil, fmt.Errorf("registry: %w", err)
 	}
 	return b, nil
 }
--- a/internal/roster/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -1,4 +1,4 @@
-package roster_test
+package registry_test
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/roster"
+	"lupinpond/internal/registry"
 )
 
 // deadline bounds every exchange; it is reached only where the test fails.
@@ -27,9 +27,9 @@
 	emptyJSON = `{"name":"w-0","addr":"a","cores":0,"state":"draining","started":"0001-01-01T00:00:00Z"}`
 )
 
-func full() roster.Entry {
-	return roster.Entry{Name: "w-1", Addr: "10.0.0.1:8720", Zone: "z-2", Cell: "c-3", Kind: "k-4", Cores: 5.5,
-		State: roster.In, Chunks: "10.0.0.1:8721", Started: time.Date(2021, 3, 4, 5, 6, 7, 89, time.UTC)}
+func full() registry.Entry {
+	return registry.Entry{Name: "w-1", Addr: "10.0.0.1:8720", Zone: "z-2", Cell: "c-3", Kind: "k-4", Cores: 5.5,
+		State: registry.In, Chunks: "10.0.0.1:8721", Started: time.Date(2021, 3, 4, 5, 6, 7, 89, time.UTC)}
 }
 
 // exchange sends a request to a handler and gives the answer as text: status, the headers that are set, the body. There is
@@ -57,7 +57,7 @@
 		listed = "200\nContent-Type: application/json\n\n"
 		needed = "entry: a name as in the address, an addr and a known state are needed"
 	)
-	h := roster.New(nil).Handler()
+	h := registry.New(nil).Handler()
 	for i, x := range []struct{ method, target, body, want string }{
 		{"GET", "/v1/workers", "", listed + "null\n"},
 		{"PUT", "/v1/workers/w-1", fullJSON, none},
@@ -92,7 +92,7 @@
 func TestGoldenStream(t *testing.T) {
 	var mu sync.Mutex
 	var fronts []string
-	r := roster.New(func(front string, _ time.Time, _ roster.News) {
+	r := registry.New(func(front string, _ time.Time, _ registry.News) {
 		mu.Lock()
 		defer mu.Unlock()
 		fronts = append(fronts, front)
@@ -131,9 +131,9 @@
 		}
 	}
 	line(`{"version":1,"whole":true,"entries":[` + fullJSON + "]}\n")
-	r.Mark("w-1", roster.Draining)
+	r.Mark("w-1", registry.Draining)
 	line(`{"version":2,"whole":false,"entries":[` + strings.Replace(fullJSON, `"in"`, `"draining"`, 1) + "]}\n")
-	r.Mark("w-1", roster.Gone)
+	r.Mark("w-1", registry.Gone)
 	line(`{"version":3,"whole":false,"entries":[` + strings.Replace(fullJSON, `"in"`, `"gone"`, 1) + "]}\n")
 	mu.Lock()
 	defer mu.Unlock()
@@ -144,7 +144,7 @@
 
 // TestGoldenEmptyStream: the first line where no worker is known.
 func TestGoldenEmptyStream(t *testing.T) {
-	s := httptest.NewServer(roster.New(nil).Handler())
+	s := httptest.NewServer(registry.New(nil).Handler())
 	defer s.Close()
 	ctx, stop := context.WithTimeout(context.Background(), deadline)
 	defer stop()
@@ -196,31 +196,31 @@
 		name    string
 		status  int
 		body    string
-		call    func(roster.Client) (any, error)
+		call    func(registry.Client) (any, error)
 		request string
 		want    any
 		err     string
 	}{
-		{"put", 204, "", func(c roster.Client) (any, error) { return nil, c.Put(ctx, full(), 3*time.Second) },
+		{"put", 204, "", func(c registry.Client) (any, error) { return nil, c.Put(ctx, full(), 3*time.Second) },
 			"PUT " + base + "/v1/workers/w-1?lease=3s\n" + fullJSON, nil, ""},
-		{"put an odd name", 400, "no\n", func(c roster.Client) (any, error) { return nil, c.Put(ctx, odd, 90*time.Second) },
+		{"put an odd name", 400, "no\n", func(c registry.Client) (any, error) { return nil, c.Put(ctx, odd, 90*time.Second) },
 			"PUT " + base + "/v1/workers/w%2F1%20%C3%BC?lease=1m30s\n" + strings.Replace(fullJSON, "w-1", "w/1 ü", 1), nil,
-			"lproster: 400 Bad Request: no"},
-		{"drain", 204, "", func(c roster.Client) (any, error) { return nil, c.Mark(ctx, "w-1", roster.Draining) },
+			"registry: 400 Bad Request: no"},
+		{"drain", 204, "", func(c registry.Client) (any, error) { return nil, c.Mark(ctx, "w-1", registry.Draining) },
 			"POST " + base + "/v1/workers/w-1/drain\n", nil, ""},
-		{"gone", 404, "no such worker\n", func(c roster.Client) (any, error) { return nil, c.Mark(ctx, "w-1", roster.Gone) },
-			"POST " + base + "/v1/workers/w-1/gone\n", nil, "lproster: 404 Not Found: no such worker"},
-		{"in", 204, "", func(c roster.Client) (any, error) { return nil, c.Mark(ctx, "w-1", roster.In) },
+		{"gone", 404, "no such worker\n", func(c registry.Client) (any, error) { return nil, c.Mark(ctx, "w-1", registry.Gone) },
+			"POST " + base + "/v1/workers/w-1/gone\n", nil, "registry: 404 Not Found: no such worker"},
+		{"in", 204, "", func(c registry.Client) (any, error) { return nil, c.Mark(ctx, "w-1", registry.In) },
 			"", nil, `a worker can't be marked as "in"`},
-		{"workers", 200, "[" + fullJSON + "]\n", func(c roster.Client) (any, error) { return c.Workers(ctx) },
-			"GET " + base + "/v1/workers\n", []roster.Entry{full()}, ""},
-		{"no workers", 200, "null\n", func(c roster.Client) (any, error) { return c.Workers(ctx) },
-			"GET " + base + "/v1/workers\n", []roster.Entry(nil), ""},
-		{"no list", 200, "x", func(c roster.Client) (any, error) { return c.Workers(ctx) }, "GET " + base + "/v1/workers\n",
-			[]roster.Entry(nil), "lproster sent no list\ninvalid character 'x' looking for beginning of value"},
+		{"workers", 200, "[" + fullJSON + "]\n", func(c registry.Client) (any, error) { return c.Workers(ctx) },
+			"GET " + base + "/v1/workers\n", []registry.Entry{full()}, ""},
+		{"no workers", 200, "null\n", func(c registry.Client) (any, error) { return c.Workers(ctx) },
+			"GET " + base + "/v1/workers\n", []registry.Entry(nil), ""},
+		{"no list", 200, "x", func(c registry.Client) (any, error) { return c.Workers(ctx) }, "GET " + base + "/v1/workers\n",
+			[]registry.Entry(nil), "registry sent no list\ninvalid character 'x' looking for beginning of value"},
 	} {
 		wire := &canned{status: x.status, body: x.body}
-		got, err := x.call(roster.Client{Base: base, HTTP: &http.Client{Transport: wire}})
+		got, err := x.call(registry.Client{Base: base, HTTP: &http.Client{Transport: wire}})
 		text := ""
 		if err != nil {
 			text = err.Error()
@@ -238,24 +238,24 @@
 func TestGoldenWatch(t *testing.T) {
 	const base = "http://list:8710"
 	whole := `{"version":7,"whole":true,"entries":[` + fullJSON + "]}\n"
-	seven := roster.News{Version: 7, Whole: true, Entries: []roster.Entry{full()}}
+	seven := registry.News{Version: 7, Whole: true, Entries: []registry.Entry{full()}}
 	for _, x := range []struct {
 		name   string
 		status int
 		body   string
-		want   []roster.News
+		want   []registry.News
 		err    string
 	}{
-		{"ends", 200, "\n" + whole + "\n" + `{"version":8,"whole":false,"entries":null}` + "\n", []roster.News{seven, {Version: 8}},
+		{"ends", 200, "\n" + whole + "\n" + `{"version":8,"whole":false,"entries":null}` + "\n", []registry.News{seven, {Version: 8}},
 			"watch the list: unexpected EOF"},
-		{"bad state", 200, whole + `{"version":8,"whole":false,"entries":[{"name":"w-1","state":"out"}]}` + "\n", []roster.News{seven},
+		{"bad state", 200, whole + `{"version":8,"whole":false,"entries":[{"name":"w-1","state":"out"}]}` + "\n", []registry.News{seven},
 			`watch the list: list version 8, entry 0: worker "w-1" in state "out"`},
 		{"no JSON", 200, "x\n", nil, "watch the list: invalid character 'x' looking for beginning of value"},
 		{"refused", 503, "", nil, "watch the list: status 503 Service Unavailable"},
 	} {
 		wire := &canned{status: x.status, body: x.body}
-		var got []roster.News
-		err := roster.Watch(context.Background(), &http.Client{Transport: wire}, base, "front 1&x", func(n roster.News) { got = append(got, n) })
+		var got []registry.News
+		err := registry.Watch(context.Background(), &http.Client{Transport: wire}, base, "front 1&x", func(n registry.News) { got = append(got, n) })
 		if want := "GET " + base + "/v1/list?front=front+1%26x\n"; wire.request != want {
 			t.Errorf("%s: request got %q, want %q", x.name, wire.request, want)
 		}
--- a/internal/roster/roster.go
+++ b/internal/registry/registry.go
@@ -1,6 +1,6 @@
-// Package roster keeps the list of workers and pushes its changes to front ends over HTTP, one JSON value a line. It
+// Package registry keeps the list of workers and pushes its changes to front ends over HTTP, one JSON value a line. It
 // decides nothing about events: it says who is in service, draining or gone. docs/operate/gate.md has the protocol.
-package roster
+package registry
 
 import (
 	"bufio"
--- a/internal/simhost/host.go
+++ b/internal/simadapter/adapter.go
@@ -1,6 +1,6 @@
-// Package simhost runs front ends on the simulator's wire: it decodes lines into calls to a core for each, and
+// Package simadapter runs front ends on the simulator's wire: it decodes lines into calls to a core for each, and
 // encodes what the core does into lines. It decides nothing and keeps nothing else.
-package simhost
+package simadapter
 
 import (
 	"errors"
@@ -10,24 +10,24 @@
 	"strconv"
 	"time"
 
-	"lupinpond/choice"
-	"lupinpond/internal/core"
-	"lupinpond/internal/simwire"
+	"lupinpond/internal/gateway/core"
+	"lupinpond/internal/simadapter/simprotocol"
+	"lupinpond/scheduler"
 )
 
 // instance is one front end.
 type instance struct {
 	*core.Core
 	name    string
-	out     *simwire.Writer
+	out     *simprotocol.Writer
 	sized   bool // the list tells sizes
 	touched bool
 }
 
 // Host runs the instances of one process.
 type Host struct {
-	in        *simwire.Reader
-	out       *simwire.Writer
+	in        *simprotocol.Reader
+	out       *simprotocol.Writer
 	instances map[string]*instance
 	touched   []*instance
 	now       time.Duration
@@ -35,7 +35,7 @@
 
 // New makes a Host that reads batches from in and writes replies to out.
 func New(in io.Reader, out io.Writer) *Host {
-	return &Host{in: simwire.NewReader(in), out: simwire.NewWriter(out), instances: map[string]*instance{}}
+	return &Host{in: simprotocol.NewReader(in), out: simprotocol.NewWriter(out), instances: map[string]*instance{}}
 }
 
 // Run answers batches until the input ends.
@@ -57,7 +57,7 @@
 	}
 }
 
-func (h *Host) batch(line *simwire.Line) error {
+func (h *Host) batch(line *simprotocol.Line) error {
 	if line.Word("BATCH") != "BATCH" {
 		line.Complain("BATCH with clock and number")
 	}
@@ -94,7 +94,7 @@
 	return nil
 }
 
-func (h *Host) next(expected string) (*simwire.Line, error) {
+func (h *Host) next(expected string) (*simprotocol.Line, error) {
 	line, err := h.in.Next()
 	if errors.Is(err, io.EOF) {
 		return nil, h.in.Ended(expected)
@@ -103,7 +103,7 @@
 }
 
 // event decodes one line into a call. The second value of every event is its instance.
-func (h *Host) event(message string, line *simwire.Line) error {
+func (h *Host) event(message string, line *simprotocol.Line) error {
 	name := line.Word("instance")
 	in := h.instances[name]
 	if message != "SPAWN" && in == nil {
@@ -155,7 +155,7 @@
 }
 
 // probed decodes the answer to a probe.
-func (h *Host) probed(in *instance, line *simwire.Line) {
+func (h *Host) probed(in *instance, line *simprotocol.Line) {
 	worker := line.Word("worker")
 	took := line.Time("time", true)
 	result := outcome(line)
@@ -166,8 +166,8 @@
 }
 
 // loaded decodes the answer to a load request.
-func (h *Host) loaded(in *instance, line *simwire.Line) {
-	request := choice.LoadRequest{Worker: line.Word("worker"), Function: line.Whole("function", false)}
+func (h *Host) loaded(in *instance, line *simprotocol.Line) {
+	request := scheduler.LoadRequest{Worker: line.Word("worker"), Function: line.Whole("function", false)}
 	result := outcome(line)
 	took := line.Time("time", true)
 	request.Replicas = int(line.Whole("copies", true))
@@ -183,7 +183,7 @@
 	}
 }
 
-func (h *Host) spawn(name string, line *simwire.Line) *instance {
+func (h *Host) spawn(name string, line *simprotocol.Line) *instance {
 	seed := line.Whole("seed", false)
 	set := line.Settings("settings")
 	in := &instance{name: name, out: h.out, sized: set.Sized()}
@@ -194,7 +194,7 @@
 	return in
 }
 
-func (h *Host) membership(in *instance, line *simwire.Line) error {
+func (h *Host) membership(in *instance, line *simprotocol.Line) error {
 	line.Whole("list version", false)
 	kind := line.Word("kind of list")
 	n := line.Whole("number of entries", kind == "broken")
@@ -204,7 +204,7 @@
 	if err := line.Done(); err != nil {
 		return err
 	}
-	var news []choice.Member
+	var news []scheduler.Member
 	for range n {
 		line, err := h.next("ENTRY")
 		if err != nil {
@@ -213,15 +213,15 @@
 		if line.Word("ENTRY") != "ENTRY" {
 			line.Complain("ENTRY")
 		}
-		l := choice.Member{Worker: line.Word("worker"), Zone: line.Maybe("zone")}
+		l := scheduler.Member{Worker: line.Word("worker"), Zone: line.Maybe("zone")}
 		l.Kind = line.Maybe("kind")
 		l.Cell = line.Maybe("cell")
 		switch word := line.Word("condition"); word {
 		case "IN":
 		case "LAME":
-			l.Condition = choice.Draining
+			l.Condition = scheduler.Draining
 		case "OUT":
-			l.Condition = choice.Removed
+			l.Condition = scheduler.Removed
 		default:
 			line.Complain("IN, LAME or OUT, got " + strconv.Quote(word))
 		}
@@ -243,8 +243,8 @@
 	return nil
 }
 
-func (h *Host) incoming(in *instance, line *simwire.Line) error {
-	e := &choice.Request{ID: line.Word("request"), Type: line.Word("class"), Tenant: line.Maybe("tenant"),
+func (h *Host) incoming(in *instance, line *simprotocol.Line) error {
+	e := &scheduler.Request{ID: line.Word("request"), Type: line.Word("class"), Tenant: line.Maybe("tenant"),
 		Function: line.Whole("function", false), TimeLeft: line.Time("patience", false)}
 	line.Number("cost", true)
 	e.Memory = line.Number("memory", true)
@@ -261,9 +261,9 @@
 	return nil
 }
 
-func (h *Host) settled(in *instance, line *simwire.Line) error {
+func (h *Host) settled(in *instance, line *simprotocol.Line) error {
 	id := line.Word("request")
-	o := choice.Outcome{Took: line.Time("time", true)}
+	o := scheduler.Outcome{Took: line.Time("time", true)}
 	note := line.Whole("note", true)
 	o.Worker = line.Word("worker")
 	o.Final = line.Flag("finished")
@@ -274,7 +274,7 @@
 		return err
 	}
 	if note&7 <= 4 {
-		o.Warmth = choice.Warmth(note & 7)
+		o.Warmth = scheduler.Warmth(note & 7)
 	}
 	h.touch(in)
 	in.Outcome(h.now, id, launch, o)
@@ -282,49 +282,49 @@
 }
 
 // load decodes a load report.
-func load(line *simwire.Line) choice.Load {
+func load(line *simprotocol.Line) scheduler.Load {
 	pairs := line.Pairs("load report")
 	waiting, told := pairs["pending"]
-	return choice.Load{Reported: told, QueueDepth: waiting}
+	return scheduler.Load{Reported: told, QueueDepth: waiting}
 }
 
-// outcome decodes a code; they stand in the order of choice's results.
-func outcome(line *simwire.Line) choice.Result {
+// outcome decodes a code; they stand in the order of the scheduler's outcomes.
+func outcome(line *simprotocol.Line) scheduler.Result {
 	outcomes := []string{"OK", "INTERNAL", "RESOURCE_EXHAUSTED", "DEADLINE_EXCEEDED", "UNAVAILABLE", "ABORTED",
 		"CANCELLED", "TOO_LATE", "NOT_FOUND"}
 	got := line.Word("outcome")
 	if i := slices.Index(outcomes, got); i >= 0 {
-		return choice.Result(i)
+		return scheduler.Result(i)
 	}
 	line.Complain("an outcome code, got " + strconv.Quote(got))
-	return choice.Failed
+	return scheduler.Failed
 }
 
 // Send encodes a launch.
-func (in *instance) Send(e *choice.Request, _ int, worker string) {
+func (in *instance) Send(e *scheduler.Request, _ int, worker string) {
 	in.out.Line("SEND", in.name, e.ID, worker)
 }
 
 // Complete has nothing to encode: the simulator conveys an answer itself.
-func (in *instance) Complete(*choice.Request, int) {}
+func (in *instance) Complete(*scheduler.Request, int) {}
 
 // Reject encodes a refusal.
-func (in *instance) Reject(e *choice.Request, back time.Duration, _ bool) {
+func (in *instance) Reject(e *scheduler.Request, back time.Duration, _ bool) {
 	in.out.Line("SAY_NO", in.name, e.ID, back)
 }
 
 // Fail encodes a failure.
-func (in *instance) Fail(e *choice.Request, _ int, _ bool) {
+func (in *instance) Fail(e *scheduler.Request, _ int, _ bool) {
 	in.out.Line("SURRENDER", in.name, e.ID)
 }
 
 // Cancel encodes the end of the wait for a launch.
-func (in *instance) Cancel(e *choice.Request, launch int, _ string) {
+func (in *instance) Cancel(e *scheduler.Request, launch int, _ string) {
 	in.out.Line("WITHDRAW", in.name, e.ID, launch)
 }
 
 // Load encodes a load order.
-func (in *instance) Load(o choice.LoadRequest) {
+func (in *instance) Load(o scheduler.LoadRequest) {
 	in.out.Line("BRING_UP", in.name, o.Worker, o.Function, o.Replicas)
 }
 
@@ -338,4 +338,4 @@
 func (in *instance) Wake(after time.Duration) { in.out.Line("SLEEP", in.name, 1, after) }
 
 // Ended has nothing to encode.
-func (in *instance) Ended(*choice.Request, int, core.Ending) {}
+func (in *instance) Ended(*scheduler.Request, int, core.Ending) {}
--- a/internal/simhost/host_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -1,11 +1,11 @@
-package simhost_test
+package simadapter_test
 
 import (
 	"fmt"
 	"os"
 	"strings"
 
-	"lupinpond/internal/simhost"
+	"lupinpond/internal/simadapter"
 )
 
 const spawn = "SPAWN end-0 7 family_info.orders=true family_info.miss_mode=load family_info.keep=8.0 " +
@@ -21,7 +21,7 @@
 		"BATCH 2 3\nLOAD_RESULT end-0 worker.a 77 OK 0.5 1\nELAPSED end-0 1\nYOUR_TURN\n" +
 		"BATCH 2.1 4\nSETTLED end-0 e1 0.1 1 worker.a 1 0 OK busy_reqs:7,x0:0.4\nYOUR_TURN\n" +
 		"BATCH 2.2 5\nLAPSED end-0 e1\nEXIT end-0\n" + spawn + "YOUR_TURN\n"
-	fmt.Println(simhost.New(strings.NewReader(in), os.Stdout).Run())
+	fmt.Println(simadapter.New(strings.NewReader(in), os.Stdout).Run())
 	// Output:
 	// OK 1
 	// BRING_UP end-0 worker.a 77 1
@@ -45,7 +45,7 @@
 		"BATCH 1 1\n" + spawn + "SING end-0\nYOUR_TURN\n",
 		"BATCH 1 1\n" + spawn,
 	} {
-		fmt.Println(simhost.New(strings.NewReader(in), os.Stdout).Run())
+		fmt.Println(simadapter.New(strings.NewReader(in), os.Stdout).Run())
 	}
 	// Output:
 	// line 1: expected BATCH with clock and number
--- a/internal/simwire/read.go
+++ b/internal/simadapter/simprotocol/read.go
@@ -1,6 +1,6 @@
-// Package simwire reads and writes the lines of the simulator's wire. It knows how values are spelled,
+// Package simprotocol reads and writes the lines of the simulator's wire. It knows how values are spelled,
 // not what they mean.
-package simwire
+package simprotocol
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"lupinpond/internal/settings"
+	"lupinpond/internal/gateway/settings"
 )
 
 // Reader reads lines and counts them, so that a complaint can name the place.
--- a/internal/simwire/write.go
+++ b/internal/simadapter/simprotocol/write.go
@@ -1,4 +1,4 @@
-package simwire
+package simprotocol
 
 import (
 	"bufio"
--- a/internal/rules/judge.go
+++ b/internal/testbed/checker/checker.go
@@ -1,4 +1,4 @@
-package rules
+package checker
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"lupinpond/internal/config"
-	"lupinpond/internal/roster"
+	"lupinpond/internal/gateway/fleetconfig"
+	"lupinpond/internal/registry"
 )
 
 // Breach is one breach of a rule.
@@ -68,7 +68,7 @@
 	Verdict
 	facts  Facts
 	seen   *seen
-	types  map[string]config.EventType
+	types  map[string]fleetconfig.EventType
 	events map[string][]*launch
 }
 
@@ -78,7 +78,7 @@
 	if err != nil {
 		return Verdict{}, err
 	}
-	j := &judge{facts: f, seen: s, types: map[string]config.EventType{}, events: map[string][]*launch{}}
+	j := &judge{facts: f, seen: s, types: map[string]fleetconfig.EventType{}, events: map[string][]*launch{}}
 	for _, t := range f.File.Fleet.Types {
 		j.types[t.Name] = t
 	}
@@ -236,8 +236,8 @@
 }
 
 // places is where each worker stands, by the newest news of it.
-func (j *judge) places() map[string]roster.Entry {
-	where := map[string]roster.Entry{}
+func (j *judge) places() map[string]registry.Entry {
+	where := map[string]registry.Entry{}
 	for _, n := range j.facts.News {
 		for _, e := range n.News.Entries {
 			where[e.Name] = e
@@ -263,7 +263,7 @@
 		named := map[string]bool{}
 		for _, e := range n.News.Entries {
 			k := key{n.Front, e.Name}
-			told[k] = append(told[k], change{n.At, e.State != roster.In})
+			told[k] = append(told[k], change{n.At, e.State != registry.In})
 			known[n.Front][e.Name], named[e.Name] = true, true
 		}
 		if n.News.Whole {
@@ -344,7 +344,7 @@
 	starts := map[start]*first{}
 	for _, t := range j.facts.News {
 		for _, e := range t.News.Entries {
-			if e.State != roster.In || e.Started.IsZero() {
+			if e.State != registry.In || e.Started.IsZero() {
 				continue
 			}
 			k := start{e.Name, e.Started}
--- a/internal/rules/compat_test.go
+++ b/internal/testbed/checker/compat_test.go
@@ -1,17 +1,17 @@
-package rules_test
+package checker_test
 
 import (
 	"reflect"
 	"testing"
 	"time"
 
-	"lupinpond/internal/capture"
-	"lupinpond/internal/rules"
+	"lupinpond/internal/base/capture"
+	"lupinpond/internal/testbed/checker"
 )
 
 // A folder of captures, settings and list news that an earlier version kept is read and judged as it was then.
 func TestStoredCapturesAreJudged(t *testing.T) {
-	f, err := rules.Load("testdata/stored")
+	f, err := checker.Load("testdata/stored")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,8 +28,8 @@
 				len(got.Records), got.Torn, want.name, i, want.records)
 		}
 	}
-	got, err := rules.Judge(f)
-	want := rules.Verdict{Checked: [6]int{0, 16, 18, 20, 10, 2}, Tries: 16, Handled: 13, Deferred: 1, Dead: 1, Left: 1, Launches: 18, Orders: 2,
+	got, err := checker.Judge(f)
+	want := checker.Verdict{Checked: [6]int{0, 16, 18, 20, 10, 2}, Tries: 16, Handled: 13, Deferred: 1, Dead: 1, Left: 1, Launches: 18, Orders: 2,
 		Tightest: got.Tightest}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, error %v, want %+v", got, err, want)
@@ -45,7 +45,7 @@
 			break
 		}
 	}
-	if got, err := rules.Judge(f); err != nil || !reflect.DeepEqual(got.Broken(), []int{1}) {
+	if got, err := checker.Judge(f); err != nil || !reflect.DeepEqual(got.Broken(), []int{1}) {
 		t.Errorf("without the first answer: got rules %v broken, error %v, want [1]", got.Broken(), err)
 	}
 }
--- a/internal/rules/keep.go
+++ b/internal/testbed/checker/keep.go
@@ -1,4 +1,4 @@
-package rules
+package checker
 
 import (
 	"encoding/json"
@@ -12,8 +12,8 @@
 
 	"github.com/goccy/go-yaml"
 
-	"lupinpond/internal/capture"
-	"lupinpond/internal/config"
+	"lupinpond/internal/base/capture"
+	"lupinpond/internal/gateway/fleetconfig"
 )
 
 const (
@@ -77,7 +77,7 @@
 func Load(dir string) (Facts, error) {
 	var f Facts
 	var err error
-	if f.File, err = config.Read(filepath.Join(dir, settingsFile)); err != nil {
+	if f.File, err = fleetconfig.Read(filepath.Join(dir, settingsFile)); err != nil {
 		return f, err
 	}
 	text, err := os.ReadFile(filepath.Join(dir, newsFile))
--- a/internal/rules/read.go
+++ b/internal/testbed/checker/read.go
@@ -1,6 +1,6 @@
-// Package rules judges the five rules from what crossed the sockets of front ends and from the list news that each was
+// Package checker judges the five rules from what crossed the sockets of front ends and from the list news that each was
 // sent. It asks no front end anything and knows nothing of what one decided or why.
-package rules
+package checker
 
 import (
 	"bufio"
@@ -12,11 +12,11 @@
 	"strings"
 	"time"
 
-	"lupinpond/internal/capture"
-	"lupinpond/internal/config"
-	"lupinpond/internal/invoke"
-	"lupinpond/internal/link"
-	"lupinpond/internal/roster"
+	"lupinpond/internal/base/capture"
+	"lupinpond/internal/gateway/fleetconfig"
+	"lupinpond/internal/gateway/invoke"
+	"lupinpond/internal/registry"
+	"lupinpond/internal/workerrpc"
 )
 
 // Front is what was captured at one life of a front end.
@@ -31,12 +31,12 @@
 type Told struct {
 	Front string
 	At    time.Duration
-	News  roster.News
+	News  registry.News
 }
 
 // Facts are all that is judged.
 type Facts struct {
-	File   config.File
+	File   fleetconfig.File
 	Fronts []Front
 	News   []Told
 	End    time.Duration // of the day; 0: after the last record
@@ -101,9 +101,9 @@
 type launch struct {
 	front      *Front
 	worker     string
-	frame      *link.Launch
+	frame      *workerrpc.Launch
 	begin, end time.Duration
-	answer     *link.Answer
+	answer     *workerrpc.Answer
 	answered   time.Duration
 	cancelled  time.Duration // 0: never
 	broken     time.Duration // 0: never
@@ -113,7 +113,7 @@
 type order struct {
 	front      *Front
 	worker     string
-	frame      *link.Order
+	frame      *workerrpc.Order
 	begin, end time.Duration
 }
 
@@ -238,16 +238,16 @@
 			break
 		}
 		switch b := body.(type) {
-		case *link.Launch:
+		case *workerrpc.Launch:
 			l := &launch{front: front, worker: c.peer, frame: b, begin: first.begin, end: last.end}
 			if c.isClosed {
 				l.broken = c.closed
 			}
 			calls[b.Seq] = l
 			s.launches = append(s.launches, l)
-		case *link.Order:
+		case *workerrpc.Order:
 			s.orders = append(s.orders, &order{front, c.peer, b, first.begin, last.end})
-		case *link.Cancel:
+		case *workerrpc.Cancel:
 			cancels = append(cancels, cancel{b.Seq, first.begin})
 		}
 	}
@@ -261,7 +261,7 @@
 		if err != nil || body == nil {
 			return nil // what a worker sends is not judged
 		}
-		if b, is := body.(*link.Answer); is {
+		if b, is := body.(*workerrpc.Answer); is {
 			if l := calls[b.Seq]; l != nil && l.answer == nil && l.frame.Event == b.Event {
 				l.answer, l.answered = b, last.begin
 			}
@@ -281,13 +281,13 @@
 		return nil, mark{}, mark{}, nil
 	}
 	n := int(rest[0])<<24 | int(rest[1])<<16 | int(rest[2])<<8 | int(rest[3])
-	if n > link.MaxFrame {
-		return nil, mark{}, mark{}, fmt.Errorf("%w: a frame of %d bytes", link.ErrProtocol, n)
+	if n > workerrpc.MaxFrame {
+		return nil, mark{}, mark{}, fmt.Errorf("%w: a frame of %d bytes", workerrpc.ErrProtocol, n)
 	}
 	if len(rest) < 4+n {
 		return nil, mark{}, mark{}, nil
 	}
-	body, err = link.Parse(rest[4 : 4+n])
+	body, err = workerrpc.Parse(rest[4 : 4+n])
 	first, last = f.at(f.used), f.at(f.used+3+n)
 	f.used += 4 + n
 	return body, first, last, err
--- a/internal/slope/core.go
+++ b/internal/testbed/costmodel/core.go
@@ -1,14 +1,14 @@
-// Package slope measures what a front end's decision core costs as a fleet grows, and fits curves through the figures. A
+// Package costmodel measures what a front end's decision core costs as a fleet grows, and fits curves through the figures. A
 // core is driven in simulated time by workers that answer well; only the time spent in calls to the core is counted.
-package slope
+package costmodel
 
 import (
 	"fmt"
 	"runtime"
 	"time"
 
-	"lupinpond/choice"
-	"lupinpond/internal/catalog"
+	"lupinpond/internal/testbed/workload"
+	"lupinpond/scheduler"
 )
 
 // Figures are what one core costs under one Load.
@@ -80,21 +80,21 @@
 }
 
 // change is the mean time of one changed line: a worker drains and comes back.
-func (f *fleet) change(lines []choice.Member) float64 {
+func (f *fleet) change(lines []scheduler.Member) float64 {
 	f.spent = 0
 	for i := range changes {
 		line := lines[i%len(lines)]
 		f.now += 10 * time.Millisecond
-		for _, condition := range []choice.Condition{choice.Draining, choice.Up} {
+		for _, condition := range []scheduler.Condition{scheduler.Draining, scheduler.Up} {
 			line.Condition = condition
-			f.timed(func() { f.core.UpdateMembership(f.now, false, []choice.Member{line}) })
+			f.timed(func() { f.core.UpdateMembership(f.now, false, []scheduler.Member{line}) })
 		}
 	}
 	return micros(f.spent) / (2 * changes)
 }
 
 // wholeList is the mean time, in milliseconds, of a whole list that is the one known.
-func (f *fleet) wholeList(lines []choice.Member) float64 {
+func (f *fleet) wholeList(lines []scheduler.Member) float64 {
 	f.spent = 0
 	for range wholeLists {
 		f.timed(func() { f.core.UpdateMembership(f.now, true, lines) })
@@ -104,13 +104,13 @@
 
 // traffic sends so many requests, at random times of the load's rate.
 func (f *fleet) traffic(l Load, requests int) {
-	functions := catalog.New(l.Functions, l.Skew)
+	functions := workload.New(l.Functions, l.Skew)
 	at := f.now
 	for range requests {
 		at += time.Duration(f.random.ExpFloat64() / l.Rate * float64(time.Second))
 		f.until(at)
 		f.counts.Requests++
-		e := &choice.Request{ID: fmt.Sprint(f.now, f.counts.Requests), Type: "call", Tenant: "tenant", Function: functions.Draw(f.random),
+		e := &scheduler.Request{ID: fmt.Sprint(f.now, f.counts.Requests), Type: "call", Tenant: "tenant", Function: functions.Draw(f.random),
 			TimeLeft: maxAge, Concurrency: 2, Memory: 1000, LoadTime: loadTime}
 		f.timed(func() {
 			if err := f.core.Submit(f.now, e); err == nil {
--- a/internal/slope/slope_test.go
+++ b/internal/testbed/costmodel/costmodel_test.go
@@ -1,28 +1,28 @@
-package slope_test
+package costmodel_test
 
 import (
 	"errors"
 	"math"
 	"testing"
 
-	"lupinpond/internal/slope"
+	"lupinpond/internal/testbed/costmodel"
 )
 
 // Points on a power law give its exponent, points on a line its slope, and the closer curve is told.
 func TestFitFindsTheCurve(t *testing.T) {
-	var power, line []slope.Point
+	var power, line []costmodel.Point
 	for _, size := range []float64{100, 400, 1600, 6400, 25600} {
-		power = append(power, slope.Point{Size: size, Value: 3 * math.Pow(size, 0.75)})
-		line = append(line, slope.Point{Size: size, Value: 50 + 0.2*size})
+		power = append(power, costmodel.Point{Size: size, Value: 3 * math.Pow(size, 0.75)})
+		line = append(line, costmodel.Point{Size: size, Value: 50 + 0.2*size})
 	}
-	fit, err := slope.FitPoints(power)
+	fit, err := costmodel.FitPoints(power)
 	if err != nil || math.Abs(fit.Power.Slope-0.75) > 1e-9 || math.Abs(fit.Power.Scale-3) > 1e-6 || fit.Power.Residual > 1e-9 {
 		t.Errorf("%+v %v", fit, err)
 	}
 	if fit.From != 100 || fit.To != 25600 || fit.Points != 5 || fit.Linear.Residual < 0.1 {
 		t.Errorf("%+v", fit)
 	}
-	fit, err = slope.FitPoints(line)
+	fit, err = costmodel.FitPoints(line)
 	if err != nil || math.Abs(fit.Linear.Slope-0.2) > 1e-9 || math.Abs(fit.Linear.Scale-50) > 1e-6 || fit.Linear.Residual > 1e-9 {
 		t.Errorf("%+v %v", fit, err)
 	}
@@ -30,23 +30,23 @@
 
 // A slope from fewer than four sizes, or through figures that are no sizes, is refused.
 func TestFitRefuses(t *testing.T) {
-	var few slope.ErrFewPoints
-	if _, err := slope.FitPoints(make([]slope.Point, 3)); !errors.As(err, &few) || few.Points != 3 {
+	var few costmodel.ErrFewPoints
+	if _, err := costmodel.FitPoints(make([]costmodel.Point, 3)); !errors.As(err, &few) || few.Points != 3 {
 		t.Error(err)
 	}
-	if _, err := slope.FitPoints(make([]slope.Point, 4)); err == nil {
+	if _, err := costmodel.FitPoints(make([]costmodel.Point, 4)); err == nil {
 		t.Error("sizes of 0 were fitted")
 	}
 }
 
 // A measured core serves its traffic, and the same seed has it do the same.
 func TestCoreServesTheTraffic(t *testing.T) {
-	load := slope.Load{Workers: 60, Functions: 200, FrontEnds: 10, Rate: 50, Skew: 1.7, Requests: 400, Seed: 3}
-	first, err := slope.Core(load)
+	load := costmodel.Load{Workers: 60, Functions: 200, FrontEnds: 10, Rate: 50, Skew: 1.7, Requests: 400, Seed: 3}
+	first, err := costmodel.Core(load)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := slope.Core(load)
+	again, err := costmodel.Core(load)
 	if err != nil || first.Counts != again.Counts {
 		t.Errorf("%+v, then %+v %v", first.Counts, again.Counts, err)
 	}
@@ -56,7 +56,7 @@
 	if first.RequestMicros <= 0 || first.WorkerBytes <= 0 || first.ChangeMicros <= 0 || first.TickMicros <= 0 {
 		t.Errorf("%+v", first)
 	}
-	if _, err := slope.Core(slope.Load{}); err == nil {
+	if _, err := costmodel.Core(costmodel.Load{}); err == nil {
 		t.Error("an empty load was measured")
 	}
 }
--- a/internal/slope/fit.go
+++ b/internal/testbed/costmodel/fit.go
@@ -1,4 +1,4 @@
-package slope
+package costmodel
 
 import (
 	"fmt"
--- a/internal/slope/fleet.go
+++ b/internal/testbed/costmodel/fleet.go
@@ -1,4 +1,4 @@
-package slope
+package costmodel
 
 import (
 	"container/heap"
@@ -8,8 +8,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"lupinpond/choice"
-	"lupinpond/internal/core"
+	"lupinpond/internal/gateway/core"
+	"lupinpond/scheduler"
 )
 
 // Load describes the fleet and the traffic that one front end is measured under.
@@ -38,7 +38,7 @@
 func (l Load) settings() core.Settings {
 	return core.Settings{Seed: l.Seed, FrontEnds: l.FrontEnds, Quantum: 2 * time.Millisecond, MaxAttempts: 6, Cancel: true, Probe: true,
 		MaxRetryAfter: 2 * time.Second, Deadlines: true,
-		Types:   []choice.RequestType{{Name: "call", Objective: target}},
+		Types:   []scheduler.RequestType{{Name: "call", Objective: target}},
 		Tenants: []core.Tenant{{Name: "tenant", Quota: 2 * l.Rate * float64(l.FrontEnds)}},
 		Loading: core.Loading{Requests: true, OnMiss: true, Keep: keepLoaded, Limit: 4 * time.Second},
 		SlowStart: core.SlowStart{From: 0.3, WarmAfter: 12 * time.Second, Multiple: 2.5,
@@ -46,13 +46,13 @@
 }
 
 // listing is one line of the list of workers.
-func listing(number int) choice.Member {
-	return choice.Member{Worker: fmt.Sprintf("s-%08x", number*2654435761), Zone: fmt.Sprint("zone", number%zones),
+func listing(number int) scheduler.Member {
+	return scheduler.Member{Worker: fmt.Sprintf("s-%08x", number*2654435761), Zone: fmt.Sprint("zone", number%zones),
 		Cell: fmt.Sprint(number / 8), Kind: []string{"fast", "std"}[number%2], Size: float64(4 + number%2)}
 }
 
-func list(workers int) []choice.Member {
-	lines := make([]choice.Member, workers)
+func list(workers int) []scheduler.Member {
+	lines := make([]scheduler.Member, workers)
 	for i := range lines {
 		lines[i] = listing(i)
 	}
@@ -156,24 +156,24 @@
 }
 
 // Send has a worker answer an attempt: after the load where no replica stands.
-func (f *fleet) Send(e *choice.Request, launch int, worker string) {
+func (f *fleet) Send(e *scheduler.Request, launch int, worker string) {
 	f.counts.Attempts++
 	at := placed{worker, e.Function}
 	took := time.Duration((0.5 + f.random.ExpFloat64()/2) * float64(answerTime))
-	warmth := choice.FoundWarm
+	warmth := scheduler.FoundWarm
 	if f.loaded[at] < f.now {
 		f.counts.Cold++
-		warmth, took = choice.BeganLoad, took+loadTime
+		warmth, took = scheduler.BeganLoad, took+loadTime
 	}
 	f.loaded[at] = f.now + took + keepLoaded
 	f.after(took, func(now time.Duration) {
-		f.core.Outcome(now, e.ID, launch, choice.Outcome{Worker: worker, Took: took, Result: choice.Completed, Warmth: warmth,
-			Load: choice.Load{Reported: true}})
+		f.core.Outcome(now, e.ID, launch, scheduler.Outcome{Worker: worker, Took: took, Result: scheduler.Completed, Warmth: warmth,
+			Load: scheduler.Load{Reported: true}})
 	})
 }
 
 // Load has a worker load a replica.
-func (f *fleet) Load(o choice.LoadRequest) {
+func (f *fleet) Load(o scheduler.LoadRequest) {
 	f.counts.Orders++
 	at, took := placed{o.Worker, o.Function}, roundTrip
 	if f.loaded[at] < f.now {
@@ -181,14 +181,14 @@
 		took = loadTime
 	}
 	f.loaded[at] = f.now + took + keepLoaded
-	f.after(took, func(now time.Duration) { f.core.Loaded(now, o, choice.Completed, took) })
+	f.after(took, func(now time.Duration) { f.core.Loaded(now, o, scheduler.Completed, took) })
 }
 
 // Probe has a worker answer a probe.
 func (f *fleet) Probe(worker string) {
 	f.counts.Probes++
 	f.after(roundTrip, func(now time.Duration) {
-		f.core.Probed(now, worker, choice.Completed, choice.Load{Reported: true}, roundTrip)
+		f.core.Probed(now, worker, scheduler.Completed, scheduler.Load{Reported: true}, roundTrip)
 	})
 }
 
@@ -196,19 +196,19 @@
 func (f *fleet) Wake(after time.Duration) { f.after(after, f.core.Woke) }
 
 // Complete counts an answer.
-func (f *fleet) Complete(*choice.Request, int) { f.counts.Served++ }
+func (f *fleet) Complete(*scheduler.Request, int) { f.counts.Served++ }
 
 // Reject counts a rejection.
-func (f *fleet) Reject(*choice.Request, time.Duration, bool) { f.counts.Refused++ }
+func (f *fleet) Reject(*scheduler.Request, time.Duration, bool) { f.counts.Refused++ }
 
 // Fail counts a failure.
-func (f *fleet) Fail(*choice.Request, int, bool) { f.counts.Refused++ }
+func (f *fleet) Fail(*scheduler.Request, int, bool) { f.counts.Refused++ }
 
 // Cancel does nothing: the answer comes and is dropped.
-func (f *fleet) Cancel(*choice.Request, int, string) {}
+func (f *fleet) Cancel(*scheduler.Request, int, string) {}
 
 // Subscribe does nothing: the list comes unasked.
 func (f *fleet) Subscribe() {}
 
 // Ended does nothing.
-func (f *fleet) Ended(*choice.Request, int, core.Ending) {}
+func (f *fleet) Ended(*scheduler.Request, int, core.Ending) {}
--- a/internal/listservice/service.go
+++ b/internal/testbed/discoverytest/service.go
@@ -1,6 +1,6 @@
-// Package listservice emulates the service that tells the list of workers, in its published form: numbered events, asked for by
+// Package discoverytest emulates the service that tells the list of workers, in its published form: numbered events, asked for by
 // GET /journal?tail=N&max_wait=MS.
-package listservice
+package discoverytest
 
 import (
 	"context"
@@ -17,8 +17,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"lupinpond/internal/feed"
-	"lupinpond/internal/serve"
+	"lupinpond/internal/base/httpserver"
+	"lupinpond/internal/gateway/discovery"
 )
 
 // keptChanges are the changes that the list service answers one by one; who has missed more is told the whole list.
@@ -30,8 +30,8 @@
 // Service is one list of workers and the HTTP interface to it.
 type Service struct {
 	mu      sync.Mutex
-	workers map[string]feed.Worker
-	changes []feed.Event // the last ones, without a gap up to the position
+	workers map[string]discovery.Worker
+	changes []discovery.Event // the last ones, without a gap up to the position
 	pos     int64
 	changed chan struct{} // closed at the next change
 	whole   []byte        // the answer that tells all, of the position; nil: not made yet
@@ -45,8 +45,8 @@
 }
 
 // New makes a service that listens at a free port of loopback.
-func New(workers []feed.Worker) (*Service, error) {
-	s := &Service{workers: map[string]feed.Worker{}, pos: 1, changed: make(chan struct{})}
+func New(workers []discovery.Worker) (*Service, error) {
+	s := &Service{workers: map[string]discovery.Worker{}, pos: 1, changed: make(chan struct{})}
 	for _, w := range workers {
 		s.workers[w.Name] = w
 	}
@@ -62,7 +62,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop, s.ended = stop, make(chan error, 1)
 	go func() {
-		s.ended <- serve.Until(ctx, &http.Server{Handler: s, ReadHeaderTimeout: headerLimit}, counting{listener, &s.bytes}, 0)
+		s.ended <- httpserver.Until(ctx, &http.Server{Handler: s, ReadHeaderTimeout: headerLimit}, counting{listener, &s.bytes}, 0)
 	}()
 	return nil
 }
@@ -120,16 +120,16 @@
 }
 
 // Publish tells one change of some lines.
-func (s *Service) Publish(lines []feed.Worker) (position int64, at time.Time) {
+func (s *Service) Publish(lines []discovery.Worker) (position int64, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, w := range lines {
-		if s.workers[w.Name] = w; w.State == feed.Removed {
+		if s.workers[w.Name] = w; w.State == discovery.Removed {
 			delete(s.workers, w.Name)
 		}
 	}
 	s.pos++
-	s.changes = append(s.changes, feed.Event{Number: s.pos, List: &feed.List{Workers: lines}})
+	s.changes = append(s.changes, discovery.Event{Number: s.pos, List: &discovery.List{Workers: lines}})
 	if n := len(s.changes) - keptChanges; n > 0 {
 		s.changes = slices.Delete(s.changes, 0, n)
 	}
@@ -145,11 +145,11 @@
 	if s.whole != nil {
 		return s.whole, nil
 	}
-	list := &feed.List{Whole: true}
+	list := &discovery.List{Whole: true}
 	for _, name := range slices.Sorted(maps.Keys(s.workers)) {
 		list.Workers = append(list.Workers, s.workers[name])
 	}
-	b, err := json.Marshal(feed.News{Last: s.pos, Events: []feed.Event{{Number: s.pos, List: list}}})
+	b, err := json.Marshal(discovery.News{Last: s.pos, Events: []discovery.Event{{Number: s.pos, List: list}}})
 	if err != nil {
 		return nil, err
 	}
@@ -172,7 +172,7 @@
 		answer, err = s.wholeAnswer()
 		return answer, nil, err
 	}
-	answer, err = json.Marshal(feed.News{Last: s.pos, Events: s.changes[tail-oldest:]})
+	answer, err = json.Marshal(discovery.News{Last: s.pos, Events: s.changes[tail-oldest:]})
 	return answer, nil, err
 }
 
--- a/internal/listservice/service_test.go
+++ b/internal/testbed/discoverytest/service_test.go
@@ -1,4 +1,4 @@
-package listservice
+package discoverytest
 
 import (
 	"fmt"
@@ -6,17 +6,17 @@
 	"net/http"
 	"testing"
 
-	"lupinpond/internal/feed"
+	"lupinpond/internal/gateway/discovery"
 )
 
 // The list service answers what came after the event that is known; who knows none, or too old a one, gets the whole list.
 func TestListServiceAnswers(t *testing.T) {
-	s, err := New([]feed.Worker{{Name: "a", Addr: "127.0.0.1:1", State: feed.Up}})
+	s, err := New([]discovery.Worker{{Name: "a", Addr: "127.0.0.1:1", State: discovery.Up}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { s.Close() })
-	ask := func(tail, wait int) feed.News {
+	ask := func(tail, wait int) discovery.News {
 		t.Helper()
 		response, err := http.Get(fmt.Sprintf("http://%s/journal?tail=%d&max_wait=%d", s.Addr, tail, wait))
 		if err != nil {
@@ -27,7 +27,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n, err := feed.Parse(b)
+		n, err := discovery.Parse(b)
 		if err != nil || response.StatusCode != http.StatusOK {
 			t.Fatal(response.Status, err)
 		}
@@ -40,7 +40,7 @@
 		t.Errorf("%+v", n)
 	}
 	for i := range keptChanges + 5 {
-		s.Publish([]feed.Worker{{Name: fmt.Sprint("b", i), Addr: "127.0.0.1:2", State: feed.Up}})
+		s.Publish([]discovery.Worker{{Name: fmt.Sprint("b", i), Addr: "127.0.0.1:2", State: discovery.Up}})
 	}
 	last := int64(1 + keptChanges + 5)
 	if n := ask(int(last-2), 0); n.Last != last || len(n.Events) != 2 || n.Events[0].Number != last-1 || n.Events[0].List.Whole {
@@ -49,7 +49,7 @@
 	if n := ask(3, 0); len(n.Events) != 1 || !n.Events[0].List.Whole || len(n.Events[0].List.Workers) != 1+keptChanges+5 {
 		t.Errorf("%d events", len(n.Events))
 	}
-	s.Publish([]feed.Worker{{Name: "a", State: feed.Removed}})
+	s.Publish([]discovery.Worker{{Name: "a", State: discovery.Removed}})
 	if n := ask(0, 0); len(n.Events[0].List.Workers) != keptChanges+5 {
 		t.Errorf("%d workers", len(n.Events[0].List.Workers))
 	}
--- a/internal/standin/store.go
+++ b/internal/testbed/emulator/store.go
@@ -1,11 +1,11 @@
-package standin
+package emulator
 
 import (
 	"strings"
 	"sync"
 	"time"
 
-	"lupinpond/internal/link"
+	"lupinpond/internal/workerrpc"
 )
 
 // Store imitates the one store that all workers fetch from: crowded, it slows; more crowded, it turns fetches away.
@@ -78,7 +78,7 @@
 	return client
 }
 
-func (l *Ledger) ran(launch *link.Launch, worker string) {
+func (l *Ledger) ran(launch *workerrpc.Launch, worker string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	name := Logical(launch.Client)
@@ -127,7 +127,7 @@
 func NewGroup() *Group { return &Group{until: map[string]time.Time{}} }
 
 // repeat tells whether an event was begun inside its window already, and notes that it is begun.
-func (g *Group) repeat(l *link.Launch) bool {
+func (g *Group) repeat(l *workerrpc.Launch) bool {
 	if l.Key == "" {
 		return false
 	}
--- a/internal/standin/worker.go
+++ b/internal/testbed/emulator/worker.go
@@ -1,7 +1,7 @@
-// Package standin has imitation workers: they speak the link protocol, take the time that a model of a worker would
+// Package emulator has imitation workers: they speak the link protocol, take the time that a model of a worker would
 // take, and misbehave when told. They run nothing. What they claim to have run is kept in a ledger, so that a rehearsal
 // can count effects at the workers, apart from what any front end says.
-package standin
+package emulator
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"sync"
 	"time"
 
-	"lupinpond/internal/chance"
-	"lupinpond/internal/faults"
-	"lupinpond/internal/link"
+	"lupinpond/internal/base/random"
+	"lupinpond/internal/worker/faultinject"
+	"lupinpond/internal/workerrpc"
 )
 
 // Function is what an imitation worker knows of a function.
@@ -47,7 +47,7 @@
 	store     *Store
 	ledger    *Ledger
 	groups    map[string]*Group // by event type
-	chance    chance.Source
+	chance    random.Source
 
 	mu       sync.Mutex
 	life     int // counts starts: what belongs to an earlier life is void
@@ -56,14 +56,14 @@
 	memory   int64
 	running  int
 	waiting  int
-	server   *link.Server
+	server   *workerrpc.Server
 	end      context.CancelFunc
 	ended    chan struct{}
 	addr     string
-	troubles faults.Troubles
+	troubles faultinject.Troubles
 	window   []arrival // work that came lately, while cold
 	falls    int
-	silencer faults.Silencer
+	silencer faultinject.Silencer
 }
 
 type arrival struct {
@@ -82,10 +82,10 @@
 }
 
 type job struct {
-	launch  *link.Launch
-	reply   func(*link.Answer)
+	launch  *workerrpc.Launch
+	reply   func(*workerrpc.Answer)
 	life    int
-	warmth  link.Warmth
+	warmth  workerrpc.Warmth
 	company int
 	work    time.Duration
 	timer   *time.Timer
@@ -97,7 +97,7 @@
 func NewWorker(name string, m Model, functions []Function, s *Store, l *Ledger,
 	groups map[string]*Group, seed uint64) *Worker {
 	w := &Worker{name: name, model: m, functions: map[string]Function{}, store: s, ledger: l, groups: groups,
-		chance: chance.New(seed ^ chance.Hash(name))}
+		chance: random.New(seed ^ random.Hash(name))}
 	for _, f := range functions {
 		w.functions[f.Name] = f
 	}
@@ -124,7 +124,7 @@
 	}
 	w.copies, w.memory, w.running, w.waiting, w.window = map[string]*set{}, 0, 0, 0, nil
 	w.addr, w.end, w.ended = listener.Addr().String(), end, make(chan struct{})
-	server := &link.Server{Hello: link.Hello{Name: w.name, Started: w.started, Launches: w.model.Launches},
+	server := &workerrpc.Server{Hello: workerrpc.Hello{Name: w.name, Started: w.started, Launches: w.model.Launches},
 		Handler: &life{w: w, n: w.life}}
 	w.server = server
 	ended := w.ended
@@ -168,7 +168,7 @@
 }
 
 // Trouble has the worker misbehave from now on.
-func (w *Worker) Trouble(change func(*faults.Troubles)) {
+func (w *Worker) Trouble(change func(*faultinject.Troubles)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change(&w.troubles)
@@ -214,18 +214,18 @@
 }
 
 // Report tells its load.
-func (l *life) Report() *link.Report {
+func (l *life) Report() *workerrpc.Report {
 	l.w.mu.Lock()
 	defer l.w.mu.Unlock()
 	return l.w.report()
 }
 
-func (w *Worker) report() *link.Report {
+func (w *Worker) report() *workerrpc.Report {
 	waiting := float64(w.waiting)
 	if w.troubles.Reports > 0 {
 		waiting *= w.troubles.Reports
 	}
-	return &link.Report{Waiting: int(waiting), Running: w.running, Memory: w.memory,
+	return &workerrpc.Report{Waiting: int(waiting), Running: w.running, Memory: w.memory,
 		Busy: min(1, float64(w.running)/w.model.Cores)}
 }
 
@@ -239,7 +239,7 @@
 }
 
 // Launch takes an event.
-func (l *life) Launch(_ string, launch *link.Launch, reply func(*link.Answer)) (cancel func()) {
+func (l *life) Launch(_ string, launch *workerrpc.Launch, reply func(*workerrpc.Answer)) (cancel func()) {
 	w := l.w
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -255,32 +255,32 @@
 	}
 	switch {
 	case !known:
-		reply(&link.Answer{Code: link.Missing, Reason: "no such function", Report: w.report()})
+		reply(&workerrpc.Answer{Code: workerrpc.Missing, Reason: "no such function", Report: w.report()})
 		return nil
 	case t.Hang:
 		w.ledger.ran(launch, w.name)
 		return nil
 	case t.Errors:
 		w.ledger.ran(launch, w.name)
-		reply(&link.Answer{Code: link.Failed, Reason: "error", Report: w.report(), Worked: time.Microsecond})
+		reply(&workerrpc.Answer{Code: workerrpc.Failed, Reason: "error", Report: w.report(), Worked: time.Microsecond})
 		return nil
 	case t.Refuse != "" && t.Refuse == launch.Tenant, w.waiting >= w.model.Queue:
-		reply(&link.Answer{Code: link.Full, Reason: "full", Report: w.report()})
+		reply(&workerrpc.Answer{Code: workerrpc.Full, Reason: "full", Report: w.report()})
 		return nil
 	}
 	s := w.set(f)
-	j := &job{launch: launch, reply: reply, life: w.life, work: work, warmth: link.FoundWarm,
+	j := &job{launch: launch, reply: reply, life: w.life, work: work, warmth: workerrpc.FoundWarm,
 		company: s.busy + len(s.queue)}
 	if s.copies == 0 {
-		j.warmth = link.AwaitedLoad
+		j.warmth = workerrpc.AwaitedLoad
 		if s.loading == 0 {
 			if !w.model.LoadOnMiss {
-				reply(&link.Answer{Code: link.Missing, Reason: "not loaded", Report: w.report()})
+				reply(&workerrpc.Answer{Code: workerrpc.Missing, Reason: "not loaded", Report: w.report()})
 				return nil
 			}
-			j.warmth = link.BeganLoad
+			j.warmth = workerrpc.BeganLoad
 			if !w.load(s, nil) {
-				reply(&link.Answer{Code: link.Full, Reason: "no memory", Report: w.report()})
+				reply(&workerrpc.Answer{Code: workerrpc.Full, Reason: "no memory", Report: w.report()})
 				return nil
 			}
 		}
@@ -329,7 +329,7 @@
 }
 
 // load begins a load; done, if given, hears how it ended. It returns false where there is no room.
-func (w *Worker) load(s *set, done func(link.Code)) bool {
+func (w *Worker) load(s *set, done func(workerrpc.Code)) bool {
 	if !w.makeRoom(s.f.Memory) {
 		return false
 	}
@@ -346,14 +346,14 @@
 			return
 		}
 		s.loading--
-		code := link.Done
+		code := workerrpc.Done
 		if failed {
-			code = link.Failed
+			code = workerrpc.Failed
 			w.memory -= s.f.Memory
 			if s.copies == 0 && s.loading == 0 {
 				for _, j := range s.queue {
-					j.warmth = link.LoadFailed
-					w.answer(j, link.Failed, "load failed")
+					j.warmth = workerrpc.LoadFailed
+					w.answer(j, workerrpc.Failed, "load failed")
 				}
 				w.waiting -= len(s.queue)
 				s.queue = nil
@@ -400,7 +400,7 @@
 		s.queue = s.queue[1:]
 		w.waiting--
 		if g := w.groups[j.launch.Type]; g != nil && g.repeat(j.launch) {
-			w.answer(j, link.Done, "repeat")
+			w.answer(j, workerrpc.Done, "repeat")
 			continue
 		}
 		s.busy++
@@ -425,15 +425,15 @@
 	s.busy--
 	w.running--
 	s.idle = time.Now()
-	w.answer(j, link.Done, "")
+	w.answer(j, workerrpc.Done, "")
 	w.dispatch(s)
 }
 
-func (w *Worker) answer(j *job, code link.Code, reason string) {
+func (w *Worker) answer(j *job, code workerrpc.Code, reason string) {
 	j.over = true
-	a := &link.Answer{Code: code, Warmth: j.warmth, Company: j.company, Worked: j.work, Report: w.report(), Reason: reason}
+	a := &workerrpc.Answer{Code: code, Warmth: j.warmth, Company: j.company, Worked: j.work, Report: w.report(), Reason: reason}
 	switch {
-	case code != link.Done:
+	case code != workerrpc.Done:
 	case reason == "repeat":
 		a.Repeat, a.Worked = true, 0
 	default:
@@ -452,7 +452,7 @@
 		j.timer.Stop()
 		s.busy--
 		w.running--
-		w.answer(j, link.Withdrawn, "withdrawn")
+		w.answer(j, workerrpc.Withdrawn, "withdrawn")
 	} else {
 		for i, x := range s.queue {
 			if x == j {
@@ -461,13 +461,13 @@
 				break
 			}
 		}
-		w.answer(j, link.NotStarted, "withdrawn before its start")
+		w.answer(j, workerrpc.NotStarted, "withdrawn before its start")
 	}
 	w.dispatch(s)
 }
 
 // Order loads copies up to the count.
-func (l *life) Order(_ string, o *link.Order, reply func(*link.Ordered)) {
+func (l *life) Order(_ string, o *workerrpc.Order, reply func(*workerrpc.Ordered)) {
 	w := l.w
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -476,20 +476,20 @@
 	}
 	f, known := w.functions[o.Function]
 	if !known {
-		reply(&link.Ordered{Code: link.Missing, Reason: "no such function"})
+		reply(&workerrpc.Ordered{Code: workerrpc.Missing, Reason: "no such function"})
 		return
 	}
 	s := w.set(f)
 	missing, failed := 0, false
-	ended := func(code link.Code) { // the lock is held
+	ended := func(code workerrpc.Code) { // the lock is held
 		missing--
-		failed = failed || code != link.Done
+		failed = failed || code != workerrpc.Done
 		if missing == 0 {
-			code = link.Done
+			code = workerrpc.Done
 			if failed {
-				code = link.Failed
+				code = workerrpc.Failed
 			}
-			reply(&link.Ordered{Code: code, Copies: s.copies})
+			reply(&workerrpc.Ordered{Code: code, Copies: s.copies})
 		}
 	}
 	for s.copies+s.loading < o.Copies {
@@ -497,13 +497,13 @@
 		if !w.load(s, ended) {
 			missing--
 			if missing == 0 {
-				reply(&link.Ordered{Code: link.Full, Copies: s.copies, Reason: "no memory"})
+				reply(&workerrpc.Ordered{Code: workerrpc.Full, Copies: s.copies, Reason: "no memory"})
 				return
 			}
 			break
 		}
 	}
 	if missing == 0 {
-		reply(&link.Ordered{Code: link.Done, Copies: s.copies})
+		reply(&workerrpc.Ordered{Code: workerrpc.Done, Copies: s.copies})
 	}
 }
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/testbed/faultproxy/proxy_test.go
@@ -8,7 +8,7 @@
 
 	"go.uber.org/goleak"
 
-	"lupinpond/internal/faultproxy"
+	"lupinpond/internal/testbed/faultproxy"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/crew/build.go
+++ b/internal/testbed/localfleet/build.go
@@ -1,4 +1,4 @@
-package crew
+package localfleet
 
 import (
 	"fmt"
@@ -6,14 +6,14 @@
 	"os/exec"
 	"path/filepath"
 
-	"lupinpond/internal/pack"
+	"lupinpond/internal/artifact/manifest"
 )
 
 // Build builds a program of this module, such as lupinpond/examples/payroll, as a package's entry of a kind, with the Go
 // toolchain on the path. It is for tests.
 func Build(entry, program, kind string) error {
 	args, env := []string{"build", "-o", entry}, append(os.Environ(), "CGO_ENABLED=0")
-	if kind == pack.Wasm {
+	if kind == manifest.Wasm {
 		args, env = append(args, "-buildmode=c-shared"), append(env, "GOOS=wasip1", "GOARCH=wasm")
 	}
 	if err := os.MkdirAll(filepath.Dir(entry), 0o755); err != nil {
--- a/internal/crew/crew.go
+++ b/internal/testbed/localfleet/localfleet.go
@@ -1,6 +1,6 @@
-// Package crew starts and stops workers inside one process, for rehearsed days and for tests of front ends: imitation
+// Package localfleet starts and stops workers inside one process, for rehearsed days and for tests of front ends: imitation
 // ones and the worker runtime, behind one interface, and the packages that the runtime ones load.
-package crew
+package localfleet
 
 import (
 	"bufio"
@@ -15,23 +15,24 @@
 	"sync"
 	"time"
 
-	"lupinpond/internal/admit"
-	"lupinpond/internal/config"
-	"lupinpond/internal/faults"
-	"lupinpond/internal/keys"
-	"lupinpond/internal/pack"
-	"lupinpond/internal/store"
-	"lupinpond/internal/supply"
+	"lupinpond/internal/artifact/artifactstore"
+	"lupinpond/internal/artifact/distribution"
+	"lupinpond/internal/artifact/manifest"
+	"lupinpond/internal/base/config"
+	"lupinpond/internal/gateway/fleetconfig"
 	"lupinpond/internal/worker"
+	"lupinpond/internal/worker/admission"
+	"lupinpond/internal/worker/faultinject"
+	"lupinpond/internal/worker/idempotency"
 )
 
-// Worker is a worker as a day plays it: an imitation one (standin.Worker), or the worker runtime (Runtime).
+// Worker is a worker as a day plays it: an imitation one (emulator.Worker), or the worker runtime (Runtime).
 type Worker interface {
 	Name() string
 	Start(addr string, old bool) (at string, started time.Time, err error)
 	Stop()
 	Falls() int
-	Trouble(func(*faults.Troubles))
+	Trouble(func(*faultinject.Troubles))
 	Silence(on bool)
 	Reset()
 	Goodbye()
@@ -39,13 +40,13 @@
 }
 
 // OtherShape makes f the settings of a deployment of the other shape (docs/migration.md), whose front ends stand in zone.
-func OtherShape(f *config.File, zone string) {
+func OtherShape(f *fleetconfig.File, zone string) {
 	f.Fleet.Tenants = nil
 	for i := range f.Functions {
 		f.Functions[i].Tenant = ""
 	}
 	f.Fleet.Loading.OnMiss, f.Fleet.Allowed.Launches = "miss", 3
-	f.Fleet.Workers = config.Workers{Sizes: "cores", Reports: "none"}
+	f.Fleet.Workers = fleetconfig.Workers{Sizes: "cores", Reports: "none"}
 	f.Fleet.Crossing, f.Front.Zone = true, zone
 }
 
@@ -55,12 +56,12 @@
 	mu     sync.Mutex
 	folder string
 	binary string
-	file   config.File
+	file   fleetconfig.File
 	number int
 }
 
 // NewReleases opens a store in a folder and publishes every function of f; binary is the payroll program.
-func NewReleases(folder, binary string, f config.File, c store.Capacity) (*Releases, error) {
+func NewReleases(folder, binary string, f fleetconfig.File, c artifactstore.Capacity) (*Releases, error) {
 	s, err := OpenStore(filepath.Join(folder, "store"), c)
 	if err != nil {
 		return nil, err
@@ -106,7 +107,7 @@
 		if err := os.WriteFile(filepath.Join(tmp, "entry"), append(b, own...), 0o755); err != nil {
 			return err
 		}
-		if _, err := pack.Write(tmp, pack.Manifest{Name: name, Version: version, Type: fn.Type, Kind: pack.Process, Lanes: fn.Lanes,
+		if _, err := manifest.Write(tmp, manifest.Manifest{Name: name, Version: version, Type: fn.Type, Kind: manifest.Process, Lanes: fn.Lanes,
 			Memory: 64 << 20, Time: config.Time(30 * time.Second), Entry: "entry"}); err != nil {
 			return err
 		}
@@ -121,10 +122,10 @@
 	Name    string
 	Folder  string // its own
 	Store   *Releases
-	Limits  admit.Limits
-	Effects *os.File             // gets the log of all copies
-	Group   *keys.Group          // see worker.Options
-	Peers   func() []supply.Peer // that give chunks; nil: none
+	Limits  admission.Limits
+	Effects *os.File                   // gets the log of all copies
+	Group   *idempotency.Group         // see worker.Options
+	Peers   func() []distribution.Peer // that give chunks; nil: none
 }
 
 // Runtime is the worker runtime, started and stopped within this process.
@@ -206,7 +207,7 @@
 func (r *Runtime) Falls() int { return 0 }
 
 // Trouble has it misbehave from now on.
-func (r *Runtime) Trouble(change func(*faults.Troubles)) { r.now().Trouble(change) }
+func (r *Runtime) Trouble(change func(*faultinject.Troubles)) { r.now().Trouble(change) }
 
 func (r *Runtime) now() *worker.Worker {
 	r.mu.Lock()
--- a/internal/crew/store.go
+++ b/internal/testbed/localfleet/store.go
@@ -1,4 +1,4 @@
-package crew
+package localfleet
 
 import (
 	"context"
@@ -11,33 +11,33 @@
 	"sync"
 	"time"
 
-	"lupinpond/internal/cache"
-	"lupinpond/internal/serve"
-	"lupinpond/internal/store"
-	"lupinpond/internal/supply"
+	"lupinpond/internal/artifact/artifactstore"
+	"lupinpond/internal/artifact/cache"
+	"lupinpond/internal/artifact/distribution"
+	"lupinpond/internal/base/httpserver"
 )
 
 // Store is a store of packages inside this process, on loopback.
 type Store struct {
-	*store.Store
-	Client store.Client // of it
-	server *serve.Local
+	*artifactstore.Store
+	Client artifactstore.Client // of it
+	server *httpserver.Local
 }
 
 // Easy is the capacity of a store that is in nobody's way.
-var Easy = store.Capacity{Requests: 256}
+var Easy = artifactstore.Capacity{Requests: 256}
 
 // OpenStore opens one in a folder.
-func OpenStore(folder string, c store.Capacity) (*Store, error) {
-	s, err := store.Open(store.Options{Folder: folder, Capacity: c, Grace: time.Hour})
+func OpenStore(folder string, c artifactstore.Capacity) (*Store, error) {
+	s, err := artifactstore.Open(artifactstore.Options{Folder: folder, Capacity: c, Grace: time.Hour})
 	if err != nil {
 		return nil, err
 	}
-	server, err := serve.OnLoopback("127.0.0.1:0", s.Handler(true))
+	server, err := httpserver.OnLoopback("127.0.0.1:0", s.Handler(true))
 	if err != nil {
 		return nil, errors.Join(err, s.Close())
 	}
-	client := store.Client{Base: "http://" + server.Addr, HTTP: &http.Client{Transport: &http.Transport{}}}
+	client := artifactstore.Client{Base: "http://" + server.Addr, HTTP: &http.Client{Transport: &http.Transport{}}}
 	return &Store{Store: s, Client: client, server: server}, nil
 }
 
@@ -64,14 +64,14 @@
 
 // Giver is a worker's supplier and the server on which it gives chunks to others.
 type Giver struct {
-	*supply.Supplier
+	*distribution.Supplier
 	Addr   string
 	client *http.Client
-	server *serve.Local
+	server *httpserver.Local
 }
 
 // NewGiver makes a supplier in a worker's folder, of the store at base. peers may be nil.
-func NewGiver(name, folder, base string, patience time.Duration, peers func() []supply.Peer, log *slog.Logger) (*Giver, error) {
+func NewGiver(name, folder, base string, patience time.Duration, peers func() []distribution.Peer, log *slog.Logger) (*Giver, error) {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
@@ -84,11 +84,11 @@
 		return nil, err
 	}
 	g := &Giver{client: &http.Client{Transport: &http.Transport{}}}
-	if g.Supplier, err = supply.New(supply.Options{Name: name, Folder: folder, Store: store.Client{Base: base, HTTP: g.client}, Cache: c,
+	if g.Supplier, err = distribution.New(distribution.Options{Name: name, Folder: folder, Store: artifactstore.Client{Base: base, HTTP: g.client}, Cache: c,
 		Peers: peers, Capacity: 1e9, Part: 0.5, Slots: 16, Patience: patience, Parallel: 16, Log: log}); err != nil {
 		return nil, err
 	}
-	if g.server, err = serve.OnLoopback("127.0.0.1:0", g.Handler()); err != nil {
+	if g.server, err = httpserver.OnLoopback("127.0.0.1:0", g.Handler()); err != nil {
 		g.Supplier.Close()
 		return nil, err
 	}
--- a/internal/overlays/overlays.go
+++ b/internal/testbed/mutationtest/mutationtest.go
@@ -1,5 +1,5 @@
-// Package overlays writes overlays for the go command, by which tests build a program with a guard taken out.
-package overlays
+// Package mutationtest writes overlays for the go command, by which tests build a program with a guard taken out.
+package mutationtest
 
 import (
 	"context"
--- a/internal/scale/child.go
+++ b/internal/testbed/scale/child.go
@@ -9,7 +9,7 @@
 	"github.com/prometheus/procfs"
 	"golang.org/x/sys/unix"
 
-	"lupinpond/internal/listservice"
+	"lupinpond/internal/testbed/discoverytest"
 )
 
 // Child plays a role for the process that started this one, until in ends: what the parent says comes by in, and what it is
@@ -29,7 +29,7 @@
 
 // runList plays the role of the list service.
 func runList(p *pipe) error {
-	var s *listservice.Service
+	var s *discoverytest.Service
 	defer func() {
 		if s != nil {
 			_ = s.Close() // the process ends
@@ -38,7 +38,7 @@
 	return p.answer(func(c command) (r reply, err error) {
 		switch {
 		case c.Setup != nil:
-			if s, err = listservice.New(c.Setup.List); err == nil {
+			if s, err = discoverytest.New(c.Setup.List); err == nil {
 				r.Addr = s.Addr
 			}
 		case len(c.Publish) > 0:
--- a/internal/scale/faults.go
+++ b/internal/testbed/scale/faults.go
@@ -6,8 +6,8 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"lupinpond/internal/feed"
-	"lupinpond/internal/serve"
+	"lupinpond/internal/base/httpserver"
+	"lupinpond/internal/gateway/discovery"
 )
 
 // act carries out one row of the timeline and returns when it is over.
@@ -57,7 +57,7 @@
 	var g errgroup.Group
 	for i, worker := range workers {
 		if i > 0 && row.Over > 0 {
-			if err := serve.Pause(ctx, row.Over.D()/time.Duration(row.Count)); err != nil {
+			if err := httpserver.Pause(ctx, row.Over.D()/time.Duration(row.Count)); err != nil {
 				return err
 			}
 		}
@@ -67,7 +67,7 @@
 }
 
 // publish tells one change of the list.
-func (r *run) publish(lines []feed.Worker) error {
+func (r *run) publish(lines []discovery.Worker) error {
 	reply, err := r.list.pipe.ask(command{Publish: lines})
 	if err != nil {
 		return err
@@ -79,7 +79,7 @@
 }
 
 // workersDo has the processes of some workers carry out a command, and tells the lines of those that started.
-func (r *run) workersDo(workers []int, make func(mine []int) command) (lines []feed.Worker, err error) {
+func (r *run) workersDo(workers []int, make func(mine []int) command) (lines []discovery.Worker, err error) {
 	perProcess := map[*process][]int{}
 	var order []*process
 	for _, worker := range workers {
@@ -109,23 +109,23 @@
 }
 
 // line is what was published of a worker last.
-func (r *run) line(worker int) feed.Worker {
+func (r *run) line(worker int) discovery.Worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lines[worker]
 }
 
 // gone are the lines that take workers off the list.
-func (r *run) gone(workers []int) (lines []feed.Worker) {
+func (r *run) gone(workers []int) (lines []discovery.Worker) {
 	for _, worker := range workers {
 		line := r.line(worker)
-		line.State = feed.Removed
+		line.State = discovery.Removed
 		lines = append(lines, line)
 	}
 	return lines
 }
 
-func (r *run) setLine(worker int, line feed.Worker) {
+func (r *run) setLine(worker int, line discovery.Worker) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lines[worker] = line
@@ -133,18 +133,18 @@
 
 func (r *run) drain(ctx context.Context, lasts time.Duration, worker int) error {
 	line := r.line(worker)
-	line.State = feed.Draining
-	if err := r.publish([]feed.Worker{line}); err != nil {
+	line.State = discovery.Draining
+	if err := r.publish([]discovery.Worker{line}); err != nil {
 		return err
 	}
-	if err := serve.Pause(ctx, lasts); err != nil {
+	if err := httpserver.Pause(ctx, lasts); err != nil {
 		return err
 	}
 	if r.line(worker).Name != line.Name { // another one has taken its place meanwhile
 		return nil
 	}
-	line.State = feed.Up
-	return r.publish([]feed.Worker{line})
+	line.State = discovery.Up
+	return r.publish([]discovery.Worker{line})
 }
 
 // replace has other workers, empty and cold, take the places of some, in one change.
@@ -159,8 +159,8 @@
 }
 
 // setLines notes the lines of workers that started; processes answer in the order of their first worker.
-func (r *run) setLines(workers []int, started []feed.Worker) {
-	byCell := map[int]feed.Worker{}
+func (r *run) setLines(workers []int, started []discovery.Worker) {
+	byCell := map[int]discovery.Worker{}
 	for _, line := range started {
 		byCell[workerNumber(line)] = line
 	}
@@ -177,7 +177,7 @@
 	if err := r.publish(r.gone(workers)); err != nil {
 		return err
 	}
-	if err := serve.Pause(ctx, lasts); err != nil {
+	if err := httpserver.Pause(ctx, lasts); err != nil {
 		return err
 	}
 	started, err := r.workersDo(workers, func(mine []int) command { return command{Start: mine} })
@@ -193,7 +193,7 @@
 	if _, err := r.workersDo(workers, func(mine []int) command { return command{Silence: mine} }); err != nil {
 		return err
 	}
-	if err := serve.Pause(ctx, lasts); err != nil {
+	if err := httpserver.Pause(ctx, lasts); err != nil {
 		return err
 	}
 	return r.replace(workers)
@@ -204,7 +204,7 @@
 	if _, err := r.list.pipe.ask(command{Away: &away}); err != nil {
 		return err
 	}
-	if err := serve.Pause(ctx, lasts); err != nil {
+	if err := httpserver.Pause(ctx, lasts); err != nil {
 		return err
 	}
 	away = false
--- a/internal/scale/fronts.go
+++ b/internal/testbed/scale/fronts.go
@@ -14,12 +14,12 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"lupinpond/choice"
-	"lupinpond/internal/catalog"
-	"lupinpond/internal/feed"
-	"lupinpond/internal/invoke"
-	"lupinpond/internal/listservice"
-	"lupinpond/internal/platform"
+	"lupinpond/internal/gateway/discovery"
+	"lupinpond/internal/gateway/invoke"
+	"lupinpond/internal/gateway/platform"
+	"lupinpond/internal/testbed/discoverytest"
+	"lupinpond/internal/testbed/workload"
+	"lupinpond/scheduler"
 )
 
 // The one class and tenant of a run.
@@ -43,7 +43,7 @@
 type frontPool struct {
 	plan   Plan
 	config platform.Config
-	draw   *catalog.Catalog
+	draw   *workload.Catalog
 	ctx    context.Context
 	fronts []*hollowFront
 	rate   atomic.Uint64 // bits of the requests a second at each
@@ -102,7 +102,7 @@
 	f.last, f.since = 0, time.Now().UnixNano()
 	c := f.pool.config
 	if empty {
-		c.Known = feed.News{}
+		c.Known = discovery.News{}
 	}
 	c.Name = fmt.Sprintf("h%d", f.number)
 	c.Front.Self, c.Front.Seed = f.number, f.random.Uint64()
@@ -244,12 +244,12 @@
 	}
 	states := map[string]string{}
 	for _, m := range members {
-		states[m.Worker] = feed.Up
-		if m.Condition == choice.Draining {
-			states[m.Worker] = feed.Draining
+		states[m.Worker] = discovery.Up
+		if m.Condition == scheduler.Draining {
+			states[m.Worker] = discovery.Draining
 		}
 	}
-	return listservice.Digest(states)
+	return discoverytest.Digest(states)
 }
 
 // runFrontEnds plays the role of hollow front ends.
--- a/internal/scale/gates.go
+++ b/internal/testbed/scale/gates.go
@@ -18,8 +18,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"lupinpond/internal/catalog"
-	"lupinpond/internal/thrift"
+	"lupinpond/internal/gateway/thrift"
+	"lupinpond/internal/testbed/workload"
 )
 
 // platformConfig is the file that a front end of the run is started with.
@@ -83,7 +83,7 @@
 // clients send drawn requests to a real front end over one connection.
 type clients struct {
 	plan   Plan
-	draw   *catalog.Catalog
+	draw   *workload.Catalog
 	random *rand.Rand
 	conn   net.Conn
 	rate   *atomic.Uint64
--- a/internal/scale/parts_test.go
+++ b/internal/testbed/scale/parts_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/resp"
+	"lupinpond/internal/gateway/resp"
 )
 
 // A run whose processes hold more than they may, whatever the arithmetic said, is ended.
--- a/internal/scale/plan.go
+++ b/internal/testbed/scale/plan.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"lupinpond/internal/catalog"
-	"lupinpond/internal/config"
+	"lupinpond/internal/base/config"
+	"lupinpond/internal/testbed/workload"
 )
 
 // Plan is one scale run, as its YAML file says.
@@ -56,7 +56,7 @@
 	Lanes int     `yaml:"lanes"`
 }
 
-func (p FunctionPlan) catalog() *catalog.Catalog { return catalog.New(p.Count, p.Skew) }
+func (p FunctionPlan) catalog() *workload.Catalog { return workload.New(p.Count, p.Skew) }
 
 // TimelineRow is something that happens during a run. What it needs depends on What.
 type TimelineRow struct {
--- a/internal/scale/process.go
+++ b/internal/testbed/scale/process.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"lupinpond/internal/children"
+	"lupinpond/internal/testbed/subprocess"
 )
 
 // endLimit is how long a process has to end by itself before it is killed.
@@ -35,7 +35,7 @@
 }
 
 // starter starts the children of a run.
-type starter struct{ *children.Starter }
+type starter struct{ *subprocess.Starter }
 
 // tail keeps the last bytes of what is written to it.
 type tail struct {
--- a/internal/scale/run.go
+++ b/internal/testbed/scale/run.go
@@ -16,8 +16,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"golang.org/x/sync/errgroup"
 
-	"lupinpond/internal/children"
-	"lupinpond/internal/feed"
+	"lupinpond/internal/gateway/discovery"
+	"lupinpond/internal/testbed/subprocess"
 )
 
 // Options are what a run needs beside its plan.
@@ -51,7 +51,7 @@
 	acting  sync.WaitGroup
 
 	mu         sync.Mutex
-	lines      []feed.Worker // of each worker, as published last
+	lines      []discovery.Worker // of each worker, as published last
 	published  map[int64]published
 	span       string
 	applied    map[string]*hdrhistogram.Histogram
@@ -81,7 +81,7 @@
 	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	r := &run{plan: plan, options: options, starter: &starter{children.NewStarter()}, dir: dir, random: rand.New(rand.NewPCG(plan.Seed, 0)), began: began,
+	r := &run{plan: plan, options: options, starter: &starter{subprocess.NewStarter()}, dir: dir, random: rand.New(rand.NewPCG(plan.Seed, 0)), began: began,
 		cancel: cancel, published: map[int64]published{}, applied: map[string]*hdrhistogram.Histogram{}, last: map[int64]time.Duration{}, early: map[int64][]application{},
 		warm: newHistogram(), cold: newHistogram(), leastIdle: 1}
 	defer r.starter.Close()
@@ -121,7 +121,7 @@
 		return err
 	}
 	r.list = list.processes[0]
-	known, err := json.Marshal(feed.News{Last: 1, Events: []feed.Event{{Number: 1, List: &feed.List{Whole: true, Workers: r.lines}}}})
+	known, err := json.Marshal(discovery.News{Last: 1, Events: []discovery.Event{{Number: 1, List: &discovery.List{Whole: true, Workers: r.lines}}}})
 	if err != nil {
 		return err
 	}
@@ -146,8 +146,8 @@
 // started are the processes of one role.
 type started struct {
 	processes []*process
-	lines     []feed.Worker // of workers
-	addr      string        // of the list service
+	lines     []discovery.Worker // of workers
+	addr      string             // of the list service
 }
 
 // startRole starts the processes of a role, which share count among them.
--- a/internal/scale/scale_test.go
+++ b/internal/testbed/scale/scale_test.go
@@ -19,7 +19,7 @@
 	"github.com/prometheus/procfs"
 	"go.uber.org/goleak"
 
-	"lupinpond/internal/scale"
+	"lupinpond/internal/testbed/scale"
 )
 
 // The test binary plays the children of its runs, and a parent that is killed.
@@ -299,7 +299,7 @@
 
 // The plans that come with the project can be read, and fit a machine of 24 GiB.
 func TestPlansOfTheProject(t *testing.T) {
-	files, err := filepath.Glob("../../deploy/scale/*.yaml")
+	files, err := filepath.Glob("../../../deploy/scale/*.yaml")
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
 	}
--- a/internal/scale/totals.go
+++ b/internal/testbed/scale/totals.go
@@ -7,7 +7,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/prometheus/procfs"
 
-	"lupinpond/internal/listservice"
+	"lupinpond/internal/testbed/discoverytest"
 )
 
 // totals are the sums of what all processes have counted up to a moment.
@@ -24,7 +24,7 @@
 	gateBytes   int64
 	gateFiles   int
 	allBytes    int64 // resident, of all processes of the run
-	list        listservice.Counts
+	list        discoverytest.Counts
 	workers     workerCounts
 	fronts      frontEndCounts
 	gates       frontEndCounts
--- a/internal/scale/workers.go
+++ b/internal/testbed/scale/workers.go
@@ -10,9 +10,9 @@
 	"sync/atomic"
 	"time"
 
-	"lupinpond/internal/faultproxy"
-	"lupinpond/internal/feed"
-	"lupinpond/internal/resp"
+	"lupinpond/internal/gateway/discovery"
+	"lupinpond/internal/gateway/resp"
+	"lupinpond/internal/testbed/faultproxy"
 )
 
 // Loopback networks of the roles: every worker has an address of its own, so that ports never run out.
@@ -39,7 +39,7 @@
 	number int
 	life   int // counts its starts
 	random *rand.Rand
-	line   feed.Worker
+	line   discovery.Worker
 
 	mu       sync.Mutex
 	listener net.Listener // nil: stopped
@@ -90,8 +90,8 @@
 }
 
 // lines are the workers' lines of the list.
-func (p *workerPool) lines() []feed.Worker {
-	out := make([]feed.Worker, len(p.workers))
+func (p *workerPool) lines() []discovery.Worker {
+	out := make([]discovery.Worker, len(p.workers))
 	for i, w := range p.workers {
 		out[i] = w.line
 	}
@@ -134,8 +134,8 @@
 	defer w.mu.Unlock()
 	w.life++
 	zone := w.number % w.pool.plan.Workers.Zones
-	w.line = feed.Worker{Name: fmt.Sprintf("s-%05d-%d", w.number, w.life), Addr: listener.Addr().String(), Zone: fmt.Sprint("zone", zone),
-		Kind: "std", Cell: w.number / 8, State: feed.Up, Size: 1, Born: born}
+	w.line = discovery.Worker{Name: fmt.Sprintf("s-%05d-%d", w.number, w.life), Addr: listener.Addr().String(), Zone: fmt.Sprint("zone", zone),
+		Kind: "std", Cell: w.number / 8, State: discovery.Up, Size: 1, Born: born}
 	w.listener, w.conns, w.replicas, w.jobs = listener, map[net.Conn]bool{}, map[string]*replica{}, map[string]*job{}
 	w.running, w.queue, w.silent = 0, nil, false
 	w.pool.done.Add(1)
@@ -414,7 +414,7 @@
 }
 
 // workerNumber is the number of the worker that a line is of; its name holds it.
-func workerNumber(line feed.Worker) int {
+func workerNumber(line discovery.Worker) int {
 	var number, life int
 	if _, err := fmt.Sscanf(line.Name, "s-%d-%d", &number, &life); err != nil {
 		return -1
--- a/internal/rehearse/all.go
+++ b/internal/testbed/scenario/all.go
@@ -1,4 +1,4 @@
-package rehearse
+package scenario
 
 import (
 	"fmt"
@@ -6,11 +6,12 @@
 	"path"
 	"strings"
 
-	"lupinpond/internal/config"
+	"lupinpond/internal/base/config"
+	"lupinpond/internal/gateway/fleetconfig"
 )
 
 // All reads every day in files, in the order of their names.
-func All(files fs.FS, f config.File) ([]Day, error) {
+func All(files fs.FS, f fleetconfig.File) ([]Day, error) {
 	names, err := fs.Glob(files, "*.yaml")
 	if err != nil {
 		return nil, err
--- a/internal/rehearse/clients.go
+++ b/internal/testbed/scenario/clients.go
@@ -1,4 +1,4 @@
-package rehearse
+package scenario
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"lupinpond/internal/invoke"
+	"lupinpond/internal/gateway/invoke"
 )
 
 // clients send events over connections of their own: net/http's client would resend some requests by itself.
--- a/internal/rehearse/play.go
+++ b/internal/testbed/scenario/play.go
@@ -1,4 +1,4 @@
-package rehearse
+package scenario
 
 import (
 	"context"
@@ -15,29 +15,29 @@
 	"golang.org/x/sync/errgroup"
 	"golang.org/x/sys/unix"
 
-	"lupinpond/internal/admit"
-	"lupinpond/internal/capture"
-	"lupinpond/internal/config"
-	"lupinpond/internal/crew"
-	"lupinpond/internal/faults"
-	"lupinpond/internal/gate"
-	"lupinpond/internal/keys"
-	"lupinpond/internal/roster"
-	"lupinpond/internal/rules"
-	"lupinpond/internal/serve"
-	"lupinpond/internal/standin"
-	"lupinpond/internal/store"
-	"lupinpond/internal/supply"
+	"lupinpond/internal/artifact/artifactstore"
+	"lupinpond/internal/artifact/distribution"
+	"lupinpond/internal/base/capture"
+	"lupinpond/internal/base/httpserver"
+	"lupinpond/internal/gateway"
+	"lupinpond/internal/gateway/fleetconfig"
+	"lupinpond/internal/registry"
+	"lupinpond/internal/testbed/checker"
+	"lupinpond/internal/testbed/emulator"
+	"lupinpond/internal/testbed/localfleet"
+	"lupinpond/internal/worker/admission"
+	"lupinpond/internal/worker/faultinject"
+	"lupinpond/internal/worker/idempotency"
 )
 
 // Result is how a day went.
 type Result struct {
 	Day       string
-	Verdict   rules.Verdict
+	Verdict   checker.Verdict
 	Clients   Clientele
-	Gates     gate.Counts // of all lives of all front ends
-	Doubles   []string    // at-most-once events that ran twice, counted at the workers
-	Falls     int         // workers that fell over
+	Gates     gateway.Counts // of all lives of all front ends
+	Doubles   []string       // at-most-once events that ran twice, counted at the workers
+	Falls     int            // workers that fell over
 	Arrivals  int
 	ServiceOf float64 // part of the events that were served in their target time
 }
@@ -47,7 +47,7 @@
 
 // Options of a played day.
 type Options struct {
-	File     config.File
+	File     fleetconfig.File
 	Keep     string // folder for captures, list news, settings and core recordings; "": nothing is kept
 	Log      *slog.Logger
 	Progress func(part float64) // told now and then; may be nil
@@ -57,15 +57,15 @@
 
 // life is one life of a front end.
 type life struct {
-	gate    *gate.Gate
-	front   *rules.Front
+	gate    *gateway.Gate
+	front   *checker.Front
 	mu      sync.Mutex
 	drain   context.CancelFunc
 	kill    context.CancelFunc
 	tap     *capture.Tap
 	done    chan error
 	file    *os.File
-	counts  gate.Counts
+	counts  gateway.Counts
 	stopped bool
 }
 
@@ -73,24 +73,24 @@
 	day      Day
 	o        Options
 	base     time.Time
-	roster   *roster.Roster
+	roster   *registry.Roster
 	list     string // its address
-	workers  []crew.Worker
+	workers  []localfleet.Worker
 	dir      string // of the worker runtime's folders
-	releases *crew.Releases
+	releases *localfleet.Releases
 	rate     float64 // bytes a second of the runtime's store
 	effects  *os.File
-	keys     *keys.Group
-	entries  []roster.Entry
-	store    *standin.Store
-	ledger   *standin.Ledger
+	keys     *idempotency.Group
+	entries  []registry.Entry
+	store    *emulator.Store
+	ledger   *emulator.Ledger
 	clients  *clients
 
 	mu     sync.Mutex
 	lives  []*life
-	now    []*life             // by front end
-	known  map[int]roster.News // the list as each front end last kept it
-	news   []rules.Told
+	now    []*life               // by front end
+	known  map[int]registry.News // the list as each front end last kept it
+	news   []checker.Told
 	bare   bool // nothing is captured
 	listen func() (io.Closer, error)
 	server io.Closer
@@ -101,8 +101,8 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	s := &stage{day: day, o: o, base: time.Now(), store: standin.NewStore(day.Store), ledger: standin.NewLedger(),
-		list: "127.0.0.1:0", known: map[int]roster.News{}}
+	s := &stage{day: day, o: o, base: time.Now(), store: emulator.NewStore(day.Store), ledger: emulator.NewLedger(),
+		list: "127.0.0.1:0", known: map[int]registry.News{}}
 	if o.Keep != "" {
 		if err := os.MkdirAll(o.Keep, 0o755); err != nil {
 			return Result{}, fmt.Errorf("rehearse %s: %w", day.Name, err)
@@ -164,7 +164,7 @@
 	}
 	g.Go(func() error {
 		for i, a := range arrivals {
-			if err := serve.Pause(gctx, time.Until(start.Add(a.at))); err != nil {
+			if err := httpserver.Pause(gctx, time.Until(start.Add(a.at))); err != nil {
 				return err
 			}
 			t, _ := s.o.File.Type(a.function.Type)
@@ -198,15 +198,15 @@
 		return res, err
 	}
 	res.ServiceOf = float64(res.Clients.InTime) / float64(max(1, res.Clients.Events))
-	facts := rules.Facts{File: s.o.File, News: s.news, Base: s.base, End: time.Since(s.base)}
+	facts := checker.Facts{File: s.o.File, News: s.news, Base: s.base, End: time.Since(s.base)}
 	for _, l := range s.lives {
 		facts.Fronts = append(facts.Fronts, *l.front)
 	}
-	if res.Verdict, err = rules.Judge(facts); err != nil {
+	if res.Verdict, err = checker.Judge(facts); err != nil {
 		return res, err
 	}
 	if s.o.Keep != "" {
-		return res, rules.Keep(s.o.Keep, facts)
+		return res, checker.Keep(s.o.Keep, facts)
 	}
 	return res, nil
 }
@@ -229,7 +229,7 @@
 		}
 	}
 	s.rate = float64(s.day.Store) * float64(st.Size()) / usual.Seconds()
-	if s.releases, err = crew.NewReleases(filepath.Join(s.dir, "store"), s.o.Payroll, s.o.File, store.Capacity{Rate: s.rate,
+	if s.releases, err = localfleet.NewReleases(filepath.Join(s.dir, "store"), s.o.Payroll, s.o.File, artifactstore.Capacity{Rate: s.rate,
 		Requests: 8 * s.day.Store}); err == nil {
 		s.effects, err = os.OpenFile(filepath.Join(s.dir, "effects"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	}
@@ -284,33 +284,33 @@
 		if err := os.Mkdir(folder, 0o755); err != nil {
 			return nil, err
 		}
-		r, err := keys.Open(folder, 1<<20)
+		r, err := idempotency.Open(folder, 1<<20)
 		if err != nil {
 			return nil, err
 		}
 		ends = append(ends, func() { r.Close() })
-		server, err := serve.OnLoopback("127.0.0.1:0", r.Handler())
+		server, err := httpserver.OnLoopback("127.0.0.1:0", r.Handler())
 		if err != nil {
 			return nil, err
 		}
 		ends = append(ends, func() { server.Close() })
 		at = append(at, server.Addr)
 	}
-	s.keys, err = keys.NewGroup(at, time.Second, s.o.Log)
+	s.keys, err = idempotency.NewGroup(at, time.Second, s.o.Log)
 	return end, err
 }
 
 // givers are the workers that give chunks to each other.
-func (s *stage) givers() (all []supply.Peer) {
+func (s *stage) givers() (all []distribution.Peer) {
 	if s.o.Alone {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, w := range s.workers {
-		if r, is := w.(*crew.Runtime); is {
+		if r, is := w.(*localfleet.Runtime); is {
 			if at := r.Chunks(); at != "" {
-				all = append(all, supply.Peer{Name: r.Name(), Addr: at})
+				all = append(all, distribution.Peer{Name: r.Name(), Addr: at})
 			}
 		}
 	}
@@ -327,7 +327,7 @@
 		}
 		return twice, nil
 	}
-	runs, err := crew.Effects(filepath.Join(s.dir, "effects"))
+	runs, err := localfleet.Effects(filepath.Join(s.dir, "effects"))
 	if err != nil {
 		return nil, err
 	}
@@ -341,7 +341,7 @@
 	return twice, nil
 }
 
-func add(a, b gate.Counts) gate.Counts {
+func add(a, b gateway.Counts) gateway.Counts {
 	a.Taken, a.Completed, a.Rejected = a.Taken+b.Taken, a.Completed+b.Completed, a.Rejected+b.Rejected
 	a.Failed, a.ClientsLeft = a.Failed+b.Failed, a.ClientsLeft+b.ClientsLeft
 	a.NotTaken, a.Refused = a.NotTaken+b.NotTaken, a.Refused+b.Refused
@@ -352,16 +352,16 @@
 
 // fleet starts the list and the workers.
 func (s *stage) fleet(ctx context.Context) error {
-	s.roster = roster.New(func(front string, at time.Time, n roster.News) {
+	s.roster = registry.New(func(front string, at time.Time, n registry.News) {
 		if s.bare {
 			return
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.news = append(s.news, rules.Told{Front: front, At: at.Sub(s.base), News: n})
+		s.news = append(s.news, checker.Told{Front: front, At: at.Sub(s.base), News: n})
 	})
 	s.listen = func() (io.Closer, error) {
-		server, err := serve.OnLoopback(s.list, s.roster.Handler())
+		server, err := httpserver.OnLoopback(s.list, s.roster.Handler())
 		if err != nil {
 			return nil, err
 		}
@@ -373,19 +373,19 @@
 		return err
 	}
 	f := s.o.File
-	var functions []standin.Function
+	var functions []emulator.Function
 	for _, fn := range f.Functions {
-		functions = append(functions, standin.Function{Name: fn.Name, Work: s.day.Work[fn.Name].D(), Load: fn.LoadTime.D(),
+		functions = append(functions, emulator.Function{Name: fn.Name, Work: s.day.Work[fn.Name].D(), Load: fn.LoadTime.D(),
 			Memory: int64(fn.Memory), Lanes: fn.Lanes})
 	}
 	w := s.day.Workers
-	model := standin.Model{Cores: w.Cores, Memory: int64(w.Memory), Queue: w.Queue, Keep: f.Fleet.Loading.Keep.D(),
+	model := emulator.Model{Cores: w.Cores, Memory: int64(w.Memory), Queue: w.Queue, Keep: f.Fleet.Loading.Keep.D(),
 		LoadOnMiss: f.Fleet.Loading.OnMiss == "load", ColdFrom: f.Fleet.Cold.From, WarmAfter: f.Fleet.Cold.WarmAfter.D(),
 		Multiple: f.Fleet.Cold.FallMultiple, Fall: f.Fleet.Cold.Fall.D(), Launches: 256}
-	shared := map[string]*standin.Group{}
+	shared := map[string]*emulator.Group{}
 	for i := range w.Count {
 		zone := fmt.Sprint("zone-", i%w.Zones)
-		groups := map[string]*standin.Group{}
+		groups := map[string]*emulator.Group{}
 		for _, t := range f.Fleet.Types {
 			if t.Effect != "keyed" {
 				continue
@@ -395,22 +395,22 @@
 				scope += zone
 			}
 			if shared[scope] == nil {
-				shared[scope] = standin.NewGroup()
+				shared[scope] = emulator.NewGroup()
 			}
 			groups[t.Name] = shared[scope]
 		}
-		var worker crew.Worker = standin.NewWorker(fmt.Sprint("w", i), model, functions, s.store, s.ledger, groups, s.day.Seed)
+		var worker localfleet.Worker = emulator.NewWorker(fmt.Sprint("w", i), model, functions, s.store, s.ledger, groups, s.day.Seed)
 		if s.releases != nil {
 			name := fmt.Sprint("w", i)
-			worker = crew.NewRuntime(crew.RuntimeOptions{Name: name, Folder: filepath.Join(s.dir, name), Store: s.releases,
-				Effects: s.effects, Group: s.keys, Peers: s.givers, Limits: admit.Limits{Memory: 16 * 64 << 20, Running: max(1, int(2*w.Cores)),
+			worker = localfleet.NewRuntime(localfleet.RuntimeOptions{Name: name, Folder: filepath.Join(s.dir, name), Store: s.releases,
+				Effects: s.effects, Group: s.keys, Peers: s.givers, Limits: admission.Limits{Memory: 16 * 64 << 20, Running: max(1, int(2*w.Cores)),
 					Waiting: w.Queue, Loads: 2, Keep: f.Fleet.Loading.Keep.D(), OnMiss: f.Fleet.Loading.OnMiss == "load"}})
 		}
 		addr, started, err := worker.Start("", true)
 		if err != nil {
 			return err
 		}
-		e := roster.Entry{Name: worker.Name(), Addr: addr, Zone: zone, Cell: "0", Cores: w.Cores, State: roster.In,
+		e := registry.Entry{Name: worker.Name(), Addr: addr, Zone: zone, Cell: "0", Cores: w.Cores, State: registry.In,
 			Started: started}
 		s.mu.Lock()
 		s.workers, s.entries = append(s.workers, worker), append(s.entries, e)
@@ -428,13 +428,13 @@
 	}
 	s.mu.Lock()
 	name := fmt.Sprintf("front-%d.%d", i, len(s.lives))
-	var stale *roster.News
+	var stale *registry.News
 	if n, is := s.known[i]; is {
 		stale = &n
-		s.news = append(s.news, rules.Told{Front: name, At: time.Since(s.base), News: n})
+		s.news = append(s.news, checker.Told{Front: name, At: time.Since(s.base), News: n})
 	}
 	s.mu.Unlock()
-	l := &life{front: &rules.Front{Name: name, Index: i}, done: make(chan error, 1)}
+	l := &life{front: &checker.Front{Name: name, Index: i}, done: make(chan error, 1)}
 	if !s.bare {
 		l.tap = capture.NewTap(s.base, func(r capture.Record) {
 			l.mu.Lock()
@@ -444,8 +444,8 @@
 	}
 	file := s.o.File
 	file.Front.List = "http://" + s.list
-	options := gate.Options{Name: name, Self: i, Peers: s.day.Fronts, Seed: s.day.Seed + uint64(i), File: file,
-		Listener: listener, Tap: l.tap, Log: s.o.Log, Stale: stale, Known: func(n roster.News) {
+	options := gateway.Options{Name: name, Self: i, Peers: s.day.Fronts, Seed: s.day.Seed + uint64(i), File: file,
+		Listener: listener, Tap: l.tap, Log: s.o.Log, Stale: stale, Known: func(n registry.News) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.known[i] = n
@@ -456,7 +456,7 @@
 		}
 		options.Record = l.file
 	}
-	if l.gate, err = gate.New(options); err != nil {
+	if l.gate, err = gateway.New(options); err != nil {
 		return "", err
 	}
 	ctx, drain := context.WithCancel(context.Background())
@@ -502,18 +502,18 @@
 
 // trouble plays one entry of the time line and undoes it.
 func (s *stage) trouble(ctx context.Context, start time.Time, t Trouble) error {
-	if err := serve.Pause(ctx, time.Until(start.Add(t.At.D()))); err != nil {
+	if err := httpserver.Pause(ctx, time.Until(start.Add(t.At.D()))); err != nil {
 		return err
 	}
 	s.o.Log.Info("trouble", "day", s.day.Name, "what", t.What, "workers", t.Workers, "fronts", t.Fronts)
-	until := func() error { return serve.Pause(ctx, time.Until(start.Add(t.At.D()+t.For.D()))) }
-	var workers []crew.Worker
+	until := func() error { return httpserver.Pause(ctx, time.Until(start.Add(t.At.D()+t.For.D()))) }
+	var workers []localfleet.Worker
 	for _, i := range t.Workers {
 		workers = append(workers, s.workers[i])
 	}
 	switch t.What {
 	case "hang", "slow", "errors", "fail-loads", "false-reports", "refuse":
-		set, undo, err := faults.Named(t.What, t.Tenant, t.Factor)
+		set, undo, err := faultinject.Named(t.What, t.Tenant, t.Factor)
 		if err != nil {
 			return err
 		}
@@ -543,7 +543,7 @@
 		return s.restart(t.Workers)
 	case "drain":
 		for _, i := range t.Workers {
-			s.roster.Mark(s.entries[i].Name, roster.Draining)
+			s.roster.Mark(s.entries[i].Name, registry.Draining)
 			s.workers[i].Goodbye()
 		}
 		if err := until(); err != nil {
@@ -632,7 +632,7 @@
 		if err != nil {
 			return err
 		}
-		s.entries[i].Started, s.entries[i].State = started, roster.In
+		s.entries[i].Started, s.entries[i].State = started, registry.In
 		s.roster.Set(s.entries[i])
 	}
 	return nil
--- a/internal/rehearse/day.go
+++ b/internal/testbed/scenario/scenario.go
@@ -1,6 +1,6 @@
-// Package rehearse plays days of trouble on loopback sockets: real front ends, the list, workers, and clients that
+// Package scenario plays days of trouble on loopback sockets: real front ends, the list, workers, and clients that
 // arrive as drawn ahead, whatever becomes of them. Afterwards the five rules are judged from what crossed the sockets.
-package rehearse
+package scenario
 
 import (
 	"fmt"
@@ -9,7 +9,8 @@
 	"sort"
 	"time"
 
-	"lupinpond/internal/config"
+	"lupinpond/internal/base/config"
+	"lupinpond/internal/gateway/fleetconfig"
 )
 
 // Day is one rehearsed day, as its YAML file says.
@@ -75,7 +76,7 @@
 }
 
 // Read reads a day; a mistake has file, line and column.
-func Read(name string, b []byte, f config.File) (Day, error) {
+func Read(name string, b []byte, f fleetconfig.File) (Day, error) {
 	var d Day
 	if err := config.Strict(name, b, &d); err != nil {
 		return d, err
@@ -86,7 +87,7 @@
 	return d, nil
 }
 
-func (d Day) contradiction(f config.File) (path, reason string) {
+func (d Day) contradiction(f fleetconfig.File) (path, reason string) {
 	functions := map[string]bool{}
 	for _, fn := range f.Functions {
 		functions[fn.Name] = true
@@ -158,14 +159,14 @@
 type arrival struct {
 	at       time.Duration
 	name     string // unique in the day
-	function config.Function
+	function fleetconfig.Function
 	patience time.Duration
 	work     time.Duration // on a core, where a package runs it; imitation workers draw their own
 	front    int           // of the first try
 }
 
 // draw draws all arrivals of a day: the same for the same seed.
-func (d Day) draw(f config.File) []arrival {
+func (d Day) draw(f fleetconfig.File) []arrival {
 	var all []arrival
 	for i, a := range d.Arrivals {
 		src := rand.New(rand.NewPCG(d.Seed, uint64(i)))
@@ -173,7 +174,7 @@
 		if until == 0 {
 			until = d.Lasts.D()
 		}
-		var fn config.Function
+		var fn fleetconfig.Function
 		for _, x := range f.Functions {
 			if x.Name == a.Function {
 				fn = x
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -1,4 +1,4 @@
-package rehearse_test
+package scenario_test
 
 import (
 	"errors"
@@ -10,13 +10,14 @@
 
 	"go.uber.org/goleak"
 
-	"lupinpond/days"
-	"lupinpond/internal/config"
-	"lupinpond/internal/corelog"
-	"lupinpond/internal/crew"
-	"lupinpond/internal/pack"
-	"lupinpond/internal/rehearse"
-	"lupinpond/internal/rules"
+	"lupinpond/internal/artifact/manifest"
+	"lupinpond/internal/base/config"
+	"lupinpond/internal/gateway/fleetconfig"
+	"lupinpond/internal/gateway/replay"
+	"lupinpond/internal/testbed/checker"
+	"lupinpond/internal/testbed/localfleet"
+	"lupinpond/internal/testbed/scenario"
+	"lupinpond/scenarios"
 )
 
 // Every rehearsed day keeps the five rules, judged from the sockets; every event taken has one ending, no client was
@@ -27,7 +28,7 @@
 // nobody. lpctl rehearse --all --workers runtime plays them all.
 func TestDaysOnTheWorkerRuntime(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "payroll")
-	if err := crew.Build(binary, "lupinpond/examples/payroll", pack.Process); err != nil {
+	if err := localfleet.Build(binary, "lupinpond/examples/payroll", manifest.Process); err != nil {
 		t.Fatal(err)
 	}
 	play(t, binary, nil, "crash-and-kill", "drains", "hang", "silence")
@@ -36,19 +37,19 @@
 // Three days of a deployment of another shape, by settings alone: workers answer a miss, there are no tenants, reports tell
 // no waiting events, the list tells sizes, and crossing zones costs.
 func TestDaysOfAnotherShape(t *testing.T) {
-	play(t, "", func(f *config.File) { crew.OtherShape(f, "zone-0") }, "drains", "hang", "quiet")
+	play(t, "", func(f *fleetconfig.File) { localfleet.OtherShape(f, "zone-0") }, "drains", "hang", "quiet")
 }
 
-func play(t *testing.T, payroll string, change func(*config.File), only ...string) {
+func play(t *testing.T, payroll string, change func(*fleetconfig.File), only ...string) {
 	defer goleak.VerifyNone(t)
-	f, err := config.Default()
+	f, err := fleetconfig.Default()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if change != nil {
 		change(&f)
 	}
-	all, err := rehearse.All(days.Files, f)
+	all, err := scenario.All(scenarios.Files, f)
 	if err != nil || len(all) < 12 {
 		t.Fatalf("%d days: %v", len(all), err)
 	}
@@ -62,7 +63,7 @@
 					t.Parallel()
 				}
 				dir := t.TempDir()
-				r, err := rehearse.Play(t.Context(), d, rehearse.Options{File: f, Keep: dir, Payroll: payroll})
+				r, err := scenario.Play(t.Context(), d, scenario.Options{File: f, Keep: dir, Payroll: payroll})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -79,11 +80,11 @@
 				if r.Clients.Unanswered > 0 || r.Clients.Events != r.Arrivals {
 					t.Errorf("clients: %+v", r.Clients)
 				}
-				facts, err := rules.Load(dir)
+				facts, err := checker.Load(dir)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if again, err := rules.Judge(facts); err != nil || len(again.Breaches) != len(v.Breaches) || again.Tries != v.Tries {
+				if again, err := checker.Judge(facts); err != nil || len(again.Breaches) != len(v.Breaches) || again.Tries != v.Tries {
 					t.Errorf("judged from its folder: %d breaches, %d tries, %v", len(again.Breaches), again.Tries, err)
 				}
 				cores, err := filepath.Glob(filepath.Join(dir, "*.core"))
@@ -91,31 +92,31 @@
 					t.Fatal(cores, err)
 				}
 				for _, name := range cores {
-					replay(t, name)
+					replayRecording(t, name)
 				}
 			})
 		}
 	})
 }
 
-func replay(t *testing.T, name string) {
+func replayRecording(t *testing.T, name string) {
 	in, err := os.Open(name)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer in.Close()
-	if told, err := corelog.Replay(in, nil); err != nil || told.Facts == 0 || told.Torn {
+	if told, err := replay.Replay(in, nil); err != nil || told.Facts == 0 || told.Torn {
 		t.Errorf("replay of %s: %+v, %v", filepath.Base(name), told, err)
 	}
 }
 
 // A day that can't be played is refused with file, line and column.
 func TestMistakesInADay(t *testing.T) {
-	f, err := config.Default()
+	f, err := fleetconfig.Default()
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := days.Files.ReadFile("drains.yaml")
+	b, err := scenarios.Files.ReadFile("drains.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,7 +130,7 @@
 		{"lasts: 11s", "lasts: 11", "no time with a unit"},
 		{"fronts: 3", "ends: 3", "unknown field"},
 	} {
-		_, err := rehearse.Read("d.yaml", []byte(strings.Replace(string(b), c.old, c.new, 1)), f)
+		_, err := scenario.Read("d.yaml", []byte(strings.Replace(string(b), c.old, c.new, 1)), f)
 		var at *config.Error
 		if !errors.As(err, &at) || at.Line < 2 || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %s", c.new, err, c.want)
--- a/internal/rehearse/up.go
+++ b/internal/testbed/scenario/up.go
@@ -1,4 +1,4 @@
-package rehearse
+package scenario
 
 import (
 	"context"
@@ -9,13 +9,14 @@
 	"strconv"
 	"time"
 
-	"lupinpond/internal/config"
-	"lupinpond/internal/roster"
-	"lupinpond/internal/standin"
+	"lupinpond/internal/base/config"
+	"lupinpond/internal/gateway/fleetconfig"
+	"lupinpond/internal/registry"
+	"lupinpond/internal/testbed/emulator"
 )
 
 // Up runs front ends, the list and imitation workers in this process until ctx ends; ready is told the addresses.
-func Up(ctx context.Context, f config.File, fronts, workers int, log *slog.Logger, ready func(fronts []string, list string)) (err error) {
+func Up(ctx context.Context, f fleetconfig.File, fronts, workers int, log *slog.Logger, ready func(fronts []string, list string)) (err error) {
 	if fronts < 1 || workers < 1 {
 		return fmt.Errorf("at least one front end and one worker")
 	}
@@ -36,8 +37,8 @@
 	for _, fn := range f.Functions {
 		day.Work[fn.Name] = config.Time(20 * time.Millisecond)
 	}
-	s := &stage{day: day, o: Options{File: f, Log: log}, base: time.Now(), store: standin.NewStore(day.Store),
-		ledger: standin.NewLedger(), list: list.Host, bare: true, known: map[int]roster.News{}}
+	s := &stage{day: day, o: Options{File: f, Log: log}, base: time.Now(), store: emulator.NewStore(day.Store),
+		ledger: emulator.NewLedger(), list: list.Host, bare: true, known: map[int]registry.News{}}
 	if err := s.fleet(ctx); err != nil {
 		return err
 	}
--- a/internal/soak/client.go
+++ b/internal/testbed/soak/client.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"lupinpond/internal/thrift"
+	"lupinpond/internal/gateway/thrift"
 )
 
 const (
--- a/internal/soak/front.go
+++ b/internal/testbed/soak/front.go
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
-	"lupinpond/internal/faultproxy"
-	"lupinpond/internal/feed"
-	"lupinpond/internal/thrift"
+	"lupinpond/internal/gateway/discovery"
+	"lupinpond/internal/gateway/thrift"
+	"lupinpond/internal/testbed/faultproxy"
 )
 
 // front is one front end over its lives: a process, the ways to it, and what excuses it.
@@ -29,7 +29,7 @@
 	ways    []*faultproxy.Proxy
 	ledger  *ledger
 	spawn   func(cmd *exec.Cmd) error // starts a process that ends with this one
-	known   func() ([]feed.Worker, int64)
+	known   func() ([]discovery.Worker, int64)
 	inject  []string // words before the program: what makes its system calls fail
 
 	mu       sync.Mutex
--- a/internal/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -11,10 +11,10 @@
 	"syscall"
 	"time"
 
-	"lupinpond/internal/children"
-	"lupinpond/internal/faultproxy"
-	"lupinpond/internal/feed"
-	"lupinpond/internal/listservice"
+	"lupinpond/internal/gateway/discovery"
+	"lupinpond/internal/testbed/discoverytest"
+	"lupinpond/internal/testbed/faultproxy"
+	"lupinpond/internal/testbed/subprocess"
 )
 
 // Report is what a run has found.
@@ -28,9 +28,9 @@
 type run struct {
 	o       Options
 	ledger  *ledger
-	list    *listservice.Service
+	list    *discoverytest.Service
 	fronts  []*front
-	starter *children.Starter
+	starter *subprocess.Starter
 
 	mu      sync.Mutex
 	workers []*worker
@@ -57,7 +57,7 @@
 
 // Run plays a run. The error is one of the run itself; broken rules are in the report.
 func Run(ctx context.Context, o Options) (Report, error) {
-	r := &run{o: o, ledger: newLedger(), starter: children.NewStarter()}
+	r := &run{o: o, ledger: newLedger(), starter: subprocess.NewStarter()}
 	defer r.starter.Close()
 	watching, unwatch := context.WithCancel(context.Background())
 	defer unwatch()
@@ -97,7 +97,7 @@
 // setUp starts workers, the list service and the front ends.
 func (r *run) setUp(ctx context.Context) error {
 	random := rand.New(rand.NewPCG(r.o.Seed, 1))
-	var lines []feed.Worker
+	var lines []discovery.Worker
 	for range r.o.Workers {
 		w, err := newWorker(r.ledger, r.name(), "", len(lines)%3, time.Time{}, random.Uint64())
 		if err != nil {
@@ -107,7 +107,7 @@
 		lines = append(lines, w.line)
 	}
 	var err error
-	if r.list, err = listservice.New(lines); err != nil {
+	if r.list, err = discoverytest.New(lines); err != nil {
 		return err
 	}
 	for i := range r.o.Processes {
@@ -163,10 +163,10 @@
 const frontNet = 33
 
 // known is the list as it stands.
-func (r *run) known() ([]feed.Worker, int64) {
+func (r *run) known() ([]discovery.Worker, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var lines []feed.Worker
+	var lines []discovery.Worker
 	for _, w := range r.workers {
 		lines = append(lines, w.line)
 	}
@@ -197,11 +197,11 @@
 func (r *run) tell(workers []*worker, state string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var lines []feed.Worker
+	var lines []discovery.Worker
 	for _, w := range workers {
 		w.line.State = state
 		lines = append(lines, w.line)
-		if state == feed.Removed {
+		if state == discovery.Removed {
 			r.workers = slices.DeleteFunc(r.workers, func(x *worker) bool { return x == w })
 		}
 	}
@@ -237,7 +237,7 @@
 		w.line.Born = born.Add(clockSteps[random.IntN(len(clockSteps))]).UnixMilli()
 	}
 	r.workers = append(r.workers, w)
-	r.list.Publish([]feed.Worker{w.line})
+	r.list.Publish([]discovery.Worker{w.line})
 }
 
 // startClients has usual clients come to every front end.
--- a/internal/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -8,18 +8,18 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/overlays"
+	"lupinpond/internal/testbed/mutationtest"
 )
 
 // build builds the front end, with some files replaced by those of an overlay; none: as it is.
 func build(t *testing.T, overlay string) string {
 	t.Helper()
-	program := filepath.Join(t.TempDir(), "lpgate")
+	program := filepath.Join(t.TempDir(), "gateway")
 	words := []string{"build", "-o", program}
 	if overlay != "" {
 		words = append(words, "-overlay", overlay)
 	}
-	if out, err := exec.CommandContext(t.Context(), "go", append(words, "lupinpond/cmd/lpgate")...).CombinedOutput(); err != nil {
+	if out, err := exec.CommandContext(t.Context(), "go", append(words, "lupinpond/cmd/gateway")...).CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	return program
@@ -194,7 +194,7 @@
 
 // A front end whose guard of departures is taken out breaks rules that the judge sees, and logs that its invariants are violated.
 func TestSoakSeesAFrontEndWithoutItsGuard(t *testing.T) {
-	source, err := filepath.Abs("../gate/departure.go")
+	source, err := filepath.Abs("../../gateway/departure.go")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -220,7 +220,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	overlay, err := overlays.Write(t.TempDir(), file, b, text, instead)
+	overlay, err := mutationtest.Write(t.TempDir(), file, b, text, instead)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/soak/troubles.go
+++ b/internal/testbed/soak/troubles.go
@@ -8,8 +8,8 @@
 	"syscall"
 	"time"
 
-	"lupinpond/internal/faultproxy"
-	"lupinpond/internal/feed"
+	"lupinpond/internal/gateway/discovery"
+	"lupinpond/internal/testbed/faultproxy"
 )
 
 // trouble is one kind of what may go wrong. It returns once it is over.
@@ -230,9 +230,9 @@
 // replace drains workers, lets them finish, and starts others.
 func (r *run) replace(ctx context.Context, random *rand.Rand, n int) {
 	old := r.take(random, n)
-	r.tell(old, feed.Draining)
+	r.tell(old, discovery.Draining)
 	sleep(ctx, between(random, 0, 900*time.Millisecond))
-	r.tell(old, feed.Removed)
+	r.tell(old, discovery.Removed)
 	same := random.IntN(2) == 0
 	for _, w := range old {
 		w.die()
--- a/internal/soak/worker.go
+++ b/internal/testbed/soak/worker.go
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
-	"lupinpond/internal/faultproxy"
-	"lupinpond/internal/feed"
-	"lupinpond/internal/resp"
+	"lupinpond/internal/gateway/discovery"
+	"lupinpond/internal/gateway/resp"
+	"lupinpond/internal/testbed/faultproxy"
 )
 
 // attempt is a request as it came to a worker.
@@ -42,7 +42,7 @@
 // worker is one life of an emulated worker.
 type worker struct {
 	ledger   *ledger
-	line     feed.Worker
+	line     discovery.Worker
 	born     time.Time // zero: long ago
 	listener net.Listener
 	done     sync.WaitGroup
@@ -91,7 +91,7 @@
 	}
 	w := &worker{ledger: l, born: born, listener: listener, random: rand.New(rand.NewPCG(seed, seed)), conns: map[net.Conn]bool{},
 		replicas: map[string]time.Time{}, given: map[string]bool{}}
-	w.line = feed.Worker{Name: name, Addr: listener.Addr().String(), Zone: fmt.Sprint("zone", zone), Kind: "std", State: feed.Up, Size: 1}
+	w.line = discovery.Worker{Name: name, Addr: listener.Addr().String(), Zone: fmt.Sprint("zone", zone), Kind: "std", State: discovery.Up, Size: 1}
 	if !born.IsZero() {
 		w.line.Born = born.UnixMilli()
 	}
--- a/internal/children/children.go
+++ b/internal/testbed/subprocess/subprocess.go
@@ -1,5 +1,5 @@
-// Package children starts processes that end with this one, however that ends.
-package children
+// Package subprocess starts processes that end with this one, however that ends.
+package subprocess
 
 import (
 	"os/exec"
--- a/internal/catalog/catalog.go
+++ b/internal/testbed/workload/workload.go
@@ -1,5 +1,5 @@
-// Package catalog draws functions for measured and emulated traffic: few of them often and most of them rarely.
-package catalog
+// Package workload draws functions for measured and emulated traffic: few of them often and most of them rarely.
+package workload
 
 import (
 	"math"
--- a/internal/catalog/catalog_test.go
+++ b/internal/testbed/workload/workload_test.go
@@ -1,17 +1,17 @@
-package catalog_test
+package workload_test
 
 import (
 	"math/rand/v2"
 	"testing"
 
-	"lupinpond/internal/catalog"
+	"lupinpond/internal/testbed/workload"
 )
 
 // Every number drawn is one of the catalogue; with a skew the first functions have most of the calls, without one they do not.
 func TestDraw(t *testing.T) {
 	for _, skew := range []float64{0, 1.7} {
 		random, first := rand.New(rand.NewPCG(1, 1)), 0
-		functions := catalog.New(1000, skew)
+		functions := workload.New(1000, skew)
 		for range 10000 {
 			n := functions.Draw(random)
 			if n < 1 || n > 1000 {
--- a/internal/admit/admit.go
+++ b/internal/worker/admission/admission.go
@@ -1,4 +1,4 @@
-// Package admit decides for one worker what it takes, which copy runs what, when another copy is loaded and which one
+// Package admission decides for one worker what it takes, which copy runs what, when another copy is loaded and which one
 // gives way. It is asked and it answers; it does no I/O, reads no clock and starts nothing:
 //
 //	Take:  is this call taken, or refused as full or missing
@@ -8,7 +8,7 @@
 // Facts are fed in between: Publish, Loaded, Ended, Dropped, Gone, Unloaded. Memory is reserved from the moment a load
 // is decided until its copy is told to be unloaded, so that what is reserved never passes the budget. No busy copy is
 // ever unloaded: one that must give way takes nothing new and goes when it is idle.
-package admit
+package admission
 
 import (
 	"cmp"
--- a/internal/admit/admit_test.go
+++ b/internal/worker/admission/admission_test.go
@@ -1,4 +1,4 @@
-package admit_test
+package admission_test
 
 import (
 	"fmt"
@@ -8,21 +8,21 @@
 
 	"pgregory.net/rapid"
 
-	"lupinpond/internal/admit"
+	"lupinpond/internal/worker/admission"
 )
 
 const ms = time.Millisecond
 
 // play is a worker in simulated time: runs and loads take what is drawn.
 type play struct {
-	*admit.Room
+	*admission.Room
 	now     time.Duration
-	limits  admit.Limits
-	fns     map[string]admit.Function
+	limits  admission.Limits
+	fns     map[string]admission.Function
 	copies  map[uint64]string // function by copy
 	busy    map[uint64]int
 	runs    map[uint64]uint64 // copy by call
-	of      map[uint64]admit.Call
+	of      map[uint64]admission.Call
 	ended   map[uint64]int
 	begun   map[uint64]time.Duration
 	order   map[uint64]bool // loaded by an order and unused
@@ -30,9 +30,9 @@
 	loading map[uint64]bool
 }
 
-func newPlay(l admit.Limits, fns ...admit.Function) *play {
-	p := &play{Room: admit.New(l), limits: l, fns: map[string]admit.Function{}, copies: map[uint64]string{}, busy: map[uint64]int{},
-		runs: map[uint64]uint64{}, of: map[uint64]admit.Call{}, ended: map[uint64]int{}, begun: map[uint64]time.Duration{},
+func newPlay(l admission.Limits, fns ...admission.Function) *play {
+	p := &play{Room: admission.New(l), limits: l, fns: map[string]admission.Function{}, copies: map[uint64]string{}, busy: map[uint64]int{},
+		runs: map[uint64]uint64{}, of: map[uint64]admission.Call{}, ended: map[uint64]int{}, begun: map[uint64]time.Duration{},
 		order: map[uint64]bool{}, idle: map[uint64]time.Duration{}, loading: map[uint64]bool{}}
 	for _, f := range fns {
 		p.fns[f.Name] = f
@@ -42,7 +42,7 @@
 }
 
 // due carries out what is due, and checks what must hold.
-func (p *play) due(fail func(string, ...any)) admit.Steps {
+func (p *play) due(fail func(string, ...any)) admission.Steps {
 	st := p.Due(p.now)
 	for _, r := range st.Runs {
 		f, is := p.copies[r.Copy]
@@ -93,11 +93,11 @@
 // that was taken has one end.
 func TestNoCallIsLostAndMemoryHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := admit.Limits{Memory: rapid.Int64Range(3, 12).Draw(t, "memory"), Running: rapid.IntRange(1, 5).Draw(t, "running"),
+		l := admission.Limits{Memory: rapid.Int64Range(3, 12).Draw(t, "memory"), Running: rapid.IntRange(1, 5).Draw(t, "running"),
 			Waiting: rapid.IntRange(1, 12).Draw(t, "waiting"), Loads: rapid.IntRange(1, 3).Draw(t, "loads"), Keep: 300 * ms,
 			OnMiss: rapid.Bool().Draw(t, "on miss")}
-		p := newPlay(l, admit.Function{Name: "a", Lanes: 1, Memory: 1}, admit.Function{Name: "b", Lanes: 2, Memory: 2},
-			admit.Function{Name: "c", Lanes: 3, Memory: 3})
+		p := newPlay(l, admission.Function{Name: "a", Lanes: 1, Memory: 1}, admission.Function{Name: "b", Lanes: 2, Memory: 2},
+			admission.Function{Name: "c", Lanes: 3, Memory: 3})
 		var taken []uint64
 		var unloads []uint64
 		next := uint64(0)
@@ -123,12 +123,12 @@
 			switch what := rapid.IntRange(0, 9).Draw(t, "what"); {
 			case what < 4:
 				next++
-				c := admit.Call{ID: next, Function: name, Tenant: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "tenant"),
+				c := admission.Call{ID: next, Function: name, Tenant: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "tenant"),
 					Ends: p.now + time.Duration(rapid.IntRange(1, 2000).Draw(t, "left"))*ms}
 				p.of[next] = c
-				if r := p.Take(p.now, c); r == admit.Taken {
+				if r := p.Take(p.now, c); r == admission.Taken {
 					taken = append(taken, next)
-				} else if name == "none" && r != admit.Missing {
+				} else if name == "none" && r != admission.Missing {
 					t.Fatal("an unknown function is refused as ", r)
 				}
 			case what == 4 && len(p.runs) > 0:
@@ -220,12 +220,12 @@
 
 // A function whose calls never pause holds all memory; another one that comes is served all the same, in time.
 func TestNoFunctionStarves(t *testing.T) {
-	p := newPlay(admit.Limits{Memory: 4, Running: 8, Waiting: 200, Loads: 2, Keep: time.Minute, OnMiss: true},
-		admit.Function{Name: "busy", Lanes: 1, Memory: 1}, admit.Function{Name: "rare", Lanes: 1, Memory: 2})
+	p := newPlay(admission.Limits{Memory: 4, Running: 8, Waiting: 200, Loads: 2, Keep: time.Minute, OnMiss: true},
+		admission.Function{Name: "busy", Lanes: 1, Memory: 1}, admission.Function{Name: "rare", Lanes: 1, Memory: 2})
 	id := uint64(0)
 	add := func(f, tenant string) uint64 {
 		id++
-		p.of[id] = admit.Call{ID: id, Function: f, Tenant: tenant, Ends: p.now + 10*time.Second}
+		p.of[id] = admission.Call{ID: id, Function: f, Tenant: tenant, Ends: p.now + 10*time.Second}
 		p.Take(p.now, p.of[id])
 		return id
 	}
@@ -248,8 +248,8 @@
 
 // A tenant that sends ten times as much gets its half of the lanes, and the other one all that it asks for.
 func TestNoTenantStarves(t *testing.T) {
-	p := newPlay(admit.Limits{Memory: 8, Running: 4, Waiting: 40, Loads: 2, Keep: time.Minute, OnMiss: true},
-		admit.Function{Name: "f", Lanes: 8, Memory: 1}, admit.Function{Name: "g", Lanes: 8, Memory: 1})
+	p := newPlay(admission.Limits{Memory: 8, Running: 4, Waiting: 40, Loads: 2, Keep: time.Minute, OnMiss: true},
+		admission.Function{Name: "f", Lanes: 8, Memory: 1}, admission.Function{Name: "g", Lanes: 8, Memory: 1})
 	sent, refused := map[string]int{}, map[string]int{}
 	id := uint64(0)
 	p.settle(t, 5*time.Second, 50*ms, 20*ms, func() {
@@ -263,9 +263,9 @@
 			for range n {
 				id++
 				fn := map[string]string{"much": "f", "little": "g"}[who]
-				p.of[id] = admit.Call{ID: id, Function: fn, Tenant: who, Ends: p.now + time.Second}
+				p.of[id] = admission.Call{ID: id, Function: fn, Tenant: who, Ends: p.now + time.Second}
 				sent[who]++
-				if p.Take(p.now, p.of[id]) != admit.Taken {
+				if p.Take(p.now, p.of[id]) != admission.Taken {
 					refused[who]++
 				}
 			}
@@ -286,18 +286,18 @@
 // Room is made by copies that an order brought and nobody used, then by the longest idle; never by a busy one; and an
 // order displaces nothing that calls have used.
 func Example_whoGivesWay() {
-	p := newPlay(admit.Limits{Memory: 3, Running: 4, Waiting: 9, Loads: 4, Keep: time.Minute, OnMiss: true},
-		admit.Function{Name: "busy", Lanes: 1, Memory: 1}, admit.Function{Name: "idle", Lanes: 1, Memory: 1},
-		admit.Function{Name: "held", Lanes: 1, Memory: 1}, admit.Function{Name: "new", Lanes: 1, Memory: 1})
+	p := newPlay(admission.Limits{Memory: 3, Running: 4, Waiting: 9, Loads: 4, Keep: time.Minute, OnMiss: true},
+		admission.Function{Name: "busy", Lanes: 1, Memory: 1}, admission.Function{Name: "idle", Lanes: 1, Memory: 1},
+		admission.Function{Name: "held", Lanes: 1, Memory: 1}, admission.Function{Name: "new", Lanes: 1, Memory: 1})
 	fail := func(format string, args ...any) { fmt.Printf(format+"\n", args...) }
-	step := func(what string) admit.Steps {
+	step := func(what string) admission.Steps {
 		p.now += 10 * ms
 		st := p.due(fail)
 		fmt.Printf("%s: runs %v, loads %d, unloads %v\n", what, st.Runs, len(st.Loads), st.Unloads)
 		return st
 	}
 	take := func(id uint64, f string) {
-		p.of[id] = admit.Call{ID: id, Function: f, Ends: time.Hour}
+		p.of[id] = admission.Call{ID: id, Function: f, Ends: time.Hour}
 		p.Take(p.now, p.of[id])
 	}
 	take(1, "busy")
--- a/internal/worker/bench_test.go
+++ b/internal/worker/bench_test.go
@@ -12,15 +12,15 @@
 	"time"
 
 	"lupinpond/examples/preview/score"
-	"lupinpond/internal/config"
-	"lupinpond/internal/crew"
-	"lupinpond/internal/link"
-	"lupinpond/internal/pack"
+	"lupinpond/internal/artifact/manifest"
+	"lupinpond/internal/base/config"
+	"lupinpond/internal/testbed/localfleet"
 	"lupinpond/internal/worker"
+	"lupinpond/internal/workerrpc"
 )
 
 // bench starts a worker and a link to it.
-func bench(b *testing.B, base string) (*worker.Worker, func(function, body string) *link.Answer, func()) {
+func bench(b *testing.B, base string) (*worker.Worker, func(function, body string) *workerrpc.Answer, func()) {
 	o, done := options(b.TempDir(), base)
 	o.Limits.Memory = 1 << 40
 	w, err := worker.New(o)
@@ -36,9 +36,9 @@
 	ended := make(chan error, 2)
 	go func() { ended <- w.Run(ctx, listener) }()
 	go func() { ended <- p.Run(ctx) }()
-	call := func(function, body string) *link.Answer {
-		got := make(chan link.Outcome, 1)
-		p.Launch(link.Launch{Event: "e", Function: function, Body: []byte(body)}, time.Minute, func(o link.Outcome) { got <- o })
+	call := func(function, body string) *workerrpc.Answer {
+		got := make(chan workerrpc.Outcome, 1)
+		p.Launch(workerrpc.Launch{Event: "e", Function: function, Body: []byte(body)}, time.Minute, func(o workerrpc.Outcome) { got <- o })
 		o := <-got
 		if o.Answer == nil {
 			b.Fatal(o.Err)
@@ -63,14 +63,14 @@
 			}
 		}
 	})
-	for _, kind := range []string{pack.Process, pack.Wasm} {
+	for _, kind := range []string{manifest.Process, manifest.Wasm} {
 		b.Run(kind, func(b *testing.B) {
 			_, call, end := bench(b, base)
 			defer end()
 			call("preview-"+kind, `{"features":[1,2,3]}`)
 			b.ResetTimer()
 			for range b.N {
-				if a := call("preview-"+kind, `{"features":[1,2,3]}`); a.Code != link.Done {
+				if a := call("preview-"+kind, `{"features":[1,2,3]}`); a.Code != workerrpc.Done {
 					b.Fatal(a.Reason)
 				}
 			}
@@ -80,7 +80,7 @@
 
 // BenchmarkMany is events a second of warm copies with 16 in hand at a time, of both kinds.
 func BenchmarkMany(b *testing.B) {
-	for _, kind := range []string{pack.Process, pack.Wasm} {
+	for _, kind := range []string{manifest.Process, manifest.Wasm} {
 		b.Run(kind, func(b *testing.B) {
 			_, call, end := bench(b, base)
 			defer end()
@@ -89,7 +89,7 @@
 			b.ResetTimer()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					if a := call("preview-"+kind, `{"features":[1,2,3]}`); a.Code != link.Done {
+					if a := call("preview-"+kind, `{"features":[1,2,3]}`); a.Code != workerrpc.Done {
 						b.Error(a.Reason)
 					}
 				}
@@ -101,7 +101,7 @@
 
 // BenchmarkColdLoad splits a first load into fetch, verify, compile (wasm alone) and start, of both kinds.
 func BenchmarkColdLoad(b *testing.B) {
-	for _, kind := range []string{pack.Process, pack.Wasm} {
+	for _, kind := range []string{manifest.Process, manifest.Wasm} {
 		b.Run(kind, func(b *testing.B) {
 			var sum worker.Loading
 			for range b.N {
@@ -130,7 +130,7 @@
 			var took []time.Duration
 			for range 1500 {
 				at := time.Now()
-				if a := call("preview-process", `{"features":[1,2,3]}`); a.Code != link.Done {
+				if a := call("preview-process", `{"features":[1,2,3]}`); a.Code != workerrpc.Done {
 					b.Fatal(a.Reason)
 				}
 				took = append(took, time.Since(at))
@@ -164,7 +164,7 @@
 
 // BenchmarkIdleCopies is the memory of 1, 10 and 100 idle copies, by the worker's own report.
 func BenchmarkIdleCopies(b *testing.B) {
-	for _, kind := range []string{pack.Process, pack.Wasm} {
+	for _, kind := range []string{manifest.Process, manifest.Wasm} {
 		for _, n := range []int{1, 10, 100} {
 			b.Run(fmt.Sprint(kind, "-", n), func(b *testing.B) {
 				for range b.N {
@@ -178,12 +178,12 @@
 						if err := os.Chmod(filepath.Join(to, "entry"), 0o755); err != nil {
 							b.Fatal(err)
 						}
-						if _, err := pack.Write(to, pack.Manifest{Name: name, Version: "1", Type: "t", Kind: kind, Lanes: 1, Memory: 64 << 20,
+						if _, err := manifest.Write(to, manifest.Manifest{Name: name, Version: "1", Type: "t", Kind: kind, Lanes: 1, Memory: 64 << 20,
 							Time: config.Time(time.Second), Entry: "entry"}); err != nil {
 							b.Fatal(err)
 						}
 					}
-					own, err := crew.OpenStore(b.TempDir(), crew.Easy)
+					own, err := localfleet.OpenStore(b.TempDir(), localfleet.Easy)
 					if err == nil {
 						err = own.PublishAll(b.Context(), many)
 					}
--- a/internal/worker/compat_test.go
+++ b/internal/worker/compat_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/keys"
-	"lupinpond/internal/link"
+	"lupinpond/internal/worker/idempotency"
+	"lupinpond/internal/workerrpc"
 )
 
 // storedAt is what the clock of the stored journal said. It lies far ahead of the system's time, so that no verdict depends
@@ -28,7 +28,7 @@
 	if err := os.WriteFile(path, stored, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cut := []link.CutLoad{{Function: "cut", Version: "v2", Events: []link.CutEvent{{Event: "e1"}, {Event: "e2", MayRun: true}}}}
+	cut := []workerrpc.CutLoad{{Function: "cut", Version: "v2", Events: []workerrpc.CutEvent{{Event: "e1"}, {Event: "e2", MayRun: true}}}}
 	last := storedAt
 	for life := 1; life <= 2; life++ {
 		j, err := openJournal(path, slog.New(slog.DiscardHandler))
@@ -49,11 +49,11 @@
 		}
 		for _, c := range []struct {
 			name    string
-			verdict keys.Verdict
+			verdict idempotency.Verdict
 			body    string
 		}{
-			{"completed", keys.Handled, "the stored answer"},
-			{"accepted", keys.Repeat, ""},
+			{"completed", idempotency.Handled, "the stored answer"},
+			{"accepted", idempotency.Repeat, ""},
 		} {
 			_, verdict, body := j.Claim(context.Background(), c.name, time.Hour)
 			if verdict != c.verdict || string(body) != c.body {
@@ -62,8 +62,8 @@
 		}
 		if life == 2 { // claimed last: they are new keys from here on
 			for _, name := range []string{"released", "expired", "unknown"} {
-				if _, got, _ := j.Claim(context.Background(), name, time.Hour); got != keys.Run {
-					t.Errorf("key %q: got verdict %d, want %d", name, got, keys.Run)
+				if _, got, _ := j.Claim(context.Background(), name, time.Hour); got != idempotency.Run {
+					t.Errorf("key %q: got verdict %d, want %d", name, got, idempotency.Run)
 				}
 			}
 		}
--- a/internal/worker/control.go
+++ b/internal/worker/control.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"lupinpond/internal/faults"
+	"lupinpond/internal/worker/faultinject"
 )
 
 // Order to misbehave, as the control interface takes it.
@@ -50,7 +50,7 @@
 			return fmt.Errorf("at %q: a time from now such as 2s", o.At)
 		}
 	}
-	set, undo, err := faults.Named(o.What, o.Tenant, o.Factor)
+	set, undo, err := faultinject.Named(o.What, o.Tenant, o.Factor)
 	if err != nil {
 		return err
 	}
--- a/internal/worker/export_test.go
+++ b/internal/worker/export_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"lupinpond/internal/kept"
+	"lupinpond/internal/base/durable"
 )
 
 // Shift rewrites a journal as if the system's clock had been off by so much all through the life that wrote it.
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dec, enc := cbor.NewDecoder(bufio.NewReader(in)), kept.Mode().NewEncoder(out)
+	dec, enc := cbor.NewDecoder(bufio.NewReader(in)), durable.Mode().NewEncoder(out)
 	for {
 		var x note
 		if err := dec.Decode(&x); errors.Is(err, io.EOF) {
--- a/internal/faults/silence.go
+++ b/internal/worker/faultinject/silence.go
@@ -1,5 +1,5 @@
-// Package faults has ways to misbehave that real and imitation workers share.
-package faults
+// Package faultinject has ways to misbehave that real and imitation workers share.
+package faultinject
 
 import (
 	"net"
--- a/internal/faults/troubles.go
+++ b/internal/worker/faultinject/troubles.go
@@ -1,4 +1,4 @@
-package faults
+package faultinject
 
 import "fmt"
 
--- a/internal/keys/compat_test.go
+++ b/internal/worker/idempotency/compat_test.go
@@ -1,4 +1,4 @@
-package keys_test
+package idempotency_test
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/keys"
+	"lupinpond/internal/worker/idempotency"
 )
 
 // A register file that an earlier version wrote keeps its claims. The clock kept in the file stands in the year 2200 and
@@ -23,11 +23,11 @@
 	}
 	type claim struct {
 		key, claim string
-		said       keys.Said
+		said       idempotency.Said
 		holder     string
 		body       string
 	}
-	check := func(r *keys.Register, c claim) {
+	check := func(r *idempotency.Register, c claim) {
 		t.Helper()
 		said, have, err := r.Claim(c.key, c.claim, time.Hour)
 		if err != nil || said != c.said || have.Claim != c.holder || string(have.Body) != c.body {
@@ -36,13 +36,13 @@
 		}
 	}
 	for life := 1; life <= 2; life++ {
-		r, err := keys.Open(dir, 3) // held, settled, expired
+		r, err := idempotency.Open(dir, 3) // held, settled, expired
 		if err != nil {
 			t.Fatalf("life %d: got error %v, want none", life, err)
 		}
-		check(r, claim{"held", "second", keys.Held, "first", ""})
-		check(r, claim{"held", "first", keys.Granted, "first", ""}) // asked again
-		check(r, claim{"settled", "second", keys.Done, "first", "the stored answer"})
+		check(r, claim{"held", "second", idempotency.Held, "first", ""})
+		check(r, claim{"held", "first", idempotency.Granted, "first", ""}) // asked again
+		check(r, claim{"settled", "second", idempotency.Done, "first", "the stored answer"})
 		_, have, err := r.Claim("held", "second", time.Hour)
 		if from, to := time.Date(2200, 12, 1, 0, 0, 0, 0, time.UTC), time.Date(2201, 2, 1, 0, 0, 0, 0, time.UTC); err != nil ||
 			have.Until.Before(from) || have.Until.After(to) {
@@ -50,21 +50,21 @@
 		}
 		if life == 2 {
 			// The stored number of keys counts: the register is full until the expired key is swept away.
-			check(r, claim{"released", "second", keys.Granted, "second", ""})
-			if said, _, err := r.Claim("unknown", "second", time.Hour); !errors.Is(err, keys.ErrFull) {
-				t.Errorf("claim beyond the limit: got %d, error %v, want error %v", said, err, keys.ErrFull)
+			check(r, claim{"released", "second", idempotency.Granted, "second", ""})
+			if said, _, err := r.Claim("unknown", "second", time.Hour); !errors.Is(err, idempotency.ErrFull) {
+				t.Errorf("claim beyond the limit: got %d, error %v, want error %v", said, err, idempotency.ErrFull)
 			}
 		}
 		if err := r.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r, err := keys.Open(dir, 100)
+	r, err := idempotency.Open(dir, 100)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
-	check(r, claim{"expired", "second", keys.Granted, "second", ""})
-	check(r, claim{"released", "third", keys.Held, "second", ""})
-	check(r, claim{"settled", "third", keys.Done, "first", "the stored answer"})
+	check(r, claim{"expired", "second", idempotency.Granted, "second", ""})
+	check(r, claim{"released", "third", idempotency.Held, "second", ""})
+	check(r, claim{"settled", "third", idempotency.Done, "first", "the stored answer"})
 }
--- a/internal/keys/golden_test.go
+++ b/internal/worker/idempotency/golden_test.go
@@ -1,4 +1,4 @@
-package keys_test
+package idempotency_test
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/keys"
+	"lupinpond/internal/worker/idempotency"
 )
 
 // exchange sends a request to a handler and gives the answer as text: status, the headers that are set, the body. There is
@@ -44,12 +44,12 @@
 		said   = "200\nContent-Type: application/json\n\n"
 		notOne = "405\nAllow: POST\nContent-Type: text/plain; charset=utf-8\nX-Content-Type-Options: nosniff\n\nMethod Not Allowed\n"
 	)
-	r, err := keys.Open(t.TempDir(), 2)
+	r, err := idempotency.Open(t.TempDir(), 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	h := r.Handler()
-	long := base64.StdEncoding.EncodeToString(make([]byte, keys.MostBody+1))
+	long := base64.StdEncoding.EncodeToString(make([]byte, idempotency.MostBody+1))
 	for i, x := range []struct{ path, body, want string }{
 		{"/v1/claim", `{"key":"k-1","claim":"c-1","window-ms":86400000}`, said + `{"said":"granted","holder":"c-1"}` + "\n"},
 		{"/v1/claim", `{"key":"k-1","claim":"c-1","window-ms":1}`, said + `{"said":"granted","holder":"c-1"}` + "\n"},
@@ -131,26 +131,26 @@
 	gives := `POST /v1/release ` + "\n" + `{"key":"k-1","claim":"CLAIM"}`
 	for _, x := range []struct {
 		answer  string
-		verdict keys.Verdict
+		verdict idempotency.Verdict
 		body    string
-		after   func(g *keys.Group, claim string)
+		after   func(g *idempotency.Group, claim string)
 		want    []string
 	}{
-		{`{"said":"granted","holder":"c-1"}`, keys.Run, "", func(g *keys.Group, claim string) { g.Handled("k-1", claim, []byte{0, 1, 255}) },
+		{`{"said":"granted","holder":"c-1"}`, idempotency.Run, "", func(g *idempotency.Group, claim string) { g.Handled("k-1", claim, []byte{0, 1, 255}) },
 			[]string{claims, `POST /v1/handled ` + "\n" + `{"key":"k-1","claim":"CLAIM","body":"AAH/"}`}},
-		{`{"said":"granted","holder":"c-1"}`, keys.Run, "", func(g *keys.Group, claim string) {
-			g.Handled("k-1", claim, make([]byte, keys.MostBody+1))
+		{`{"said":"granted","holder":"c-1"}`, idempotency.Run, "", func(g *idempotency.Group, claim string) {
+			g.Handled("k-1", claim, make([]byte, idempotency.MostBody+1))
 		}, []string{claims, `POST /v1/handled ` + "\n" + `{"key":"k-1","claim":"CLAIM"}`}},
-		{`{"said":"granted","holder":"c-1"}`, keys.Run, "", func(g *keys.Group, claim string) { g.Release("k-1", claim) },
+		{`{"said":"granted","holder":"c-1"}`, idempotency.Run, "", func(g *idempotency.Group, claim string) { g.Release("k-1", claim) },
 			[]string{claims, gives}},
-		{`{"said":"held","holder":"c-2"}`, keys.Repeat, "", nil, []string{claims}},
-		{`{"said":"done","holder":"c-2","body":"AAH/"}`, keys.Handled, "\x00\x01\xff", nil, []string{claims}},
-		{`{"said":"other"}`, keys.Unknown, "", nil, []string{claims, gives}},
-		{`x`, keys.Unknown, "", nil, []string{claims, gives}},
+		{`{"said":"held","holder":"c-2"}`, idempotency.Repeat, "", nil, []string{claims}},
+		{`{"said":"done","holder":"c-2","body":"AAH/"}`, idempotency.Handled, "\x00\x01\xff", nil, []string{claims}},
+		{`{"said":"other"}`, idempotency.Unknown, "", nil, []string{claims, gives}},
+		{`x`, idempotency.Unknown, "", nil, []string{claims, gives}},
 	} {
 		reg := &recorder{answer: x.answer}
 		s := httptest.NewServer(reg)
-		g, err := keys.NewGroup([]string{strings.TrimPrefix(s.URL, "http://")}, 20*time.Second, slog.New(slog.DiscardHandler))
+		g, err := idempotency.NewGroup([]string{strings.TrimPrefix(s.URL, "http://")}, 20*time.Second, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/keys/group.go
+++ b/internal/worker/idempotency/group.go
@@ -1,4 +1,4 @@
-package keys
+package idempotency
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"github.com/cenkalti/backoff/v5"
 
-	"lupinpond/internal/ask"
+	"lupinpond/internal/base/httpclient"
 )
 
 // Group asks the registers of a group. Its methods may be called by any goroutine.
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	text, err := ask.Do(ctx, g.client, http.MethodPost, url, body, 2*maxBody)
+	text, err := httpclient.Do(ctx, g.client, http.MethodPost, url, body, 2*maxBody)
 	if err != nil || into == nil {
 		return err
 	}
--- a/internal/keys/keys.go
+++ b/internal/worker/idempotency/idempotency.go
@@ -1,10 +1,10 @@
-// Package keys decides whether a keyed event is a repeat, for groups of several workers. A group has a fixed number of
+// Package idempotency decides whether a keyed event is a repeat, for groups of several workers. A group has a fixed number of
 // registers, each of which keeps the first claim of a key until its window is over. A worker claims a key at all of them
 // and runs the event only when more than half granted it: two such halves share a register, so that no two claims of a
 // key are both granted inside a window, whichever registers, workers or messages are lost.
 //
 // This file decides and does no I/O; store.go keeps a register's entries, group.go asks the registers.
-package keys
+package idempotency
 
 import "time"
 
--- a/internal/keys/keys_test.go
+++ b/internal/worker/idempotency/idempotency_test.go
@@ -1,4 +1,4 @@
-package keys_test
+package idempotency_test
 
 import (
 	"bytes"
@@ -18,7 +18,7 @@
 
 	"go.uber.org/goleak"
 
-	"lupinpond/internal/keys"
+	"lupinpond/internal/worker/idempotency"
 )
 
 func TestMain(m *testing.M) {
@@ -43,25 +43,25 @@
 	now := time.Unix(1000, 0)
 	const registers = 3
 	runs := map[string]int{}
-	hear := func(t *keys.Tally, i int, s keys.Said, h string, v keys.Verdict) keys.Verdict {
-		if v == keys.Undecided {
+	hear := func(t *idempotency.Tally, i int, s idempotency.Said, h string, v idempotency.Verdict) idempotency.Verdict {
+		if v == idempotency.Undecided {
 			return t.Hear(i, s, h)
 		}
 		return v
 	}
 	type outcome struct {
-		said   [2]keys.Said
+		said   [2]idempotency.Said
 		holder [2]string
 	}
 	at := func(first int, f [2]fate) outcome {
-		o := outcome{said: [2]keys.Said{keys.Failed, keys.Failed}}
-		var e keys.Entry
+		o := outcome{said: [2]idempotency.Said{idempotency.Failed, idempotency.Failed}}
+		var e idempotency.Entry
 		known := false
 		for _, who := range []int{first, 1 - first} {
 			if f[who] == lost {
 				continue
 			}
-			keep, changed, said := keys.Ask(now, e, known, fmt.Sprint(who), time.Second)
+			keep, changed, said := idempotency.Ask(now, e, known, fmt.Sprint(who), time.Second)
 			if changed {
 				e, known = keep, true
 			}
@@ -85,22 +85,22 @@
 	for _, x := range outcomes[0] {
 		for _, y := range outcomes[1] {
 			for _, z := range outcomes[2] {
-				var v [2]keys.Verdict
+				var v [2]idempotency.Verdict
 				lossless := true
 				for who := range 2 {
-					tally := keys.NewTally(registers)
+					tally := idempotency.NewTally(registers)
 					for i, o := range []outcome{x, y, z} {
 						v[who] = hear(tally, i, o.said[who], o.holder[who], v[who])
-						lossless = lossless && o.said[who] != keys.Failed
+						lossless = lossless && o.said[who] != idempotency.Failed
 					}
-					if v[who] == keys.Undecided {
+					if v[who] == idempotency.Undecided {
 						t.Fatal("no verdict though all was heard: ", x, y, z)
 					}
 				}
-				if v[0] == keys.Run && v[1] == keys.Run {
+				if v[0] == idempotency.Run && v[1] == idempotency.Run {
 					t.Fatal("both run: ", x, y, z)
 				}
-				if lossless && v[0] != keys.Run && v[1] != keys.Run {
+				if lossless && v[0] != idempotency.Run && v[1] != idempotency.Run {
 					t.Fatal("nobody runs though nothing was lost: ", x, y, z)
 				}
 				total++
@@ -118,42 +118,42 @@
 	g, registers := group(t, 3)
 	ctx := context.Background()
 	a, v, _ := g.Claim(ctx, "k", time.Minute)
-	want(t, v, keys.Run)
+	want(t, v, idempotency.Run)
 	_, v, _ = g.Claim(ctx, "k", time.Minute)
-	want(t, v, keys.Repeat)
+	want(t, v, idempotency.Repeat)
 	g.Release("k", a)
 	g.Close()
 	b, v, _ := g.Claim(ctx, "k", time.Minute)
-	want(t, v, keys.Run)
+	want(t, v, idempotency.Run)
 	g.Handled("k", b, []byte("its answer"))
 	g.Release("k", a) // late: of another claim
 	g.Close()
 	_, v, body := g.Claim(ctx, "k", time.Minute)
-	want(t, v, keys.Handled)
+	want(t, v, idempotency.Handled)
 	if string(body) != "its answer" {
 		t.Errorf("a repeat got %q", body)
 	}
 	registers[0].down.Store(true) // one of three is away: nothing changes
 	_, v, _ = g.Claim(ctx, "k", time.Minute)
-	want(t, v, keys.Handled)
+	want(t, v, idempotency.Handled)
 	c, v, _ := g.Claim(ctx, "other", time.Minute)
-	want(t, v, keys.Run)
+	want(t, v, idempotency.Run)
 	registers[1].down.Store(true) // two are: nothing is run that is not known to be the first
 	_, v, _ = g.Claim(ctx, "third", time.Minute)
-	want(t, v, keys.Unknown)
-	g.Handled("other", c, make([]byte, keys.MostBody+1))
+	want(t, v, idempotency.Unknown)
+	g.Handled("other", c, make([]byte, idempotency.MostBody+1))
 	g.Close()
 	registers[0].down.Store(false)
 	registers[1].down.Store(false)
 	_, v, _ = g.Claim(ctx, "other", time.Minute) // register 2 knows
-	want(t, v, keys.Handled)
+	want(t, v, idempotency.Handled)
 	_, v, _ = g.Claim(ctx, "third", time.Minute) // was given back where it had been granted
-	want(t, v, keys.Run)
+	want(t, v, idempotency.Run)
 	short, v, _ := g.Claim(ctx, "short", time.Millisecond)
-	want(t, v, keys.Run)
+	want(t, v, idempotency.Run)
 	for end := time.Now().Add(10 * time.Second); ; {
 		again, v, _ := g.Claim(ctx, "short", time.Millisecond)
-		if v == keys.Run && again != short {
+		if v == idempotency.Run && again != short {
 			break
 		}
 		if time.Now().After(end) {
@@ -170,7 +170,7 @@
 	registers[1].every = &count
 	var ran [20]atomic.Int64
 	claim := func(k int) {
-		if _, v, _ := g.Claim(context.Background(), fmt.Sprint("k", k), time.Minute); v == keys.Run {
+		if _, v, _ := g.Claim(context.Background(), fmt.Sprint("k", k), time.Minute); v == idempotency.Run {
 			ran[k].Add(1)
 		}
 	}
@@ -226,7 +226,7 @@
 			}
 		}
 		_ = cmd.Wait()
-		r, err := keys.Open(dir, 1<<20)
+		r, err := idempotency.Open(dir, 1<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -236,7 +236,7 @@
 			}
 			key := strings.TrimSpace(line)
 			said, have, err := r.Claim(key, "another", time.Hour)
-			if said != keys.Held || have.Claim != "first" || err != nil {
+			if said != idempotency.Held || have.Claim != "first" || err != nil {
 				t.Errorf("%s: %v by %q, %v", key, said, have.Claim, err)
 			}
 			granted++
@@ -251,14 +251,14 @@
 }
 
 func claims(dir string) {
-	r, err := keys.Open(dir, 1<<20)
+	r, err := idempotency.Open(dir, 1<<20)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 	for i := 0; ; i++ {
 		key := fmt.Sprint("k", os.Getenv("LP_TEST_ROUND"), "-", i)
-		if said, _, err := r.Claim(key, "first", time.Hour); said == keys.Granted && err == nil {
+		if said, _, err := r.Claim(key, "first", time.Hour); said == idempotency.Granted && err == nil {
 			fmt.Println(key)
 		}
 	}
@@ -266,7 +266,7 @@
 
 // A register that is full of keys inside their windows grants no other, and does once windows are over.
 func TestFullRegister(t *testing.T) {
-	r, err := keys.Open(t.TempDir(), 2)
+	r, err := idempotency.Open(t.TempDir(), 2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -285,11 +285,11 @@
 		if err == nil {
 			break
 		}
-		if !errors.Is(err, keys.ErrFull) || time.Now().After(end) {
+		if !errors.Is(err, idempotency.ErrFull) || time.Now().After(end) {
 			t.Fatal(err)
 		}
 	}
-	if _, _, err := r.Claim("d", "c", time.Hour); !errors.Is(err, keys.ErrFull) {
+	if _, _, err := r.Claim("d", "c", time.Hour); !errors.Is(err, idempotency.ErrFull) {
 		t.Error("granted past its most: ", err)
 	}
 	if err := r.Release("a", "c"); err != nil {
@@ -305,7 +305,7 @@
 	f.Add("claim", `{"key":"k","claim":"c","window-ms":9223372036854775807}`)
 	f.Add("release", `{"key":"","claim":"c"}{}`)
 	f.Add("handled", `{"key":"`+strings.Repeat("k", 3000)+`","claim":"c"}`)
-	r, err := keys.Open(f.TempDir(), 100)
+	r, err := idempotency.Open(f.TempDir(), 100)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -339,11 +339,11 @@
 	s.h.ServeHTTP(w, r)
 }
 
-func group(t *testing.T, n int) (*keys.Group, []*standing) {
+func group(t *testing.T, n int) (*idempotency.Group, []*standing) {
 	var at []string
 	var all []*standing
 	for range n {
-		r, err := keys.Open(t.TempDir(), 10000)
+		r, err := idempotency.Open(t.TempDir(), 10000)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -355,7 +355,7 @@
 		})
 		at, all = append(at, strings.TrimPrefix(server.URL, "http://")), append(all, s)
 	}
-	g, err := keys.NewGroup(at, 5*time.Second, slog.New(slog.DiscardHandler))
+	g, err := idempotency.NewGroup(at, 5*time.Second, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -363,7 +363,7 @@
 	return g, all
 }
 
-func want(t *testing.T, got, want keys.Verdict) {
+func want(t *testing.T, got, want idempotency.Verdict) {
 	t.Helper()
 	if got != want {
 		t.Fatalf("verdict %d, want %d", got, want)
--- a/internal/keys/store.go
+++ b/internal/worker/idempotency/store.go
@@ -1,4 +1,4 @@
-package keys
+package idempotency
 
 import (
 	"bytes"
@@ -14,8 +14,8 @@
 	"github.com/fxamacker/cbor/v2"
 	bolt "go.etcd.io/bbolt"
 
-	"lupinpond/internal/kept"
-	"lupinpond/internal/steady"
+	"lupinpond/internal/base/durable"
+	"lupinpond/internal/base/durableclock"
 )
 
 const (
@@ -61,23 +61,23 @@
 // keys; while as many are inside their windows it grants nothing.
 func Open(folder string, most int) (*Register, error) {
 	path := filepath.Join(folder, "register.bolt")
-	db, err := kept.Open(path, format, bucketKeys, bucketEnds)
+	db, err := durable.Open(path, format, bucketKeys, bucketEnds)
 	if err != nil {
 		return nil, fmt.Errorf("register: %w", err)
 	}
 	db.MaxBatchDelay = time.Millisecond // claims that come together are synced together
 	r := &Register{db: db, most: most}
 	err = db.Update(func(tx *bolt.Tx) error {
-		meta := tx.Bucket(kept.Meta)
-		var last steady.Mark
+		meta := tx.Bucket(durable.Meta)
+		var last durableclock.Mark
 		if v := meta.Get([]byte("mark")); v != nil {
 			if err := cbor.Unmarshal(v, &last); err != nil {
 				return fmt.Errorf("mark: %w", err)
 			}
 		}
-		now, mark := steady.Continue(last)
+		now, mark := durableclock.Continue(last)
 		r.now = now
-		v, err := kept.Mode().Marshal(mark)
+		v, err := durable.Mode().Marshal(mark)
 		if err != nil {
 			return err
 		}
@@ -169,7 +169,7 @@
 }
 
 func put(tx *bolt.Tx, key string, have Entry, known bool, keep Entry) error {
-	v, err := kept.Mode().Marshal(keep)
+	v, err := durable.Mode().Marshal(keep)
 	if err != nil {
 		return err
 	}
@@ -189,9 +189,9 @@
 
 // count is the number of keys, changed by so many; bbolt would walk all of them to tell.
 func count(tx *bolt.Tx, by int) int {
-	n := int(tx.Bucket(kept.Meta).Sequence()) + by
+	n := int(tx.Bucket(durable.Meta).Sequence()) + by
 	if by != 0 {
-		_ = tx.Bucket(kept.Meta).SetSequence(uint64(n)) // fails only where the transaction can't be written
+		_ = tx.Bucket(durable.Meta).SetSequence(uint64(n)) // fails only where the transaction can't be written
 	}
 	return n
 }
--- a/internal/worker/journal.go
+++ b/internal/worker/journal.go
@@ -12,10 +12,10 @@
 	"sync"
 	"time"
 
-	"lupinpond/internal/kept"
-	"lupinpond/internal/keys"
-	"lupinpond/internal/link"
-	"lupinpond/internal/steady"
+	"lupinpond/internal/base/durable"
+	"lupinpond/internal/base/durableclock"
+	"lupinpond/internal/worker/idempotency"
+	"lupinpond/internal/workerrpc"
 )
 
 // What a journal's records say.
@@ -35,17 +35,17 @@
 
 // note is one record.
 type note struct {
-	Kind     int           `cbor:"1,keyasint"`
-	Load     uint64        `cbor:"2,keyasint,omitempty"`
-	Function string        `cbor:"3,keyasint,omitempty"`
-	Version  string        `cbor:"4,keyasint,omitempty"`
-	Event    string        `cbor:"5,keyasint,omitempty"`
-	Key      string        `cbor:"6,keyasint,omitempty"`
-	Until    time.Time     `cbor:"7,keyasint,omitzero"` // of a key: the end of its window
-	Format   int           `cbor:"8,keyasint,omitempty"`
-	Took     time.Duration `cbor:"11,keyasint,omitempty"` // of a warm-up
-	Mark     *steady.Mark  `cbor:"10,keyasint,omitempty"` // of the first record: what its times are by
-	Body     []byte        `cbor:"9,keyasint,omitempty"`  // of a key that was handled: its answer
+	Kind     int                `cbor:"1,keyasint"`
+	Load     uint64             `cbor:"2,keyasint,omitempty"`
+	Function string             `cbor:"3,keyasint,omitempty"`
+	Version  string             `cbor:"4,keyasint,omitempty"`
+	Event    string             `cbor:"5,keyasint,omitempty"`
+	Key      string             `cbor:"6,keyasint,omitempty"`
+	Until    time.Time          `cbor:"7,keyasint,omitzero"` // of a key: the end of its window
+	Format   int                `cbor:"8,keyasint,omitempty"`
+	Took     time.Duration      `cbor:"11,keyasint,omitempty"` // of a warm-up
+	Mark     *durableclock.Mark `cbor:"10,keyasint,omitempty"` // of the first record: what its times are by
+	Body     []byte             `cbor:"9,keyasint,omitempty"`  // of a key that was handled: its answer
 }
 
 // key is a keyed event inside its window.
@@ -61,13 +61,13 @@
 	mu     sync.Mutex
 	file   *recordLog
 	keys   map[string]key
-	cut    []link.CutLoad
+	cut    []workerrpc.CutLoad
 	warmUp time.Duration // of the last life, or the one before if that never was warm
 	sweep  time.Time
 	bodies int // bytes of answers kept in keys
 	log    *slog.Logger
 	now    func() time.Time // goes on over restarts, whatever happens to the system's time
-	mark   steady.Mark
+	mark   durableclock.Mark
 }
 
 // openJournal reads what the last life left and begins a new file with what still counts. A torn last record is what
@@ -75,7 +75,7 @@
 // the file stays as it is.
 func openJournal(path string, log *slog.Logger) (_ *journal, err error) {
 	j := &journal{keys: map[string]key{}, log: log}
-	j.now, j.mark = steady.Continue(steady.Mark{})
+	j.now, j.mark = durableclock.Continue(durableclock.Mark{})
 	if err := j.read(path); err != nil {
 		return nil, fmt.Errorf("journal %s: %w", path, err)
 	}
@@ -114,7 +114,7 @@
 	if err = os.Rename(tmp.Name(), path); err != nil {
 		return nil, err
 	}
-	if err = kept.SyncFolder(filepath.Dir(path)); err != nil { // else a machine that fails may come back with the old file
+	if err = durable.SyncFolder(filepath.Dir(path)); err != nil { // else a machine that fails may come back with the old file
 		return nil, err
 	}
 	return j, nil
@@ -130,7 +130,7 @@
 	}
 	defer in.Close()
 	type load struct {
-		link.CutLoad
+		workerrpc.CutLoad
 		id uint64
 	}
 	var open []*load
@@ -150,11 +150,11 @@
 			return fmt.Errorf("record 1: version %d, this program reads %d", x.Format, journalVersion)
 		}
 		if n == 1 && x.Mark != nil {
-			j.now, j.mark = steady.Continue(*x.Mark)
+			j.now, j.mark = durableclock.Continue(*x.Mark)
 		}
 		switch x.Kind {
 		case noteLoad:
-			open = append(open, &load{link.CutLoad{Function: x.Function, Version: x.Version}, x.Load})
+			open = append(open, &load{workerrpc.CutLoad{Function: x.Function, Version: x.Version}, x.Load})
 		case noteLoaded:
 			open = slices.DeleteFunc(open, func(l *load) bool { return l.id == x.Load })
 		case noteTaken:
@@ -178,10 +178,10 @@
 	for _, l := range open {
 		for event, function := range taken {
 			if function == l.Function {
-				l.Events = append(l.Events, link.CutEvent{Event: event, MayRun: ran[event]})
+				l.Events = append(l.Events, workerrpc.CutEvent{Event: event, MayRun: ran[event]})
 			}
 		}
-		slices.SortFunc(l.Events, func(a, b link.CutEvent) int {
+		slices.SortFunc(l.Events, func(a, b workerrpc.CutEvent) int {
 			if a.Event < b.Event {
 				return -1
 			}
@@ -214,7 +214,7 @@
 const mostBodies = 64 << 20
 
 // Claim notes that a keyed event is handed to a copy, unless it is a repeat inside the window of the first.
-func (j *journal) Claim(_ context.Context, name string, window time.Duration) (string, keys.Verdict, []byte) {
+func (j *journal) Claim(_ context.Context, name string, window time.Duration) (string, idempotency.Verdict, []byte) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	now := j.now()
@@ -229,17 +229,17 @@
 	}
 	if k, is := j.keys[name]; is && now.Before(k.until) {
 		if k.handled {
-			return "", keys.Handled, k.body
+			return "", idempotency.Handled, k.body
 		}
-		return "", keys.Repeat, nil
+		return "", idempotency.Repeat, nil
 	}
 	k := key{until: now.Add(window)}
 	if j.note(noteKey, name, k) != nil {
-		return "", keys.Unknown, nil
+		return "", idempotency.Unknown, nil
 	}
 	j.bodies -= len(j.keys[name].body) // of one whose window is over
 	j.keys[name] = k
-	return own, keys.Run, nil
+	return own, idempotency.Run, nil
 }
 
 // Handled notes that a keyed event was handled.
@@ -248,7 +248,7 @@
 	defer j.mu.Unlock()
 	if k, is := j.keys[name]; is { // else its window is over
 		k.handled = true
-		if len(body) <= keys.MostBody && j.bodies+len(body) <= mostBodies {
+		if len(body) <= idempotency.MostBody && j.bodies+len(body) <= mostBodies {
 			k.body = body
 			j.bodies += len(body)
 		}
--- a/internal/worker/journal_fault_test.go
+++ b/internal/worker/journal_fault_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/keys"
+	"lupinpond/internal/worker/idempotency"
 )
 
 // withFileSizeLimit calls f while no file of this process may grow beyond size bytes: a write across it is cut short there
@@ -42,11 +42,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	claim := func(j *journal, name string) keys.Verdict {
+	claim := func(j *journal, name string) idempotency.Verdict {
 		_, v, _ := j.Claim(context.Background(), name, time.Hour)
 		return v
 	}
-	if v := claim(j, "before"); v != keys.Run {
+	if v := claim(j, "before"); v != idempotency.Run {
 		t.Fatal(v)
 	}
 	is, err := os.Stat(path)
@@ -55,11 +55,11 @@
 	}
 	cut := strings.Repeat("k", 500)
 	withFileSizeLimit(t, is.Size()+40, func() {
-		if v := claim(j, cut); v != keys.Unknown {
+		if v := claim(j, cut); v != idempotency.Unknown {
 			t.Error("a claim that is not written down:", v)
 		}
 	})
-	if v := claim(j, "after"); v != keys.Run {
+	if v := claim(j, "after"); v != idempotency.Run {
 		t.Fatal(v)
 	}
 	if err := j.close(); err != nil {
@@ -71,11 +71,11 @@
 	}
 	defer next.close()
 	for _, name := range []string{"before", "after"} {
-		if v := claim(next, name); v != keys.Repeat {
+		if v := claim(next, name); v != idempotency.Repeat {
 			t.Errorf("the request of key %q may run a second time: verdict %v", name, v)
 		}
 	}
-	if v := claim(next, cut); v != keys.Run {
+	if v := claim(next, cut); v != idempotency.Run {
 		t.Error("a claim that was never granted counts:", v)
 	}
 }
@@ -88,7 +88,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, v, _ := j.Claim(context.Background(), "k", time.Hour); v != keys.Run {
+	if _, v, _ := j.Claim(context.Background(), "k", time.Hour); v != idempotency.Run {
 		t.Fatal(v)
 	}
 	if err := j.close(); err != nil {
@@ -105,7 +105,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, v, _ := next.Claim(context.Background(), "k", time.Hour); v != keys.Repeat {
+	if _, v, _ := next.Claim(context.Background(), "k", time.Hour); v != idempotency.Repeat {
 		t.Error("the request may run a second time:", v)
 	}
 	if err := next.close(); err != nil {
--- a/internal/worker/recordlog.go
+++ b/internal/worker/recordlog.go
@@ -9,7 +9,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"lupinpond/internal/kept"
+	"lupinpond/internal/base/durable"
 )
 
 // recordLog appends records to a file such that one that could not be written whole leaves nothing behind: what comes after
@@ -25,7 +25,7 @@
 	if err := l.repair(); err != nil {
 		return err
 	}
-	b, err := kept.Mode().Marshal(record)
+	b, err := durable.Mode().Marshal(record)
 	if err != nil {
 		return err
 	}
--- a/internal/runner/runner.go
+++ b/internal/worker/runner/runner.go
@@ -22,7 +22,7 @@
 
 	"github.com/prometheus/procfs"
 
-	"lupinpond/internal/pack"
+	"lupinpond/internal/artifact/manifest"
 )
 
 // Environment that a child finds, and headers of the runtime interface.
@@ -74,7 +74,7 @@
 // Copy is one loaded copy.
 type Copy struct {
 	host   *Host
-	pkg    pack.Package
+	pkg    manifest.Package
 	token  string
 	cmd    *exec.Cmd
 	ready  chan struct{}
@@ -207,12 +207,12 @@
 }
 
 // Start begins a copy and returns once it asks for its first event. ctx bounds the start only.
-func (h *Host) Start(ctx context.Context, p pack.Package) (*Copy, error) {
+func (h *Host) Start(ctx context.Context, p manifest.Package) (*Copy, error) {
 	c := &Copy{host: h, pkg: p, token: rand.Text(), ready: make(chan struct{}), next: make(chan *call), dead: make(chan struct{}),
 		calls: map[string]*call{}}
 	entry := filepath.Join(p.Folder, p.Entry)
 	switch p.Kind {
-	case pack.Wasm:
+	case manifest.Wasm:
 		c.cmd = exec.Command(h.o.Self, "wasm-copy", "--lanes", strconv.Itoa(p.Lanes), "--memory",
 			strconv.FormatInt(int64(p.Memory), 10), "--cache", h.o.Cache, entry)
 	default:
@@ -295,7 +295,7 @@
 
 // Limit is the memory that the copy may hold.
 func (c *Copy) Limit() int64 {
-	if c.pkg.Kind == pack.Wasm {
+	if c.pkg.Kind == manifest.Wasm {
 		return int64(c.pkg.Memory) + c.host.o.Overhead
 	}
 	return int64(c.pkg.Memory)
--- a/internal/runner/runner_test.go
+++ b/internal/worker/runner/runner_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/config"
-	"lupinpond/internal/pack"
-	"lupinpond/internal/runner"
+	"lupinpond/internal/artifact/manifest"
+	"lupinpond/internal/base/config"
+	"lupinpond/internal/worker/runner"
 )
 
 func host(t testing.TB, ready time.Duration) *runner.Host {
@@ -29,12 +29,12 @@
 	return h
 }
 
-func script(t testing.TB, text string) pack.Package {
+func script(t testing.TB, text string) manifest.Package {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "entry"), []byte("#!/bin/sh\n"+text), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	p, err := pack.Write(dir, pack.Manifest{Name: "f", Version: "1", Type: "t", Kind: pack.Process, Lanes: 1, Memory: 64 << 20,
+	p, err := manifest.Write(dir, manifest.Manifest{Name: "f", Version: "1", Type: "t", Kind: manifest.Process, Lanes: 1, Memory: 64 << 20,
 		Time: config.Time(time.Second), Entry: "entry"})
 	if err != nil {
 		t.Fatal(err)
