--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,6 +1,6 @@
 // Package worker is the worker runtime: it takes launches over the link, loads packages, runs events on copies, and says
 // the truth about its memory, its loads and what may have run. What it takes and which copy gives way is decided by
-// internal/admit; this package carries that out.
+// internal/worker/admission; this package carries that out.
 package worker
 
 import (
@@ -18,23 +18,23 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"lupinpond/internal/admit"
-	"lupinpond/internal/faults"
-	"lupinpond/internal/keys"
-	"lupinpond/internal/link"
-	"lupinpond/internal/pack"
-	"lupinpond/internal/runner"
-	"lupinpond/internal/serve"
-	"lupinpond/internal/supply"
+	"lupinpond/internal/artifact/distribution"
+	"lupinpond/internal/artifact/manifest"
+	"lupinpond/internal/base/httpserver"
+	"lupinpond/internal/worker/admission"
+	"lupinpond/internal/worker/faultinject"
+	"lupinpond/internal/worker/idempotency"
+	"lupinpond/internal/worker/runner"
+	"lupinpond/internal/workerrpc"
 )
 
 // Options are what a Worker is made from.
 type Options struct {
 	Name     string
-	Folder   string           // its own: journal, packages, compiled code
-	Supply   *supply.Supplier // brings packages
-	Self     string           // this program, for wasm copies
-	Limits   admit.Limits
+	Folder   string                 // its own: journal, packages, compiled code
+	Supply   *distribution.Supplier // brings packages
+	Self     string                 // this program, for wasm copies
+	Limits   admission.Limits
 	Launches int                // most outstanding on one connection
 	Overhead int64              // of a wasm copy beside its own memory
 	Answer   int64              // most bytes of a response
@@ -45,7 +45,7 @@
 	Fail     func(point string) // called at each named step of a load, for tests; may be nil
 	Effects  *os.File           // gets the log of all copies; nil: nowhere
 	MostLog  int64              // bytes: a longer Effects is moved to NAME.1 and begun anew; 0: never
-	Group    *keys.Group        // registers of the workers that drop each other's repeats; nil: it drops its own
+	Group    *idempotency.Group // registers of the workers that drop each other's repeats; nil: it drops its own
 	Log      *slog.Logger
 }
 
@@ -77,21 +77,21 @@
 	journal  *journal
 	keeper   keeper
 	started  time.Time
-	silencer faults.Silencer
-	server   *link.Server
+	silencer faultinject.Silencer
+	server   *workerrpc.Server
 
 	mu        sync.Mutex
-	room      *admit.Room
+	room      *admission.Room
 	next      uint64
 	calls     map[uint64]*call
 	copies    map[uint64]*loaded
-	packages  map[string]pack.Manifest
+	packages  map[string]manifest.Manifest
 	orders    []*order
 	preparing map[string]bool // packages whose newest release is being fetched
 	wake      *time.Timer
 	memory    int64 // at the last look
 	draining  bool
-	troubles  faults.Troubles
+	troubles  faultinject.Troubles
 	loads     []Loading
 	closed    bool
 	found     [recent]bool // of the last launches: found no warm copy
@@ -102,15 +102,15 @@
 
 type call struct {
 	id     uint64
-	launch *link.Launch
-	reply  func(*link.Answer)
-	warmth link.Warmth
+	launch *workerrpc.Launch
+	reply  func(*workerrpc.Answer)
+	warmth workerrpc.Warmth
 	others int // of its function here when it came
 }
 
 // keeper knows which keyed events were begun inside their windows: the worker's own journal, or registers of a group.
 type keeper interface {
-	Claim(ctx context.Context, key string, window time.Duration) (claim string, v keys.Verdict, body []byte)
+	Claim(ctx context.Context, key string, window time.Duration) (claim string, v idempotency.Verdict, body []byte)
 	Handled(key, claim string, body []byte)
 	Release(key, claim string) // it was not run after all
 }
@@ -123,7 +123,7 @@
 type order struct {
 	function string
 	copies   int
-	reply    func(*link.Ordered)
+	reply    func(*workerrpc.Ordered)
 }
 
 // New opens a worker's folder and asks for the releases that the store has; without an answer it goes by those that it knew. Another worker that uses the folder is refused.
@@ -143,8 +143,8 @@
 			return nil, fmt.Errorf("worker: %w", err)
 		}
 	}
-	w := &Worker{o: o, started: time.Now(), room: admit.New(o.Limits), calls: map[uint64]*call{}, copies: map[uint64]*loaded{},
-		packages: map[string]pack.Manifest{}, preparing: map[string]bool{}}
+	w := &Worker{o: o, started: time.Now(), room: admission.New(o.Limits), calls: map[uint64]*call{}, copies: map[uint64]*loaded{},
+		packages: map[string]manifest.Manifest{}, preparing: map[string]bool{}}
 	ctx, stop := context.WithTimeout(context.Background(), o.Ready)
 	err := w.Refresh(ctx)
 	stop()
@@ -162,7 +162,7 @@
 	if w.host, err = runner.NewHost(ro); err != nil {
 		return nil, errors.Join(err, w.journal.close())
 	}
-	w.server = &link.Server{Hello: link.Hello{Name: o.Name, Started: w.started, Launches: o.Launches, Cut: w.journal.cut,
+	w.server = &workerrpc.Server{Hello: workerrpc.Hello{Name: o.Name, Started: w.started, Launches: o.Launches, Cut: w.journal.cut,
 		WarmUp: w.journal.warmUp}, Handler: w}
 	w.wake = time.AfterFunc(time.Hour, w.step)
 	o.Supply.Follow(w.Busy)
@@ -192,7 +192,7 @@
 }
 
 // prepare fetches a release, then has it take the place of the old one. If it can't be fetched, the next refresh tries again.
-func (w *Worker) prepare(p pack.Manifest) {
+func (w *Worker) prepare(p manifest.Manifest) {
 	ctx, stop := context.WithTimeout(context.Background(), w.o.Ready)
 	defer stop()
 	err := w.o.Supply.Prepare(ctx, p.Name, p.Version)
@@ -208,9 +208,9 @@
 }
 
 // replace has a release be the one that is loaded; the lock is held. Copies of the old one finish what they run.
-func (w *Worker) replace(p pack.Manifest) {
+func (w *Worker) replace(p manifest.Manifest) {
 	w.packages[p.Name] = p
-	w.room.Publish(admit.Function{Name: p.Name, Version: p.Version, Lanes: p.Lanes, Memory: w.reserve(p)})
+	w.room.Publish(admission.Function{Name: p.Name, Version: p.Version, Lanes: p.Lanes, Memory: w.reserve(p)})
 	w.work.Go(func() { // it removes files
 		if err := w.o.Supply.Forget(p.Name); err != nil {
 			w.o.Log.Warn("an old release's files are left", "package", p.Name, "err", err)
@@ -223,7 +223,7 @@
 	if w.o.Refresh <= 0 {
 		return nil
 	}
-	return serve.Every(ctx, w.o.Refresh, func() error {
+	return httpserver.Every(ctx, w.o.Refresh, func() error {
 		if err := w.Refresh(ctx); err != nil && ctx.Err() == nil {
 			w.o.Log.Warn("no new releases are known", "err", err)
 		}
@@ -231,8 +231,8 @@
 	})
 }
 
-func (w *Worker) reserve(p pack.Manifest) int64 {
-	if p.Kind == pack.Wasm {
+func (w *Worker) reserve(p manifest.Manifest) int64 {
+	if p.Kind == manifest.Wasm {
 		return int64(p.Memory) + w.o.Overhead
 	}
 	return int64(p.Memory)
@@ -280,7 +280,7 @@
 }
 
 // Trouble has it misbehave from now on; Silence has it neither read nor write.
-func (w *Worker) Trouble(change func(*faults.Troubles)) {
+func (w *Worker) Trouble(change func(*faultinject.Troubles)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change(&w.troubles)
@@ -290,7 +290,7 @@
 func (w *Worker) Silence(on bool) { w.silencer.Set(on) }
 
 // Cut tells the loads that the last life did not end.
-func (w *Worker) Cut() []link.CutLoad { return w.journal.cut }
+func (w *Worker) Cut() []workerrpc.CutLoad { return w.journal.cut }
 
 // Loads tells how long the steps of the loads of this life took.
 func (w *Worker) Loads() []Loading {
@@ -302,18 +302,18 @@
 func (w *Worker) now() time.Duration { return time.Since(w.started) }
 
 // Report tells its load; the memory is what the operating system said at the last look.
-func (w *Worker) Report() *link.Report {
+func (w *Worker) Report() *workerrpc.Report {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.report()
 }
 
-func (w *Worker) report() *link.Report {
+func (w *Worker) report() *workerrpc.Report {
 	waiting := float64(w.room.Waiting())
 	if w.troubles.Reports > 0 {
 		waiting *= w.troubles.Reports
 	}
-	return &link.Report{Waiting: int(waiting), Running: w.room.Running(), Memory: w.memory, Cold: w.cold(),
+	return &workerrpc.Report{Waiting: int(waiting), Running: w.room.Running(), Memory: w.memory, Cold: w.cold(),
 		Busy: min(1, float64(w.room.Running())/float64(runtime.NumCPU()))}
 }
 
@@ -333,43 +333,43 @@
 }
 
 // Launch takes an event.
-func (w *Worker) Launch(_ string, l *link.Launch, reply func(*link.Answer)) (cancel func()) {
+func (w *Worker) Launch(_ string, l *workerrpc.Launch, reply func(*workerrpc.Answer)) (cancel func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.troubles.Hang {
-		reply = func(*link.Answer) {}
+		reply = func(*workerrpc.Answer) {}
 	}
-	refuse := func(code link.Code, why string) func() {
-		reply(&link.Answer{Code: code, Reason: why, Report: w.report()})
+	refuse := func(code workerrpc.Code, why string) func() {
+		reply(&workerrpc.Answer{Code: code, Reason: why, Report: w.report()})
 		return nil
 	}
 	switch {
 	case w.closed || w.draining:
-		return refuse(link.NotStarted, "draining")
+		return refuse(workerrpc.NotStarted, "draining")
 	case w.troubles.Errors:
-		return refuse(link.Failed, "told to fail")
+		return refuse(workerrpc.Failed, "told to fail")
 	case w.troubles.Refuse != "" && w.troubles.Refuse == l.Tenant:
-		return refuse(link.Full, "full")
+		return refuse(workerrpc.Full, "full")
 	}
 	have := w.room.Of(l.Function)
 	w.next++
-	c := &call{id: w.next, launch: l, reply: reply, warmth: link.FoundWarm, others: have.Waiting + have.Busy}
+	c := &call{id: w.next, launch: l, reply: reply, warmth: workerrpc.FoundWarm, others: have.Waiting + have.Busy}
 	if have.Warm == 0 {
-		c.warmth = link.AwaitedLoad
+		c.warmth = workerrpc.AwaitedLoad
 		if have.Loading == 0 {
-			c.warmth = link.BeganLoad
+			c.warmth = workerrpc.BeganLoad
 		}
 	}
-	switch w.room.Take(w.now(), admit.Call{ID: c.id, Function: l.Function, Tenant: l.Tenant, Ends: w.now() + l.Left}) {
-	case admit.Full:
-		return refuse(link.Full, "full")
-	case admit.Missing:
-		return refuse(link.Missing, "not here")
-	case admit.TooBig:
-		return refuse(link.Missing, "its package needs more memory than this worker has")
+	switch w.room.Take(w.now(), admission.Call{ID: c.id, Function: l.Function, Tenant: l.Tenant, Ends: w.now() + l.Left}) {
+	case admission.Full:
+		return refuse(workerrpc.Full, "full")
+	case admission.Missing:
+		return refuse(workerrpc.Missing, "not here")
+	case admission.TooBig:
+		return refuse(workerrpc.Missing, "its package needs more memory than this worker has")
 	}
 	w.calls[c.id] = c
-	w.found[w.taken%recent] = c.warmth != link.FoundWarm
+	w.found[w.taken%recent] = c.warmth != workerrpc.FoundWarm
 	w.taken++
 	if !w.warmed && w.taken >= recent && w.cold() <= warmShare {
 		w.warmed = true
@@ -379,7 +379,7 @@
 			w.o.Log.Error("the warm-up is not noted", "err", err) // the next life tells none
 		}
 	}
-	if c.warmth != link.FoundWarm {
+	if c.warmth != workerrpc.FoundWarm {
 		if err := w.journal.write(note{Kind: noteTaken, Function: l.Function, Event: l.Event}, false); err != nil {
 			w.o.Log.Error("an event taken for a load is not noted", "err", err) // it is told to have run if the worker dies
 		}
@@ -395,24 +395,24 @@
 		return
 	}
 	if w.room.Dropped(c.launch.Function, c.id) {
-		w.answer(c, &link.Answer{Code: link.NotStarted, Reason: "withdrawn before its start"})
+		w.answer(c, &workerrpc.Answer{Code: workerrpc.NotStarted, Reason: "withdrawn before its start"})
 		return
 	}
 	// it runs: what was begun is not stopped, but its answer is not waited for
-	w.answer(c, &link.Answer{Code: link.Withdrawn, Reason: "withdrawn"})
+	w.answer(c, &workerrpc.Answer{Code: workerrpc.Withdrawn, Reason: "withdrawn"})
 }
 
 // answer ends a call for its front end; the lock is held. Later results of it change nothing.
-func (w *Worker) answer(c *call, a *link.Answer) {
+func (w *Worker) answer(c *call, a *workerrpc.Answer) {
 	if w.calls[c.id] == nil {
 		return
 	}
 	delete(w.calls, c.id)
 	a.Warmth, a.Company, a.Report = c.warmth, c.others, w.report()
-	if a.Code == link.Missing && a.Reason == "load failed" {
-		a.Warmth = link.LoadFailed
+	if a.Code == workerrpc.Missing && a.Reason == "load failed" {
+		a.Warmth = workerrpc.LoadFailed
 	}
-	if c.warmth != link.FoundWarm {
+	if c.warmth != workerrpc.FoundWarm {
 		if err := w.journal.write(note{Kind: noteOver, Event: c.launch.Event}, false); err != nil {
 			w.o.Log.Error("an answer is not noted", "err", err)
 		}
@@ -421,19 +421,19 @@
 }
 
 // Order has copies loaded.
-func (w *Worker) Order(_ string, o *link.Order, reply func(*link.Ordered)) {
+func (w *Worker) Order(_ string, o *workerrpc.Order, reply func(*workerrpc.Ordered)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.troubles.Hang {
-		reply = func(*link.Ordered) {}
+		reply = func(*workerrpc.Ordered) {}
 	}
 	if w.closed || w.draining {
-		reply(&link.Ordered{Code: link.NotStarted, Reason: "draining"})
+		reply(&workerrpc.Ordered{Code: workerrpc.NotStarted, Reason: "draining"})
 		return
 	}
 	_, refused := w.room.Order(w.now(), o.Function, o.Copies)
-	if refused != admit.Taken {
-		reply(&link.Ordered{Code: link.Missing, Reason: "not here, or too big for this worker"})
+	if refused != admission.Taken {
+		reply(&workerrpc.Ordered{Code: workerrpc.Missing, Reason: "not here, or too big for this worker"})
 		return
 	}
 	w.orders = append(w.orders, &order{o.Function, o.Copies, reply})
@@ -457,10 +457,10 @@
 		if c == nil {
 			continue
 		}
-		if o.Why == admit.NoLoad {
-			w.answer(c, &link.Answer{Code: link.Missing, Reason: "load failed"})
+		if o.Why == admission.NoLoad {
+			w.answer(c, &workerrpc.Answer{Code: workerrpc.Missing, Reason: "load failed"})
 		} else {
-			w.answer(c, &link.Answer{Code: link.NotStarted, Reason: "its time was up before it could begin"})
+			w.answer(c, &workerrpc.Answer{Code: workerrpc.NotStarted, Reason: "its time was up before it could begin"})
 		}
 	}
 	for _, id := range st.Unloads {
@@ -483,9 +483,9 @@
 		n := w.room.Of(o.function)
 		switch {
 		case n.Warm >= o.copies:
-			o.reply(&link.Ordered{Code: link.Done, Copies: n.Warm})
+			o.reply(&workerrpc.Ordered{Code: workerrpc.Done, Copies: n.Warm})
 		case n.Loading+n.Asked == 0:
-			o.reply(&link.Ordered{Code: link.Full, Copies: n.Warm, Reason: "no room, or a load failed"})
+			o.reply(&workerrpc.Ordered{Code: workerrpc.Full, Copies: n.Warm, Reason: "no room, or a load failed"})
 		default:
 			kept = append(kept, o)
 		}
@@ -497,13 +497,13 @@
 }
 
 // begin hands an event to its copy; the lock is held.
-func (w *Worker) begin(r admit.Run) {
+func (w *Worker) begin(r admission.Run) {
 	c, l := w.calls[r.Call], w.copies[r.Copy]
 	if c == nil || l == nil || l.copy == nil { // withdrawn meanwhile, or its copy is gone
 		w.room.Ended(w.now(), r.Call)
 		w.wake.Reset(0)
 		if c != nil {
-			w.answer(c, &link.Answer{Code: link.NotStarted, Reason: "its copy ended"})
+			w.answer(c, &workerrpc.Answer{Code: workerrpc.NotStarted, Reason: "its copy ended"})
 		}
 		return
 	}
@@ -515,7 +515,7 @@
 }
 
 // claim asks whether a keyed event is a repeat before it is handed over.
-func (w *Worker) claim(r admit.Run, c *call) {
+func (w *Worker) claim(r admission.Run, c *call) {
 	key := keyOf(c.launch)
 	ctx, stop := context.WithTimeout(context.Background(), time.Duration(claimShare*float64(c.launch.Left)))
 	claim, v, body := w.keeper.Claim(ctx, key, c.launch.Window)
@@ -523,41 +523,41 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	l := w.copies[r.Copy]
-	if v == keys.Run && w.calls[c.id] != nil && l != nil && l.copy != nil {
+	if v == idempotency.Run && w.calls[c.id] != nil && l != nil && l.copy != nil {
 		w.run(r, c, l, claim)
 		return
 	}
-	if v == keys.Run { // withdrawn meanwhile, or its copy is gone
+	if v == idempotency.Run { // withdrawn meanwhile, or its copy is gone
 		w.keeper.Release(key, claim)
 	}
 	w.room.Ended(w.now(), r.Call)
 	switch v {
-	case keys.Handled:
-		w.answer(c, &link.Answer{Code: link.Done, Repeat: true, Body: body, Reason: "a repeat inside its window"})
-	case keys.Repeat:
-		w.answer(c, &link.Answer{Code: link.Failed, Repeat: true, Reason: "a repeat of one that may have run"})
-	case keys.Run:
-		w.answer(c, &link.Answer{Code: link.NotStarted, Reason: "its copy ended"})
+	case idempotency.Handled:
+		w.answer(c, &workerrpc.Answer{Code: workerrpc.Done, Repeat: true, Body: body, Reason: "a repeat inside its window"})
+	case idempotency.Repeat:
+		w.answer(c, &workerrpc.Answer{Code: workerrpc.Failed, Repeat: true, Reason: "a repeat of one that may have run"})
+	case idempotency.Run:
+		w.answer(c, &workerrpc.Answer{Code: workerrpc.NotStarted, Reason: "its copy ended"})
 	default:
-		w.answer(c, &link.Answer{Code: link.NotStarted, Reason: "it is not known whether it is a repeat"})
+		w.answer(c, &workerrpc.Answer{Code: workerrpc.NotStarted, Reason: "it is not known whether it is a repeat"})
 	}
 	w.due()
 }
 
 // keyOf is a key among those of all tenants and event types.
-func keyOf(l *link.Launch) string { return l.Type + "\n" + l.Tenant + "\n" + l.Key }
+func keyOf(l *workerrpc.Launch) string { return l.Type + "\n" + l.Tenant + "\n" + l.Key }
 
 // run hands an event over; the lock is held.
-func (w *Worker) run(r admit.Run, c *call, l *loaded, claim string) {
+func (w *Worker) run(r admission.Run, c *call, l *loaded, claim string) {
 	e := c.launch
-	if c.warmth != link.FoundWarm {
+	if c.warmth != workerrpc.FoundWarm {
 		if err := w.journal.write(note{Kind: noteRun, Event: e.Event}, false); err != nil {
 			if claim != "" {
 				w.keeper.Release(keyOf(e), claim)
 			}
 			w.room.Ended(w.now(), r.Call) // not written down as run: it must not run
 			w.wake.Reset(0)
-			w.answer(c, &link.Answer{Code: link.NotStarted, Reason: err.Error()})
+			w.answer(c, &workerrpc.Answer{Code: workerrpc.NotStarted, Reason: err.Error()})
 			return
 		}
 	}
@@ -576,18 +576,18 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.room.Ended(w.now(), id)
-	a := &link.Answer{Code: link.Done, Body: res.Body, Worked: res.Took}
+	a := &workerrpc.Answer{Code: workerrpc.Done, Body: res.Body, Worked: res.Took}
 	if res.Err != nil {
-		a.Code, a.Reason = link.Failed, res.Err.Error()
+		a.Code, a.Reason = workerrpc.Failed, res.Err.Error()
 	}
 	if errors.Is(res.Err, runner.ErrNotBegun) {
-		a.Code = link.NotStarted
+		a.Code = workerrpc.NotStarted
 	}
 	if claim != "" {
 		switch a.Code {
-		case link.Done:
+		case workerrpc.Done:
 			w.keeper.Handled(keyOf(c.launch), claim, a.Body)
-		case link.NotStarted:
+		case workerrpc.NotStarted:
 			w.keeper.Release(keyOf(c.launch), claim)
 		}
 	}
@@ -596,7 +596,7 @@
 }
 
 // load brings up a copy. It is written down, durably, before anything of it begins.
-func (w *Worker) load(id uint64, p pack.Manifest, fail bool) {
+func (w *Worker) load(id uint64, p manifest.Manifest, fail bool) {
 	took, copy, err := w.bring(id, p, fail)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -619,7 +619,7 @@
 	w.due()
 }
 
-func (w *Worker) bring(id uint64, p pack.Manifest, fail bool) (took Loading, copy *runner.Copy, err error) {
+func (w *Worker) bring(id uint64, p manifest.Manifest, fail bool) (took Loading, copy *runner.Copy, err error) {
 	if err := w.journal.write(note{Kind: noteLoad, Load: id, Function: p.Name, Version: p.Version}, true); err != nil {
 		return took, nil, err
 	}
@@ -679,7 +679,7 @@
 
 // sample looks at the memory of every copy and ends one that holds more than its package may.
 func (w *Worker) sample(ctx context.Context) error {
-	return serve.Every(ctx, w.o.Sample, func() error {
+	return httpserver.Every(ctx, w.o.Sample, func() error {
 		w.mu.Lock()
 		var all []*runner.Copy
 		for _, l := range w.copies {
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -20,15 +20,15 @@
 
 	"go.uber.org/goleak"
 
-	"lupinpond/internal/admit"
-	"lupinpond/internal/config"
-	"lupinpond/internal/crew"
-	"lupinpond/internal/keys"
-	"lupinpond/internal/layer"
-	"lupinpond/internal/link"
-	"lupinpond/internal/pack"
-	"lupinpond/internal/runner"
+	"lupinpond/internal/artifact/layer"
+	"lupinpond/internal/artifact/manifest"
+	"lupinpond/internal/base/config"
+	"lupinpond/internal/testbed/localfleet"
 	"lupinpond/internal/worker"
+	"lupinpond/internal/worker/admission"
+	"lupinpond/internal/worker/idempotency"
+	"lupinpond/internal/worker/runner"
+	"lupinpond/internal/workerrpc"
 )
 
 var (
@@ -58,7 +58,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	s, err := crew.OpenStore(filepath.Join(dir, ".store"), crew.Easy)
+	s, err := localfleet.OpenStore(filepath.Join(dir, ".store"), localfleet.Easy)
 	if err == nil {
 		err = s.PublishAll(context.Background(), dir)
 	}
@@ -82,13 +82,13 @@
 // build makes the example packages: each as a process and as wasm.
 func build(dir string) error {
 	for _, name := range []string{"misbehave", "preview"} {
-		for _, kind := range []string{pack.Process, pack.Wasm} {
+		for _, kind := range []string{manifest.Process, manifest.Wasm} {
 			fn := name + "-" + kind
 			folder := filepath.Join(dir, fn, "1")
-			if err := crew.Build(filepath.Join(folder, "entry"), "lupinpond/examples/"+name, kind); err != nil {
+			if err := localfleet.Build(filepath.Join(folder, "entry"), "lupinpond/examples/"+name, kind); err != nil {
 				return err
 			}
-			if _, err := pack.Write(folder, pack.Manifest{Name: fn, Version: "1", Type: "t", Kind: kind, Lanes: 2, Memory: 96 << 20,
+			if _, err := manifest.Write(folder, manifest.Manifest{Name: fn, Version: "1", Type: "t", Kind: kind, Lanes: 2, Memory: 96 << 20,
 				Time: config.Time(2 * time.Second), Entry: "entry"}); err != nil {
 				return err
 			}
@@ -103,20 +103,20 @@
 	if err != nil {
 		panic(err)
 	}
-	giver, err := crew.NewGiver("w", folder, base, 2*time.Second, nil, nil)
+	giver, err := localfleet.NewGiver("w", folder, base, 2*time.Second, nil, nil)
 	if err != nil {
 		panic(err)
 	}
 	return worker.Options{Name: "w", Folder: folder, Supply: giver.Supplier, Self: self, Launches: 100, Overhead: 512 << 20, Answer: 1 << 20,
 		Ready: 60 * time.Second, Grace: time.Second, Sample: 20 * time.Millisecond,
-		Limits: admit.Limits{Memory: 8 << 30, Running: 8, Waiting: 100, Loads: 4, Keep: time.Minute, OnMiss: true}}, giver.Close
+		Limits: admission.Limits{Memory: 8 << 30, Running: 8, Waiting: 100, Loads: 4, Keep: time.Minute, OnMiss: true}}, giver.Close
 }
 
 // rig is a worker and a front end's link to it.
 type rig struct {
 	*worker.Worker
 	t       *testing.T
-	peer    *link.Peer
+	peer    *workerrpc.Peer
 	effects string
 	addr    string
 }
@@ -159,17 +159,17 @@
 	return r
 }
 
-func connect(_ context.Context, addr string) *link.Peer {
-	return link.NewPeer("front", "w", addr, link.Limits{Dial: 10 * time.Second, Queue: 30 * time.Second, Stall: 10 * time.Second,
+func connect(_ context.Context, addr string) *workerrpc.Peer {
+	return workerrpc.NewPeer("front", "w", addr, workerrpc.Limits{Dial: 10 * time.Second, Queue: 30 * time.Second, Stall: 10 * time.Second,
 		Calls: 1000, Bytes: 1 << 24}, func(ctx context.Context, addr string) (net.Conn, error) {
 		var d net.Dialer
 		return d.DialContext(ctx, "tcp", addr)
 	})
 }
 
-func (r *rig) send(l link.Launch) <-chan link.Outcome {
-	got := make(chan link.Outcome, 1)
-	r.peer.Launch(l, 60*time.Second, func(o link.Outcome) { got <- o })
+func (r *rig) send(l workerrpc.Launch) <-chan workerrpc.Outcome {
+	got := make(chan workerrpc.Outcome, 1)
+	r.peer.Launch(l, 60*time.Second, func(o workerrpc.Outcome) { got <- o })
 	return got
 }
 
@@ -184,11 +184,11 @@
 }
 
 // wants runs an event and compares its code and a part of the body or reason.
-func (r *rig) wants(function, body string, code link.Code, part string) *link.Answer {
+func (r *rig) wants(function, body string, code workerrpc.Code, part string) *workerrpc.Answer {
 	r.t.Helper()
-	o := <-r.send(link.Launch{Event: body, Function: function, Body: []byte(body)})
-	for o.Answer != nil && o.Answer.Code == link.NotStarted { // its copy was just ending: a front end goes on elsewhere
-		o = <-r.send(link.Launch{Event: body, Function: function, Body: []byte(body)})
+	o := <-r.send(workerrpc.Launch{Event: body, Function: function, Body: []byte(body)})
+	for o.Answer != nil && o.Answer.Code == workerrpc.NotStarted { // its copy was just ending: a front end goes on elsewhere
+		o = <-r.send(workerrpc.Launch{Event: body, Function: function, Body: []byte(body)})
 	}
 	if o.Answer == nil {
 		r.t.Fatalf("%s %q: %+v", function, body, o)
@@ -203,27 +203,27 @@
 // is served again by another copy.
 func TestBothKindsAndMisbehaviour(t *testing.T) {
 	r := start(t, nil)
-	for _, kind := range []string{pack.Process, pack.Wasm} {
+	for _, kind := range []string{manifest.Process, manifest.Wasm} {
 		model, mis := "preview-"+kind, "misbehave-"+kind
-		a := r.wants(model, `{"features":[1,2,3]}`, link.Done, `{"score":0.83`)
-		if a.Warmth != link.BeganLoad {
+		a := r.wants(model, `{"features":[1,2,3]}`, workerrpc.Done, `{"score":0.83`)
+		if a.Warmth != workerrpc.BeganLoad {
 			t.Errorf("warmth %d", a.Warmth)
 		}
-		if a = r.wants(model, `{"features":[1,2,3]}`, link.Done, `{"score":0.83`); a.Warmth != link.FoundWarm {
+		if a = r.wants(model, `{"features":[1,2,3]}`, workerrpc.Done, `{"score":0.83`); a.Warmth != workerrpc.FoundWarm {
 			t.Errorf("%+v", a)
 		}
-		r.wants(model, `{"features":[1]}`, link.Failed, "1 features, the model has 3")
-		r.wants(mis, "echo", link.Done, "echo")
-		r.wants(mis, "fail", link.Failed, "told to fail")
-		r.wants(mis, "panic "+kind, link.Failed, "")
-		r.wants(mis, "exit "+kind, link.Failed, "")
-		r.wants(mis, "flood "+kind, link.Failed, "")
-		r.wants(mis, "spin "+kind, link.Failed, runner.ErrTime.Error())
-		r.wants(mis, "allocate "+kind, link.Failed, "")
-		r.wants(mis, "echo again", link.Done, "echo again")
-		r.wants(model, `{"features":[1,2,3]}`, link.Done, `{"score":0.83`)
-	}
-	r.wants("nobody", "x", link.Missing, "not here")
+		r.wants(model, `{"features":[1]}`, workerrpc.Failed, "1 features, the model has 3")
+		r.wants(mis, "echo", workerrpc.Done, "echo")
+		r.wants(mis, "fail", workerrpc.Failed, "told to fail")
+		r.wants(mis, "panic "+kind, workerrpc.Failed, "")
+		r.wants(mis, "exit "+kind, workerrpc.Failed, "")
+		r.wants(mis, "flood "+kind, workerrpc.Failed, "")
+		r.wants(mis, "spin "+kind, workerrpc.Failed, runner.ErrTime.Error())
+		r.wants(mis, "allocate "+kind, workerrpc.Failed, "")
+		r.wants(mis, "echo again", workerrpc.Done, "echo again")
+		r.wants(model, `{"features":[1,2,3]}`, workerrpc.Done, `{"score":0.83`)
+	}
+	r.wants("nobody", "x", workerrpc.Missing, "not here")
 	log, err := os.ReadFile(r.effects)
 	if err != nil {
 		t.Fatal(err)
@@ -238,7 +238,7 @@
 // Corrupt content and manifests are refused with a reason; the events that waited never ran.
 func TestCorruptPackages(t *testing.T) {
 	broken := t.TempDir()
-	own, err := crew.OpenStore(broken, crew.Easy)
+	own, err := localfleet.OpenStore(broken, localfleet.Easy)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -259,11 +259,11 @@
 		t.Fatal(err)
 	}
 	r := startAt(t, t.TempDir(), own.Client.Base, nil)
-	a := r.wants("preview-process", "x", link.Missing, "load failed")
-	if a.Warmth != link.LoadFailed || !a.Code.NeverRan() {
+	a := r.wants("preview-process", "x", workerrpc.Missing, "load failed")
+	if a.Warmth != workerrpc.LoadFailed || !a.Code.NeverRan() {
 		t.Errorf("%+v", a)
 	}
-	r.wants("misbehave-process", "echo", link.Done, "echo")
+	r.wants("misbehave-process", "echo", workerrpc.Done, "echo")
 }
 
 // A keyed event's repeat inside its window is dropped, also across a restart; outside it runs.
@@ -273,20 +273,20 @@
 	t.Run("first life", func(t *testing.T) {
 		r := startAt(t, folder, base, nil)
 		effects = r.effects
-		send := func(body, key string, window time.Duration) *link.Answer {
-			o := <-r.send(link.Launch{Event: body, Function: "misbehave-process", Key: key, Window: window, Body: []byte(body)})
+		send := func(body, key string, window time.Duration) *workerrpc.Answer {
+			o := <-r.send(workerrpc.Launch{Event: body, Function: "misbehave-process", Key: key, Window: window, Body: []byte(body)})
 			return o.Answer
 		}
-		if a := send("one", "k", time.Minute); a.Repeat || a.Code != link.Done {
+		if a := send("one", "k", time.Minute); a.Repeat || a.Code != workerrpc.Done {
 			t.Errorf("%+v", a)
 		}
-		if a := send("two", "k", time.Minute); !a.Repeat || a.Code != link.Done || string(a.Body) != "one" {
+		if a := send("two", "k", time.Minute); !a.Repeat || a.Code != workerrpc.Done || string(a.Body) != "one" {
 			t.Errorf("%+v", a)
 		}
-		if a := send("exit", "gone", time.Minute); a.Code != link.Failed {
+		if a := send("exit", "gone", time.Minute); a.Code != workerrpc.Failed {
 			t.Errorf("%+v", a)
 		}
-		if a := send("short", "s", time.Millisecond); a.Repeat || a.Code != link.Done {
+		if a := send("short", "s", time.Millisecond); a.Repeat || a.Code != workerrpc.Done {
 			t.Errorf("%+v", a)
 		}
 		log, err := os.ReadFile(effects)
@@ -295,14 +295,14 @@
 		}
 	})
 	r := startAt(t, folder, base, nil)
-	for key, want := range map[string]link.Code{"k": link.Done, "gone": link.Failed} {
-		o := <-r.send(link.Launch{Event: "again", Function: "misbehave-process", Key: key, Window: time.Minute, Body: []byte("again")})
+	for key, want := range map[string]workerrpc.Code{"k": workerrpc.Done, "gone": workerrpc.Failed} {
+		o := <-r.send(workerrpc.Launch{Event: "again", Function: "misbehave-process", Key: key, Window: time.Minute, Body: []byte("again")})
 		if !o.Answer.Repeat || o.Answer.Code != want {
 			t.Errorf("%s: %+v", key, o.Answer)
 		}
 	}
-	o := <-r.send(link.Launch{Event: "new", Function: "misbehave-process", Key: "s", Window: time.Minute, Body: []byte("new")})
-	if o.Answer.Repeat || o.Answer.Code != link.Done {
+	o := <-r.send(workerrpc.Launch{Event: "new", Function: "misbehave-process", Key: "s", Window: time.Minute, Body: []byte("new")})
+	if o.Answer.Repeat || o.Answer.Code != workerrpc.Done {
 		t.Errorf("outside its window: %+v", o.Answer)
 	}
 }
@@ -331,22 +331,22 @@
 			t.Errorf("%s: %d %s", text, status, got)
 		}
 	}
-	r.wants("misbehave-process", "echo", link.Done, "echo")
+	r.wants("misbehave-process", "echo", workerrpc.Done, "echo")
 	if status, got := order(`{"what":"refuse","tenant":"x","for":"300ms"}`); status != 204 {
 		t.Fatal(got)
 	}
-	send := func(tenant string) *link.Answer {
-		return (<-r.send(link.Launch{Event: "e", Function: "misbehave-process", Tenant: tenant, Body: []byte("echo")})).Answer
+	send := func(tenant string) *workerrpc.Answer {
+		return (<-r.send(workerrpc.Launch{Event: "e", Function: "misbehave-process", Tenant: tenant, Body: []byte("echo")})).Answer
 	}
-	for end := time.Now().Add(20 * time.Second); send("x").Code != link.Full; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); send("x").Code != workerrpc.Full; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the tenant was never refused")
 		}
 	}
-	if a := send("y"); a.Code != link.Done {
+	if a := send("y"); a.Code != workerrpc.Done {
 		t.Errorf("another tenant: %+v", a)
 	}
-	for end := time.Now().Add(20 * time.Second); send("x").Code != link.Done; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); send("x").Code != workerrpc.Done; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("it was never undone")
 		}
@@ -371,9 +371,9 @@
 		panic(err)
 	}
 	ended := make(chan struct{})
-	w.Launch("front", &link.Launch{Event: "waits", Function: "misbehave-process", Left: time.Minute, Body: []byte("waits")},
-		func(a *link.Answer) {
-			if a.Code != link.Done {
+	w.Launch("front", &workerrpc.Launch{Event: "waits", Function: "misbehave-process", Left: time.Minute, Body: []byte("waits")},
+		func(a *workerrpc.Answer) {
+			if a.Code != workerrpc.Done {
 				panic(a.Reason)
 			}
 			close(ended)
@@ -451,10 +451,10 @@
 func TestReportedMemoryIsTrue(t *testing.T) {
 	r := start(t, nil)
 	worst, samples := 0.0, 0
-	for _, kind := range []string{pack.Process, pack.Wasm} {
-		r.wants("misbehave-"+kind, "hold", link.Done, "")
+	for _, kind := range []string{manifest.Process, manifest.Wasm} {
+		r.wants("misbehave-"+kind, "hold", workerrpc.Done, "")
 		for range 30 {
-			r.wants("misbehave-"+kind, "echo", link.Done, "")
+			r.wants("misbehave-"+kind, "echo", workerrpc.Done, "")
 			// a quiet moment: two looks of the worker with the same result around ours
 			for range 50 {
 				before := r.Report().Memory
@@ -525,7 +525,7 @@
 	var at []string
 	var servers []*httptest.Server
 	for range 3 {
-		r, err := keys.Open(t.TempDir(), 1000)
+		r, err := idempotency.Open(t.TempDir(), 1000)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -538,18 +538,18 @@
 	}
 	var rigs []*rig
 	for range 2 {
-		g, err := keys.NewGroup(at, 10*time.Second, slog.New(slog.DiscardHandler))
+		g, err := idempotency.NewGroup(at, 10*time.Second, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(g.Close)
 		rigs = append(rigs, start(t, func(o *worker.Options) { o.Group = g }))
 	}
-	send := func(r *rig, body, tenant, key string) *link.Answer {
-		return (<-r.send(link.Launch{Event: body, Function: "misbehave-process", Type: "t", Tenant: tenant, Key: key, Window: time.Minute,
+	send := func(r *rig, body, tenant, key string) *workerrpc.Answer {
+		return (<-r.send(workerrpc.Launch{Event: body, Function: "misbehave-process", Type: "t", Tenant: tenant, Key: key, Window: time.Minute,
 			Body: []byte(body)})).Answer
 	}
-	settled := func(r *rig, body, key string, want func(*link.Answer) bool) {
+	settled := func(r *rig, body, key string, want func(*workerrpc.Answer) bool) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) { // registers hear of ends a little later
 			a := send(r, body, "x", key)
@@ -561,26 +561,28 @@
 			}
 		}
 	}
-	if a := send(rigs[0], "one", "x", "k"); a.Repeat || a.Code != link.Done {
+	if a := send(rigs[0], "one", "x", "k"); a.Repeat || a.Code != workerrpc.Done {
 		t.Errorf("%+v", a)
 	}
-	settled(rigs[1], "two", "k", func(a *link.Answer) bool { return a.Repeat && a.Code == link.Done && string(a.Body) == "one" })
-	if a := send(rigs[1], "other tenant", "y", "k"); a.Repeat || a.Code != link.Done {
+	settled(rigs[1], "two", "k", func(a *workerrpc.Answer) bool { return a.Repeat && a.Code == workerrpc.Done && string(a.Body) == "one" })
+	if a := send(rigs[1], "other tenant", "y", "k"); a.Repeat || a.Code != workerrpc.Done {
 		t.Errorf("%+v", a)
 	}
-	if a := send(rigs[0], "exit", "x", "gone"); a.Code != link.Failed {
+	if a := send(rigs[0], "exit", "x", "gone"); a.Code != workerrpc.Failed {
 		t.Errorf("%+v", a)
 	}
-	if a := send(rigs[1], "exit again", "x", "gone"); a.Code != link.Failed || !a.Repeat {
+	if a := send(rigs[1], "exit again", "x", "gone"); a.Code != workerrpc.Failed || !a.Repeat {
 		t.Errorf("%+v", a)
 	}
 	servers[0].Close()
-	if a := send(rigs[1], "three", "x", "k3"); a.Repeat || a.Code != link.Done {
+	if a := send(rigs[1], "three", "x", "k3"); a.Repeat || a.Code != workerrpc.Done {
 		t.Errorf("%+v", a)
 	}
-	settled(rigs[0], "four", "k3", func(a *link.Answer) bool { return a.Repeat && a.Code == link.Done && string(a.Body) == "three" })
+	settled(rigs[0], "four", "k3", func(a *workerrpc.Answer) bool {
+		return a.Repeat && a.Code == workerrpc.Done && string(a.Body) == "three"
+	})
 	servers[1].Close()
-	if a := send(rigs[0], "five", "x", "k5"); a.Code != link.NotStarted {
+	if a := send(rigs[0], "five", "x", "k5"); a.Code != workerrpc.NotStarted {
 		t.Errorf("%+v", a)
 	}
 	for _, r := range rigs {
@@ -599,7 +601,7 @@
 // A version that is replaced while it is busy finishes what it runs; what comes next runs on the new one. Orders that cross
 // (load two, none, one) end with what the last one asked for, and each is answered.
 func TestReplacedWhileBusyAndCrossingOrders(t *testing.T) {
-	own, err := crew.OpenStore(t.TempDir(), crew.Easy)
+	own, err := localfleet.OpenStore(t.TempDir(), localfleet.Easy)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -608,8 +610,8 @@
 		t.Fatal(err)
 	}
 	r := startAt(t, t.TempDir(), own.Client.Base, nil)
-	r.wants("misbehave-process", "echo", link.Done, "echo")
-	busy := r.send(link.Launch{Event: "b", Function: "misbehave-process", Body: []byte("sleep 700ms")})
+	r.wants("misbehave-process", "echo", workerrpc.Done, "echo")
+	busy := r.send(workerrpc.Launch{Event: "b", Function: "misbehave-process", Body: []byte("sleep 700ms")})
 	r.until("it runs", func() bool { return r.Report().Running == 1 })
 	next := t.TempDir()
 	if err := os.CopyFS(next, os.DirFS(filepath.Join(store, "preview-process", "1"))); err != nil {
@@ -618,7 +620,7 @@
 	if err := os.Chmod(filepath.Join(next, "entry"), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := pack.Write(next, pack.Manifest{Name: "misbehave-process", Version: "2", Type: "t", Kind: pack.Process, Lanes: 2,
+	if _, err := manifest.Write(next, manifest.Manifest{Name: "misbehave-process", Version: "2", Type: "t", Kind: manifest.Process, Lanes: 2,
 		Memory: 96 << 20, Time: config.Time(2 * time.Second), Entry: "entry"}); err != nil {
 		t.Fatal(err)
 	}
@@ -629,29 +631,29 @@
 	if err := r.Refresh(t.Context()); err == nil {
 		t.Error("a stopped store answers")
 	}
-	if a := r.wants("misbehave-process", "echo", link.Done, "echo"); a.Warmth != link.FoundWarm {
+	if a := r.wants("misbehave-process", "echo", workerrpc.Done, "echo"); a.Warmth != workerrpc.FoundWarm {
 		t.Errorf("the old version is not warm while the store is stopped: %+v", a)
 	}
 	r.until("the new version is here", func() bool {
 		if err := r.Refresh(t.Context()); err != nil {
 			return false
 		}
-		o := <-r.send(link.Launch{Event: "p", Function: "misbehave-process", Body: []byte(`{"features":[1,2,3]}`)})
+		o := <-r.send(workerrpc.Launch{Event: "p", Function: "misbehave-process", Body: []byte(`{"features":[1,2,3]}`)})
 		return o.Answer != nil && strings.Contains(string(o.Answer.Body), "score")
 	})
-	if o := <-busy; o.Answer == nil || o.Answer.Code != link.Done {
+	if o := <-busy; o.Answer == nil || o.Answer.Code != workerrpc.Done {
 		t.Errorf("what ran on the old version: %+v", o.Answer)
 	}
-	ordered := make(chan link.Outcome, 3)
+	ordered := make(chan workerrpc.Outcome, 3)
 	for _, n := range []int{2, 0, 1} {
-		r.peer.Order(link.Order{Function: "preview-process", Copies: n}, func(o link.Outcome) { ordered <- o })
+		r.peer.Order(workerrpc.Order{Function: "preview-process", Copies: n}, func(o workerrpc.Outcome) { ordered <- o })
 	}
 	for range 3 {
 		if o := <-ordered; o.Ordered == nil {
 			t.Errorf("an order has no answer: %v", o.Err)
 		}
 	}
-	r.wants("preview-process", `{"features":[1,2,3]}`, link.Done, "score")
+	r.wants("preview-process", `{"features":[1,2,3]}`, workerrpc.Done, "score")
 }
 
 // With memory for one copy and that one busy, an event of another function waits for it to be idle; more memory than there
@@ -659,24 +661,24 @@
 // for a function that is not loaded load it once.
 func TestMemoryPressure(t *testing.T) {
 	r := start(t, func(o *worker.Options) { o.Limits.Memory, o.Limits.Loads = 100<<20, 2 })
-	var all []<-chan link.Outcome
+	var all []<-chan workerrpc.Outcome
 	for range 2 {
-		all = append(all, r.send(link.Launch{Event: "s", Function: "misbehave-process", Body: []byte("sleep 300ms")}))
+		all = append(all, r.send(workerrpc.Launch{Event: "s", Function: "misbehave-process", Body: []byte("sleep 300ms")}))
 	}
 	r.until("both run", func() bool { return r.Report().Running == 2 })
 	if n := len(r.Loads()); n != 1 {
 		t.Errorf("%d loads for two events that came together", n)
 	}
-	all = append(all, r.send(link.Launch{Event: "p", Function: "preview-process", Body: []byte(`{"features":[1,2,3]}`)}))
+	all = append(all, r.send(workerrpc.Launch{Event: "p", Function: "preview-process", Body: []byte(`{"features":[1,2,3]}`)}))
 	for i, c := range all {
-		if o := <-c; o.Answer == nil || o.Answer.Code != link.Done {
+		if o := <-c; o.Answer == nil || o.Answer.Code != workerrpc.Done {
 			t.Errorf("event %d: %+v", i, o.Answer)
 		}
 	}
 	if n := len(r.Loads()); n != 2 {
 		t.Errorf("%d loads, want 2", n)
 	}
-	r.wants("preview-wasm", "x", link.Missing, "more memory than this worker has")
+	r.wants("preview-wasm", "x", workerrpc.Missing, "more memory than this worker has")
 }
 
 // A worker whose system's clock was a day off, and was set right between two lives, holds a key as long as its window is,
@@ -688,10 +690,10 @@
 		var first time.Time
 		t.Run("first life", func(t *testing.T) {
 			r := startAt(t, folder, base, nil)
-			r.wants("misbehave-process", "echo", link.Done, "echo")
+			r.wants("misbehave-process", "echo", workerrpc.Done, "echo")
 			first = time.Now()
-			o := <-r.send(link.Launch{Event: "a", Function: "misbehave-process", Key: "k", Window: window, Body: []byte("a")})
-			if o.Answer == nil || o.Answer.Code != link.Done {
+			o := <-r.send(workerrpc.Launch{Event: "a", Function: "misbehave-process", Key: "k", Window: window, Body: []byte("a")})
+			if o.Answer == nil || o.Answer.Code != workerrpc.Done {
 				t.Fatalf("%+v", o)
 			}
 		})
@@ -699,7 +701,7 @@
 		r := startAt(t, folder, base, nil)
 		for {
 			asked := time.Now()
-			a := (<-r.send(link.Launch{Event: "b", Function: "misbehave-process", Key: "k", Window: window, Body: []byte("b")})).Answer
+			a := (<-r.send(workerrpc.Launch{Event: "b", Function: "misbehave-process", Key: "k", Window: window, Body: []byte("b")})).Answer
 			if !a.Repeat {
 				if since := time.Since(first); since < window {
 					t.Errorf("off by %v: a repeat ran %v after the first, inside its window", off, since)
@@ -723,7 +725,7 @@
 			t.Errorf("cold %v before its first event", c)
 		}
 		for range 40 {
-			r.wants("misbehave-process", "echo", link.Done, "echo")
+			r.wants("misbehave-process", "echo", workerrpc.Done, "echo")
 		}
 		if c := r.Report().Cold; c != 0 {
 			t.Errorf("cold %v after 40 events", c)
@@ -736,19 +738,19 @@
 	r := startAt(t, folder, base, nil)
 	var told time.Duration
 	greeted := make(chan struct{})
-	p := link.NewPeer("second", "w", r.addr, link.Limits{Dial: 10 * time.Second, Queue: 30 * time.Second, Stall: 10 * time.Second, Calls: 10,
+	p := workerrpc.NewPeer("second", "w", r.addr, workerrpc.Limits{Dial: 10 * time.Second, Queue: 30 * time.Second, Stall: 10 * time.Second, Calls: 10,
 		Bytes: 1 << 20}, func(ctx context.Context, addr string) (net.Conn, error) {
 		var d net.Dialer
 		return d.DialContext(ctx, "tcp", addr)
 	})
-	p.Greeted = func(h *link.Hello) {
+	p.Greeted = func(h *workerrpc.Hello) {
 		told = h.WarmUp
 		close(greeted)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- p.Run(ctx) }()
-	p.Probe(func(link.Outcome) {}) // it connects when there is something to send
+	p.Probe(func(workerrpc.Outcome) {}) // it connects when there is something to send
 	<-greeted
 	stop()
 	if err := <-ended; err != nil || told <= 0 {
--- a/internal/link/frame.go
+++ b/internal/workerrpc/frame.go
@@ -1,7 +1,7 @@
-// Package link is the worker protocol: length-prefixed frames with CBOR bodies over TCP, many launches a connection.
+// Package workerrpc is the worker protocol: length-prefixed frames with CBOR bodies over TCP, many launches a connection.
 // docs/link.md has the protocol for other languages. Every outcome says whether the launch never ran or may have run,
 // by what was written and what the worker said; nothing is guessed, and nothing is ever sent a second time by itself.
-package link
+package workerrpc
 
 import (
 	"encoding/binary"
--- a/internal/link/golden_test.go
+++ b/internal/workerrpc/golden_test.go
@@ -1,4 +1,4 @@
-package link_test
+package workerrpc_test
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"lupinpond/internal/link"
+	"lupinpond/internal/workerrpc"
 )
 
 // golden reads testdata/golden/NAME.hex: hexadecimal digits, split by any white space.
@@ -43,8 +43,8 @@
 // started is a time with nanoseconds, in a zone other than UTC.
 var started = time.Date(2021, 3, 4, 5, 6, 7, 89, time.FixedZone("", 2*60*60))
 
-func fullReport() *link.Report {
-	return &link.Report{Waiting: 41, Running: 42, Busy: 0.4375, Memory: 1 << 33, Cold: 0.1}
+func fullReport() *workerrpc.Report {
+	return &workerrpc.Report{Waiting: 41, Running: 42, Busy: 0.4375, Memory: 1 << 33, Cold: 0.1}
 }
 
 // goldenFrame is a message, its kind on the wire and the name of the file with its bytes.
@@ -57,30 +57,30 @@
 // goldenFrames are messages of every kind: with every field set to a distinct value, and with all fields zero.
 func goldenFrames() []goldenFrame {
 	return []goldenFrame{
-		{"hello-full", 1, &link.Hello{Version: 1, Name: "w-1", Started: started, Launches: 64, MaxFrame: 16777216,
-			Cut: []link.CutLoad{
-				{Function: "resize", Version: "v7", Events: []link.CutEvent{{Event: "e-1", MayRun: true}, {Event: "e-2"}}},
+		{"hello-full", 1, &workerrpc.Hello{Version: 1, Name: "w-1", Started: started, Launches: 64, MaxFrame: 16777216,
+			Cut: []workerrpc.CutLoad{
+				{Function: "resize", Version: "v7", Events: []workerrpc.CutEvent{{Event: "e-1", MayRun: true}, {Event: "e-2"}}},
 				{Function: "thumb", Version: "v8"}},
 			WarmUp: 1234567890 * time.Nanosecond}},
-		{"hello-empty", 1, &link.Hello{}},
-		{"launch-full", 2, &link.Launch{Seq: 11, Event: "e-12", Number: 13, Function: "f-14", Type: "t-15", Tenant: "n-16",
+		{"hello-empty", 1, &workerrpc.Hello{}},
+		{"launch-full", 2, &workerrpc.Launch{Seq: 11, Event: "e-12", Number: 13, Function: "f-14", Type: "t-15", Tenant: "n-16",
 			Key: "k-17", Window: 18 * time.Second, Left: 19 * time.Millisecond, Client: "c-20", Body: []byte{0, 21, 255}}},
-		{"launch-empty", 2, &link.Launch{}},
-		{"answer-full", 3, &link.Answer{Seq: 31, Event: "e-32", Code: link.Withdrawn, Warmth: link.LoadFailed, Company: 35,
+		{"launch-empty", 2, &workerrpc.Launch{}},
+		{"answer-full", 3, &workerrpc.Answer{Seq: 31, Event: "e-32", Code: workerrpc.Withdrawn, Warmth: workerrpc.LoadFailed, Company: 35,
 			Worked: 36 * time.Microsecond, Report: fullReport(), Repeat: true, Reason: "r-39", Body: []byte("b-40")}},
-		{"answer-empty", 3, &link.Answer{}},
-		{"cancel-full", 4, &link.Cancel{Seq: 1 << 40}},
-		{"cancel-empty", 4, &link.Cancel{}},
-		{"order-full", 5, &link.Order{Seq: 51, Function: "f-52", Copies: 53}},
-		{"order-empty", 5, &link.Order{}},
-		{"ordered-full", 6, &link.Ordered{Seq: 61, Code: link.Missing, Copies: 63, Reason: "r-64"}},
-		{"ordered-empty", 6, &link.Ordered{}},
-		{"probe-full", 7, &link.Probe{Seq: 71}},
-		{"probe-empty", 7, &link.Probe{}},
-		{"echo-full", 8, &link.Echo{Seq: 81, Report: fullReport()}},
-		{"echo-empty", 8, &link.Echo{}},
-		{"goodbye-full", 9, &link.Goodbye{Reason: "r-91"}},
-		{"goodbye-empty", 9, &link.Goodbye{}},
+		{"answer-empty", 3, &workerrpc.Answer{}},
+		{"cancel-full", 4, &workerrpc.Cancel{Seq: 1 << 40}},
+		{"cancel-empty", 4, &workerrpc.Cancel{}},
+		{"order-full", 5, &workerrpc.Order{Seq: 51, Function: "f-52", Copies: 53}},
+		{"order-empty", 5, &workerrpc.Order{}},
+		{"ordered-full", 6, &workerrpc.Ordered{Seq: 61, Code: workerrpc.Missing, Copies: 63, Reason: "r-64"}},
+		{"ordered-empty", 6, &workerrpc.Ordered{}},
+		{"probe-full", 7, &workerrpc.Probe{Seq: 71}},
+		{"probe-empty", 7, &workerrpc.Probe{}},
+		{"echo-full", 8, &workerrpc.Echo{Seq: 81, Report: fullReport()}},
+		{"echo-empty", 8, &workerrpc.Echo{}},
+		{"goodbye-full", 9, &workerrpc.Goodbye{Reason: "r-91"}},
+		{"goodbye-empty", 9, &workerrpc.Goodbye{}},
 	}
 }
 
@@ -88,7 +88,7 @@
 func TestGoldenFrames(t *testing.T) {
 	for _, f := range goldenFrames() {
 		t.Run(f.name, func(t *testing.T) {
-			got, err := link.Append(nil, f.body)
+			got, err := workerrpc.Append(nil, f.body)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -97,12 +97,12 @@
 			if len(want) < 6 || int(binary.BigEndian.Uint32(want)) != len(want)-4 || want[4] != f.kind {
 				t.Fatalf("file %s: header %x does not tell its length %d and kind %d", f.name, want, len(want)-4, f.kind)
 			}
-			back, err := link.NewReader(bytes.NewReader(want), len(want)-4).Next()
+			back, err := workerrpc.NewReader(bytes.NewReader(want), len(want)-4).Next()
 			if err != nil {
 				t.Fatal(err)
 			}
-			if h, is := back.(*link.Hello); is {
-				if exp := f.body.(*link.Hello); !h.Started.Equal(exp.Started) {
+			if h, is := back.(*workerrpc.Hello); is {
+				if exp := f.body.(*workerrpc.Hello); !h.Started.Equal(exp.Started) {
 					t.Errorf("%s: started got %v, want %v", f.name, h.Started, exp.Started)
 				} else {
 					h.Started = exp.Started // the same moment, perhaps of another zone
@@ -117,7 +117,7 @@
 
 // TestGoldenCodes: the numbers of the codes, of the warmth and of the kinds, and which codes say that the launch never ran.
 func TestGoldenCodes(t *testing.T) {
-	for i, c := range []link.Code{link.Done, link.Failed, link.Full, link.Missing, link.NotStarted, link.Withdrawn} {
+	for i, c := range []workerrpc.Code{workerrpc.Done, workerrpc.Failed, workerrpc.Full, workerrpc.Missing, workerrpc.NotStarted, workerrpc.Withdrawn} {
 		if int(c) != i {
 			t.Errorf("code: got %d, want %d", c, i)
 		}
@@ -125,19 +125,19 @@
 			t.Errorf("code %d: never ran got %v, want %v", i, got, want)
 		}
 	}
-	for i, w := range []link.Warmth{link.Untold, link.FoundWarm, link.BeganLoad, link.AwaitedLoad, link.LoadFailed} {
+	for i, w := range []workerrpc.Warmth{workerrpc.Untold, workerrpc.FoundWarm, workerrpc.BeganLoad, workerrpc.AwaitedLoad, workerrpc.LoadFailed} {
 		if int(w) != i {
 			t.Errorf("warmth: got %d, want %d", w, i)
 		}
 	}
-	for i, k := range []link.Kind{link.KindHello, link.KindLaunch, link.KindAnswer, link.KindCancel, link.KindOrder,
-		link.KindOrdered, link.KindProbe, link.KindEcho, link.KindGoodbye} {
+	for i, k := range []workerrpc.Kind{workerrpc.KindHello, workerrpc.KindLaunch, workerrpc.KindAnswer, workerrpc.KindCancel, workerrpc.KindOrder,
+		workerrpc.KindOrdered, workerrpc.KindProbe, workerrpc.KindEcho, workerrpc.KindGoodbye} {
 		if int(k) != i+1 {
 			t.Errorf("kind: got %d, want %d", k, i+1)
 		}
 	}
-	if link.Version != 1 || link.MaxFrame != 16777216 {
-		t.Errorf("version, longest frame: got %d, %d, want 1, 16777216", link.Version, link.MaxFrame)
+	if workerrpc.Version != 1 || workerrpc.MaxFrame != 16777216 {
+		t.Errorf("version, longest frame: got %d, %d, want 1, 16777216", workerrpc.Version, workerrpc.MaxFrame)
 	}
 }
 
@@ -158,16 +158,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if body, err := link.NewReader(bytes.NewReader(raw), link.MaxFrame).Next(); !errors.Is(err, link.ErrProtocol) {
-			t.Errorf("%s (%s): got %+v, %v, want %v", name, text, body, err, link.ErrProtocol)
+		if body, err := workerrpc.NewReader(bytes.NewReader(raw), workerrpc.MaxFrame).Next(); !errors.Is(err, workerrpc.ErrProtocol) {
+			t.Errorf("%s (%s): got %+v, %v, want %v", name, text, body, err, workerrpc.ErrProtocol)
 		}
 	}
 	raw, err := hex.DecodeString("0000000704a20107186301") // cancel, 1: 7, 99: 1
 	if err != nil {
 		t.Fatal(err)
 	}
-	body, err := link.NewReader(bytes.NewReader(raw), link.MaxFrame).Next()
-	if want := (&link.Cancel{Seq: 7}); err != nil || !reflect.DeepEqual(body, want) {
+	body, err := workerrpc.NewReader(bytes.NewReader(raw), workerrpc.MaxFrame).Next()
+	if want := (&workerrpc.Cancel{Seq: 7}); err != nil || !reflect.DeepEqual(body, want) {
 		t.Errorf("unknown field: got %+v, %v, want %+v", body, err, want)
 	}
 }
@@ -196,21 +196,21 @@
 // goldenHandler is a handler that answers a keyed launch at once and any other when it is cancelled.
 type goldenHandler struct{ got chan any }
 
-func (h goldenHandler) Launch(front string, l *link.Launch, reply func(*link.Answer)) func() {
+func (h goldenHandler) Launch(front string, l *workerrpc.Launch, reply func(*workerrpc.Answer)) func() {
 	h.got <- l
 	if l.Key == "" {
-		return func() { reply(&link.Answer{Code: link.NotStarted, Reason: "cancelled by " + front}) }
+		return func() { reply(&workerrpc.Answer{Code: workerrpc.NotStarted, Reason: "cancelled by " + front}) }
 	}
-	reply(&link.Answer{Seq: 1, Event: "other", Code: link.Done, Body: []byte("ok")}) // the server sets seq and event
+	reply(&workerrpc.Answer{Seq: 1, Event: "other", Code: workerrpc.Done, Body: []byte("ok")}) // the server sets seq and event
 	return nil
 }
 
-func (h goldenHandler) Order(_ string, o *link.Order, reply func(*link.Ordered)) {
+func (h goldenHandler) Order(_ string, o *workerrpc.Order, reply func(*workerrpc.Ordered)) {
 	h.got <- o
-	reply(&link.Ordered{Seq: 9, Copies: o.Copies})
+	reply(&workerrpc.Ordered{Seq: 9, Copies: o.Copies})
 }
 
-func (h goldenHandler) Report() *link.Report { return fullReport() }
+func (h goldenHandler) Report() *workerrpc.Report { return fullReport() }
 
 // TestGoldenServer: a worker's bytes on a connection, for each message that a front end sends.
 func TestGoldenServer(t *testing.T) {
@@ -220,7 +220,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	h := goldenHandler{got: make(chan any, 4)}
-	s := &link.Server{Hello: link.Hello{Name: "w-1", Started: started, Launches: 8, WarmUp: 5}, Handler: h}
+	s := &workerrpc.Server{Hello: workerrpc.Hello{Name: "w-1", Started: started, Launches: 8, WarmUp: 5}, Handler: h}
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve(ctx, listener) }()
 	defer func() {
@@ -257,7 +257,7 @@
 	expect(t, conn, "server-echo", echo)
 	s.Goodbye("r-91")
 	expect(t, conn, "server-goodbye", golden(t, "goodbye-full"))
-	for i, want := range []any{goldenFrames()[2].body, goldenFrames()[3].body, &link.Order{Seq: 51, Function: "f-52", Copies: 53}} {
+	for i, want := range []any{goldenFrames()[2].body, goldenFrames()[3].body, &workerrpc.Order{Seq: 51, Function: "f-52", Copies: 53}} {
 		if got := <-h.got; !reflect.DeepEqual(got, want) {
 			t.Errorf("handler's call %d:\n got %+v\nwant %+v", i, got, want)
 		}
@@ -269,14 +269,14 @@
 }
 
 // told is what a call of a peer ended with.
-func told(t *testing.T, c chan link.Outcome) link.Outcome {
+func told(t *testing.T, c chan workerrpc.Outcome) workerrpc.Outcome {
 	t.Helper()
 	select {
 	case o := <-c:
 		return o
 	case <-time.After(deadline):
 		t.Fatal("no outcome")
-		return link.Outcome{}
+		return workerrpc.Outcome{}
 	}
 }
 
@@ -287,10 +287,10 @@
 	if err := there.SetDeadline(time.Now().Add(deadline)); err != nil {
 		t.Fatal(err)
 	}
-	p := link.NewPeer("front-1", "w-1", "addr", link.Limits{Dial: deadline, Queue: deadline, Stall: deadline, Calls: 8, Bytes: 1 << 20},
+	p := workerrpc.NewPeer("front-1", "w-1", "addr", workerrpc.Limits{Dial: deadline, Queue: deadline, Stall: deadline, Calls: 8, Bytes: 1 << 20},
 		func(context.Context, string) (net.Conn, error) { return here, nil })
-	greeted := make(chan *link.Hello, 1)
-	p.Greeted = func(h *link.Hello) { greeted <- h }
+	greeted := make(chan *workerrpc.Hello, 1)
+	p.Greeted = func(h *workerrpc.Hello) { greeted <- h }
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- p.Run(ctx) }()
@@ -300,8 +300,8 @@
 			t.Errorf("run: got %v, want nil", err)
 		}
 	}()
-	outcomes := make(chan link.Outcome, 1)
-	done := func(o link.Outcome) { outcomes <- o }
+	outcomes := make(chan workerrpc.Outcome, 1)
+	done := func(o workerrpc.Outcome) { outcomes <- o }
 
 	p.Probe(done)
 	expect(t, there, "peer-hello", golden(t, "peer-hello"))
@@ -311,33 +311,33 @@
 	echo = bytes.Replace(echo, []byte{0x18, 81}, []byte{1}, 1)
 	echo[3]--
 	send(t, there, echo)
-	if o, want := told(t, outcomes), (&link.Echo{Seq: 1, Report: fullReport()}); o.Fate != link.Answered || !reflect.DeepEqual(o.Echo, want) {
+	if o, want := told(t, outcomes), (&workerrpc.Echo{Seq: 1, Report: fullReport()}); o.Fate != workerrpc.Answered || !reflect.DeepEqual(o.Echo, want) {
 		t.Errorf("probe: got %+v, want answered, %+v", o, want)
 	}
 	if h := <-greeted; h.Name != "w-1" || h.Launches != 64 || !h.Started.Equal(started) || len(h.Cut) != 2 {
 		t.Errorf("hello: got %+v, want that of hello-full", h)
 	}
 
-	p.Order(link.Order{Seq: 99, Function: "f-52", Copies: 53}, done)
+	p.Order(workerrpc.Order{Seq: 99, Function: "f-52", Copies: 53}, done)
 	expect(t, there, "peer-order", golden(t, "peer-order"))
 	send(t, there, []byte{0, 0, 0, 8, 6, 0xa3, 1, 2, 2, 3, 3, 4})
-	if o, want := told(t, outcomes), (&link.Ordered{Seq: 2, Code: link.Missing, Copies: 4}); o.Fate != link.Answered || !reflect.DeepEqual(o.Ordered, want) {
+	if o, want := told(t, outcomes), (&workerrpc.Ordered{Seq: 2, Code: workerrpc.Missing, Copies: 4}); o.Fate != workerrpc.Answered || !reflect.DeepEqual(o.Ordered, want) {
 		t.Errorf("order: got %+v, want answered, %+v", o, want)
 	}
 
-	full := *goldenFrames()[2].body.(*link.Launch)
+	full := *goldenFrames()[2].body.(*workerrpc.Launch)
 	p.Launch(full, 0, done)
 	expect(t, there, "peer-launch", golden(t, "peer-launch"))
 	send(t, there, []byte{0, 0, 0, 12, 3, 0xa3, 1, 3, 2, 0x64, 'e', '-', '1', '2', 3, 2})
-	if o, want := told(t, outcomes), (&link.Answer{Seq: 3, Event: "e-12", Code: link.Full}); !o.NeverRan() || !reflect.DeepEqual(o.Answer, want) {
+	if o, want := told(t, outcomes), (&workerrpc.Answer{Seq: 3, Event: "e-12", Code: workerrpc.Full}); !o.NeverRan() || !reflect.DeepEqual(o.Answer, want) {
 		t.Errorf("launch: got %+v, want never ran, %+v", o, want)
 	}
 
-	c := p.Launch(link.Launch{Event: "e-2"}, 0, done)
+	c := p.Launch(workerrpc.Launch{Event: "e-2"}, 0, done)
 	expect(t, there, "peer-launch-short", golden(t, "peer-launch-short"))
 	c.Recall(true)
 	expect(t, there, "peer-cancel", []byte{0, 0, 0, 4, 4, 0xa1, 1, 4})
-	if o := told(t, outcomes); o.Fate != link.Recalled || o.NeverRan() {
+	if o := told(t, outcomes); o.Fate != workerrpc.Recalled || o.NeverRan() {
 		t.Errorf("recalled launch: got %+v, want recalled, may have run", o)
 	}
 	p.Goodbye()
--- a/internal/link/peer.go
+++ b/internal/workerrpc/peer.go
@@ -1,4 +1,4 @@
-package link
+package workerrpc
 
 import (
 	"context"
--- a/internal/link/link_test.go
+++ b/internal/workerrpc/workerrpc_test.go
@@ -1,4 +1,4 @@
-package link_test
+package workerrpc_test
 
 import (
 	"bytes"
@@ -15,23 +15,23 @@
 
 	"go.uber.org/goleak"
 
-	"lupinpond/internal/link"
+	"lupinpond/internal/workerrpc"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var limits = link.Limits{Dial: 2 * time.Second, Queue: 5 * time.Second, Stall: 5 * time.Second, Calls: 8, Bytes: 1 << 20}
+var limits = workerrpc.Limits{Dial: 2 * time.Second, Queue: 5 * time.Second, Stall: 5 * time.Second, Calls: 8, Bytes: 1 << 20}
 
 // script is a worker's end of a pipe that does just what a test says.
 type script struct {
 	net.Conn
 	t    *testing.T
-	read *link.Reader
+	read *workerrpc.Reader
 }
 
 func (s *script) send(body any) {
 	s.t.Helper()
-	frame, err := link.Append(nil, body)
+	frame, err := workerrpc.Append(nil, body)
 	if err == nil {
 		_, err = s.Write(frame)
 	}
@@ -53,19 +53,19 @@
 }
 
 // peer starts a Peer of worker w whose connections are played by play, over pipes: a byte is written when it is read.
-func peer(t *testing.T, l link.Limits, play ...func(*script)) *link.Peer {
+func peer(t *testing.T, l workerrpc.Limits, play ...func(*script)) *workerrpc.Peer {
 	ctx, stop := context.WithCancel(context.Background())
 	var scripts sync.WaitGroup
 	n := 0
-	p := link.NewPeer("front", "w", "addr", l, func(context.Context, string) (net.Conn, error) {
+	p := workerrpc.NewPeer("front", "w", "addr", l, func(context.Context, string) (net.Conn, error) {
 		if n++; n > len(play) {
 			return nil, errors.New("nobody listens")
 		}
 		here, there := net.Pipe()
 		scripts.Go(func() {
-			s := &script{Conn: there, t: t, read: link.NewReader(there, link.MaxFrame)}
+			s := &script{Conn: there, t: t, read: workerrpc.NewReader(there, workerrpc.MaxFrame)}
 			s.next() // hello
-			s.send(&link.Hello{Version: link.Version, Name: "w", Launches: 2})
+			s.send(&workerrpc.Hello{Version: workerrpc.Version, Name: "w", Launches: 2})
 			play[n-1](s)
 			there.Close()
 		})
@@ -84,12 +84,12 @@
 }
 
 // launch sends event id and hands out its outcome.
-func launch(p *link.Peer, id string) (*link.Call, <-chan link.Outcome) {
-	got := make(chan link.Outcome, 2)
-	return p.Launch(link.Launch{Event: id}, time.Minute, func(o link.Outcome) { got <- o }), got
+func launch(p *workerrpc.Peer, id string) (*workerrpc.Call, <-chan workerrpc.Outcome) {
+	got := make(chan workerrpc.Outcome, 2)
+	return p.Launch(workerrpc.Launch{Event: id}, time.Minute, func(o workerrpc.Outcome) { got <- o }), got
 }
 
-func want(t *testing.T, got <-chan link.Outcome, fate link.Fate, neverRan bool) link.Outcome {
+func want(t *testing.T, got <-chan workerrpc.Outcome, fate workerrpc.Fate, neverRan bool) workerrpc.Outcome {
 	t.Helper()
 	o := <-got
 	if o.Fate != fate || o.NeverRan() != neverRan {
@@ -101,21 +101,21 @@
 // A worker that answers twice, or an event it never had, is counted; the events' own outcomes stand.
 func TestAnswersThatNoCallAskedFor(t *testing.T) {
 	p := peer(t, limits, func(s *script) {
-		a := s.next().(*link.Launch)
-		s.send(&link.Answer{Seq: a.Seq + 7, Event: "never"})
-		s.send(&link.Answer{Seq: a.Seq, Event: "another"})
-		s.send(&link.Answer{Seq: a.Seq, Event: a.Event, Code: link.Done})
-		s.send(&link.Answer{Seq: a.Seq, Event: a.Event, Code: link.Failed})
-		b := s.next().(*link.Launch)
-		s.send(&link.Answer{Seq: b.Seq, Event: b.Event, Code: link.Full})
+		a := s.next().(*workerrpc.Launch)
+		s.send(&workerrpc.Answer{Seq: a.Seq + 7, Event: "never"})
+		s.send(&workerrpc.Answer{Seq: a.Seq, Event: "another"})
+		s.send(&workerrpc.Answer{Seq: a.Seq, Event: a.Event, Code: workerrpc.Done})
+		s.send(&workerrpc.Answer{Seq: a.Seq, Event: a.Event, Code: workerrpc.Failed})
+		b := s.next().(*workerrpc.Launch)
+		s.send(&workerrpc.Answer{Seq: b.Seq, Event: b.Event, Code: workerrpc.Full})
 		s.rest()
 	})
 	_, got := launch(p, "a")
-	if o := want(t, got, link.Answered, false); o.Answer.Code != link.Done {
+	if o := want(t, got, workerrpc.Answered, false); o.Answer.Code != workerrpc.Done {
 		t.Error("the second answer counted")
 	}
 	_, got = launch(p, "b")
-	want(t, got, link.Answered, true)
+	want(t, got, workerrpc.Answered, true)
 	if n := p.Counts().Stray; n != 3 {
 		t.Errorf("%d stray answers, want 3", n)
 	}
@@ -125,20 +125,20 @@
 // A launch that must not leave any more when it is about to be written is withheld, and the one behind it is sent.
 func TestWithheldLaunch(t *testing.T) {
 	p := peer(t, limits, func(s *script) {
-		b := s.next().(*link.Launch)
+		b := s.next().(*workerrpc.Launch)
 		if b.Event != "b" {
 			t.Error(b.Event, "was sent")
 		}
-		s.send(&link.Answer{Seq: b.Seq, Event: b.Event, Code: link.Done})
+		s.send(&workerrpc.Answer{Seq: b.Seq, Event: b.Event, Code: workerrpc.Done})
 		s.rest()
 	})
-	withheld := make(chan link.Outcome, 2)
-	p.LaunchIf(link.Launch{Event: "a"}, time.Minute, func() bool { return false }, func(o link.Outcome) { withheld <- o })
+	withheld := make(chan workerrpc.Outcome, 2)
+	p.LaunchIf(workerrpc.Launch{Event: "a"}, time.Minute, func() bool { return false }, func(o workerrpc.Outcome) { withheld <- o })
 	_, got := launch(p, "b")
-	if o := want(t, withheld, link.Unsent, true); !errors.Is(o.Err, link.ErrWithheld) {
+	if o := want(t, withheld, workerrpc.Unsent, true); !errors.Is(o.Err, workerrpc.ErrWithheld) {
 		t.Error(o.Err)
 	}
-	want(t, got, link.Answered, false)
+	want(t, got, workerrpc.Answered, false)
 	p.Goodbye()
 }
 
@@ -155,8 +155,8 @@
 	_, first := launch(p, "half")
 	_, second := launch(p, "behind")
 	close(waits)
-	want(t, first, link.Broken, false)
-	want(t, second, link.Unsent, true)
+	want(t, first, workerrpc.Broken, false)
+	want(t, second, workerrpc.Unsent, true)
 	if n := p.Counts().Connections; n != 1 {
 		t.Errorf("%d connections", n)
 	}
@@ -174,8 +174,8 @@
 		close(begun)
 		<-waits
 	}, func(s *script) {
-		a := s.next().(*link.Launch)
-		s.send(&link.Answer{Seq: a.Seq, Event: a.Event})
+		a := s.next().(*workerrpc.Launch)
+		s.send(&workerrpc.Answer{Seq: a.Seq, Event: a.Event})
 		s.rest()
 	})
 	_, first := launch(p, "sent")
@@ -183,17 +183,17 @@
 	_, third := launch(p, "waiting")
 	<-begun
 	p.Stop(20 * time.Millisecond)
-	want(t, third, link.Unsent, true)
+	want(t, third, workerrpc.Unsent, true)
 	_, fourth := launch(p, "too late")
-	if o := want(t, fourth, link.Unsent, true); !errors.Is(o.Err, link.ErrStopped) {
+	if o := want(t, fourth, workerrpc.Unsent, true); !errors.Is(o.Err, workerrpc.ErrStopped) {
 		t.Error(o.Err)
 	}
-	want(t, first, link.Broken, false)
-	want(t, second, link.Broken, false)
+	want(t, first, workerrpc.Broken, false)
+	want(t, second, workerrpc.Broken, false)
 	close(waits)
 	p.Resume()
 	_, fifth := launch(p, "back")
-	want(t, fifth, link.Answered, false)
+	want(t, fifth, workerrpc.Answered, false)
 	p.Goodbye()
 }
 
@@ -201,24 +201,24 @@
 func TestCancelCrossesAnswer(t *testing.T) {
 	both, told := make(chan struct{}), make(chan struct{})
 	p := peer(t, limits, func(s *script) {
-		a := s.next().(*link.Launch)
-		b := s.next().(*link.Launch)
+		a := s.next().(*workerrpc.Launch)
+		b := s.next().(*workerrpc.Launch)
 		close(both)
-		if c, is := s.next().(*link.Cancel); !is || c.Seq != a.Seq {
+		if c, is := s.next().(*workerrpc.Cancel); !is || c.Seq != a.Seq {
 			t.Error("no cancel of the first launch")
 		}
 		<-told
-		s.send(&link.Answer{Seq: a.Seq, Event: a.Event})
-		s.send(&link.Answer{Seq: b.Seq, Event: b.Event, Code: link.NotStarted})
+		s.send(&workerrpc.Answer{Seq: a.Seq, Event: a.Event})
+		s.send(&workerrpc.Answer{Seq: b.Seq, Event: b.Event, Code: workerrpc.NotStarted})
 		s.rest()
 	})
 	call, first := launch(p, "a")
 	_, second := launch(p, "b")
 	<-both
 	call.Recall(true)
-	want(t, first, link.Recalled, false)
+	want(t, first, workerrpc.Recalled, false)
 	close(told)
-	want(t, second, link.Answered, true)
+	want(t, second, workerrpc.Answered, true)
 	call.Recall(true)
 	if n := p.Counts(); len(first) != 0 || n.Late != 1 || n.Stray != 0 {
 		t.Errorf("%d more outcomes, %+v", len(first), n)
@@ -230,7 +230,7 @@
 func TestBoundedWhileNobodyReads(t *testing.T) {
 	waits := make(chan struct{})
 	p := peer(t, limits, func(s *script) { <-waits })
-	var got []<-chan link.Outcome
+	var got []<-chan workerrpc.Outcome
 	for i := range 40 {
 		_, o := launch(p, fmt.Sprint(i))
 		got = append(got, o)
@@ -240,7 +240,7 @@
 		for _, o := range got {
 			select {
 			case x := <-o:
-				if errors.Is(x.Err, link.ErrFull) && x.NeverRan() {
+				if errors.Is(x.Err, workerrpc.ErrFull) && x.NeverRan() {
 					full++
 				}
 			case <-time.After(time.Microsecond):
@@ -250,15 +250,15 @@
 	if full < 40-limits.Calls-1 {
 		t.Errorf("%d of 40 were refused, at most %d may wait", full, limits.Calls)
 	}
-	over := make(chan link.Outcome, 1)
-	p.Launch(link.Launch{Event: "big", Body: make([]byte, limits.Bytes+1)}, time.Minute, func(o link.Outcome) { over <- o })
-	want(t, over, link.Unsent, true)
+	over := make(chan workerrpc.Outcome, 1)
+	p.Launch(workerrpc.Launch{Event: "big", Body: make([]byte, limits.Bytes+1)}, time.Minute, func(o workerrpc.Outcome) { over <- o })
+	want(t, over, workerrpc.Unsent, true)
 	close(waits)
 }
 
 // Frames that no peer should send are refused with a reason and without memory for what they claim.
 func TestFramesThatCantBe(t *testing.T) {
-	nested := append([]byte{byte(link.KindAnswer)}, bytes.Repeat([]byte{0x81}, 5000)...)
+	nested := append([]byte{byte(workerrpc.KindAnswer)}, bytes.Repeat([]byte{0x81}, 5000)...)
 	for _, c := range []struct {
 		name, want string
 		frame      []byte
@@ -267,10 +267,10 @@
 		{"zero length", "0 bytes", make([]byte, 4)},
 		{"nested to depth", "nested level", append(binary.BigEndian.AppendUint32(nil, uint32(len(nested))), nested...)},
 		{"unknown kind", "unknown kind 99", []byte{0, 0, 0, 2, 99, 0xa0}},
-		{"a key twice", "duplicate", []byte{0, 0, 0, 6, byte(link.KindProbe), 0xa2, 1, 1, 1, 2}},
-		{"cut short", "unexpected EOF", []byte{0, 0, 0, 9, byte(link.KindProbe), 0xa1}},
+		{"a key twice", "duplicate", []byte{0, 0, 0, 6, byte(workerrpc.KindProbe), 0xa2, 1, 1, 1, 2}},
+		{"cut short", "unexpected EOF", []byte{0, 0, 0, 9, byte(workerrpc.KindProbe), 0xa1}},
 	} {
-		_, err := link.NewReader(bytes.NewReader(c.frame), link.MaxFrame).Next()
+		_, err := workerrpc.NewReader(bytes.NewReader(c.frame), workerrpc.MaxFrame).Next()
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %s", c.name, err, c.want)
 		}
@@ -278,9 +278,9 @@
 }
 
 func FuzzReader(f *testing.F) {
-	for _, body := range []any{&link.Hello{Version: 1, Name: "w"}, &link.Launch{Seq: 1, Event: "e", Body: []byte("x")},
-		&link.Answer{Seq: 1, Report: &link.Report{}}, &link.Order{Seq: 2, Copies: 3}, &link.Goodbye{}} {
-		frame, err := link.Append(nil, body)
+	for _, body := range []any{&workerrpc.Hello{Version: 1, Name: "w"}, &workerrpc.Launch{Seq: 1, Event: "e", Body: []byte("x")},
+		&workerrpc.Answer{Seq: 1, Report: &workerrpc.Report{}}, &workerrpc.Order{Seq: 2, Copies: 3}, &workerrpc.Goodbye{}} {
+		frame, err := workerrpc.Append(nil, body)
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -288,13 +288,13 @@
 	}
 	f.Add([]byte{255, 255, 255, 255})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		r := link.NewReader(bytes.NewReader(b), 1<<16)
+		r := workerrpc.NewReader(bytes.NewReader(b), 1<<16)
 		for {
 			body, err := r.Next()
 			if err != nil {
 				return
 			}
-			if _, err := link.Append(nil, body); err != nil {
+			if _, err := workerrpc.Append(nil, body); err != nil {
 				t.Fatalf("what was read can't be written: %v", err)
 			}
 		}
--- a/choice/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -1,4 +1,4 @@
-package choice_test
+package scheduler_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"lupinpond/choice"
+	"lupinpond/scheduler"
 )
 
 // What front ends send a worker that has just started, all together, stays under what pushes it over (rule 4): N that the
@@ -29,7 +29,7 @@
 			}
 			type running struct {
 				b    *bench
-				e    *choice.Request
+				e    *scheduler.Request
 				ends time.Duration
 			}
 			var out []running
@@ -37,9 +37,9 @@
 			told := map[*bench]bool{}
 			served := 0
 			start := time.Hour + warmUp
-			act := func(b *bench, answers []choice.Decision) {
+			act := func(b *bench, answers []scheduler.Decision) {
 				for _, a := range answers {
-					if a.Verb != choice.Send {
+					if a.Verb != scheduler.Send {
 						continue
 					}
 					if out = append(out, running{b, a.Request, b.now + 100*ms}); told[b] && a.Worker == "w0" {
@@ -57,19 +57,19 @@
 					if served++; now >= start {
 						served--
 					}
-					act(r.b, []choice.Decision{r.b.Complete(now, r.e, choice.Outcome{Result: choice.Completed, Took: 100 * ms, Final: true})})
+					act(r.b, []scheduler.Decision{r.b.Complete(now, r.e, scheduler.Outcome{Result: scheduler.Completed, Took: 100 * ms, Final: true})})
 				}
 				out = left
 				for i, b := range fronts {
 					b.now = now
 					if late := time.Duration(i%3) * 500 * ms; now == start+late {
 						told[b] = true
-						b.UpdateMembership(now, false, []choice.Member{{Worker: "w0", Started: start}, {Worker: "w1", Condition: choice.Draining}})
+						b.UpdateMembership(now, false, []scheduler.Member{{Worker: "w0", Started: start}, {Worker: "w1", Condition: scheduler.Draining}})
 					}
 					for mean := rate * tick.Seconds() * weight[i] / all; chance.Float64() < mean; mean-- {
-						e := &choice.Request{ID: fmt.Sprint(now, i, mean), Type: "redeliverable", Function: uint64(chance.IntN(5)),
+						e := &scheduler.Request{ID: fmt.Sprint(now, i, mean), Type: "redeliverable", Function: uint64(chance.IntN(5)),
 							TimeLeft: 3000 * ms, Concurrency: 4, LoadTime: 400 * ms}
-						act(b, []choice.Decision{b.Submit(now, e)})
+						act(b, []scheduler.Decision{b.Submit(now, e)})
 					}
 					st := b.Tick(now)
 					act(b, st.Decisions)
--- a/choice/growth_test.go
+++ b/scheduler/growth_test.go
@@ -1,4 +1,4 @@
-package choice
+package scheduler
 
 import (
 	"fmt"
--- a/internal/fleetindex/compare_test.go
+++ b/scheduler/internal/fleetindex/compare_test.go
@@ -7,8 +7,8 @@
 	"sort"
 	"testing"
 
-	"lupinpond/internal/chance"
-	"lupinpond/internal/fleetindex"
+	"lupinpond/internal/base/random"
+	"lupinpond/scheduler/internal/fleetindex"
 )
 
 // placement gives the first worker of a function among the workers of one size that it was made from.
@@ -29,7 +29,7 @@
 	{"probes-64", func(workers []int) placement { return probes(workers, 64) }},
 }
 
-func hashOf(worker int) uint64 { return chance.Hash(fmt.Sprint("worker-", worker)) }
+func hashOf(worker int) uint64 { return random.Hash(fmt.Sprint("worker-", worker)) }
 
 // rendezvous scores every worker.
 func rendezvous(workers []int) placement {
@@ -38,9 +38,9 @@
 		hashes[i] = hashOf(worker)
 	}
 	return func(function uint64) int {
-		best, most, salt := 0, uint64(0), chance.Mix(function)
+		best, most, salt := 0, uint64(0), random.Mix(function)
 		for i, hash := range hashes {
-			if score := chance.Mix(hash ^ salt); score > most {
+			if score := random.Mix(hash ^ salt); score > most {
 				best, most = i, score
 			}
 		}
@@ -73,12 +73,12 @@
 	for _, worker := range workers {
 		at := hashOf(worker)
 		for range each {
-			at = chance.Mix(at + 1)
+			at = random.Mix(at + 1)
 			points = append(points, point{at, worker})
 		}
 	}
 	sorted(points)
-	return func(function uint64) int { return points[after(points, chance.Mix(function))].worker }
+	return func(function uint64) int { return points[after(points, random.Mix(function))].worker }
 }
 
 // hierarchical is rendezvous hashing among 256 groups by their numbers of workers, then within one.
@@ -93,10 +93,10 @@
 		within[group] = rendezvous(members)
 	}
 	return func(function uint64) int {
-		best, least, salt := uint64(0), math.Inf(1), chance.Mix(function)
+		best, least, salt := uint64(0), math.Inf(1), random.Mix(function)
 		for group := range uint64(256) {
 			if size := len(groups[group]); size > 0 {
-				drawn := chance.Mix(chance.Mix(group+1) ^ salt)
+				drawn := random.Mix(random.Mix(group+1) ^ salt)
 				if score := -math.Log1p(-float64(drawn>>11)/(1<<53)) / float64(size); score < least {
 					best, least = group, score
 				}
@@ -114,11 +114,11 @@
 	}
 	sorted(points)
 	return func(function uint64) int {
-		best, most, salt := 0, uint64(0), chance.Mix(function)
+		best, most, salt := 0, uint64(0), random.Mix(function)
 		from := after(points, salt)
 		for i := range min(window, len(points)) {
 			p := points[(from+i)%len(points)]
-			if score := chance.Mix(p.at ^ salt); score >= most {
+			if score := random.Mix(p.at ^ salt); score >= most {
 				best, most = p.worker, score
 			}
 		}
@@ -133,9 +133,9 @@
 		ring.Add(worker, hashOf(worker))
 	}
 	return func(function uint64) int {
-		at := chance.Mix(function)
+		at := random.Mix(function)
 		for i := range starts {
-			at = chance.Mix(at + 1)
+			at = random.Mix(at + 1)
 			starts[i] = at
 		}
 		ring.Walk(starts)
--- a/internal/fleetindex/index_test.go
+++ b/scheduler/internal/fleetindex/index_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"lupinpond/internal/fleetindex"
+	"lupinpond/scheduler/internal/fleetindex"
 )
 
 // Through any sequence of additions and removals, a walk comes by every member once, in the order of its least distance
--- a/choice/limits.go
+++ b/scheduler/limits.go
@@ -1,11 +1,11 @@
-package choice
+package scheduler
 
 import (
 	"cmp"
 	"math"
 	"time"
 
-	"lupinpond/internal/window"
+	"lupinpond/internal/base/window"
 )
 
 func (c *Scheduler) limits(first, least float64) adaptiveLimit {
--- a/choice/members.go
+++ b/scheduler/members.go
@@ -1,4 +1,4 @@
-package choice
+package scheduler
 
 import (
 	"maps"
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"lupinpond/internal/chance"
-	"lupinpond/internal/window"
+	"lupinpond/internal/base/random"
+	"lupinpond/internal/base/window"
 )
 
 // update takes one line of the list.
@@ -51,7 +51,7 @@
 
 // join makes a worker a member of the fleet.
 func (c *Scheduler) join(name string, now time.Duration) *worker {
-	w := &worker{hash: chance.Hash(name), adaptiveLimit: c.limits(firstLimit, leastLimit),
+	w := &worker{hash: random.Hash(name), adaptiveLimit: c.limits(firstLimit, leastLimit),
 		lastColdSend: now, coldPauseShare: float64(c.random.Below(1000)) / 1000}
 	w.deadline.Member = w
 	c.workers[name] = w
--- a/choice/mutants_test.go
+++ b/scheduler/mutants_test.go
@@ -1,10 +1,10 @@
-package choice_test
+package scheduler_test
 
 import (
 	"strings"
 	"testing"
 
-	"lupinpond/internal/overlays"
+	"lupinpond/internal/testbed/mutationtest"
 )
 
 // Each mutant is a text of a source file and what stands in its place: a mistake in keeping up the view of the fleet.
@@ -20,8 +20,8 @@
 	{"a drained worker stays in the shared order", "members.go", "w.kind.ring.Ring.Remove(w.node)", ""},
 	{"the size of a worker that left its kind still counts", "members.go", "w.kind.sizeSum-w.listedSize()", "w.kind.sizeSum"},
 	{"a worker without attempts is still looked at for silence", "members.go", "} else if !working {\n\t\tc.busy.Remove(&w.working)", "} else if !working {"},
-	{"an attempt is not counted", "choice.go", "\tc.recount(s.w, now)\n", ""},
-	{"the end of an attempt is not counted", "choice.go", "\tc.recount(w, now)\n\tif e.mayHaveRun", "\tif e.mayHaveRun"},
+	{"an attempt is not counted", "scheduler.go", "\tc.recount(s.w, now)\n", ""},
+	{"the end of an attempt is not counted", "scheduler.go", "\tc.recount(w, now)\n\tif e.mayHaveRun", "\tif e.mayHaveRun"},
 	{"an ejection is not counted", "fleet.go", "c.toCancel = append(c.toCancel, w.attempts...)\n\t\tc.recount(w, now)", "c.toCancel = append(c.toCancel, w.attempts...)"},
 	{"a report is not counted", "fleet.go", "\t}\n\tc.recount(w, now)\n\treturn true", "\t}\n\treturn true"},
 	{"a longer target does not renew the reports", "settings.go", "c.stale = true", ""},
@@ -32,7 +32,7 @@
 	for _, m := range mutants {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			out, passed, err := overlays.Test(t.Context(), t.TempDir(), m.file, m.text, m.instead, "TestFleetViewIsWhatAWalkFinds",
+			out, passed, err := mutationtest.Test(t.Context(), t.TempDir(), m.file, m.text, m.instead, "TestFleetViewIsWhatAWalkFinds",
 				"-rapid.nofailfile", "-rapid.checks=1000", "-rapid.seed=1")
 			if err != nil {
 				t.Fatal(err)
--- a/choice/observe.go
+++ b/scheduler/observe.go
@@ -1,4 +1,4 @@
-package choice
+package scheduler
 
 // Reason tells why a request was given up.
 type Reason int
--- a/choice/placement.go
+++ b/scheduler/placement.go
@@ -1,4 +1,4 @@
-package choice
+package scheduler
 
 import (
 	"cmp"
@@ -6,13 +6,13 @@
 	"slices"
 	"time"
 
-	"lupinpond/internal/chance"
+	"lupinpond/internal/base/random"
 )
 
 // rendezvousScore orders the workers of a function for this front end by weighted rendezvous hashing: one of
 // twice the size comes first twice as often.
 func (c *Scheduler) rendezvousScore(w *worker, fn uint64) float64 {
-	drawn := chance.Mix(w.hash ^ chance.Mix(fn+uint64(c.self+1)<<44))
+	drawn := random.Mix(w.hash ^ random.Mix(fn+uint64(c.self+1)<<44))
 	rank := -math.Log1p(-float64(drawn>>11)/(1<<53)) / c.size(w)
 	if c.zone != "" && w.Zone != c.zone { // crossing costs
 		rank *= nearness
@@ -29,9 +29,9 @@
 // its size. Each worker's place depends on itself alone: one that comes or goes moves only what is its own.
 func (c *Scheduler) walk(f *function) {
 	c.points = c.points[:0]
-	point := chance.Mix(f.id)
+	point := random.Mix(f.id)
 	for range pointsOfFunction {
-		point = chance.Mix(point + 1)
+		point = random.Mix(point + 1)
 		c.points = append(c.points, point)
 	}
 	c.order.Walk(c.points)
--- a/choice/reference_test.go
+++ b/scheduler/reference_test.go
@@ -1,4 +1,4 @@
-package choice
+package scheduler
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	"lupinpond/internal/chance"
+	"lupinpond/internal/base/random"
 )
 
 // The reference: what the fleet's view must tell, worked out by walking all members and scoring them all. It reads the facts
@@ -63,9 +63,9 @@
 		if !w.open() {
 			continue
 		}
-		least, point := uint64(math.MaxUint64), chance.Mix(f.id)
+		least, point := uint64(math.MaxUint64), random.Mix(f.id)
 		for range pointsOfFunction {
-			point = chance.Mix(point + 1)
+			point = random.Mix(point + 1)
 			least = min(least, w.hash-point)
 		}
 		all, far[w] = append(all, w), float64(least)/w.kind.size()
--- a/choice/choice.go
+++ b/scheduler/scheduler.go
@@ -1,4 +1,4 @@
-// Package choice decides for one front end where requests go. It is asked and it answers, three ways:
+// Package scheduler decides for one front end where requests go. It is asked and it answers, three ways:
 //
 //	Submit:   where to send this request (or not yet, or never)
 //	Complete: what to do after this outcome of an attempt
@@ -19,7 +19,7 @@
 //
 // What differs among workers and deployments is reported or learned: sizes of kinds (updateMeanSize), the
 // queue at a worker (queueEstimate), what requests ahead cost (canSend), where memory ends (count).
-package choice
+package scheduler
 
 import (
 	"cmp"
--- a/choice/choice_test.go
+++ b/scheduler/scheduler_test.go
@@ -1,11 +1,11 @@
-package choice_test
+package scheduler_test
 
 import (
 	"fmt"
 	"math"
 	"time"
 
-	"lupinpond/choice"
+	"lupinpond/scheduler"
 )
 
 // The ordinary path: held, one first load, released to the warm slot, the second waits for the slot.
@@ -18,7 +18,7 @@
 	b.step(0)
 	b.place("e2", "redeliverable", 9)
 	b.now += 100 * ms
-	b.after(e1, choice.Completed, 100*ms)
+	b.after(e1, scheduler.Completed, 100*ms)
 	b.step(0)
 	// Output:
 	// 0s e1 hold
@@ -44,7 +44,7 @@
 
 // Rule 2: what may have run goes again only as its type allows; an attempt that never ran may go again.
 func Example_noEffectTwice() {
-	for _, r := range []choice.Result{choice.Full, choice.Broken} {
+	for _, r := range []scheduler.Result{scheduler.Full, scheduler.Broken} {
 		b := newBench(1)
 		for i, kind := range []string{"redeliverable", "keyed", "at-most-once"} {
 			e := b.place(kind, kind, uint64(i))
@@ -88,7 +88,7 @@
 	b.loaded(b.step(0))
 	b.step(10 * ms)
 	b.now += 2100 * ms
-	b.after(e, choice.TimedOut, 2100*ms)
+	b.after(e, scheduler.TimedOut, 2100*ms)
 	// Output:
 	// 0s e1 hold
 	// 0s load 9 x1 on c
@@ -99,13 +99,13 @@
 // Rule 3: a drained worker gets nothing new, neither attempts nor loads.
 func Example_drain() {
 	b := newBench(1)
-	b.UpdateMembership(b.now, false, []choice.Member{
-		{Worker: "a", Condition: choice.Draining}, {Worker: "b", Condition: choice.Removed}})
+	b.UpdateMembership(b.now, false, []scheduler.Member{
+		{Worker: "a", Condition: scheduler.Draining}, {Worker: "b", Condition: scheduler.Removed}})
 	for i := range 4 {
 		b.place(fmt.Sprint("e", i), "redeliverable", uint64(i))
 	}
 	b.loaded(b.step(0))
-	b.UpdateMembership(b.now, false, []choice.Member{{Worker: "c", Condition: choice.Draining}})
+	b.UpdateMembership(b.now, false, []scheduler.Member{{Worker: "c", Condition: scheduler.Draining}})
 	b.step(10 * ms)
 	// Output:
 	// 0s e0 hold
@@ -122,14 +122,14 @@
 func Example_coldWorker() {
 	for _, started := range []time.Duration{0, time.Hour} {
 		b := newBench(1)
-		b.UpdateMembership(b.now, true, []choice.Member{{Worker: "a", Started: started}})
+		b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a", Started: started}})
 		b.place("e0", "redeliverable", 9)
 		b.loaded(b.step(0))
 		b.step(1000 * ms)
 		launched := 0
 		for i := range 20 {
-			e := &choice.Request{ID: fmt.Sprint(i), Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 32}
-			if b.Submit(b.now, e).Verb == choice.Send {
+			e := &scheduler.Request{ID: fmt.Sprint(i), Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 32}
+			if b.Submit(b.now, e).Verb == scheduler.Send {
 				launched++
 			}
 			b.now += 10 * ms
@@ -153,7 +153,7 @@
 	b.Loading(true, false, 10000*ms, 5000*ms, 5000*ms, 2, 0.1)
 	orders := 0
 	for i := range 100 {
-		e := &choice.Request{ID: fmt.Sprint(i), Type: "redeliverable", Function: uint64(i), TimeLeft: 3000 * ms}
+		e := &scheduler.Request{ID: fmt.Sprint(i), Type: "redeliverable", Function: uint64(i), TimeLeft: 3000 * ms}
 		b.Submit(b.now, e)
 		st := b.Tick(b.now)
 		orders += len(st.Loads)
@@ -168,7 +168,7 @@
 // A worker that answers nothing is ejected: what may go again is cancelled and goes elsewhere.
 func Example_silentWorker() {
 	b := newBench(1)
-	var events []*choice.Request
+	var events []*scheduler.Request
 	for i := range 3 {
 		events = append(events, b.place(fmt.Sprint("e", i), "redeliverable", 9))
 	}
@@ -176,7 +176,7 @@
 		b.loaded(b.step(200 * ms))
 	}
 	for _, e := range events {
-		b.after(e, choice.Cancelled, 600*ms)
+		b.after(e, scheduler.Cancelled, 600*ms)
 	}
 	b.loaded(b.step(200 * ms))
 	b.step(0)
@@ -207,7 +207,7 @@
 	for range 16 {
 		b.loaded(b.step(100 * ms))
 		if e.InFlight() {
-			b.after(e, choice.Full, 0)
+			b.after(e, scheduler.Full, 0)
 		}
 	}
 	// Output:
@@ -227,16 +227,16 @@
 
 // Settings that make no sense lead to safe decisions, not to a panic.
 func Example_impossibleSettings() {
-	c := choice.New(0, 0, 0, 0)
-	c.AddType(choice.RequestType{Name: "t"})
+	c := scheduler.New(0, 0, 0, 0)
+	c.AddType(scheduler.RequestType{Name: "t"})
 	c.AddTenant("n", 0)
 	c.Allowed(0, false, false, 0)
 	c.Loading(false, false, 0, 0, 0, 0, 0)
 	c.SlowStart(0, 0, 0, 0)
 	c.SubscribeWithin(0)
-	c.UpdateMembership(1, true, []choice.Member{{Worker: "a", Started: 1}})
+	c.UpdateMembership(1, true, []scheduler.Member{{Worker: "a", Started: 1}})
 	for i, kind := range []string{"t", "t", "unknown"} {
-		e := &choice.Request{ID: fmt.Sprint("e", i), Type: kind, Tenant: "n"}
+		e := &scheduler.Request{ID: fmt.Sprint("e", i), Type: kind, Tenant: "n"}
 		a := c.Submit(2, e)
 		fmt.Print(a.Verb, " ")
 		for _, a := range c.Tick(2).Decisions {
@@ -271,13 +271,13 @@
 	launched := 0
 	for self := range 100 {
 		b := fleet(self, 100, 1)
-		b.UpdateMembership(b.now, true, []choice.Member{{Worker: "n", Started: b.now}})
+		b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "n", Started: b.now}})
 		for range 20 {
-			b.Submit(b.now, &choice.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 32})
+			b.Submit(b.now, &scheduler.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 32})
 			st := b.Tick(b.now)
 			b.loaded(st)
 			for _, a := range append(st.Decisions, b.Tick(b.now).Decisions...) {
-				if a.Verb == choice.Send {
+				if a.Verb == scheduler.Send {
 					launched++
 				}
 			}
@@ -296,8 +296,8 @@
 	for _, repeat := range []bool{false, true} {
 		held := 0
 		for range 40 {
-			e := &choice.Request{Type: "redeliverable", Tenant: "n", Function: 9, TimeLeft: 300 * ms, Retry: repeat}
-			if b.Submit(b.now, e).Verb == choice.Hold {
+			e := &scheduler.Request{Type: "redeliverable", Tenant: "n", Function: 9, TimeLeft: 300 * ms, Retry: repeat}
+			if b.Submit(b.now, e).Verb == scheduler.Hold {
 				held++
 			}
 		}
@@ -312,7 +312,7 @@
 func Example_backedUp() {
 	for _, waiting := range []float64{0, 9} {
 		b := newBench(1)
-		b.Probed(b.now, "c", choice.Completed, choice.Load{Reported: true, QueueDepth: waiting}, ms)
+		b.Probed(b.now, "c", scheduler.Completed, scheduler.Load{Reported: true, QueueDepth: waiting}, ms)
 		b.place("e", "redeliverable", 9)
 		b.step(0)
 	}
@@ -330,9 +330,9 @@
 	b.place("e", "redeliverable", 9)
 	st := b.step(0)
 	fmt.Println("probe", st.Probes)
-	b.Probed(b.now, st.Probes[0], choice.TimedOut, choice.Load{}, ms)
+	b.Probed(b.now, st.Probes[0], scheduler.TimedOut, scheduler.Load{}, ms)
 	st = b.step(250 * ms)
-	b.Probed(b.now, st.Probes[0], choice.Completed, choice.Load{Reported: true}, ms)
+	b.Probed(b.now, st.Probes[0], scheduler.Completed, scheduler.Load{Reported: true}, ms)
 	b.loaded(st)
 	b.step(0)
 	// Output:
@@ -346,14 +346,14 @@
 // A worker with room that is full for one tenant stays open to the others.
 func Example_tenantRefused() {
 	b := newBench(1)
-	b.UpdateMembership(b.now, true, []choice.Member{{Worker: "a"}})
+	b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a"}})
 	for i, tenant := range []string{"m", "m", "n"} {
-		e := &choice.Request{ID: fmt.Sprint("e", i), Type: "redeliverable", Tenant: tenant, Function: uint64(i),
+		e := &scheduler.Request{ID: fmt.Sprint("e", i), Type: "redeliverable", Tenant: tenant, Function: uint64(i),
 			TimeLeft: 3000 * ms, Concurrency: 1}
 		b.show(b.Submit(b.now, e))
 		b.loaded(b.step(0))
 		if b.step(0); e.InFlight() && i == 0 {
-			b.show(b.Complete(b.now, e, choice.Outcome{Result: choice.Full, Load: choice.Load{Reported: true}}))
+			b.show(b.Complete(b.now, e, scheduler.Outcome{Result: scheduler.Full, Load: scheduler.Load{Reported: true}}))
 		}
 	}
 	// Output:
@@ -371,17 +371,17 @@
 func Example_manyTenants() {
 	for _, tenants := range [][]string{{"m", "n"}, {"", ""}} {
 		b := newBench(1)
-		b.UpdateMembership(b.now, true, []choice.Member{{Worker: "a"}})
+		b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a"}})
 		for i, tenant := range tenants {
-			b.Submit(b.now, &choice.Request{Type: "redeliverable", Tenant: tenant, Function: 1, TimeLeft: 3000 * ms, Concurrency: 2})
+			b.Submit(b.now, &scheduler.Request{Type: "redeliverable", Tenant: tenant, Function: 1, TimeLeft: 3000 * ms, Concurrency: 2})
 			if i == 1 {
 				b.loaded(b.Tick(b.now))
 			}
 		}
 		for _, a := range b.Tick(b.now).Decisions {
-			b.Complete(b.now, a.Request, choice.Outcome{Result: choice.Full, Load: choice.Load{Reported: true}})
+			b.Complete(b.now, a.Request, scheduler.Outcome{Result: scheduler.Full, Load: scheduler.Load{Reported: true}})
 		}
-		b.Submit(b.now, &choice.Request{Type: "redeliverable", Tenant: tenants[1], Function: 2, TimeLeft: 3000 * ms, Concurrency: 2})
+		b.Submit(b.now, &scheduler.Request{Type: "redeliverable", Tenant: tenants[1], Function: 2, TimeLeft: 3000 * ms, Concurrency: 2})
 		for _, o := range b.Tick(b.now).Loads {
 			fmt.Printf("load %d on %s\n", o.Function, o.Worker)
 		}
@@ -396,23 +396,23 @@
 	for _, took := range []time.Duration{100 * ms, 900 * ms} {
 		b := fleet(0, 50, 20)
 		for i := range 400 {
-			e := &choice.Request{Type: "redeliverable", Function: uint64(i % 20), TimeLeft: 3000 * ms, Concurrency: 4}
+			e := &scheduler.Request{Type: "redeliverable", Function: uint64(i % 20), TimeLeft: 3000 * ms, Concurrency: 4}
 			b.Submit(b.now, e)
 			st := b.Tick(b.now)
 			b.loaded(st)
-			b.handled(append(append(st.Decisions, b.Tick(b.now).Decisions...), choice.Decision{Request: e}), took)
+			b.handled(append(append(st.Decisions, b.Tick(b.now).Decisions...), scheduler.Decision{Request: e}), took)
 			b.now += 20 * ms
 		}
 		out := 0
 		for i := range 40 {
-			e := &choice.Request{Type: "redeliverable", Function: uint64(i % 20), TimeLeft: 3000 * ms, Concurrency: 4}
-			if b.Submit(b.now, e).Verb == choice.Send {
+			e := &scheduler.Request{Type: "redeliverable", Function: uint64(i % 20), TimeLeft: 3000 * ms, Concurrency: 4}
+			if b.Submit(b.now, e).Verb == scheduler.Send {
 				out++
 			}
 		}
 		for range 40 { // the limit is rounded by chance
 			for _, a := range b.Tick(b.now).Decisions {
-				if a.Verb == choice.Send {
+				if a.Verb == scheduler.Send {
 					out++
 				}
 			}
@@ -431,12 +431,12 @@
 		b.Allowed(4, true, true, 500*ms)
 		for range 12 { // what is usual
 			for i, worker := range []string{"a", "b", "c"} {
-				b.Probed(b.now, worker, choice.Completed, choice.Load{}, time.Duration(i+1)*ms)
+				b.Probed(b.now, worker, scheduler.Completed, scheduler.Load{}, time.Duration(i+1)*ms)
 			}
 		}
 		b.now += time.Second
 		b.place("e", "redeliverable", 9)
-		b.Probed(b.now, "c", choice.Completed, choice.Load{}, took)
+		b.Probed(b.now, "c", scheduler.Completed, scheduler.Load{}, took)
 		b.step(0)
 	}
 	// Output:
@@ -452,7 +452,7 @@
 	b.Allowed(4, true, true, 500*ms)
 	b.place("e", "redeliverable", 9)
 	st := b.step(0)
-	b.Probed(b.now, st.Probes[0], choice.Full, choice.Load{}, ms)
+	b.Probed(b.now, st.Probes[0], scheduler.Full, scheduler.Load{}, ms)
 	b.step(250 * ms)
 	b.step(250 * ms)
 	// Output:
@@ -463,10 +463,10 @@
 // A worker of three times the size gets first replicas of about three times as many functions.
 func Example_sizes() {
 	b := newBench(1)
-	b.UpdateMembership(b.now, true, []choice.Member{{Worker: "big", Kind: "b", Size: 3}, {Worker: "small", Kind: "s", Size: 1}})
+	b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "big", Kind: "b", Size: 3}, {Worker: "small", Kind: "s", Size: 1}})
 	orders := map[string]int{}
 	for fn := range uint64(200) {
-		e := &choice.Request{Type: "redeliverable", Function: fn, TimeLeft: 3000 * ms, Concurrency: 1, LoadTime: 400 * ms}
+		e := &scheduler.Request{Type: "redeliverable", Function: fn, TimeLeft: 3000 * ms, Concurrency: 1, LoadTime: 400 * ms}
 		for _, o := range b.serve(e, 10*ms) {
 			orders[o.Worker]++
 		}
@@ -480,17 +480,17 @@
 // get one load.
 func Example_slowAnswers() {
 	b := newBench(1)
-	b.UpdateMembership(b.now, true, []choice.Member{{Worker: "a"}})
+	b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a"}})
 	b.quiet(9)
 	b.quiet(9)
 	b.quiet(9)
 	b.step(100 * ms)
 	b.step(300 * ms)
-	b.Loaded(b.now, choice.LoadRequest{Worker: "a", Function: 9, Replicas: 1}, choice.Completed, 400*ms)
+	b.Loaded(b.now, scheduler.LoadRequest{Worker: "a", Function: 9, Replicas: 1}, scheduler.Completed, 400*ms)
 	for range 3 { // one lane, one after the other
 		for _, a := range b.Tick(b.now).Decisions {
 			b.now += 300 * ms
-			b.Complete(b.now, a.Request, choice.Outcome{Result: choice.Completed, Took: 300 * ms, Final: true})
+			b.Complete(b.now, a.Request, scheduler.Outcome{Result: scheduler.Completed, Took: 300 * ms, Final: true})
 		}
 	}
 	fmt.Println(b.place("runs", "redeliverable", 9).InFlight())
@@ -527,10 +527,10 @@
 		for fn := range uint64(100) {
 			b := newBench(1)
 			b.Crossing(zone)
-			b.UpdateMembership(b.now, true, []choice.Member{{Worker: "a", Zone: "x"}, {Worker: "b", Zone: "y"}, {Worker: "c", Zone: "z"}})
+			b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a", Zone: "x"}, {Worker: "b", Zone: "y"}, {Worker: "c", Zone: "z"}})
 			b.quiet(fn)
 			for _, w := range []string{"a", "b", "c"} { // a copy at each
-				b.Loaded(b.now, choice.LoadRequest{Worker: w, Function: fn, Replicas: 1}, choice.Completed, 400*ms)
+				b.Loaded(b.now, scheduler.LoadRequest{Worker: w, Function: fn, Replicas: 1}, scheduler.Completed, 400*ms)
 			}
 			if a := b.Tick(b.now).Decisions; len(a) > 0 && a[0].Worker == "a" {
 				own++
@@ -549,18 +549,18 @@
 		b := fleet(0, 100, 40)
 		b.Allowed(4, true, true, 500*ms)
 		for i := range 4 {
-			b.Probed(b.now, fmt.Sprint("w", i), choice.Completed, choice.Load{Reported: true, QueueDepth: waiting}, ms)
+			b.Probed(b.now, fmt.Sprint("w", i), scheduler.Completed, scheduler.Load{Reported: true, QueueDepth: waiting}, ms)
 		}
-		e := &choice.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 1, LoadTime: 900 * ms}
+		e := &scheduler.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 1, LoadTime: 900 * ms}
 		b.Submit(b.now, e)
 		deferred := 0
 		for range 13 {
 			b.now += 100 * ms
 			for i := range 4 {
-				b.Probed(b.now, fmt.Sprint("w", i), choice.Completed, choice.Load{Reported: true, QueueDepth: waiting}, ms)
+				b.Probed(b.now, fmt.Sprint("w", i), scheduler.Completed, scheduler.Load{Reported: true, QueueDepth: waiting}, ms)
 			}
 			for _, a := range b.Tick(b.now).Decisions {
-				if a.Verb == choice.Reject {
+				if a.Verb == scheduler.Reject {
 					deferred++
 					fmt.Println("at", b.now-time.Hour, "of 3s, with a time to come back", a.RetryAfter > 0)
 				}
@@ -577,9 +577,9 @@
 // Once attempts have shown what requests ahead cost, none goes to where they make it late.
 func Example_eventsAhead() {
 	b := newBench(1)
-	b.UpdateMembership(b.now, true, []choice.Member{{Worker: "a"}})
+	b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a"}})
 	told := func(waiting float64) {
-		b.Probed(b.now, "a", choice.Completed, choice.Load{Reported: true, QueueDepth: waiting}, ms)
+		b.Probed(b.now, "a", scheduler.Completed, scheduler.Load{Reported: true, QueueDepth: waiting}, ms)
 	}
 	for range 8 {
 		e := b.quiet(9)
@@ -588,7 +588,7 @@
 		b.now += 20 * ms
 		b.Tick(b.now)
 		b.now += 900 * ms
-		b.Complete(b.now, e, choice.Outcome{Result: choice.Completed, Took: 900 * ms, Final: true, Warmth: choice.FoundWarm})
+		b.Complete(b.now, e, scheduler.Outcome{Result: scheduler.Completed, Took: 900 * ms, Final: true, Warmth: scheduler.FoundWarm})
 	}
 	for _, waiting := range []float64{20, 1} {
 		told(waiting)
@@ -599,7 +599,7 @@
 		b.now += 10 * ms
 		told(0)
 		b.Tick(b.now)
-		b.Complete(b.now, e, choice.Outcome{Result: choice.Completed, Took: 100 * ms, Final: true, Warmth: choice.FoundWarm})
+		b.Complete(b.now, e, scheduler.Outcome{Result: scheduler.Completed, Took: 100 * ms, Final: true, Warmth: scheduler.FoundWarm})
 	}
 	// Output:
 	// waiting 20 launched false
@@ -628,11 +628,11 @@
 		b := newBench(9)
 		b.Allowed(4, true, true, 500*ms)
 		b.AddKind("k", v)
-		b.UpdateMembership(b.now, true, []choice.Member{{Worker: "a", Kind: "k", Size: v}, {Worker: "b", Kind: "l", Size: 1}})
+		b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a", Kind: "k", Size: v}, {Worker: "b", Kind: "l", Size: 1}})
 		orders := map[string]int{}
 		for fn := range uint64(100) {
-			b.Probed(b.now, "a", choice.Completed, choice.Load{Reported: true, QueueDepth: v}, ms)
-			e := &choice.Request{Type: "redeliverable", Function: fn, TimeLeft: 3000 * ms, Concurrency: 1, Memory: v}
+			b.Probed(b.now, "a", scheduler.Completed, scheduler.Load{Reported: true, QueueDepth: v}, ms)
+			e := &scheduler.Request{Type: "redeliverable", Function: fn, TimeLeft: 3000 * ms, Concurrency: 1, Memory: v}
 			for _, o := range b.serve(e, 10*ms) {
 				orders[o.Worker]++
 			}
@@ -657,21 +657,21 @@
 			if i >= 100 {
 				took = 150 * ms
 			}
-			e := &choice.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 64}
-			answers := []choice.Decision{b.Submit(b.now, e)}
+			e := &scheduler.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 64}
+			answers := []scheduler.Decision{b.Submit(b.now, e)}
 			st := b.Tick(b.now)
 			b.loaded(st)
 			for _, a := range append(append(answers, st.Decisions...), b.Tick(b.now).Decisions...) {
 				if a.Request.InFlight() {
-					b.Complete(b.now, a.Request, choice.Outcome{Result: choice.Completed, Took: took, Final: true,
-						Load: choice.Load{Reported: true, QueueDepth: waiting}})
+					b.Complete(b.now, a.Request, scheduler.Outcome{Result: scheduler.Completed, Took: took, Final: true,
+						Load: scheduler.Load{Reported: true, QueueDepth: waiting}})
 				}
 			}
 			b.now += 20 * ms
 		}
 		out := 0
 		for range 40 {
-			if b.Submit(b.now, &choice.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 64}).Verb == choice.Send {
+			if b.Submit(b.now, &scheduler.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 64}).Verb == scheduler.Send {
 				out++
 			}
 		}
--- a/choice/settings.go
+++ b/scheduler/settings.go
@@ -1,16 +1,16 @@
-package choice
+package scheduler
 
 import (
 	"math"
 	"time"
 
-	"lupinpond/internal/chance"
-	"lupinpond/internal/window"
+	"lupinpond/internal/base/random"
+	"lupinpond/internal/base/window"
 )
 
 // New starts the Scheduler of front end self of peers; quantum is the least time between two calls.
 func New(seed uint64, self, peers int, quantum time.Duration) *Scheduler {
-	return &Scheduler{random: chance.New(seed), self: self, frontEnds: max(1, peers),
+	return &Scheduler{random: random.New(seed), self: self, frontEnds: max(1, peers),
 		quantum: max(quantum, 0), types: map[string]*typeState{}, tenants: map[string]*tenant{},
 		workers: map[string]*worker{}, functions: map[uint64]*function{}, longest: time.Second,
 		kinds: map[string]*kind{}, probeTimes: map[string]*probeTimes{},
--- a/choice/types.go
+++ b/scheduler/types.go
@@ -1,4 +1,4 @@
-package choice
+package scheduler
 
 import (
 	"cmp"
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"lupinpond/internal/chance"
-	"lupinpond/internal/fleetindex"
-	"lupinpond/internal/window"
+	"lupinpond/internal/base/random"
+	"lupinpond/internal/base/window"
+	"lupinpond/scheduler/internal/fleetindex"
 )
 
 // Effect says what may happen when a request runs a second time.
@@ -307,7 +307,7 @@
 
 // Scheduler decides for one front end.
 type Scheduler struct {
-	random          chance.Source
+	random          random.Source
 	self, frontEnds int
 	quantum         time.Duration
 	longest         time.Duration // longest latency objective
