--- a/cmd/lpctl/rehearse.go
+++ b/cmd/lpctl/rehearse.go
@@ -232,7 +232,7 @@
 	}
 	defer in.Close()
 	var now time.Duration
-	told, err := replay.Replay(in, func(e *core.Entry, a *replay.Action) {
+	told, err := replay.Replay(in, func(e *core.Input, a *replay.Action) {
 		if e != nil {
 			now = e.Now
 		}
@@ -240,7 +240,7 @@
 			return
 		}
 		switch {
-		case e != nil && c.Event != "" && e.ID != c.Event && (e.Event == nil || e.Event.ID != c.Event):
+		case e != nil && c.Event != "" && e.ID != c.Event && (e.Request == nil || e.Request.ID != c.Event):
 		case a != nil && c.Event != "" && a.ID != c.Event:
 		case e != nil:
 			fmt.Printf("%v %v\n", now, e)
@@ -252,9 +252,9 @@
 		return err
 	}
 	torn := ""
-	if told.Torn {
+	if told.Truncated {
 		torn = "; the recording ends in the middle of an item"
 	}
-	fmt.Printf("front end %d of %d: %d facts, %d actions, all as recorded%s\n", told.Front.Self, told.Front.FrontEnds, told.Facts, told.Actions, torn)
+	fmt.Printf("front end %d of %d: %d facts, %d actions, all as recorded%s\n", told.Settings.Index, told.Settings.Gateways, told.Inputs, told.Actions, torn)
 	return nil
 }
--- a/internal/base/random/random.go
+++ b/internal/base/random/random.go
@@ -7,8 +7,8 @@
 // New starts a Source from a seed.
 func New(seed uint64) Source { return Source{state: Mix(seed | 1<<63)} }
 
-// Below draws a whole number from 0 to n-1; 0 where n is below 1.
-func (s *Source) Below(n int) int {
+// IntN draws a whole number from 0 to n-1; 0 where n is below 1.
+func (s *Source) IntN(n int) int {
 	s.state = (s.state&0xffffffff)*4294957665 + s.state>>32
 	return int((s.state & 0x7fffffff) % uint64(max(n, 1)))
 }
--- a/internal/base/window/window.go
+++ b/internal/base/window/window.go
@@ -4,48 +4,48 @@
 
 import "time"
 
-const slots = 16
+const bucketCount = 16
 
 // Window holds the buckets. The zero value is not ready; use New.
 type Window struct {
-	width time.Duration
-	at    int64 // number of the newest bucket
-	slot  [slots]float64
+	width   time.Duration
+	newest  int64 // number of the newest bucket
+	buckets [bucketCount]float64
 }
 
 // New makes a Window over a span.
 func New(span time.Duration) *Window {
-	return &Window{width: max(1, (span+slots-3)/(slots-2))}
+	return &Window{width: max(1, (span+bucketCount-3)/(bucketCount-2))}
 }
 
-func (w *Window) roll(now time.Duration) {
+func (w *Window) advance(now time.Duration) {
 	newest := int64(now / w.width)
-	if newest-w.at >= slots {
-		w.slot = [slots]float64{}
-		w.at = newest
+	if newest-w.newest >= bucketCount {
+		w.buckets = [bucketCount]float64{}
+		w.newest = newest
 	}
-	for ; w.at < newest; w.at++ {
-		w.slot[(w.at+1)%slots] = 0
+	for ; w.newest < newest; w.newest++ {
+		w.buckets[(w.newest+1)%bucketCount] = 0
 	}
 }
 
 // Add counts v at now.
 func (w *Window) Add(now time.Duration, v float64) {
-	w.roll(now)
-	w.slot[w.at%slots] += v
+	w.advance(now)
+	w.buckets[w.newest%bucketCount] += v
 }
 
 func (w *Window) sum(now time.Duration, before int64) float64 {
-	w.roll(now)
+	w.advance(now)
 	total := 0.0
-	for b := w.at; b >= 0 && b >= w.at-before; b-- {
-		total += w.slot[b%slots]
+	for b := w.newest; b >= 0 && b >= w.newest-before; b-- {
+		total += w.buckets[b%bucketCount]
 	}
 	return total
 }
 
-// All sums everything within the span and, by its whole buckets, a little that came before.
-func (w *Window) All(now time.Duration) float64 { return w.sum(now, slots-2) }
+// UpperSum sums everything within the span and, by its whole buckets, a little that came before.
+func (w *Window) UpperSum(now time.Duration) float64 { return w.sum(now, bucketCount-2) }
 
-// Inner sums only buckets that lie wholly within the span.
-func (w *Window) Inner(now time.Duration) float64 { return w.sum(now, slots-4) }
+// LowerSum sums only buckets that lie wholly within the span.
+func (w *Window) LowerSum(now time.Duration) float64 { return w.sum(now, bucketCount-4) }
--- a/internal/gateway/act.go
+++ b/internal/gateway/act.go
@@ -38,12 +38,12 @@
 func (l links) Send(e *Request, launch int, worker string, departure *Departure, done func(scheduler.Outcome, []byte)) Sent {
 	left, leaves := departure.Left() // the link tells what is left of it when it writes
 	if !leaves {
-		done(scheduler.Outcome{Result: scheduler.TooLate}, nil)
+		done(scheduler.Outcome{Result: scheduler.Withheld}, nil)
 		return nil
 	}
 	p := l.peer(worker)
 	if p == nil {
-		done(scheduler.Outcome{Result: scheduler.Unreached}, nil)
+		done(scheduler.Outcome{Result: scheduler.Unreachable}, nil)
 		return nil
 	}
 	c := e.Call
@@ -64,26 +64,26 @@
 func (l links) outcome(o workerrpc.Outcome) (out scheduler.Outcome, body []byte) {
 	switch o.Fate {
 	case workerrpc.Unsent:
-		out.Result = scheduler.Unreached
+		out.Result = scheduler.Unreachable
 		if errors.Is(o.Err, workerrpc.ErrWithheld) {
-			out.Result = scheduler.TooLate
+			out.Result = scheduler.Withheld
 		}
 	case workerrpc.Broken:
-		out.Result = scheduler.Broken
+		out.Result = scheduler.ConnectionLost
 	case workerrpc.Recalled:
 		out.Result = scheduler.Cancelled
 	case workerrpc.Answered:
 		a := o.Answer
-		out.Warmth, out.Load = scheduler.Warmth(a.Warmth), l.load(a.Report)
+		out.ReplicaState, out.Report = scheduler.ReplicaState(a.Warmth), l.load(a.Report)
 		switch a.Code {
 		case workerrpc.Done:
 			out.Result, body = scheduler.Completed, a.Body
 		case workerrpc.Full:
 			out.Result = scheduler.Full
 		case workerrpc.Missing:
-			out.Result = scheduler.Missing
+			out.Result = scheduler.NotFound
 		case workerrpc.NotStarted: // drained or withdrawn before its start
-			out.Result = scheduler.Unreached
+			out.Result = scheduler.Unreachable
 		case workerrpc.Withdrawn:
 			out.Result = scheduler.Cancelled
 		default:
@@ -94,26 +94,26 @@
 }
 
 // load tells of a report what the settings say that reports carry.
-func (g *Gate) load(r *workerrpc.Report) scheduler.Load {
+func (g *Gate) load(r *workerrpc.Report) scheduler.LoadReport {
 	if r == nil || g.o.File.Fleet.Workers.Reports == "none" {
-		return scheduler.Load{}
+		return scheduler.LoadReport{}
 	}
-	return scheduler.Load{Reported: true, QueueDepth: float64(r.Waiting)}
+	return scheduler.LoadReport{Reported: true, QueueDepth: float64(r.Waiting)}
 }
 
 // Load sends a load order.
 func (l links) Load(o scheduler.LoadRequest, done func(copies int, r scheduler.Result)) Sent {
 	p := l.peer(o.Worker)
 	if p == nil {
-		done(o.Replicas, scheduler.Unreached)
+		done(o.Replicas, scheduler.Unreachable)
 		return nil
 	}
 	p.Order(workerrpc.Order{Function: l.names[o.Function], Copies: o.Replicas}, func(out workerrpc.Outcome) {
 		switch {
 		case out.Fate == workerrpc.Unsent:
-			done(o.Replicas, scheduler.Unreached)
+			done(o.Replicas, scheduler.Unreachable)
 		case out.Ordered == nil:
-			done(o.Replicas, scheduler.Broken)
+			done(o.Replicas, scheduler.ConnectionLost)
 		default:
 			result := scheduler.Failed
 			switch out.Ordered.Code {
@@ -129,10 +129,10 @@
 }
 
 // Probe asks a worker for a report.
-func (l links) Probe(worker string, done func(r scheduler.Result, load scheduler.Load)) Sent {
+func (l links) Probe(worker string, done func(r scheduler.Result, load scheduler.LoadReport)) Sent {
 	p := l.peer(worker)
 	if p == nil {
-		done(scheduler.Unreached, scheduler.Load{})
+		done(scheduler.Unreachable, scheduler.LoadReport{})
 		return nil
 	}
 	p.Probe(func(o workerrpc.Outcome) {
@@ -140,9 +140,9 @@
 		case o.Echo != nil:
 			done(scheduler.Completed, l.load(o.Echo.Report))
 		case o.Fate == workerrpc.Unsent:
-			done(scheduler.Unreached, scheduler.Load{})
+			done(scheduler.Unreachable, scheduler.LoadReport{})
 		default:
-			done(scheduler.Broken, scheduler.Load{})
+			done(scheduler.ConnectionLost, scheduler.LoadReport{})
 		}
 	})
 	return nil
@@ -197,7 +197,7 @@
 		named[e.Name] = true
 		l := scheduler.Member{Worker: e.Name, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, Started: g.births.Started(e.Name, e.Started, within)}
 		if g.o.File.Fleet.Workers.Sizes == "cores" {
-			l.Size = e.Cores
+			l.Weight = e.Cores
 		}
 		switch e.State {
 		case registry.Draining:
--- a/internal/gateway/checks.go
+++ b/internal/gateway/checks.go
@@ -49,7 +49,7 @@
 	case !c.mayHaveRun || t.Effect == scheduler.Idempotent:
 	case t.Effect == scheduler.AtMostOnce:
 		o.monitor.Violated(invariant.RepeatOfAtMostOnce, id, "attempt", launch, "worker", worker)
-	case now >= c.ranSince+t.Window:
+	case now >= c.ranSince+t.DedupWindow:
 		o.monitor.Violated(invariant.RepeatOutsideOfWindow, id, "attempt", launch, "worker", worker, "after", now-c.ranSince)
 	}
 	c.began(launch, now)
@@ -90,12 +90,12 @@
 
 // loadChecks counts load requests against the rate limit of the settings.
 type loadChecks struct {
-	limits         core.Loading
+	limits         core.LoadPolicy
 	loads, arrived *window.Window
 }
 
-func newLoadChecks(l core.Loading) loadChecks {
-	return loadChecks{l, window.New(l.Within), window.New(l.Within)}
+func newLoadChecks(l core.LoadPolicy) loadChecks {
+	return loadChecks{l, window.New(l.RateWindow), window.New(l.RateWindow)}
 }
 
 func (c *loadChecks) submitted(now time.Duration) { c.arrived.Add(now, 1) }
@@ -103,12 +103,12 @@
 // checkLoad checks a load request. Sums are rounded so that none within the limit is counted.
 func (o *Owner) checkLoad(order scheduler.LoadRequest) {
 	c := &o.loads
-	if c.limits.Within <= 0 || order.Replicas <= 0 {
+	if c.limits.RateWindow <= 0 || order.Replicas <= 0 {
 		return
 	}
 	now := o.Now()
 	c.loads.Add(now, 1)
-	sent, most := c.loads.Inner(now), c.limits.Free+c.limits.Share*c.arrived.All(now)
+	sent, most := c.loads.LowerSum(now), c.limits.RateBurst+c.limits.RatePerRequest*c.arrived.UpperSum(now)
 	if sent > most {
 		o.monitor.Violated(invariant.LoadOverLimit, "", "worker", order.Worker, "sent", sent, "most", most)
 	}
--- a/internal/gateway/crossing_test.go
+++ b/internal/gateway/crossing_test.go
@@ -37,7 +37,7 @@
 }
 
 func (w *lateWorkers) Send(_ *gateway.Request, _ int, _ string, _ *gateway.Departure, done func(scheduler.Outcome, []byte)) gateway.Sent {
-	done(scheduler.Outcome{Result: scheduler.Completed, Warmth: scheduler.FoundWarm}, nil)
+	done(scheduler.Outcome{Result: scheduler.Completed, ReplicaState: scheduler.ReplicaWarm}, nil)
 	return nil
 }
 
@@ -45,8 +45,8 @@
 	return w.tell(func() { done(o.Replicas, scheduler.Completed) })
 }
 
-func (w *lateWorkers) Probe(_ string, done func(scheduler.Result, scheduler.Load)) gateway.Sent {
-	return w.tell(func() { done(scheduler.Completed, scheduler.Load{}) })
+func (w *lateWorkers) Probe(_ string, done func(scheduler.Result, scheduler.LoadReport)) gateway.Sent {
+	return w.tell(func() { done(scheduler.Completed, scheduler.LoadReport{}) })
 }
 
 func (w *lateWorkers) Subscribe() {}
@@ -62,9 +62,9 @@
 func TestResultsThatCrossTheirTimeouts(t *testing.T) {
 	w := &lateWorkers{limit: 10 * time.Millisecond}
 	var record bytes.Buffer
-	owner := gateway.NewOwner(gateway.OwnerOptions{Core: core.Settings{Seed: 1, FrontEnds: 10, Quantum: time.Millisecond, MaxAttempts: 3, Deadlines: true, Probe: true,
-		Loading: core.Loading{Requests: true, Keep: 50 * time.Millisecond, Limit: 10 * time.Millisecond},
-		Types:   []scheduler.RequestType{{Name: "call", Objective: 100 * time.Millisecond}}}, Workers: w, Record: &record, LoadTimeout: w.limit, ProbeLimit: w.limit})
+	owner := gateway.NewOwner(gateway.OwnerOptions{Core: core.Settings{Seed: 1, Gateways: 10, MinTickInterval: time.Millisecond, MaxAttempts: 3, EnforceDeadlines: true, Probe: true,
+		LoadPolicy: core.LoadPolicy{RequestLoads: true, ReplicaIdleTimeout: 50 * time.Millisecond, RequestTimeout: 10 * time.Millisecond},
+		Types:      []scheduler.RequestType{{Name: "call", Objective: 100 * time.Millisecond}}}, Workers: w, Record: &record, LoadTimeout: w.limit, ProbeLimit: w.limit})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- owner.Run(ctx) }()
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	sent, heard := map[string]int{}, map[core.Op]int{}
-	if _, err := replay.Replay(&record, func(e *core.Entry, a *replay.Action) {
+	if _, err := replay.Replay(&record, func(e *core.Input, a *replay.Action) {
 		if a != nil {
 			sent[a.Verb]++
 		} else {
@@ -94,8 +94,8 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if sent["order"] == 0 || sent["order"] != heard[core.OpLoaded] || sent["probe"] == 0 || sent["probe"] != heard[core.OpProbed] {
-		t.Errorf("sent %v, heard of %d load requests and %d probes", sent, heard[core.OpLoaded], heard[core.OpProbed])
+	if sent["order"] == 0 || sent["order"] != heard[core.OpLoadCompleted] || sent["probe"] == 0 || sent["probe"] != heard[core.OpProbeCompleted] {
+		t.Errorf("sent %v, heard of %d load requests and %d probes", sent, heard[core.OpLoadCompleted], heard[core.OpProbeCompleted])
 	}
 	if w.recalled != sent["order"]+sent["probe"] {
 		t.Errorf("%d of %d are given up", w.recalled, sent["order"]+sent["probe"])
--- a/internal/gateway/departure.go
+++ b/internal/gateway/departure.go
@@ -68,7 +68,7 @@
 // mayRun tells whether an attempt that ended so may have run.
 func mayRun(r scheduler.Result) bool {
 	switch r {
-	case scheduler.Failed, scheduler.TimedOut, scheduler.Broken, scheduler.Cancelled, scheduler.Completed:
+	case scheduler.Failed, scheduler.TimedOut, scheduler.ConnectionLost, scheduler.Cancelled, scheduler.Completed:
 		return true
 	}
 	return false
--- a/internal/gateway/fleetconfig/config.go
+++ b/internal/gateway/fleetconfig/config.go
@@ -360,8 +360,8 @@
 
 // Core is what the core of front end self of peers is started with.
 func (f File) Core(seed uint64, self, peers int) core.Settings {
-	front := core.Settings{Seed: seed, Self: self, FrontEnds: peers, Quantum: f.Fleet.Quantum.D(), Deadlines: true,
-		SubscribeWithin: f.Fleet.AskListWithin.D()}
+	front := core.Settings{Seed: seed, Index: self, Gateways: peers, MinTickInterval: f.Fleet.Quantum.D(), EnforceDeadlines: true,
+		SubscribeInterval: f.Fleet.AskListWithin.D()}
 	for _, t := range f.Fleet.Types {
 		front.Types = append(front.Types, t.Choice())
 	}
@@ -370,20 +370,20 @@
 	}
 	a, l, c := f.Fleet.Allowed, f.Fleet.Loading, f.Fleet.Cold
 	front.MaxAttempts, front.Cancel, front.Probe, front.MaxRetryAfter = a.Launches, a.Cancel, a.Probe, a.RetryAfter.D()
-	front.Loading = core.Loading{Requests: l.Orders, OnMiss: l.OnMiss == "load", Keep: l.Keep.D(),
-		Limit: l.OrderLimit.D(), Within: l.Ration.Within.D(), Free: l.Ration.Free, Share: l.Ration.Share}
+	front.LoadPolicy = core.LoadPolicy{RequestLoads: l.Orders, LoadOnMiss: l.OnMiss == "load", ReplicaIdleTimeout: l.Keep.D(),
+		RequestTimeout: l.OrderLimit.D(), RateWindow: l.Ration.Within.D(), RateBurst: l.Ration.Free, RatePerRequest: l.Ration.Share}
 	for _, k := range f.Fleet.Workers.Kinds {
-		front.Kinds = append(front.Kinds, core.Kind{Name: k.Name, Memory: float64(k.Memory)})
+		front.WorkerKinds = append(front.WorkerKinds, core.WorkerKind{Name: k.Name, Memory: float64(k.Memory)})
 	}
 	front.Zone = f.Front.Zone
-	front.SlowStart = core.SlowStart{From: c.From, WarmAfter: c.WarmAfter.D(), Multiple: c.FallMultiple,
-		Fall: c.Fall.D()}
+	front.SlowStart = core.SlowStart{InitialShare: c.From, WarmUpTime: c.WarmAfter.D(), CrashMultiple: c.FallMultiple,
+		CrashWindow: c.Fall.D()}
 	return front
 }
 
 // Choice is the event type as the module takes it.
 func (t EventType) Choice() scheduler.RequestType {
-	e := scheduler.RequestType{Name: t.Name, Window: t.Window.D(), Objective: t.Target.D()}
+	e := scheduler.RequestType{Name: t.Name, DedupWindow: t.Window.D(), Objective: t.Target.D()}
 	switch t.Effect {
 	case "keyed":
 		e.Effect = scheduler.IdempotencyKey
@@ -392,9 +392,9 @@
 	}
 	switch t.Group {
 	case "zone":
-		e.Group = scheduler.GroupZone
+		e.DedupScope = scheduler.ScopeZone
 	case "cell":
-		e.Group = scheduler.GroupCell
+		e.DedupScope = scheduler.ScopeCell
 	}
 	return e
 }
--- a/internal/gateway/invariants_test.go
+++ b/internal/gateway/invariants_test.go
@@ -53,8 +53,8 @@
 	return nil
 }
 
-func (m *manual) Probe(string, func(scheduler.Result, scheduler.Load)) gateway.Sent { return nil }
-func (m *manual) Subscribe()                                                        {}
+func (m *manual) Probe(string, func(scheduler.Result, scheduler.LoadReport)) gateway.Sent { return nil }
+func (m *manual) Subscribe()                                                              {}
 
 // scene is an owner with a few workers and a way out that the test carries on.
 type scene struct {
@@ -65,12 +65,12 @@
 	ended    sync.WaitGroup
 }
 
-func newScene(t *testing.T, kind scheduler.RequestType, loading core.Loading) *scene {
+func newScene(t *testing.T, kind scheduler.RequestType, loading core.LoadPolicy) *scene {
 	kind.Name, kind.Objective = "call", 100*time.Millisecond
 	s := &scene{manual: &manual{sent: make(chan sending, 100), loads: make(chan scheduler.LoadRequest, 100)}, t: t,
 		answered: make(chan invoke.Answer, 100)}
-	s.owner = gateway.NewOwner(gateway.OwnerOptions{Core: core.Settings{Seed: 1, FrontEnds: 1, Quantum: time.Millisecond, MaxAttempts: 5, Deadlines: true,
-		Loading: loading, Types: []scheduler.RequestType{kind}}, Workers: s, LoadTimeout: time.Minute, ProbeLimit: time.Minute,
+	s.owner = gateway.NewOwner(gateway.OwnerOptions{Core: core.Settings{Seed: 1, Gateways: 1, MinTickInterval: time.Millisecond, MaxAttempts: 5, EnforceDeadlines: true,
+		LoadPolicy: loading, Types: []scheduler.RequestType{kind}}, Workers: s, LoadTimeout: time.Minute, ProbeLimit: time.Minute,
 		Monitor: invariant.NewMonitor(slog.New(slog.DiscardHandler))})
 	run(t, s.owner)
 	s.owner.UpdateMembership(true, []scheduler.Member{{Worker: "a"}, {Worker: "b"}, {Worker: "c"}}, nil)
@@ -78,7 +78,7 @@
 }
 
 // onMiss is loading by the requests themselves.
-var onMiss = core.Loading{OnMiss: true, Keep: time.Minute}
+var onMiss = core.LoadPolicy{LoadOnMiss: true, ReplicaIdleTimeout: time.Minute}
 
 // submit submits a request of a function.
 func (s *scene) submit(id string, function uint64, left time.Duration) *gateway.Request {
@@ -119,7 +119,7 @@
 		s.owner.ClientGone(e)
 		time.Sleep(150 * time.Millisecond)
 		x.leaves()
-		x.ends(scheduler.TooLate)
+		x.ends(scheduler.Withheld)
 		return s
 	},
 	"NoTimeLeft": func(t *testing.T) *scene {
@@ -128,7 +128,7 @@
 		x := s.first()
 		time.Sleep(400 * time.Millisecond)
 		x.leaves()
-		x.ends(scheduler.TooLate)
+		x.ends(scheduler.Withheld)
 		return s
 	},
 	"SlowDeparture": func(t *testing.T) *scene {
@@ -141,7 +141,7 @@
 		return s
 	},
 	"SecondOutcome": func(t *testing.T) *scene {
-		s := newScene(t, scheduler.RequestType{}, core.Loading{Requests: true, Keep: time.Minute, Limit: time.Minute})
+		s := newScene(t, scheduler.RequestType{}, core.LoadPolicy{RequestLoads: true, ReplicaIdleTimeout: time.Minute, RequestTimeout: time.Minute})
 		s.fast = true
 		const others = 6 // have replicas loaded at all workers
 		var all []sending
@@ -176,18 +176,18 @@
 	"AtMostOnce": func(t *testing.T) *scene {
 		s := newScene(t, scheduler.RequestType{Effect: scheduler.AtMostOnce}, onMiss)
 		s.submit("e", 1, time.Second)
-		s.first().ends(scheduler.Broken)
+		s.first().ends(scheduler.ConnectionLost)
 		if x, came := s.next(500 * time.Millisecond); came {
 			x.ends(scheduler.Completed)
 		}
 		return s
 	},
 	"WindowOver": func(t *testing.T) *scene {
-		s := newScene(t, scheduler.RequestType{Effect: scheduler.IdempotencyKey, Window: 100 * time.Millisecond}, onMiss)
+		s := newScene(t, scheduler.RequestType{Effect: scheduler.IdempotencyKey, DedupWindow: 100 * time.Millisecond}, onMiss)
 		s.submit("e", 1, 2*time.Second)
 		x := s.first()
 		time.Sleep(150 * time.Millisecond)
-		x.ends(scheduler.Broken)
+		x.ends(scheduler.ConnectionLost)
 		if x, came := s.next(500 * time.Millisecond); came {
 			x.ends(scheduler.Completed)
 		}
@@ -219,7 +219,7 @@
 		}
 	},
 	"ManyLoads": func(t *testing.T) *scene {
-		s := newScene(t, scheduler.RequestType{}, core.Loading{Requests: true, Keep: time.Minute, Limit: time.Minute, Within: 10 * time.Second, Free: 2})
+		s := newScene(t, scheduler.RequestType{}, core.LoadPolicy{RequestLoads: true, ReplicaIdleTimeout: time.Minute, RequestTimeout: time.Minute, RateWindow: 10 * time.Second, RateBurst: 2})
 		for function := range uint64(10) {
 			s.submit(fmt.Sprint("e", function), function, 300*time.Millisecond)
 		}
@@ -265,12 +265,12 @@
 	{"SecondOutcome", "core/core.go", "h == nil || launch != h.attempts-1 ||", "h == nil ||", invariant.AttemptInParallel},
 	{"AtMostOnce", "../../scheduler/scheduler.go", "(late || e.typ.Effect == AtMostOnce)", "late", invariant.RepeatOfAtMostOnce},
 	{"WindowOver", "../../scheduler/scheduler.go", "late := e.typ.Effect == IdempotencyKey &&", "late := false &&", invariant.RepeatOutsideOfWindow},
-	{"NoOutcome", "core/core.go", "h := heap.Pop(&c.ends).(*tracked)\n\t\tif h.request.InFlight() {", "h := heap.Pop(&c.ends).(*tracked)\n\t\tif false {",
+	{"NoOutcome", "core/core.go", "h := heap.Pop(&c.deadlines).(*trackedRequest)\n\t\tif h.request.InFlight() {", "h := heap.Pop(&c.deadlines).(*trackedRequest)\n\t\tif false {",
 		invariant.AnsweredLate},
-	{"Rejected", "core/core.go", "c.actor.Reject(a.Request, a.RetryAfter, h.mayRun)", "c.actor.Reject(a.Request, a.RetryAfter, h.mayRun); c.actor.Reject(a.Request, 0, false)",
+	{"Rejected", "core/core.go", "c.actor.Reject(a.Request, a.RetryAfter, h.mayHaveRun)", "c.actor.Reject(a.Request, a.RetryAfter, h.mayHaveRun); c.actor.Reject(a.Request, 0, false)",
 		invariant.AnsweredTwice},
-	{"Rejected", "core/core.go", "c.actor.Reject(a.Request, a.RetryAfter, h.mayRun)", "", invariant.NeverAnswered},
-	{"ManyLoads", "../../scheduler/loads.go", "return !c.loadsLimited ||", "return true ||", invariant.LoadOverLimit},
+	{"Rejected", "core/core.go", "c.actor.Reject(a.Request, a.RetryAfter, h.mayHaveRun)", "", invariant.NeverAnswered},
+	{"ManyLoads", "../../scheduler/loads.go", "return !c.loadRateLimited ||", "return true ||", invariant.LoadOverLimit},
 }
 
 // With its guard taken out, each invariant is seen to be violated.
--- a/internal/gateway/owner.go
+++ b/internal/gateway/owner.go
@@ -46,7 +46,7 @@
 	// are about to be written.
 	Send(e *Request, launch int, worker string, departure *Departure, done func(o scheduler.Outcome, body []byte)) Sent
 	Load(o scheduler.LoadRequest, done func(copies int, r scheduler.Result)) Sent
-	Probe(worker string, done func(r scheduler.Result, l scheduler.Load)) Sent
+	Probe(worker string, done func(r scheduler.Result, l scheduler.LoadReport)) Sent
 	Subscribe() // for the list
 }
 
@@ -96,7 +96,7 @@
 	}
 	o := &Owner{base: time.Now().Add(-time.Hour), workers: from.Workers, loadTimeout: from.LoadTimeout, probeLimit: from.ProbeLimit,
 		requests: map[string]*Request{}, twins: map[string]bool{}, started: make(chan struct{}), gone: make(chan struct{}),
-		endBy: math.MaxInt64, monitor: from.Monitor, log: from.Log, front: from.Core, loads: newLoadChecks(from.Core.Loading)}
+		endBy: math.MaxInt64, monitor: from.Monitor, log: from.Log, front: from.Core, loads: newLoadChecks(from.Core.LoadPolicy)}
 	o.box.kick = make(chan struct{}, 1)
 	if from.Record != nil {
 		o.core, o.recorder = replay.Start(from.Core, o, from.Record)
@@ -163,7 +163,7 @@
 		if o.requests[e.Fact.ID] != e {
 			return
 		}
-		o.core.ClientGone(now, e.Fact.ID)
+		o.core.ClientDisconnected(now, e.Fact.ID)
 		o.counts.ClientsLeft++
 		o.trace("client left", e, "in_flight", len(e.inFlight))
 		for _, l := range e.inFlight {
@@ -177,7 +177,7 @@
 	by := t.Sub(o.base)
 	o.box.put(func(now time.Duration) {
 		o.endBy = by
-		o.core.EndBy(now, by)
+		o.core.ShutdownBy(now, by)
 	})
 }
 
@@ -235,9 +235,9 @@
 			fact(now)
 		}
 		if woke {
-			o.core.Woke(now)
+			o.core.TimerFired(now)
 		}
-		o.core.Settle(now)
+		o.core.ProcessDue(now)
 	}
 }
 
@@ -340,7 +340,7 @@
 	e := o.requests[fact.ID]
 	if e.clientGone.Load() != 0 {
 		o.box.put(func(now time.Duration) {
-			o.core.Outcome(now, fact.ID, launch, scheduler.Outcome{Worker: worker, Result: scheduler.TooLate})
+			o.core.CompleteAttempt(now, fact.ID, launch, scheduler.Outcome{Worker: worker, Result: scheduler.Withheld})
 		})
 		return
 	}
@@ -355,13 +355,13 @@
 	l := o.workers.Send(e, launch, worker, departure, func(out scheduler.Outcome, body []byte) {
 		o.box.put(func(now time.Duration) {
 			delete(e.inFlight, launch)
-			out.Worker, out.Took = worker, time.Since(sent)
+			out.Worker, out.Duration = worker, time.Since(sent)
 			e.checks.ended(launch, out.Result)
-			o.trace("attempt ended", e, "attempt", launch, "worker", worker, "result", out.Result.String(), "took", out.Took)
+			o.trace("attempt ended", e, "attempt", launch, "worker", worker, "result", out.Result.String(), "took", out.Duration)
 			if out.Result == scheduler.Completed {
 				e.answer = body
 			}
-			if !o.core.Outcome(now, fact.ID, launch, out) {
+			if !o.core.CompleteAttempt(now, fact.ID, launch, out) {
 				o.counts.LateAnswers++
 			}
 		})
@@ -413,8 +413,8 @@
 	}
 }
 
-// Ended forgets a request; attempts whose outcome was not waited for are given up.
-func (o *Owner) Ended(fact *scheduler.Request, _ int, _ core.Ending) {
+// Closed forgets a request; attempts whose outcome was not waited for are given up.
+func (o *Owner) Closed(fact *scheduler.Request, _ int, _ core.CloseReason) {
 	e := o.requests[fact.ID]
 	o.checkEnd(e)
 	for _, l := range e.inFlight {
@@ -425,8 +425,8 @@
 	e.gone()
 }
 
-// Load sends a load request.
-func (o *Owner) Load(order scheduler.LoadRequest) {
+// RequestLoad sends a load request.
+func (o *Owner) RequestLoad(order scheduler.LoadRequest) {
 	o.counts.LoadRequests++
 	o.checkLoad(order)
 	sent, answered := time.Now(), false
@@ -435,7 +435,7 @@
 			if !answered {
 				answered = true
 				order.Replicas = copies
-				o.core.Loaded(now, order, r, time.Since(sent))
+				o.core.LoadCompleted(now, order, r, time.Since(sent))
 			}
 		})
 	}
@@ -451,17 +451,17 @@
 func (o *Owner) Probe(worker string) {
 	o.counts.Probes++
 	sent, answered := time.Now(), false
-	end := func(r scheduler.Result, l scheduler.Load) {
+	end := func(r scheduler.Result, l scheduler.LoadReport) {
 		o.box.put(func(now time.Duration) {
 			if !answered {
 				answered = true
-				o.core.Probed(now, worker, r, l, time.Since(sent))
+				o.core.ProbeCompleted(now, worker, r, l, time.Since(sent))
 			}
 		})
 	}
 	s := o.workers.Probe(worker, end)
 	time.AfterFunc(o.probeLimit, func() {
-		end(scheduler.TimedOut, scheduler.Load{})
+		end(scheduler.TimedOut, scheduler.LoadReport{})
 		recall(s)
 	})
 }
@@ -476,8 +476,8 @@
 // Subscribe subscribes to the list.
 func (o *Owner) Subscribe() { o.workers.Subscribe() }
 
-// Wake sets the timer; the core asks only for one that comes before those it has asked for.
-func (o *Owner) Wake(after time.Duration) {
+// SetTimer sets the timer; the core asks only for one that comes before those it has asked for.
+func (o *Owner) SetTimer(after time.Duration) {
 	o.wakes = append(o.wakes, time.Now().Add(after))
 	o.wake.Reset(after)
 }
--- a/internal/gateway/owner_test.go
+++ b/internal/gateway/owner_test.go
@@ -25,9 +25,11 @@
 }
 
 func (n *nowhere) Load(scheduler.LoadRequest, func(int, scheduler.Result)) gateway.Sent { return n }
-func (n *nowhere) Probe(string, func(scheduler.Result, scheduler.Load)) gateway.Sent    { return nil }
-func (n *nowhere) Subscribe()                                                           {}
-func (n *nowhere) Recall()                                                              { n.recalled <- struct{}{} }
+func (n *nowhere) Probe(string, func(scheduler.Result, scheduler.LoadReport)) gateway.Sent {
+	return nil
+}
+func (n *nowhere) Subscribe() {}
+func (n *nowhere) Recall()    { n.recalled <- struct{}{} }
 
 // nowhereAt starts an owner whose workers are nowhere, with one worker listed.
 func nowhereAt(t *testing.T, orders bool) *nowhere {
@@ -39,9 +41,9 @@
 }
 
 func front(orders bool) core.Settings {
-	return core.Settings{Seed: 1, FrontEnds: 1, Quantum: time.Millisecond, MaxAttempts: 1,
-		Loading: core.Loading{Requests: orders, OnMiss: true, Keep: time.Minute, Limit: time.Second},
-		Types:   []scheduler.RequestType{{Name: "call", Objective: 100 * time.Millisecond}}}
+	return core.Settings{Seed: 1, Gateways: 1, MinTickInterval: time.Millisecond, MaxAttempts: 1,
+		LoadPolicy: core.LoadPolicy{RequestLoads: orders, LoadOnMiss: true, ReplicaIdleTimeout: time.Minute, RequestTimeout: time.Second},
+		Types:      []scheduler.RequestType{{Name: "call", Objective: 100 * time.Millisecond}}}
 }
 
 func run(t *testing.T, o *gateway.Owner) {
@@ -63,7 +65,7 @@
 
 func (r *ready) Send(e *gateway.Request, _ int, _ string, _ *gateway.Departure, done func(scheduler.Outcome, []byte)) gateway.Sent {
 	r.launched <- struct{}{}
-	done(scheduler.Outcome{Result: scheduler.Completed, Warmth: scheduler.FoundWarm}, nil)
+	done(scheduler.Outcome{Result: scheduler.Completed, ReplicaState: scheduler.ReplicaWarm}, nil)
 	return nil
 }
 
--- a/internal/gateway/platform/config.go
+++ b/internal/gateway/platform/config.go
@@ -88,7 +88,7 @@
 	}
 	c.Settings = settings.Flat(file.Settings)
 	c.Front = c.Settings.Front(seed)
-	c.Front.Deadlines = true
+	c.Front.EnforceDeadlines = true
 	if len(c.Front.Types) == 0 {
 		return Config{}, fmt.Errorf("settings: request_classes: there is none")
 	}
--- a/internal/gateway/platform/engine.go
+++ b/internal/gateway/platform/engine.go
@@ -43,7 +43,7 @@
 	if c.Settings["report.source"] != "off" {
 		e.workers.report = "pending"
 	}
-	e.Owner = gateway.NewOwner(gateway.OwnerOptions{Core: c.Front, Workers: e.workers, Record: record, LoadTimeout: c.Front.Loading.Limit,
+	e.Owner = gateway.NewOwner(gateway.OwnerOptions{Core: c.Front, Workers: e.workers, Record: record, LoadTimeout: c.Front.LoadPolicy.RequestTimeout,
 		ProbeLimit: dial, Monitor: e.monitor, Log: e.log})
 	e.births = e.NewBirths()
 	grace := c.Settings.Time("rules.stop_sending_within", 500*time.Millisecond)
@@ -107,7 +107,7 @@
 		named[w.Name] = true
 		l := scheduler.Member{Worker: w.Name, Zone: w.Zone, Kind: w.Kind, Cell: strconv.Itoa(w.Cell)}
 		if e.config.Settings.Sized() {
-			l.Size = w.Size
+			l.Weight = w.Size
 		}
 		born := time.Time{}
 		if w.Born > 0 {
--- a/internal/gateway/platform/metrics.go
+++ b/internal/gateway/platform/metrics.go
@@ -68,7 +68,7 @@
 		"given_up", givenUp, "withheld_left", more.WithheldLeft.Load(), "withheld_late", more.WithheldLate.Load(),
 		"withheld_stalled", more.WithheldOld.Load(), "read_after_stall", more.Stalled.Load(), "load_requests", s.LoadRequests, "probes", s.Probes,
 		"late_answers", s.LateAnswers, "closed", closed, "open", s.Open, "connections", s.Connections, "to_workers", s.ToWorkers,
-		"stray_answers", s.Stray, "workers", s.Fleet.Workers, "ejected", s.Fleet.Ejected, "with_room", s.Fleet.WithRoom,
+		"stray_answers", s.Stray, "workers", s.Fleet.Workers, "ejected", s.Fleet.Ejected, "with_room", s.Fleet.WithCapacity,
 		"in_flight", s.Fleet.InFlight, "overloaded", s.Fleet.Overloaded, "list_position", s.Position, "log_lines_dropped", s.LogLinesDropped)
 }
 
@@ -125,7 +125,7 @@
 	gauge("connections_to_workers", "Connections to workers.", s.ToWorkers)
 	gauge("workers", "Workers that may get something new, by the list.", int64(s.Fleet.Workers))
 	gauge("workers_ejected", "Of these, ejected or half-open.", int64(s.Fleet.Ejected))
-	gauge("workers_with_room", "Of these, with room for an attempt.", int64(s.Fleet.WithRoom))
+	gauge("workers_with_room", "Of these, with room for an attempt.", int64(s.Fleet.WithCapacity))
 	gauge("attempts_in_flight", "Attempts without an outcome.", int64(s.Fleet.InFlight))
 	overloaded := int64(0)
 	if s.Fleet.Overloaded {
--- a/internal/gateway/platform/workers.go
+++ b/internal/gateway/platform/workers.go
@@ -147,7 +147,7 @@
 func (w *workers) Send(e *gateway.Request, _ int, worker string, departure *gateway.Departure, done func(scheduler.Outcome, []byte)) gateway.Sent {
 	b := w.find(worker)
 	if b == nil {
-		done(scheduler.Outcome{Result: scheduler.Unreached}, nil)
+		done(scheduler.Outcome{Result: scheduler.Unreachable}, nil)
 		return nil
 	}
 	id := e.Fact.ID
@@ -187,42 +187,42 @@
 func (w *workers) outcome(a resp.Answer) (o scheduler.Outcome, body []byte) {
 	switch a.Fate {
 	case resp.Unsent:
-		return scheduler.Outcome{Result: scheduler.Unreached}, nil
+		return scheduler.Outcome{Result: scheduler.Unreachable}, nil
 	case resp.Withheld:
-		return scheduler.Outcome{Result: scheduler.TooLate}, nil
+		return scheduler.Outcome{Result: scheduler.Withheld}, nil
 	case resp.Broken:
-		return scheduler.Outcome{Result: scheduler.Broken}, nil
+		return scheduler.Outcome{Result: scheduler.ConnectionLost}, nil
 	case resp.GivenUp:
 		return scheduler.Outcome{Result: scheduler.Cancelled}, nil
 	}
 	if len(a.Words) != 3 { // the request has run, and what came of it can't be told
-		return scheduler.Outcome{Result: scheduler.Broken}, nil
+		return scheduler.Outcome{Result: scheduler.ConnectionLost}, nil
 	}
 	fields := resp.Pairs(string(a.Words[1]))
-	o.Load = w.load(fields["stats"])
+	o.Report = w.load(fields["stats"])
 	switch fields["how"] {
 	case "ready":
-		o.Warmth = scheduler.FoundWarm
+		o.ReplicaState = scheduler.ReplicaWarm
 	case "loaded":
-		o.Warmth = scheduler.BeganLoad
+		o.ReplicaState = scheduler.ReplicaLoadStarted
 	case "queued":
-		o.Warmth = scheduler.AwaitedLoad
+		o.ReplicaState = scheduler.ReplicaLoadJoined
 	case "no_image":
-		o.Warmth = scheduler.LoadFailed
+		o.ReplicaState = scheduler.ReplicaLoadFailed
 	}
 	switch string(a.Words[0]) {
 	case "ok":
 		o.Result, body = scheduler.Completed, bytes.Clone(a.Words[2])
 	case "nothing":
-		o.Result = scheduler.Missing
+		o.Result = scheduler.NotFound
 	case "refused":
 		o.Result = scheduler.Full
 	case "stale":
-		o.Result = scheduler.TooLate
+		o.Result = scheduler.Withheld
 	case "error":
 		o.Result = scheduler.Failed
 	default:
-		o.Result = scheduler.Broken
+		o.Result = scheduler.ConnectionLost
 	}
 	return o, body
 }
@@ -231,7 +231,7 @@
 func (w *workers) Load(o scheduler.LoadRequest, done func(copies int, r scheduler.Result)) gateway.Sent {
 	b := w.find(o.Worker)
 	if b == nil {
-		done(o.Replicas, scheduler.Unreached)
+		done(o.Replicas, scheduler.Unreachable)
 		return nil
 	}
 	tag := w.tag()
@@ -239,14 +239,14 @@
 	return sent{b.Call(tag, resp.Fixed(frame), false, func(a resp.Answer) {
 		switch {
 		case a.Fate == resp.Unsent:
-			done(o.Replicas, scheduler.Unreached)
+			done(o.Replicas, scheduler.Unreachable)
 			return
 		case a.Fate != resp.Answered || len(a.Words) < 2:
-			done(o.Replicas, scheduler.Broken)
+			done(o.Replicas, scheduler.ConnectionLost)
 			return
 		}
 		copies, err := strconv.Atoi(resp.Pairs(string(a.Words[1]))["n"])
-		result := scheduler.Broken
+		result := scheduler.ConnectionLost
 		switch string(a.Words[0]) {
 		case "ok":
 			result = scheduler.Completed
@@ -263,29 +263,29 @@
 }
 
 // Probe asks a worker for a report.
-func (w *workers) Probe(worker string, done func(scheduler.Result, scheduler.Load)) gateway.Sent {
+func (w *workers) Probe(worker string, done func(scheduler.Result, scheduler.LoadReport)) gateway.Sent {
 	b := w.find(worker)
 	if b == nil {
-		done(scheduler.Unreached, scheduler.Load{})
+		done(scheduler.Unreachable, scheduler.LoadReport{})
 		return nil
 	}
 	tag := w.tag()
 	return sent{b.Call(tag, resp.Fixed(resp.Append(nil, "TOP", tag)), false, func(a resp.Answer) {
 		switch {
 		case a.Fate == resp.Unsent:
-			done(scheduler.Unreached, scheduler.Load{})
+			done(scheduler.Unreachable, scheduler.LoadReport{})
 		case a.Fate != resp.Answered || len(a.Words) < 1:
-			done(scheduler.Broken, scheduler.Load{})
+			done(scheduler.ConnectionLost, scheduler.LoadReport{})
 		case string(a.Words[0]) == "yes":
-			load := scheduler.Load{}
+			load := scheduler.LoadReport{}
 			if len(a.Words) > 1 {
 				load = w.load(resp.Pairs(string(a.Words[1]))["stats"])
 			}
 			done(scheduler.Completed, load)
 		case string(a.Words[0]) == "no":
-			done(scheduler.Full, scheduler.Load{})
+			done(scheduler.Full, scheduler.LoadReport{})
 		default:
-			done(scheduler.Failed, scheduler.Load{})
+			done(scheduler.Failed, scheduler.LoadReport{})
 		}
 	}), nil}
 }
@@ -300,9 +300,9 @@
 }
 
 // load reads a load report.
-func (w *workers) load(text string) scheduler.Load {
+func (w *workers) load(text string) scheduler.LoadReport {
 	if text == "" || w.report == "" {
-		return scheduler.Load{}
+		return scheduler.LoadReport{}
 	}
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, _ := strings.Cut(part, ":")
@@ -310,7 +310,7 @@
 			continue
 		}
 		n, err := strconv.ParseFloat(value, 64)
-		return scheduler.Load{Reported: err == nil, QueueDepth: n}
+		return scheduler.LoadReport{Reported: err == nil, QueueDepth: n}
 	}
-	return scheduler.Load{}
+	return scheduler.LoadReport{}
 }
--- a/internal/gateway/replay/compat_test.go
+++ b/internal/gateway/replay/compat_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	verbs, ops := map[string]int{}, map[core.Op]int{}
-	told, err := replay.Replay(bytes.NewReader(stored), func(fact *core.Entry, action *replay.Action) {
+	told, err := replay.Replay(bytes.NewReader(stored), func(fact *core.Input, action *replay.Action) {
 		if fact != nil {
 			ops[fact.Op]++
 		}
@@ -30,8 +30,8 @@
 			verbs[action.Verb]++
 		}
 	})
-	if err != nil || told.Torn || told.Facts != 346 || told.Actions != 133 {
-		t.Errorf("got %d facts, %d actions, torn %v, error %v; want 346, 133, false, none", told.Facts, told.Actions, told.Torn, err)
+	if err != nil || told.Truncated || told.Inputs != 346 || told.Actions != 133 {
+		t.Errorf("got %d facts, %d actions, torn %v, error %v; want 346, 133, false, none", told.Inputs, told.Actions, told.Truncated, err)
 	}
 	if want := map[string]int{"ask": 2, "dead-letter": 5, "defer": 5, "ended": 30, "handle": 18, "launch": 40, "order": 15, "wake": 18}; !maps.Equal(verbs, want) {
 		t.Errorf("actions: got %v, want %v", verbs, want)
@@ -68,8 +68,8 @@
 			}
 			changed = append(changed, raw...)
 		}
-		if _, err := replay.Replay(bytes.NewReader(changed), nil); !errors.Is(err, replay.ErrDiffers) {
-			t.Errorf("item %d %s: got error %v, want %v", i, what, err, replay.ErrDiffers)
+		if _, err := replay.Replay(bytes.NewReader(changed), nil); !errors.Is(err, replay.ErrDivergence) {
+			t.Errorf("item %d %s: got error %v, want %v", i, what, err, replay.ErrDivergence)
 		}
 	}
 	actions := 0
--- a/internal/gateway/replay/replay_test.go
+++ b/internal/gateway/replay/replay_test.go
@@ -14,7 +14,7 @@
 )
 
 // Recordings keep their form whatever the fields are called in the program: one made by an earlier version is read.
-func TestRecordingKeepsItsForm(t *testing.T) {
+func TestRecordedFieldNames(t *testing.T) {
 	request := &scheduler.Request{ID: "r", TimeLeft: time.Second, Concurrency: 2, Memory: 3, LoadTime: 4, Retry: true, Type: "t", Tenant: "n", Function: 5}
 	for _, form := range []struct {
 		value any
@@ -22,7 +22,7 @@
 	}{
 		{request, []string{"Function", "ID", "Lanes", "LoadTime", "Memory", "Patience", "Repeat", "Tenant", "Type"}},
 		{scheduler.RequestType{}, []string{"Effect", "Group", "Name", "Target", "Window"}},
-		{scheduler.Load{}, []string{"Told", "Waiting"}},
+		{scheduler.LoadReport{}, []string{"Told", "Waiting"}},
 		{scheduler.Outcome{}, []string{"Final", "Load", "Result", "Took", "Warmth", "Worker"}},
 		{scheduler.Member{}, []string{"Cell", "Condition", "Kind", "Size", "Started", "Worker", "Zone"}},
 		{scheduler.LoadRequest{}, []string{"Copies", "Function", "Worker"}},
@@ -39,7 +39,7 @@
 			t.Errorf("%T is recorded as %v, want %v", form.value, names, form.names)
 		}
 	}
-	for value, want := range map[any]int{core.OpListed: 1, core.OpEndBy: 10, scheduler.Completed: 0, scheduler.Missing: 8, core.Completed: 0,
+	for value, want := range map[any]int{core.OpUpdateMembership: 1, core.OpShutdownBy: 10, scheduler.Completed: 0, scheduler.NotFound: 8, core.Completed: 0,
 		core.Abandoned: 3} {
 		b, err := cbor.Marshal(value)
 		var got int
@@ -47,7 +47,7 @@
 			t.Errorf("%T is recorded as %d, want %d", value, got, want)
 		}
 	}
-	numbered, err := cbor.Marshal(replay.Action{Verb: "launch", ID: "r", Launch: 2})
+	numbered, err := cbor.Marshal(replay.Action{Verb: "launch", ID: "r", Attempt: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/settings/front.go
+++ b/internal/gateway/settings/front.go
@@ -10,13 +10,13 @@
 
 // Front is what a core is started with.
 func (p Paths) Front(seed uint64) core.Settings {
-	f := core.Settings{Seed: seed, Self: int(p.Number("index", 0)), FrontEnds: int(p.Number("instances", 1)),
-		Quantum: p.Time("quantum", 0)}
+	f := core.Settings{Seed: seed, Index: int(p.Number("index", 0)), Gateways: int(p.Number("instances", 1)),
+		MinTickInterval: p.Time("quantum", 0)}
 	for i := range int(p.Number("request_classes.count", 0)) {
 		at := "request_classes." + strconv.Itoa(i) + "."
 		age := p.Time(at+"give_up", 0)
 		f.Types = append(f.Types, scheduler.RequestType{Name: p[at+"name"], Effect: effect(p[at+"effect"]),
-			Group: group(p[at+"dedup_scope"]), Window: p.Time(at+"window", 0),
+			DedupScope: group(p[at+"dedup_scope"]), DedupWindow: p.Time(at+"window", 0),
 			Objective: p.Time(at+"aim", age)})
 	}
 	for i := range int(p.Number("orgs.count", 0)) {
@@ -29,22 +29,22 @@
 	kinds, memory := strings.Split(p["kinds"], ","), strings.Split(p["family_info.machine_mb"], ",")
 	for i := range min(len(kinds), len(memory)) {
 		mb, _ := strconv.ParseFloat(memory[i], 64) // what is no number is not believed
-		f.Kinds = append(f.Kinds, core.Kind{Name: kinds[i], Memory: mb})
+		f.WorkerKinds = append(f.WorkerKinds, core.WorkerKind{Name: kinds[i], Memory: mb})
 	}
 	if p.Flag("policy_limits.retry_after", false) {
 		f.MaxRetryAfter = p.Time("policy_limits.max_retry_after", 0)
 	}
 	f.MaxAttempts = int(p.Number("policy_limits.send_cap", 1))
 	f.Cancel, f.Probe = p.Flag("policy_limits.cancel", false), p.Flag("policy_limits.probing", false)
-	f.Loading = core.Loading{Requests: p.Flag("family_info.orders", false),
-		OnMiss: p["family_info.miss_mode"] != "miss", Keep: p.Time("family_info.keep", 0),
-		Limit: p.Time("family_info.order_limit", 0), Within: p.Time("family_info.loads_within", 0),
-		Free: p.Number("family_info.loads_anyway", 0), Share: p.Number("family_info.load_part", 0)}
-	f.SlowStart = core.SlowStart{From: p.Number("rules.cold_from", 0),
-		WarmAfter: p.Time("rules.warm_after", 0), Multiple: p.Number("rules.fall_multiple", 0),
-		Fall: p.Time("rules.fall", 0)}
+	f.LoadPolicy = core.LoadPolicy{RequestLoads: p.Flag("family_info.orders", false),
+		LoadOnMiss: p["family_info.miss_mode"] != "miss", ReplicaIdleTimeout: p.Time("family_info.keep", 0),
+		RequestTimeout: p.Time("family_info.order_limit", 0), RateWindow: p.Time("family_info.loads_within", 0),
+		RateBurst: p.Number("family_info.loads_anyway", 0), RatePerRequest: p.Number("family_info.load_part", 0)}
+	f.SlowStart = core.SlowStart{InitialShare: p.Number("rules.cold_from", 0),
+		WarmUpTime: p.Time("rules.warm_after", 0), CrashMultiple: p.Number("rules.fall_multiple", 0),
+		CrashWindow: p.Time("rules.fall", 0)}
 	if p["registry_mode"] == "ask" {
-		f.SubscribeWithin = max(p.Time("rules.must_ask_in", 0), 1)
+		f.SubscribeInterval = max(p.Time("rules.must_ask_in", 0), 1)
 	}
 	return f
 }
@@ -62,12 +62,12 @@
 	return scheduler.AtMostOnce
 }
 
-func group(word string) scheduler.Group {
+func group(word string) scheduler.DedupScope {
 	switch word {
 	case "all":
-		return scheduler.GroupAll
+		return scheduler.ScopeAll
 	case "zone":
-		return scheduler.GroupZone
+		return scheduler.ScopeZone
 	}
-	return scheduler.GroupCell
+	return scheduler.ScopeCell
 }
--- a/internal/gateway/settings/settings_test.go
+++ b/internal/gateway/settings/settings_test.go
@@ -24,10 +24,10 @@
 	}
 	p := settings.Flat(object)
 	f := p.Front(9)
-	if f.Seed != 9 || f.Self != 1 || f.FrontEnds != 3 || f.Quantum != time.Millisecond || f.MaxAttempts != 6 || !p.Sized() {
+	if f.Seed != 9 || f.Index != 1 || f.Gateways != 3 || f.MinTickInterval != time.Millisecond || f.MaxAttempts != 6 || !p.Sized() {
 		t.Errorf("%+v", f)
 	}
-	if len(f.Kinds) != 2 || f.Kinds[1].Name != "std" || f.Kinds[1].Memory != 187136.5 || f.Loading.Keep != 4750*time.Millisecond {
+	if len(f.WorkerKinds) != 2 || f.WorkerKinds[1].Name != "std" || f.WorkerKinds[1].Memory != 187136.5 || f.LoadPolicy.ReplicaIdleTimeout != 4750*time.Millisecond {
 		t.Errorf("%+v", f)
 	}
 	if len(f.Types) != 2 || f.Types[0].Effect != scheduler.Idempotent || f.Types[0].Objective != 1470*time.Millisecond ||
--- a/internal/gateway/shape_test.go
+++ b/internal/gateway/shape_test.go
@@ -41,11 +41,11 @@
 	facts := entries(t, &r.record)
 	listed, came := false, false
 	for _, e := range facts {
-		for _, l := range e.News {
-			listed = listed || l.Kind == "box" && l.Size == 4
+		for _, l := range e.Members {
+			listed = listed || l.Kind == "box" && l.Weight == 4
 		}
-		came = came || e.Op == core.OpCame && e.Event.Memory == float64(128<<20)
-		if e.Outcome.Load.Reported {
+		came = came || e.Op == core.OpSubmit && e.Request.Memory == float64(128<<20)
+		if e.Outcome.Report.Reported {
 			t.Errorf("a report was told: %+v", e)
 		}
 	}
@@ -62,12 +62,12 @@
 	<-r.done
 	told := false
 	for _, e := range entries(t, &r.record) {
-		for _, l := range e.News {
-			if l.Size != 0 {
+		for _, l := range e.Members {
+			if l.Weight != 0 {
 				t.Errorf("a size was told: %+v", l)
 			}
 		}
-		told = told || e.Outcome.Load.Reported
+		told = told || e.Outcome.Report.Reported
 	}
 	if !told {
 		t.Error("no report")
@@ -75,9 +75,9 @@
 }
 
 // entries are the facts of a recording, which a replay repeats to the last action.
-func entries(t *testing.T, record *bytes.Buffer) (facts []core.Entry) {
+func entries(t *testing.T, record *bytes.Buffer) (facts []core.Input) {
 	t.Helper()
-	_, err := replay.Replay(bytes.NewReader(record.Bytes()), func(e *core.Entry, _ *replay.Action) {
+	_, err := replay.Replay(bytes.NewReader(record.Bytes()), func(e *core.Input, _ *replay.Action) {
 		if e != nil {
 			facts = append(facts, *e)
 		}
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -11,12 +11,12 @@
 
 // Stats are an owner's numbers that may be read at any time.
 type Stats struct {
-	Retries      atomic.Int64                    // attempts of requests that had one before
-	Stalled      atomic.Int64                    // requests that were read right after the process had not run
-	WithheldLeft atomic.Int64                    // attempts that did not leave as their client had left
-	WithheldLate atomic.Int64                    // or had no time left
-	WithheldOld  atomic.Int64                    // or the process had not run since the decision
-	GivenUp      [scheduler.Reasons]atomic.Int64 // requests answered without being served, by reason
+	Retries      atomic.Int64                        // attempts of requests that had one before
+	Stalled      atomic.Int64                        // requests that were read right after the process had not run
+	WithheldLeft atomic.Int64                        // attempts that did not leave as their client had left
+	WithheldLate atomic.Int64                        // or had no time left
+	WithheldOld  atomic.Int64                        // or the process had not run since the decision
+	GivenUp      [scheduler.ReasonCount]atomic.Int64 // requests answered without being served, by reason
 }
 
 // Stats gives the owner's numbers.
--- a/internal/simadapter/simprotocol/read.go
+++ b/internal/simadapter/simprotocol/read.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// Ended complains that the input ended too early.
-func (r *Reader) Ended(expected string) error {
+// UnexpectedEnd complains that the input ended too early.
+func (r *Reader) UnexpectedEnd(expected string) error {
 	return fmt.Errorf("line %d: input ended, expected %s", r.line+1, expected)
 }
 
@@ -62,35 +62,35 @@
 	err    error
 }
 
-// Complain records that something else was expected.
-func (l *Line) Complain(expected string) {
+// Expected records that something else was expected.
+func (l *Line) Expected(expected string) {
 	if l.err == nil {
 		l.err = fmt.Errorf("line %d: expected %s", l.number, expected)
 	}
 }
 
-// Done returns the first complaint, or one about values left over.
-func (l *Line) Done() error {
+// Finish returns the first complaint, or one about values left over.
+func (l *Line) Finish() error {
 	if l.taken < len(l.parts) {
-		l.Complain(fmt.Sprintf("%d values after %s, got %d", l.taken-1, l.parts[0], len(l.parts)-1))
+		l.Expected(fmt.Sprintf("%d values after %s, got %d", l.taken-1, l.parts[0], len(l.parts)-1))
 	}
 	return l.err
 }
 
-// Word takes a value that must be there.
-func (l *Line) Word(name string) string {
+// Text takes a value that must be there.
+func (l *Line) Text(name string) string {
 	if l.taken >= len(l.parts) || l.parts[l.taken] == "" {
 		l.taken++
-		l.Complain(name)
+		l.Expected(name)
 		return ""
 	}
 	l.taken++
 	return l.parts[l.taken-1]
 }
 
-// Maybe takes a value that may be absent; an absent one is empty.
-func (l *Line) Maybe(name string) string {
-	if w := l.Word(name); w != "-" {
+// OptionalText takes a value that may be absent; an absent one is empty.
+func (l *Line) OptionalText(name string) string {
+	if w := l.Text(name); w != "-" {
 		return w
 	}
 	return ""
@@ -103,50 +103,50 @@
 	return rest
 }
 
-// Whole takes a whole number; an absent one is 0 where that is allowed.
-func (l *Line) Whole(name string, absent bool) uint64 {
-	w := l.Word(name)
+// Uint takes a whole number; an absent one is 0 where that is allowed.
+func (l *Line) Uint(name string, absent bool) uint64 {
+	w := l.Text(name)
 	if w == "-" && absent {
 		return 0
 	}
 	n, err := strconv.ParseUint(w, 10, 64)
 	if err != nil {
-		l.Complain(name + " as a whole number, got " + strconv.Quote(w))
+		l.Expected(name + " as a whole number, got " + strconv.Quote(w))
 	}
 	return n
 }
 
-// Number takes a number of at least 0; an absent one is 0 where that is allowed.
-func (l *Line) Number(name string, absent bool) float64 {
-	w := l.Word(name)
+// Float takes a number of at least 0; an absent one is 0 where that is allowed.
+func (l *Line) Float(name string, absent bool) float64 {
+	w := l.Text(name)
 	if w == "-" && absent {
 		return 0
 	}
 	n, err := strconv.ParseFloat(w, 64)
 	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) || n < 0 {
-		l.Complain(name + " as a number, got " + strconv.Quote(w))
+		l.Expected(name + " as a number, got " + strconv.Quote(w))
 		return 0
 	}
 	return n
 }
 
-// Time takes a time in seconds.
-func (l *Line) Time(name string, absent bool) time.Duration {
-	return settings.Seconds(l.Number(name, absent))
+// Duration takes a time in seconds.
+func (l *Line) Duration(name string, absent bool) time.Duration {
+	return settings.Seconds(l.Float(name, absent))
 }
 
-// Flag takes a truth value.
-func (l *Line) Flag(name string) bool {
-	w := l.Word(name)
+// Bool takes a truth value.
+func (l *Line) Bool(name string) bool {
+	w := l.Text(name)
 	if w != "0" && w != "1" {
-		l.Complain(name + " as 0 or 1, got " + strconv.Quote(w))
+		l.Expected(name + " as 0 or 1, got " + strconv.Quote(w))
 	}
 	return w == "1"
 }
 
 // Pairs takes one value of name:value pairs set apart by commas; an absent one has none.
 func (l *Line) Pairs(name string) map[string]float64 {
-	w := l.Maybe(name)
+	w := l.OptionalText(name)
 	if w == "" {
 		return nil
 	}
@@ -155,7 +155,7 @@
 		key, value, found := strings.Cut(part, ":")
 		n, err := strconv.ParseFloat(value, 64)
 		if !found || err != nil {
-			l.Complain(name + " as name:number pairs, got " + strconv.Quote(part))
+			l.Expected(name + " as name:number pairs, got " + strconv.Quote(part))
 			return nil
 		}
 		pairs[key] = n
@@ -172,7 +172,7 @@
 			continue
 		}
 		if !found {
-			l.Complain(name + " as path=value pairs, got " + strconv.Quote(part))
+			l.Expected(name + " as path=value pairs, got " + strconv.Quote(part))
 		}
 		paths[key] = value
 	}
--- a/internal/testbed/costmodel/core.go
+++ b/internal/testbed/costmodel/core.go
@@ -74,7 +74,7 @@
 	f.spent = 0
 	for range rareTicks {
 		f.now += 10 * time.Millisecond
-		f.timed(func() { f.core.Settle(f.now) })
+		f.timed(func() { f.core.ProcessDue(f.now) })
 	}
 	return micros(f.spent) / rareTicks
 }
@@ -114,7 +114,7 @@
 			TimeLeft: maxAge, Concurrency: 2, Memory: 1000, LoadTime: loadTime}
 		f.timed(func() {
 			if err := f.core.Submit(f.now, e); err == nil {
-				f.core.Settle(f.now)
+				f.core.ProcessDue(f.now)
 			}
 		})
 	}
--- a/internal/testbed/costmodel/fleet.go
+++ b/internal/testbed/costmodel/fleet.go
@@ -36,19 +36,19 @@
 
 // settings is what the measured front end is started with.
 func (l Load) settings() core.Settings {
-	return core.Settings{Seed: l.Seed, FrontEnds: l.FrontEnds, Quantum: 2 * time.Millisecond, MaxAttempts: 6, Cancel: true, Probe: true,
-		MaxRetryAfter: 2 * time.Second, Deadlines: true,
-		Types:   []scheduler.RequestType{{Name: "call", Objective: target}},
-		Tenants: []core.Tenant{{Name: "tenant", Quota: 2 * l.Rate * float64(l.FrontEnds)}},
-		Loading: core.Loading{Requests: true, OnMiss: true, Keep: keepLoaded, Limit: 4 * time.Second},
-		SlowStart: core.SlowStart{From: 0.3, WarmAfter: 12 * time.Second, Multiple: 2.5,
-			Fall: time.Second}}
+	return core.Settings{Seed: l.Seed, Gateways: l.FrontEnds, MinTickInterval: 2 * time.Millisecond, MaxAttempts: 6, Cancel: true, Probe: true,
+		MaxRetryAfter: 2 * time.Second, EnforceDeadlines: true,
+		Types:      []scheduler.RequestType{{Name: "call", Objective: target}},
+		Tenants:    []core.Tenant{{Name: "tenant", Quota: 2 * l.Rate * float64(l.FrontEnds)}},
+		LoadPolicy: core.LoadPolicy{RequestLoads: true, LoadOnMiss: true, ReplicaIdleTimeout: keepLoaded, RequestTimeout: 4 * time.Second},
+		SlowStart: core.SlowStart{InitialShare: 0.3, WarmUpTime: 12 * time.Second, CrashMultiple: 2.5,
+			CrashWindow: time.Second}}
 }
 
 // listing is one line of the list of workers.
 func listing(number int) scheduler.Member {
 	return scheduler.Member{Worker: fmt.Sprintf("s-%08x", number*2654435761), Zone: fmt.Sprint("zone", number%zones),
-		Cell: fmt.Sprint(number / 8), Kind: []string{"fast", "std"}[number%2], Size: float64(4 + number%2)}
+		Cell: fmt.Sprint(number / 8), Kind: []string{"fast", "std"}[number%2], Weight: float64(4 + number%2)}
 }
 
 func list(workers int) []scheduler.Member {
@@ -143,7 +143,7 @@
 	f.now = d.at
 	f.timed(func() {
 		d.happen(f.now)
-		f.core.Settle(f.now)
+		f.core.ProcessDue(f.now)
 	})
 }
 
@@ -160,20 +160,20 @@
 	f.counts.Attempts++
 	at := placed{worker, e.Function}
 	took := time.Duration((0.5 + f.random.ExpFloat64()/2) * float64(answerTime))
-	warmth := scheduler.FoundWarm
+	warmth := scheduler.ReplicaWarm
 	if f.loaded[at] < f.now {
 		f.counts.Cold++
-		warmth, took = scheduler.BeganLoad, took+loadTime
+		warmth, took = scheduler.ReplicaLoadStarted, took+loadTime
 	}
 	f.loaded[at] = f.now + took + keepLoaded
 	f.after(took, func(now time.Duration) {
-		f.core.Outcome(now, e.ID, launch, scheduler.Outcome{Worker: worker, Took: took, Result: scheduler.Completed, Warmth: warmth,
-			Load: scheduler.Load{Reported: true}})
+		f.core.CompleteAttempt(now, e.ID, launch, scheduler.Outcome{Worker: worker, Duration: took, Result: scheduler.Completed, ReplicaState: warmth,
+			Report: scheduler.LoadReport{Reported: true}})
 	})
 }
 
-// Load has a worker load a replica.
-func (f *fleet) Load(o scheduler.LoadRequest) {
+// RequestLoad has a worker load a replica.
+func (f *fleet) RequestLoad(o scheduler.LoadRequest) {
 	f.counts.Orders++
 	at, took := placed{o.Worker, o.Function}, roundTrip
 	if f.loaded[at] < f.now {
@@ -181,19 +181,19 @@
 		took = loadTime
 	}
 	f.loaded[at] = f.now + took + keepLoaded
-	f.after(took, func(now time.Duration) { f.core.Loaded(now, o, scheduler.Completed, took) })
+	f.after(took, func(now time.Duration) { f.core.LoadCompleted(now, o, scheduler.Completed, took) })
 }
 
 // Probe has a worker answer a probe.
 func (f *fleet) Probe(worker string) {
 	f.counts.Probes++
 	f.after(roundTrip, func(now time.Duration) {
-		f.core.Probed(now, worker, scheduler.Completed, scheduler.Load{Reported: true}, roundTrip)
+		f.core.ProbeCompleted(now, worker, scheduler.Completed, scheduler.LoadReport{Reported: true}, roundTrip)
 	})
 }
 
-// Wake has a timer come.
-func (f *fleet) Wake(after time.Duration) { f.after(after, f.core.Woke) }
+// SetTimer has a timer come.
+func (f *fleet) SetTimer(after time.Duration) { f.after(after, f.core.TimerFired) }
 
 // Complete counts an answer.
 func (f *fleet) Complete(*scheduler.Request, int) { f.counts.Served++ }
@@ -210,5 +210,5 @@
 // Subscribe does nothing: the list comes unasked.
 func (f *fleet) Subscribe() {}
 
-// Ended does nothing.
-func (f *fleet) Ended(*scheduler.Request, int, core.Ending) {}
+// Closed does nothing.
+func (f *fleet) Closed(*scheduler.Request, int, core.CloseReason) {}
--- a/internal/testbed/emulator/worker.go
+++ b/internal/testbed/emulator/worker.go
@@ -249,7 +249,7 @@
 	f, known := w.functions[launch.Function]
 	t := w.troubles
 	// what came is work, whether it is taken or not; a cold worker that gets too much falls over
-	work := time.Duration(float64(f.Work) * -math.Log(1-float64(w.chance.Below(9500))/10000))
+	work := time.Duration(float64(f.Work) * -math.Log(1-float64(w.chance.IntN(9500))/10000))
 	if w.pushed(work) {
 		return nil
 	}
--- a/internal/testbed/scale/fronts.go
+++ b/internal/testbed/scale/fronts.go
@@ -105,7 +105,7 @@
 		c.Known = discovery.News{}
 	}
 	c.Name = fmt.Sprintf("h%d", f.number)
-	c.Front.Self, c.Front.Seed = f.number, f.random.Uint64()
+	c.Front.Index, c.Front.Seed = f.number, f.random.Uint64()
 	f.front = platform.NewHollow(c, slog.New(slog.DiscardHandler), f.inForce)
 	ctx, stop := context.WithCancel(f.pool.ctx)
 	f.stop = stop
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	defer in.Close()
-	if told, err := replay.Replay(in, nil); err != nil || told.Facts == 0 || told.Torn {
+	if told, err := replay.Replay(in, nil); err != nil || told.Inputs == 0 || told.Truncated {
 		t.Errorf("replay of %s: %+v, %v", filepath.Base(name), told, err)
 	}
 }
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -18,9 +18,9 @@
 	for _, peers := range []int{1, 4, 20, 30, 100, 300} {
 		for seed := range uint64(3) {
 			chance := rand.New(rand.NewPCG(seed, uint64(peers)))
-			fronts, weight, all := make([]*bench, peers), make([]float64, peers), 0.0
+			fronts, weight, all := make([]*harness, peers), make([]float64, peers), 0.0
 			for i := range fronts {
-				fronts[i] = fleet(i, peers, 2)
+				fronts[i] = newFleet(i, peers, 2)
 				weight[i] = 1
 				if i%7 == 3 {
 					weight[i] = 5
@@ -28,18 +28,18 @@
 				all += weight[i]
 			}
 			type running struct {
-				b    *bench
+				b    *harness
 				e    *scheduler.Request
 				ends time.Duration
 			}
 			var out []running
 			var sent []time.Duration // to the cold worker, by those that were told of its start
-			told := map[*bench]bool{}
+			told := map[*harness]bool{}
 			served := 0
 			start := time.Hour + warmUp
-			act := func(b *bench, answers []scheduler.Decision) {
+			act := func(b *harness, answers []scheduler.Decision) {
 				for _, a := range answers {
-					if a.Verb != scheduler.Send {
+					if a.Action != scheduler.Send {
 						continue
 					}
 					if out = append(out, running{b, a.Request, b.now + 100*ms}); told[b] && a.Worker == "w0" {
@@ -57,7 +57,7 @@
 					if served++; now >= start {
 						served--
 					}
-					act(r.b, []scheduler.Decision{r.b.Complete(now, r.e, scheduler.Outcome{Result: scheduler.Completed, Took: 100 * ms, Final: true})})
+					act(r.b, []scheduler.Decision{r.b.Complete(now, r.e, scheduler.Outcome{Result: scheduler.Completed, Duration: 100 * ms, Final: true})})
 				}
 				out = left
 				for i, b := range fronts {
@@ -73,7 +73,7 @@
 					}
 					st := b.Tick(now)
 					act(b, st.Decisions)
-					b.loaded(st)
+					b.completeLoads(st)
 				}
 			}
 			mean := float64(served) / warmUp.Seconds() / 2 // of a worker, in a second
--- a/scheduler/growth_test.go
+++ b/scheduler/growth_test.go
@@ -9,7 +9,7 @@
 func Example_forgotten() {
 	c := New(1, 0, 2, time.Millisecond)
 	c.AddType(RequestType{Name: "t", Objective: time.Second})
-	c.Loading(true, true, 8*time.Second, 10*time.Second, 0, 0, 0)
+	c.SetLoadPolicy(true, true, 8*time.Second, 10*time.Second, 0, 0, 0)
 	now := time.Hour
 	for i := range 5000 {
 		c.UpdateMembership(now, true, []Member{{Worker: fmt.Sprint("w", i/100)}})
@@ -20,7 +20,7 @@
 	c.UpdateMembership(now, true, nil)
 	empty := len(c.workers)
 	c.UpdateMembership(now, true, []Member{{Worker: "w"}})
-	fmt.Println("few functions", len(c.functions) < 1000, "workers", empty, len(c.workers), "held", len(c.active) < 20)
+	fmt.Println("few functions", len(c.functions) < 1000, "workers", empty, len(c.workers), "held", len(c.activeFunctions) < 20)
 	// Output:
 	// few functions true workers 0 1 held true
 }
--- a/scheduler/internal/fleetindex/index_test.go
+++ b/scheduler/internal/fleetindex/index_test.go
@@ -56,7 +56,7 @@
 				t.Fatalf("member %d of the walk: %d at %d, more %v, want %d at %d", i, member, got, more, want[i], distance(want[i]))
 			}
 			seen[member] = true
-			ring.Pass()
+			ring.Next()
 		}
 		if _, _, more := ring.Peek(); more || ring.Len() != len(want) {
 			t.Fatal("the walk goes on after", ring.Len(), "members")
@@ -82,7 +82,7 @@
 			case 1:
 				now := time.Duration(rapid.IntRange(0, 50).Draw(t, "now"))
 				for before := time.Duration(0); ; {
-					got, found := deadlines.Expired(now)
+					got, found := deadlines.PopExpired(now)
 					if !found {
 						break
 					}
@@ -110,7 +110,7 @@
 }
 
 // A list holds what was added and not removed, each once.
-func TestListHoldsWhatIsIn(t *testing.T) {
+func TestListContainsItsMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list fleetindex.List[int]
 		slots, in := make([]fleetindex.Slot, 10), map[int]bool{}
--- a/scheduler/internal/fleetindex/list.go
+++ b/scheduler/internal/fleetindex/list.go
@@ -4,10 +4,10 @@
 package fleetindex
 
 // Slot is a member's place in a List. The zero value is in none.
-type Slot struct{ place int } // counted from 1
+type Slot struct{ position int } // counted from 1
 
 // In tells whether the member is in its List.
-func (s *Slot) In() bool { return s.place > 0 }
+func (s *Slot) In() bool { return s.position > 0 }
 
 // List holds members in a row without an order of its own: one that is taken out leaves its place to the last one. The
 // zero value is empty.
@@ -19,7 +19,7 @@
 // Add puts a member at the end; slot is its place from now on.
 func (l *List[M]) Add(member M, slot *Slot) {
 	l.members, l.slots = append(l.members, member), append(l.slots, slot)
-	slot.place = len(l.members)
+	slot.position = len(l.members)
 }
 
 // Remove takes the member of a slot out, if it is in.
@@ -27,13 +27,13 @@
 	if !slot.In() {
 		return
 	}
-	at, last := slot.place-1, len(l.members)-1
+	at, last := slot.position-1, len(l.members)-1
 	l.members[at], l.slots[at] = l.members[last], l.slots[last]
-	l.slots[at].place = at + 1
+	l.slots[at].position = at + 1
 	var none M
 	l.members[last], l.slots[last] = none, nil
 	l.members, l.slots = l.members[:last], l.slots[:last]
-	slot.place = 0
+	slot.position = 0
 }
 
 // All is the row, for reading until the next change.
--- a/scheduler/internal/fleetindex/ring.go
+++ b/scheduler/internal/fleetindex/ring.go
@@ -7,9 +7,9 @@
 
 // Node is a member's place on a Ring.
 type Node[M any] struct {
-	Member M
-	point  uint64
-	seen   uint64 // the last walk that came by
+	Member   M
+	point    uint64
+	lastWalk uint64 // the last walk that came by
 }
 
 // Ring holds members at points of a circle of 2^64. Adding, removing and finding the first member after a point take a time
@@ -21,29 +21,29 @@
 	count   int
 
 	// of the walk under way
-	walks    uint64 // its number
-	starts   []uint64
-	cursors  []cursor[M] // one from each start: a heap by distance
-	advances int
-	rest     []scored[M] // what is still to come once it is sorted, the nearest first
-	sorted   bool
+	walkNumber      uint64 // its number
+	starts          []uint64
+	cursors         []cursor[M] // one from each start: a heap by distance
+	steps           int
+	remaining       []nodeDistance[M] // what is still to come once it is sorted, the nearest first
+	remainingSorted bool
 }
 
-// scored is a node and its distance.
-type scored[M any] struct {
+// nodeDistance is a node and its distance.
+type nodeDistance[M any] struct {
 	node     *Node[M]
 	distance uint64
 }
 
-// fullest is the mean number of members of a bucket at which the buckets are doubled.
-const fullest = 2
+// maxMeanBucketSize is the mean number of members of a bucket at which the buckets are doubled.
+const maxMeanBucketSize = 2
 
 // Len is the number of members.
 func (r *Ring[M]) Len() int { return r.count }
 
 // Add puts a member at a point, and gives its node for Remove.
 func (r *Ring[M]) Add(member M, point uint64) *Node[M] {
-	if r.count >= fullest*len(r.buckets) {
+	if r.count >= maxMeanBucketSize*len(r.buckets) {
 		r.grow()
 	}
 	node := &Node[M]{Member: member, point: point}
@@ -103,9 +103,9 @@
 // the walk before; members may not be added or removed during one. A walk costs what is come by; one that goes on and on
 // sorts what is left.
 func (r *Ring[M]) Walk(starts []uint64) {
-	r.walks++
+	r.walkNumber++
 	r.starts = append(r.starts[:0], starts...)
-	r.cursors, r.rest, r.sorted, r.advances = r.cursors[:0], r.rest[:0], false, 0
+	r.cursors, r.remaining, r.remainingSorted, r.steps = r.cursors[:0], r.remaining[:0], false, 0
 	if r.count == 0 {
 		return
 	}
@@ -114,16 +114,16 @@
 		for bucket := r.buckets[c.bucket]; c.index < len(bucket) && bucket[c.index].point < start; {
 			c.index++
 		}
-		r.settle(&c)
+		r.skipEmptyBuckets(&c)
 		r.cursors = append(r.cursors, c)
 	}
 	for i := len(r.cursors)/2 - 1; i >= 0; i-- {
-		r.down(i)
+		r.siftDown(i)
 	}
 }
 
-// settle moves a cursor that has run off the end of its bucket to the next member.
-func (r *Ring[M]) settle(c *cursor[M]) {
+// skipEmptyBuckets moves a cursor that has run off the end of its bucket to the next member.
+func (r *Ring[M]) skipEmptyBuckets(c *cursor[M]) {
 	for c.index >= len(r.buckets[c.bucket]) {
 		c.bucket, c.index = c.bucket+1, 0
 		if c.bucket == len(r.buckets) {
@@ -136,25 +136,25 @@
 
 // Peek gives the member that the walk comes by next, and its distance; false: it has come by all.
 func (r *Ring[M]) Peek() (member M, distance uint64, more bool) {
-	for !r.sorted && len(r.cursors) > 0 {
-		if next := &r.cursors[0]; next.node.seen != r.walks {
+	for !r.remainingSorted && len(r.cursors) > 0 {
+		if next := &r.cursors[0]; next.node.lastWalk != r.walkNumber {
 			return next.node.Member, next.distance, true
 		}
 		r.advance()
 	}
-	if len(r.rest) == 0 {
+	if len(r.remaining) == 0 {
 		return member, 0, false
 	}
-	return r.rest[0].node.Member, r.rest[0].distance, true
+	return r.remaining[0].node.Member, r.remaining[0].distance, true
 }
 
-// Pass goes on to the member after the one that Peek gives.
-func (r *Ring[M]) Pass() {
+// Next goes on to the member after the one that Peek gives.
+func (r *Ring[M]) Next() {
 	switch {
-	case r.sorted && len(r.rest) > 0:
-		r.rest = r.rest[1:]
-	case !r.sorted && len(r.cursors) > 0:
-		r.cursors[0].node.seen = r.walks
+	case r.remainingSorted && len(r.remaining) > 0:
+		r.remaining = r.remaining[1:]
+	case !r.remainingSorted && len(r.cursors) > 0:
+		r.cursors[0].node.lastWalk = r.walkNumber
 		r.advance()
 	}
 }
@@ -162,36 +162,36 @@
 // advance moves the first cursor on by one member. Once the cursors have made half as many steps as there are members, they
 // meet more and more that were come by before: then it is cheaper to sort the others.
 func (r *Ring[M]) advance() {
-	if r.advances++; 2*r.advances > r.count {
-		r.sortRest()
+	if r.steps++; 2*r.steps > r.count {
+		r.sortRemaining()
 		return
 	}
 	c := &r.cursors[0]
 	c.index++
-	r.settle(c)
-	r.down(0)
+	r.skipEmptyBuckets(c)
+	r.siftDown(0)
 }
 
-// sortRest sorts what the walk has not come by.
-func (r *Ring[M]) sortRest() {
-	r.sorted = true
+// sortRemaining sorts what the walk has not come by.
+func (r *Ring[M]) sortRemaining() {
+	r.remainingSorted = true
 	for _, bucket := range r.buckets {
 		for _, node := range bucket {
-			if node.seen == r.walks {
+			if node.lastWalk == r.walkNumber {
 				continue
 			}
 			least := node.point - r.starts[0]
 			for _, start := range r.starts[1:] {
 				least = min(least, node.point-start)
 			}
-			r.rest = append(r.rest, scored[M]{node, least})
+			r.remaining = append(r.remaining, nodeDistance[M]{node, least})
 		}
 	}
-	slices.SortFunc(r.rest, func(a, b scored[M]) int { return cmp.Compare(a.distance, b.distance) })
+	slices.SortFunc(r.remaining, func(a, b nodeDistance[M]) int { return cmp.Compare(a.distance, b.distance) })
 }
 
-// down restores the heap below i.
-func (r *Ring[M]) down(i int) {
+// siftDown restores the heap below i.
+func (r *Ring[M]) siftDown(i int) {
 	for {
 		least := i
 		for child := 2*i + 1; child <= 2*i+2 && child < len(r.cursors); child++ {
--- a/scheduler/limits.go
+++ b/scheduler/limits.go
@@ -8,86 +8,86 @@
 	"lupinpond/internal/base/window"
 )
 
-func (c *Scheduler) limits(first, least float64) adaptiveLimit {
-	return adaptiveLimit{least: least, limit: max(least, first/float64(c.frontEnds))}
+func (c *Scheduler) newLimit(first, least float64) adaptiveLimit {
+	return adaptiveLimit{minimum: least, limit: max(least, first/float64(c.gateways))}
 }
 
 // adaptLimits moves a worker's in-flight limit by the ratio of the shortest answer time to the present one.
 func (c *Scheduler) adaptLimits(w *worker, e *Request, took, now time.Duration) {
 	t, k := e.typ, w.kind
 	if e.queuedAhead > 0 { // the time that each request ahead costs: little, until it is seen
-		c.queuedAhead += e.queuedAhead
-		c.delayed += float64(max(0, took-t.short))
-		c.delay = c.delayed / (averaged + c.queuedAhead)
-		c.queuedAhead, c.delayed = c.queuedAhead*queuedAheadKept, c.delayed*queuedAheadKept
+		c.queuedAheadSum += e.queuedAhead
+		c.queueDelaySum += float64(max(0, took-t.minLatency))
+		c.delayPerQueued = c.queueDelaySum / (functionSamples + c.queuedAheadSum)
+		c.queuedAheadSum, c.queueDelaySum = c.queuedAheadSum*queuedAheadDecay, c.queueDelaySum*queuedAheadDecay
 	}
-	k.seen = min(k.seen+1, typeAveraged)
-	k.slowness += (min(float64(took)/float64(e.function.mean()), stuckAfter) - k.slowness) / (averaged + k.seen)
-	c.updateMeanSize()
-	t.seen = min(t.seen+1, typeAveraged)
-	if t.mean += (took - t.mean) / t.seen; t.seen < 3*averaged {
+	k.sampleCount = min(k.sampleCount+1, typeSamples)
+	k.slowness += (min(float64(took)/float64(e.function.meanRunTime()), maxSlowdown) - k.slowness) / (functionSamples + k.sampleCount)
+	c.updateMeanWeight()
+	t.sampleCount = min(t.sampleCount+1, typeSamples)
+	if t.meanLatency += (took - t.meanLatency) / t.sampleCount; t.sampleCount < 3*functionSamples {
 		return
 	}
-	if t.short += t.short / shortLasts; t.short == 0 || t.mean < t.short {
-		t.short = t.mean
+	if t.minLatency += t.minLatency / minLatencyDecaySamples; t.minLatency == 0 || t.meanLatency < t.minLatency {
+		t.minLatency = t.meanLatency
 	}
-	may, portion := tolerance*float64(t.short), c.trafficShare(now)
+	may, portion := latencyTolerance*float64(t.minLatency), c.trafficShare(now)
 	alone := may
 	if w.reportedAt == now && w.queueDepth < 1 { // none waits there: it is slow, not crowded
-		alone = max(may, aloneShare*float64(t.Objective))
+		alone = max(may, uncrowdedLatencyShare*float64(t.Objective))
 	}
-	c.adjust(&w.adaptiveLimit, now, took, alone, len(w.attempts), portion)
-	c.adjust(&c.fleetLimit, now, min(took, t.Objective), enoughShare*float64(t.Objective), c.inFlight, portion)
+	c.adjustLimit(&w.adaptiveLimit, now, took, alone, len(w.attempts), portion)
+	c.adjustLimit(&c.fleetLimit, now, min(took, t.Objective), acceptableLatencyShare*float64(t.Objective), c.inFlight, portion)
 }
 
-// adjust moves a limit by what answers may take to what they take. That of all workers is for a front end
+// adjustLimit moves a limit by what answers may take to what they take. That of all workers is for a front end
 // among many: it meets each worker too seldom to judge it, and the least limits of all of them add up.
-func (c *Scheduler) adjust(l *adaptiveLimit, now, took time.Duration, may float64, out int, portion float64) {
-	if l.took == nil { // most workers of a large fleet never answer this front end
-		l.took, l.may = window.New(2*c.longest), window.New(2*c.longest)
+func (c *Scheduler) adjustLimit(l *adaptiveLimit, now, took time.Duration, may float64, out int, portion float64) {
+	if l.latencies == nil { // most workers of a large fleet never answer this front end
+		l.latencies, l.allowedLatencies = window.New(2*c.longestObjective), window.New(2*c.longestObjective)
 	}
-	l.took.Add(now, float64(took))
-	l.may.Add(now, may)
-	ratio := min(1, l.may.All(now)/l.took.All(now))
+	l.latencies.Add(now, float64(took))
+	l.allowedLatencies.Add(now, may)
+	ratio := min(1, l.allowedLatencies.UpperSum(now)/l.latencies.UpperSum(now))
 	if ratio == 1 {
-		portion = max(portion, growth)
+		portion = max(portion, minGrowthShare)
 	}
 	aim := l.limit*ratio + math.Sqrt(l.limit*portion)
 	if aim < l.limit || 2*float64(out+1) > l.limit {
-		l.limit = max(l.least, l.limit+(aim-l.limit)/max(1, l.limit))
+		l.limit = max(l.minimum, l.limit+(aim-l.limit)/max(1, l.limit))
 	}
 }
 
 // trafficShare is this front end's part of all traffic: an even split, or what it sees of the tenants'
 // shares.
 func (c *Scheduler) trafficShare(now time.Duration) float64 {
-	seen := c.firstTries.All(now) / freshSpan.Seconds() / cmp.Or(c.tenantShares, math.Inf(1))
-	return min(1, max(1/float64(c.frontEnds), seen))
+	seen := c.originalRequests.UpperSum(now) / trafficWindow.Seconds() / cmp.Or(c.totalQuota, math.Inf(1))
+	return min(1, max(1/float64(c.gateways), seen))
 }
 
-// warmedShare is the least part of its capacity that a worker has by now.
-func (c *Scheduler) warmedShare(w *worker, now time.Duration) float64 {
-	warm := float64(max(0, now-w.Started)) / float64(max(1, c.warmAfter))
+// warmUpShare is the least part of its capacity that a worker has by now.
+func (c *Scheduler) warmUpShare(w *worker, now time.Duration) float64 {
+	warm := float64(max(0, now-w.Started)) / float64(max(1, c.warmUpTime))
 	if w.Started <= 0 || warm >= 1 {
 		return 1
 	}
-	return c.coldFrom + (1-c.coldFrom)*warm
+	return c.slowStartInitialShare + (1-c.slowStartInitialShare)*warm
 }
 
 // slowStartPause keeps a cold worker from being pushed over (rule 4): least time between two attempts to it.
 // Its capacity is not told: the mean work seen completed is taken. Attempts of many front ends bunch by
 // chance.
 func (c *Scheduler) slowStartPause(w *worker, weight float64, now time.Duration) time.Duration {
-	most := time.Duration(c.frontEnds) * c.fall // with nothing known all front ends together send one in c.fall
-	mean := c.work.Inner(now) / 8 / float64(max(1, c.members.Len()))
-	all := slowStartSafety * c.fallMultiple * c.warmedShare(w, now) * mean * min(1, c.size(w))
+	most := time.Duration(c.gateways) * c.crashWindow // with nothing known all front ends together send one in c.fall
+	mean := c.completedWork.LowerSum(now) / 8 / float64(max(1, c.members.Len()))
+	all := slowStartBudgetShare * c.crashMultiple * c.warmUpShare(w, now) * mean * min(1, c.relativeWeight(w))
 	all = all / c.trafficShare(now) / weight
-	all = max(all-slowStartChance*math.Sqrt(min(all, float64(c.frontEnds))), all/4)
-	return time.Duration(min(float64(c.fall)/max(all*c.trafficShare(now), 1e-9), float64(most)))
+	all = max(all-slowStartDeviations*math.Sqrt(min(all, float64(c.gateways))), all/4)
+	return time.Duration(min(float64(c.crashWindow)/max(all*c.trafficShare(now), 1e-9), float64(most)))
 }
 
 // slowStartAllows begins with a random part of the pause: not all that hear of a start send at once.
 func (c *Scheduler) slowStartAllows(w *worker, e *Request, now time.Duration) bool {
-	return c.fallMultiple <= 0 || c.warmedShare(w, now) >= 1 ||
-		now >= w.lastColdSend+part(w.coldPauseShare, c.slowStartPause(w, c.weight(e), now))
+	return c.crashMultiple <= 0 || c.warmUpShare(w, now) >= 1 ||
+		now >= w.lastSlowStartSend+fractionOf(w.slowStartPauseShare, c.slowStartPause(w, c.expectedWork(e), now))
 }
--- a/scheduler/members.go
+++ b/scheduler/members.go
@@ -11,30 +11,30 @@
 	"lupinpond/internal/base/window"
 )
 
-// update takes one line of the list.
-func (c *Scheduler) update(l Member, now time.Duration) {
+// updateMember takes one line of the list.
+func (c *Scheduler) updateMember(l Member, now time.Duration) {
 	w := c.workers[l.Worker]
 	if w != nil && l.Started != w.Started { // a worker that starts anew is empty and cold: another one
-		c.forget(w)
+		c.forgetMember(w)
 		w = nil
 	}
 	if w == nil && l.Condition == Removed {
 		return
 	}
 	if w == nil {
-		w = c.join(l.Worker, now)
+		w = c.addMember(l.Worker, now)
 	}
-	w.update = c.updates
+	w.lastUpdate = c.updateCount
 	if w.kind != nil && w.Member == l && w.listed {
 		return
 	}
-	c.leaveKind(w)
+	c.removeFromKind(w)
 	w.Member, w.listed = l, true
-	c.joinKind(w)
+	c.addToKind(w)
 	if l.Condition == Removed {
 		c.unlist(w, now)
 	}
-	c.recount(w, now)
+	c.updateCounters(w, now)
 }
 
 // Members gives the workers on the list, in the order of their names.
@@ -49,13 +49,13 @@
 	return listed
 }
 
-// join makes a worker a member of the fleet.
-func (c *Scheduler) join(name string, now time.Duration) *worker {
-	w := &worker{hash: random.Hash(name), adaptiveLimit: c.limits(firstLimit, leastLimit),
-		lastColdSend: now, coldPauseShare: float64(c.random.Below(1000)) / 1000}
-	w.deadline.Member = w
+// addMember makes a worker a member of the fleet.
+func (c *Scheduler) addMember(name string, now time.Duration) *worker {
+	w := &worker{hash: random.Hash(name), adaptiveLimit: c.newLimit(initialWorkerLimit, minWorkerLimit),
+		lastSlowStartSend: now, slowStartPauseShare: float64(c.rng.IntN(1000)) / 1000}
+	w.countersDeadline.Member = w
 	c.workers[name] = w
-	c.members.Add(w, &w.member)
+	c.members.Add(w, &w.memberSlot)
 	return w
 }
 
@@ -64,116 +64,116 @@
 	if !w.listed {
 		return
 	}
-	c.leaveKind(w)
+	c.removeFromKind(w)
 	w.listed = false
-	c.joinKind(w)
-	c.leaving = append(c.leaving, w)
-	c.recount(w, now)
+	c.addToKind(w)
+	c.unlisted = append(c.unlisted, w)
+	c.updateCounters(w, now)
 }
 
-// forgetLeaving forgets those off the list at which nothing is under way.
-func (c *Scheduler) forgetLeaving() {
-	c.leaving = slices.DeleteFunc(c.leaving, func(w *worker) bool {
+// forgetUnlisted forgets those off the list at which nothing is under way.
+func (c *Scheduler) forgetUnlisted() {
+	c.unlisted = slices.DeleteFunc(c.unlisted, func(w *worker) bool {
 		over := !w.listed && len(w.attempts) == 0
-		if over && w.member.In() {
-			c.forget(w)
+		if over && w.memberSlot.In() {
+			c.forgetMember(w)
 		}
-		return over || w.listed || !w.member.In()
+		return over || w.listed || !w.memberSlot.In()
 	})
 }
 
-// forget takes a member out of all that is counted.
-func (c *Scheduler) forget(w *worker) {
-	c.leaveKind(w)
-	c.tally.replace(w.tally, tally{})
-	c.deadlines.Clear(&w.deadline)
-	c.busy.Remove(&w.working)
-	c.members.Remove(&w.member)
+// forgetMember takes a member out of all that is counted.
+func (c *Scheduler) forgetMember(w *worker) {
+	c.removeFromKind(w)
+	c.counters.replace(w.counters, counters{})
+	c.deadlines.Clear(&w.countersDeadline)
+	c.busy.Remove(&w.busySlot)
+	c.members.Remove(&w.memberSlot)
 	w.listed = false
 	delete(c.workers, w.Worker)
 }
 
-// joinKind counts a member among those of its kind. Those that may get something new are in the shared order.
-func (c *Scheduler) joinKind(w *worker) {
-	w.kind = c.kindOf(w.Kind)
-	w.kind.sizeSum, w.kind.count = w.kind.sizeSum+w.listedSize(), w.kind.count+1
-	if w.open() {
-		w.node = w.kind.ring.Ring.Add(w, w.hash)
+// addToKind counts a member among those of its kind. Those that may get something new are in the shared order.
+func (c *Scheduler) addToKind(w *worker) {
+	w.kind = c.kindFor(w.Kind)
+	w.kind.weightSum, w.kind.workerCount = w.kind.weightSum+w.listedWeight(), w.kind.workerCount+1
+	if w.acceptsNew() {
+		w.ringNode = w.kind.ring.Ring.Add(w, w.hash)
 	}
 }
 
-func (c *Scheduler) leaveKind(w *worker) {
+func (c *Scheduler) removeFromKind(w *worker) {
 	if w.kind == nil {
 		return
 	}
-	w.kind.sizeSum, w.kind.count = w.kind.sizeSum-w.listedSize(), w.kind.count-1
-	if w.kind.count == 0 { // no rounding is left behind
-		w.kind.sizeSum = 0
+	w.kind.weightSum, w.kind.workerCount = w.kind.weightSum-w.listedWeight(), w.kind.workerCount-1
+	if w.kind.workerCount == 0 { // no rounding is left behind
+		w.kind.weightSum = 0
 	}
-	if w.node != nil {
-		w.kind.ring.Ring.Remove(w.node)
+	if w.ringNode != nil {
+		w.kind.ring.Ring.Remove(w.ringNode)
 	}
-	w.node = nil
+	w.ringNode = nil
 }
 
-// updateMeanSize takes the mean size after the list or an answer has changed one.
-func (c *Scheduler) updateMeanSize() {
-	c.meanSize = 0
-	for _, k := range c.kindList {
-		c.meanSize += k.sizeSum / k.slowness / float64(max(1, c.members.Len()))
+// updateMeanWeight takes the mean size after the list or an answer has changed one.
+func (c *Scheduler) updateMeanWeight() {
+	c.meanWeight = 0
+	for _, k := range c.orderedKinds {
+		c.meanWeight += k.weightSum / k.slowness / float64(max(1, c.members.Len()))
 	}
 }
 
-// recount brings the counts of the fleet up to date after something of a worker has changed that they depend on, and has it
+// updateCounters brings the counts of the fleet up to date after something of a worker has changed that they depend on, and has it
 // looked at again when time alone changes them.
-func (c *Scheduler) recount(w *worker, now time.Duration) {
-	if !w.member.In() { // another one has its name by now
+func (c *Scheduler) updateCounters(w *worker, now time.Duration) {
+	if !w.memberSlot.In() { // another one has its name by now
 		return
 	}
-	t, until := c.assess(w, now)
-	c.tally.replace(w.tally, t)
-	w.tally = t
+	t, until := c.countersOf(w, now)
+	c.counters.replace(w.counters, t)
+	w.counters = t
 	if until < math.MaxInt64 {
-		c.deadlines.Set(&w.deadline, until)
+		c.deadlines.Set(&w.countersDeadline, until)
 	} else {
-		c.deadlines.Clear(&w.deadline)
+		c.deadlines.Clear(&w.countersDeadline)
 	}
-	if working := len(w.attempts) > 0; working && !w.working.In() {
-		c.busy.Add(w, &w.working)
+	if working := len(w.attempts) > 0; working && !w.busySlot.In() {
+		c.busy.Add(w, &w.busySlot)
 	} else if !working {
-		c.busy.Remove(&w.working)
+		c.busy.Remove(&w.busySlot)
 	}
 }
 
-// expire counts anew the workers of which time alone has changed something.
-func (c *Scheduler) expire(now time.Duration) {
-	if c.stale {
-		c.stale = false
+// expireDeadlines counts anew the workers of which time alone has changed something.
+func (c *Scheduler) expireDeadlines(now time.Duration) {
+	if c.countersStale {
+		c.countersStale = false
 		for _, w := range c.members.All() {
-			c.recount(w, now)
+			c.updateCounters(w, now)
 		}
 	}
 	for {
-		w, found := c.deadlines.Expired(now)
+		w, found := c.deadlines.PopExpired(now)
 		if !found {
 			return
 		}
-		c.recount(w, now)
+		c.updateCounters(w, now)
 	}
 }
 
-// functionOf is what is known of a request's function, from now on if not before.
-func (c *Scheduler) functionOf(e *Request, now time.Duration) *function {
+// functionFor is what is known of a request's function, from now on if not before.
+func (c *Scheduler) functionFor(e *Request, now time.Duration) *function {
 	f := c.functions[e.Function]
 	if f == nil {
-		if len(c.functions) >= 2*c.functionsKept+averaged { // functions long idle are forgotten
+		if len(c.functions) >= 2*c.functionsAfterCleanup+functionSamples { // functions long idle are forgotten
 			maps.DeleteFunc(c.functions, func(_ uint64, g *function) bool {
 				c.expireAssumptions(g, now)
-				return len(g.replicaSets)+len(g.queue) == 0 && g.arrivals.All(now) == 0
+				return len(g.replicaSets)+len(g.queue) == 0 && g.arrivals.UpperSum(now) == 0
 			})
-			c.functionsKept = len(c.functions)
+			c.functionsAfterCleanup = len(c.functions)
 		}
-		f = &function{id: e.Function, tenant: e.Tenant, arrivals: window.New(4 * freshSpan)}
+		f = &function{id: e.Function, tenant: e.Tenant, arrivals: window.New(4 * trafficWindow)}
 		c.functions[e.Function] = f
 	}
 	if f.tenant != e.Tenant { // it serves many: a rejection says nothing of one of them
--- a/scheduler/mutants_test.go
+++ b/scheduler/mutants_test.go
@@ -9,22 +9,22 @@
 
 // Each mutant is a text of a source file and what stands in its place: a mistake in keeping up the view of the fleet.
 var mutants = []struct{ name, file, text, instead string }{
-	{"the counts of a forgotten worker stay", "members.go", "c.tally.replace(w.tally, tally{})", ""},
-	{"a sum is not lowered by what a worker counted for", "members.go", "c.tally.replace(w.tally, t)", "c.tally.replace(tally{}, t)"},
-	{"a deadline is forgotten", "members.go", "c.deadlines.Set(&w.deadline, until)", ""},
-	{"expired deadlines are not looked at", "members.go", "w, found := c.deadlines.Expired(now)", "w, found := (*worker)(nil), false"},
+	{"the counts of a forgotten worker stay", "members.go", "c.counters.replace(w.counters, counters{})", ""},
+	{"a sum is not lowered by what a worker counted for", "members.go", "c.counters.replace(w.counters, t)", "c.counters.replace(counters{}, t)"},
+	{"a deadline is forgotten", "members.go", "c.deadlines.Set(&w.countersDeadline, until)", ""},
+	{"expired deadlines are not looked at", "members.go", "w, found := c.deadlines.PopExpired(now)", "w, found := (*worker)(nil), false"},
 	{"a removed worker is kept", "members.go", "delete(c.workers, w.Worker)", ""},
-	{"a removed worker stays among the members", "members.go", "c.members.Remove(&w.member)", ""},
-	{"a worker off the list is never forgotten", "members.go", "c.leaving = append(c.leaving, w)", ""},
+	{"a removed worker stays among the members", "members.go", "c.members.Remove(&w.memberSlot)", ""},
+	{"a worker off the list is never forgotten", "members.go", "c.unlisted = append(c.unlisted, w)", ""},
 	{"a worker that was replaced stays listed", "members.go", "\tw.listed = false\n\tdelete", "\tdelete"},
-	{"a drained worker stays in the shared order", "members.go", "w.kind.ring.Ring.Remove(w.node)", ""},
-	{"the size of a worker that left its kind still counts", "members.go", "w.kind.sizeSum-w.listedSize()", "w.kind.sizeSum"},
-	{"a worker without attempts is still looked at for silence", "members.go", "} else if !working {\n\t\tc.busy.Remove(&w.working)", "} else if !working {"},
-	{"an attempt is not counted", "scheduler.go", "\tc.recount(s.w, now)\n", ""},
-	{"the end of an attempt is not counted", "scheduler.go", "\tc.recount(w, now)\n\tif e.mayHaveRun", "\tif e.mayHaveRun"},
-	{"an ejection is not counted", "fleet.go", "c.toCancel = append(c.toCancel, w.attempts...)\n\t\tc.recount(w, now)", "c.toCancel = append(c.toCancel, w.attempts...)"},
-	{"a report is not counted", "fleet.go", "\t}\n\tc.recount(w, now)\n\treturn true", "\t}\n\treturn true"},
-	{"a longer target does not renew the reports", "settings.go", "c.stale = true", ""},
+	{"a drained worker stays in the shared order", "members.go", "w.kind.ring.Ring.Remove(w.ringNode)", ""},
+	{"the size of a worker that left its kind still counts", "members.go", "w.kind.weightSum-w.listedWeight()", "w.kind.weightSum"},
+	{"a worker without attempts is still looked at for silence", "members.go", "} else if !working {\n\t\tc.busy.Remove(&w.busySlot)", "} else if !working {"},
+	{"an attempt is not counted", "scheduler.go", "\tc.updateCounters(s.worker, now)\n", ""},
+	{"the end of an attempt is not counted", "scheduler.go", "\tc.updateCounters(w, now)\n\tif e.mayHaveRun", "\tif e.mayHaveRun"},
+	{"an ejection is not counted", "fleet.go", "c.cancelCandidates = append(c.cancelCandidates, w.attempts...)\n\t\tc.updateCounters(w, now)", "c.cancelCandidates = append(c.cancelCandidates, w.attempts...)"},
+	{"a report is not counted", "fleet.go", "\t}\n\tc.updateCounters(w, now)\n\treturn true", "\t}\n\treturn true"},
+	{"a longer target does not renew the reports", "settings.go", "c.countersStale = true", ""},
 }
 
 // Every mutant fails the comparison with the reference, on drawn sequences that are the same every time.
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -10,16 +10,16 @@
 
 // The ordinary path: held, one first load, released to the warm slot, the second waits for the slot.
 func Example_ordinaryPath() {
-	b := newBench(1)
-	e1 := b.place("e1", "redeliverable", 9)
-	st := b.step(0)
+	b := newHarness(1)
+	e1 := b.submit("e1", "redeliverable", 9)
+	st := b.advance(0)
 	b.now += 400 * ms
-	b.loaded(st)
-	b.step(0)
-	b.place("e2", "redeliverable", 9)
+	b.completeLoads(st)
+	b.advance(0)
+	b.submit("e2", "redeliverable", 9)
 	b.now += 100 * ms
-	b.after(e1, scheduler.Completed, 100*ms)
-	b.step(0)
+	b.complete(e1, scheduler.Completed, 100*ms)
+	b.advance(0)
 	// Output:
 	// 0s e1 hold
 	// 0s load 9 x1 on c
@@ -30,12 +30,12 @@
 }
 
 // Rule 1: a request that nothing can serve is answered before its client gives up.
-func Example_answeredInTime() {
-	b := newBench(1)
+func Example_answeredBeforeDeadline() {
+	b := newHarness(1)
 	b.UpdateMembership(b.now, true, nil)
-	b.place("e1", "at-most-once", 9)
+	b.submit("e1", "at-most-once", 9)
 	for range 30 {
-		b.step(100 * ms)
+		b.advance(100 * ms)
 	}
 	// Output:
 	// 0s e1 hold
@@ -43,15 +43,15 @@
 }
 
 // Rule 2: what may have run goes again only as its type allows; an attempt that never ran may go again.
-func Example_noEffectTwice() {
-	for _, r := range []scheduler.Result{scheduler.Full, scheduler.Broken} {
-		b := newBench(1)
+func Example_retrySafety() {
+	for _, r := range []scheduler.Result{scheduler.Full, scheduler.ConnectionLost} {
+		b := newHarness(1)
 		for i, kind := range []string{"redeliverable", "keyed", "at-most-once"} {
-			e := b.place(kind, kind, uint64(i))
-			b.loaded(b.step(0))
-			b.step(10 * ms)
+			e := b.submit(kind, kind, uint64(i))
+			b.completeLoads(b.advance(0))
+			b.advance(10 * ms)
 			b.now += 50 * ms
-			b.after(e, r, 50*ms)
+			b.complete(e, r, 50*ms)
 		}
 	}
 	// Output:
@@ -82,13 +82,13 @@
 }
 
 // Rule 2: outside its window a keyed request that may have run is failed.
-func Example_keyedWindow() {
-	b := newBench(1)
-	e := b.place("e1", "keyed", 9)
-	b.loaded(b.step(0))
-	b.step(10 * ms)
+func Example_dedupWindow() {
+	b := newHarness(1)
+	e := b.submit("e1", "keyed", 9)
+	b.completeLoads(b.advance(0))
+	b.advance(10 * ms)
 	b.now += 2100 * ms
-	b.after(e, scheduler.TimedOut, 2100*ms)
+	b.complete(e, scheduler.TimedOut, 2100*ms)
 	// Output:
 	// 0s e1 hold
 	// 0s load 9 x1 on c
@@ -98,15 +98,15 @@
 
 // Rule 3: a drained worker gets nothing new, neither attempts nor loads.
 func Example_drain() {
-	b := newBench(1)
+	b := newHarness(1)
 	b.UpdateMembership(b.now, false, []scheduler.Member{
 		{Worker: "a", Condition: scheduler.Draining}, {Worker: "b", Condition: scheduler.Removed}})
 	for i := range 4 {
-		b.place(fmt.Sprint("e", i), "redeliverable", uint64(i))
+		b.submit(fmt.Sprint("e", i), "redeliverable", uint64(i))
 	}
-	b.loaded(b.step(0))
+	b.completeLoads(b.advance(0))
 	b.UpdateMembership(b.now, false, []scheduler.Member{{Worker: "c", Condition: scheduler.Draining}})
-	b.step(10 * ms)
+	b.advance(10 * ms)
 	// Output:
 	// 0s e0 hold
 	// 0s e1 hold
@@ -121,15 +121,15 @@
 // Rule 4: a worker that has just started gets a trickle, a warm one all.
 func Example_coldWorker() {
 	for _, started := range []time.Duration{0, time.Hour} {
-		b := newBench(1)
+		b := newHarness(1)
 		b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a", Started: started}})
-		b.place("e0", "redeliverable", 9)
-		b.loaded(b.step(0))
-		b.step(1000 * ms)
+		b.submit("e0", "redeliverable", 9)
+		b.completeLoads(b.advance(0))
+		b.advance(1000 * ms)
 		launched := 0
 		for i := range 20 {
 			e := &scheduler.Request{ID: fmt.Sprint(i), Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 32}
-			if b.Submit(b.now, e).Verb == scheduler.Send {
+			if b.Submit(b.now, e).Action == scheduler.Send {
 				launched++
 			}
 			b.now += 10 * ms
@@ -148,16 +148,16 @@
 }
 
 // Rule 5: no more orders than the rate limit, however many functions are new.
-func Example_ration() {
-	b := newBench(1)
-	b.Loading(true, false, 10000*ms, 5000*ms, 5000*ms, 2, 0.1)
+func Example_quota() {
+	b := newHarness(1)
+	b.SetLoadPolicy(true, false, 10000*ms, 5000*ms, 5000*ms, 2, 0.1)
 	orders := 0
 	for i := range 100 {
 		e := &scheduler.Request{ID: fmt.Sprint(i), Type: "redeliverable", Function: uint64(i), TimeLeft: 3000 * ms}
 		b.Submit(b.now, e)
 		st := b.Tick(b.now)
-		orders += len(st.Loads)
-		b.loaded(st)
+		orders += len(st.LoadRequests)
+		b.completeLoads(st)
 		b.now += 10 * ms
 	}
 	fmt.Println("orders", orders, "of at most", 2+100/10)
@@ -167,19 +167,19 @@
 
 // A worker that answers nothing is ejected: what may go again is cancelled and goes elsewhere.
 func Example_silentWorker() {
-	b := newBench(1)
+	b := newHarness(1)
 	var events []*scheduler.Request
 	for i := range 3 {
-		events = append(events, b.place(fmt.Sprint("e", i), "redeliverable", 9))
+		events = append(events, b.submit(fmt.Sprint("e", i), "redeliverable", 9))
 	}
 	for range 7 {
-		b.loaded(b.step(200 * ms))
+		b.completeLoads(b.advance(200 * ms))
 	}
 	for _, e := range events {
-		b.after(e, scheduler.Cancelled, 600*ms)
+		b.complete(e, scheduler.Cancelled, 600*ms)
 	}
-	b.loaded(b.step(200 * ms))
-	b.step(0)
+	b.completeLoads(b.advance(200 * ms))
+	b.advance(0)
 	// Output:
 	// 0s e0 hold
 	// 0s e1 hold
@@ -201,13 +201,13 @@
 }
 
 // A function that a worker refuses, quickly and again and again, is loaded and sent elsewhere (i94baea).
-func Example_refused() {
-	b := newBench(1)
-	e := b.place("e", "redeliverable", 9)
+func Example_rejected() {
+	b := newHarness(1)
+	e := b.submit("e", "redeliverable", 9)
 	for range 16 {
-		b.loaded(b.step(100 * ms))
+		b.completeLoads(b.advance(100 * ms))
 		if e.InFlight() {
-			b.after(e, scheduler.Full, 0)
+			b.complete(e, scheduler.Full, 0)
 		}
 	}
 	// Output:
@@ -230,17 +230,17 @@
 	c := scheduler.New(0, 0, 0, 0)
 	c.AddType(scheduler.RequestType{Name: "t"})
 	c.AddTenant("n", 0)
-	c.Allowed(0, false, false, 0)
-	c.Loading(false, false, 0, 0, 0, 0, 0)
-	c.SlowStart(0, 0, 0, 0)
-	c.SubscribeWithin(0)
+	c.SetAttemptPolicy(0, false, false, 0)
+	c.SetLoadPolicy(false, false, 0, 0, 0, 0, 0)
+	c.SetSlowStart(0, 0, 0, 0)
+	c.SetSubscribeInterval(0)
 	c.UpdateMembership(1, true, []scheduler.Member{{Worker: "a", Started: 1}})
 	for i, kind := range []string{"t", "t", "unknown"} {
 		e := &scheduler.Request{ID: fmt.Sprint("e", i), Type: kind, Tenant: "n"}
 		a := c.Submit(2, e)
-		fmt.Print(a.Verb, " ")
+		fmt.Print(a.Action, " ")
 		for _, a := range c.Tick(2).Decisions {
-			fmt.Print(a.Request.ID, " ", a.Verb, " ", a.Worker, "; ")
+			fmt.Print(a.Request.ID, " ", a.Action, " ", a.Worker, "; ")
 		}
 	}
 	c.UpdateMembership(3, true, nil)
@@ -251,9 +251,9 @@
 }
 
 // Among many front ends the first replicas of a busy function stand on many workers, those of a rare one on few.
-func Example_manyFrontEnds() {
+func Example_manyGateways() {
 	for _, every := range []int{50, 2} {
-		n := homes(0, func(i int) uint64 {
+		n := firstReplicaWorkers(0, func(i int) uint64 {
 			if i%every > 0 {
 				return uint64(100 + i)
 			}
@@ -267,17 +267,17 @@
 }
 
 // Rule 4 for all front ends together: a hundred that know nothing yet send a new worker about one request a second.
-func Example_coldWorkerOfMany() {
+func Example_coldWorkerOfManyGateways() {
 	launched := 0
 	for self := range 100 {
-		b := fleet(self, 100, 1)
+		b := newFleet(self, 100, 1)
 		b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "n", Started: b.now}})
 		for range 20 {
 			b.Submit(b.now, &scheduler.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 32})
 			st := b.Tick(b.now)
-			b.loaded(st)
+			b.completeLoads(st)
 			for _, a := range append(st.Decisions, b.Tick(b.now).Decisions...) {
-				if a.Verb == scheduler.Send {
+				if a.Action == scheduler.Send {
 					launched++
 				}
 			}
@@ -290,14 +290,14 @@
 }
 
 // Clients that leave early and retry at once: a few of a tenant's marked retries are taken, the rest rejected.
-func Example_repeats() {
-	b := newBench(1)
+func Example_retries() {
+	b := newHarness(1)
 	b.AddTenant("n", 1000)
 	for _, repeat := range []bool{false, true} {
 		held := 0
 		for range 40 {
 			e := &scheduler.Request{Type: "redeliverable", Tenant: "n", Function: 9, TimeLeft: 300 * ms, Retry: repeat}
-			if b.Submit(b.now, e).Verb == scheduler.Hold {
+			if b.Submit(b.now, e).Action == scheduler.Enqueue {
 				held++
 			}
 		}
@@ -309,12 +309,12 @@
 }
 
 // A worker where others' requests wait comes last: a first replica goes to the next of the order.
-func Example_backedUp() {
+func Example_backlog() {
 	for _, waiting := range []float64{0, 9} {
-		b := newBench(1)
-		b.Probed(b.now, "c", scheduler.Completed, scheduler.Load{Reported: true, QueueDepth: waiting}, ms)
-		b.place("e", "redeliverable", 9)
-		b.step(0)
+		b := newHarness(1)
+		b.ProbeCompleted(b.now, "c", scheduler.Completed, scheduler.LoadReport{Reported: true, QueueDepth: waiting}, ms)
+		b.submit("e", "redeliverable", 9)
+		b.advance(0)
 	}
 	// Output:
 	// 0s e hold
@@ -325,16 +325,16 @@
 
 // A first replica ordered at a worker that then leaves a probe unanswered does not stand in for one elsewhere.
 func Example_unansweredProbe() {
-	b := newBench(9) // more front ends than workers
-	b.Allowed(4, true, true, 500*ms)
-	b.place("e", "redeliverable", 9)
-	st := b.step(0)
+	b := newHarness(9) // more front ends than workers
+	b.SetAttemptPolicy(4, true, true, 500*ms)
+	b.submit("e", "redeliverable", 9)
+	st := b.advance(0)
 	fmt.Println("probe", st.Probes)
-	b.Probed(b.now, st.Probes[0], scheduler.TimedOut, scheduler.Load{}, ms)
-	st = b.step(250 * ms)
-	b.Probed(b.now, st.Probes[0], scheduler.Completed, scheduler.Load{Reported: true}, ms)
-	b.loaded(st)
-	b.step(0)
+	b.ProbeCompleted(b.now, st.Probes[0], scheduler.TimedOut, scheduler.LoadReport{}, ms)
+	st = b.advance(250 * ms)
+	b.ProbeCompleted(b.now, st.Probes[0], scheduler.Completed, scheduler.LoadReport{Reported: true}, ms)
+	b.completeLoads(st)
+	b.advance(0)
 	// Output:
 	// 0s e hold
 	// 0s load 9 x1 on c
@@ -344,16 +344,16 @@
 }
 
 // A worker with room that is full for one tenant stays open to the others.
-func Example_tenantRefused() {
-	b := newBench(1)
+func Example_tenantRejected() {
+	b := newHarness(1)
 	b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a"}})
 	for i, tenant := range []string{"m", "m", "n"} {
 		e := &scheduler.Request{ID: fmt.Sprint("e", i), Type: "redeliverable", Tenant: tenant, Function: uint64(i),
 			TimeLeft: 3000 * ms, Concurrency: 1}
-		b.show(b.Submit(b.now, e))
-		b.loaded(b.step(0))
-		if b.step(0); e.InFlight() && i == 0 {
-			b.show(b.Complete(b.now, e, scheduler.Outcome{Result: scheduler.Full, Load: scheduler.Load{Reported: true}}))
+		b.print(b.Submit(b.now, e))
+		b.completeLoads(b.advance(0))
+		if b.advance(0); e.InFlight() && i == 0 {
+			b.print(b.Complete(b.now, e, scheduler.Outcome{Result: scheduler.Full, Report: scheduler.LoadReport{Reported: true}}))
 		}
 	}
 	// Output:
@@ -370,19 +370,19 @@
 // A rejection of a function that serves many tenants, or none, keeps no other function away from the worker.
 func Example_manyTenants() {
 	for _, tenants := range [][]string{{"m", "n"}, {"", ""}} {
-		b := newBench(1)
+		b := newHarness(1)
 		b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a"}})
 		for i, tenant := range tenants {
 			b.Submit(b.now, &scheduler.Request{Type: "redeliverable", Tenant: tenant, Function: 1, TimeLeft: 3000 * ms, Concurrency: 2})
 			if i == 1 {
-				b.loaded(b.Tick(b.now))
+				b.completeLoads(b.Tick(b.now))
 			}
 		}
 		for _, a := range b.Tick(b.now).Decisions {
-			b.Complete(b.now, a.Request, scheduler.Outcome{Result: scheduler.Full, Load: scheduler.Load{Reported: true}})
+			b.Complete(b.now, a.Request, scheduler.Outcome{Result: scheduler.Full, Report: scheduler.LoadReport{Reported: true}})
 		}
 		b.Submit(b.now, &scheduler.Request{Type: "redeliverable", Tenant: tenants[1], Function: 2, TimeLeft: 3000 * ms, Concurrency: 2})
-		for _, o := range b.Tick(b.now).Loads {
+		for _, o := range b.Tick(b.now).LoadRequests {
 			fmt.Printf("load %d on %s\n", o.Function, o.Worker)
 		}
 	}
@@ -392,27 +392,27 @@
 }
 
 // A front end among many that sees only slow answers lowers what it has in flight at all workers together.
-func Example_limitOfAll() {
+func Example_fleetLimit() {
 	for _, took := range []time.Duration{100 * ms, 900 * ms} {
-		b := fleet(0, 50, 20)
+		b := newFleet(0, 50, 20)
 		for i := range 400 {
 			e := &scheduler.Request{Type: "redeliverable", Function: uint64(i % 20), TimeLeft: 3000 * ms, Concurrency: 4}
 			b.Submit(b.now, e)
 			st := b.Tick(b.now)
-			b.loaded(st)
-			b.handled(append(append(st.Decisions, b.Tick(b.now).Decisions...), scheduler.Decision{Request: e}), took)
+			b.completeLoads(st)
+			b.completeAll(append(append(st.Decisions, b.Tick(b.now).Decisions...), scheduler.Decision{Request: e}), took)
 			b.now += 20 * ms
 		}
 		out := 0
 		for i := range 40 {
 			e := &scheduler.Request{Type: "redeliverable", Function: uint64(i % 20), TimeLeft: 3000 * ms, Concurrency: 4}
-			if b.Submit(b.now, e).Verb == scheduler.Send {
+			if b.Submit(b.now, e).Action == scheduler.Send {
 				out++
 			}
 		}
 		for range 40 { // the limit is rounded by chance
 			for _, a := range b.Tick(b.now).Decisions {
-				if a.Verb == scheduler.Send {
+				if a.Action == scheduler.Send {
 					out++
 				}
 			}
@@ -425,19 +425,19 @@
 }
 
 // The time of a probe tells of a crowd where it varies: the warm replica there is left for another.
-func Example_crowdedProbe() {
+func Example_probeLatency() {
 	for _, took := range []time.Duration{ms, 9 * ms} {
-		b := newBench(9) // more front ends than workers
-		b.Allowed(4, true, true, 500*ms)
+		b := newHarness(9) // more front ends than workers
+		b.SetAttemptPolicy(4, true, true, 500*ms)
 		for range 12 { // what is usual
 			for i, worker := range []string{"a", "b", "c"} {
-				b.Probed(b.now, worker, scheduler.Completed, scheduler.Load{}, time.Duration(i+1)*ms)
+				b.ProbeCompleted(b.now, worker, scheduler.Completed, scheduler.LoadReport{}, time.Duration(i+1)*ms)
 			}
 		}
 		b.now += time.Second
-		b.place("e", "redeliverable", 9)
-		b.Probed(b.now, "c", scheduler.Completed, scheduler.Load{}, took)
-		b.step(0)
+		b.submit("e", "redeliverable", 9)
+		b.ProbeCompleted(b.now, "c", scheduler.Completed, scheduler.LoadReport{}, took)
+		b.advance(0)
 	}
 	// Output:
 	// 1s e hold
@@ -447,23 +447,23 @@
 }
 
 // A probe turned away as full is a sign of life: the load there counts, no other is ordered.
-func Example_probeTurnedAway() {
-	b := newBench(9)
-	b.Allowed(4, true, true, 500*ms)
-	b.place("e", "redeliverable", 9)
-	st := b.step(0)
-	b.Probed(b.now, st.Probes[0], scheduler.Full, scheduler.Load{}, ms)
-	b.step(250 * ms)
-	b.step(250 * ms)
+func Example_probeRejected() {
+	b := newHarness(9)
+	b.SetAttemptPolicy(4, true, true, 500*ms)
+	b.submit("e", "redeliverable", 9)
+	st := b.advance(0)
+	b.ProbeCompleted(b.now, st.Probes[0], scheduler.Full, scheduler.LoadReport{}, ms)
+	b.advance(250 * ms)
+	b.advance(250 * ms)
 	// Output:
 	// 0s e hold
 	// 0s load 9 x1 on c
 }
 
 // A worker of three times the size gets first replicas of about three times as many functions.
-func Example_sizes() {
-	b := newBench(1)
-	b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "big", Kind: "b", Size: 3}, {Worker: "small", Kind: "s", Size: 1}})
+func Example_weights() {
+	b := newHarness(1)
+	b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "big", Kind: "b", Weight: 3}, {Worker: "small", Kind: "s", Weight: 1}})
 	orders := map[string]int{}
 	for fn := range uint64(200) {
 		e := &scheduler.Request{Type: "redeliverable", Function: fn, TimeLeft: 3000 * ms, Concurrency: 1, LoadTime: 400 * ms}
@@ -479,23 +479,23 @@
 // Where answers outlast a tick, one request that waits for a slot does not ask for two more; three that come together
 // get one load.
 func Example_slowAnswers() {
-	b := newBench(1)
+	b := newHarness(1)
 	b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a"}})
-	b.quiet(9)
-	b.quiet(9)
-	b.quiet(9)
-	b.step(100 * ms)
-	b.step(300 * ms)
-	b.Loaded(b.now, scheduler.LoadRequest{Worker: "a", Function: 9, Replicas: 1}, scheduler.Completed, 400*ms)
+	b.submitQuietly(9)
+	b.submitQuietly(9)
+	b.submitQuietly(9)
+	b.advance(100 * ms)
+	b.advance(300 * ms)
+	b.LoadCompleted(b.now, scheduler.LoadRequest{Worker: "a", Function: 9, Replicas: 1}, scheduler.Completed, 400*ms)
 	for range 3 { // one lane, one after the other
 		for _, a := range b.Tick(b.now).Decisions {
 			b.now += 300 * ms
-			b.Complete(b.now, a.Request, scheduler.Outcome{Result: scheduler.Completed, Took: 300 * ms, Final: true})
+			b.Complete(b.now, a.Request, scheduler.Outcome{Result: scheduler.Completed, Duration: 300 * ms, Final: true})
 		}
 	}
-	fmt.Println(b.place("runs", "redeliverable", 9).InFlight())
-	b.place("waits", "redeliverable", 9)
-	b.step(240 * ms)
+	fmt.Println(b.submit("runs", "redeliverable", 9).InFlight())
+	b.submit("waits", "redeliverable", 9)
+	b.advance(240 * ms)
 	// Output:
 	// 100ms load 9 x1 on a
 	// 1.3s runs launch on a
@@ -506,7 +506,7 @@
 // Memory that does not hold a replica more of each function keeps a busy one to fewer workers.
 func Example_memory() {
 	for _, memory := range []float64{0, 4, 4000} {
-		n := homes(memory, func(i int) uint64 {
+		n := firstReplicaWorkers(memory, func(i int) uint64 {
 			if i%4 > 0 {
 				return uint64(100 + i)
 			}
@@ -521,16 +521,16 @@
 }
 
 // Where crossing zones costs, most requests of a function that stands in all zones stay in the front end's own.
-func Example_nearness() {
+func Example_zonePreference() {
 	for _, zone := range []string{"", "x"} {
 		own := 0
 		for fn := range uint64(100) {
-			b := newBench(1)
-			b.Crossing(zone)
+			b := newHarness(1)
+			b.PreferZone(zone)
 			b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a", Zone: "x"}, {Worker: "b", Zone: "y"}, {Worker: "c", Zone: "z"}})
-			b.quiet(fn)
+			b.submitQuietly(fn)
 			for _, w := range []string{"a", "b", "c"} { // a copy at each
-				b.Loaded(b.now, scheduler.LoadRequest{Worker: w, Function: fn, Replicas: 1}, scheduler.Completed, 400*ms)
+				b.LoadCompleted(b.now, scheduler.LoadRequest{Worker: w, Function: fn, Replicas: 1}, scheduler.Completed, 400*ms)
 			}
 			if a := b.Tick(b.now).Decisions; len(a) > 0 && a[0].Worker == "a" {
 				own++
@@ -544,12 +544,12 @@
 }
 
 // A front end that hears of few workers judges an overload by those: what is late then is rejected, not held to the end.
-func Example_jamHeardOf() {
+func Example_reportedOverload() {
 	for _, waiting := range []float64{0, 9} {
-		b := fleet(0, 100, 40)
-		b.Allowed(4, true, true, 500*ms)
+		b := newFleet(0, 100, 40)
+		b.SetAttemptPolicy(4, true, true, 500*ms)
 		for i := range 4 {
-			b.Probed(b.now, fmt.Sprint("w", i), scheduler.Completed, scheduler.Load{Reported: true, QueueDepth: waiting}, ms)
+			b.ProbeCompleted(b.now, fmt.Sprint("w", i), scheduler.Completed, scheduler.LoadReport{Reported: true, QueueDepth: waiting}, ms)
 		}
 		e := &scheduler.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 1, LoadTime: 900 * ms}
 		b.Submit(b.now, e)
@@ -557,10 +557,10 @@
 		for range 13 {
 			b.now += 100 * ms
 			for i := range 4 {
-				b.Probed(b.now, fmt.Sprint("w", i), scheduler.Completed, scheduler.Load{Reported: true, QueueDepth: waiting}, ms)
+				b.ProbeCompleted(b.now, fmt.Sprint("w", i), scheduler.Completed, scheduler.LoadReport{Reported: true, QueueDepth: waiting}, ms)
 			}
 			for _, a := range b.Tick(b.now).Decisions {
-				if a.Verb == scheduler.Reject {
+				if a.Action == scheduler.Reject {
 					deferred++
 					fmt.Println("at", b.now-time.Hour, "of 3s, with a time to come back", a.RetryAfter > 0)
 				}
@@ -575,31 +575,31 @@
 }
 
 // Once attempts have shown what requests ahead cost, none goes to where they make it late.
-func Example_eventsAhead() {
-	b := newBench(1)
+func Example_queuedAhead() {
+	b := newHarness(1)
 	b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a"}})
 	told := func(waiting float64) {
-		b.Probed(b.now, "a", scheduler.Completed, scheduler.Load{Reported: true, QueueDepth: waiting}, ms)
+		b.ProbeCompleted(b.now, "a", scheduler.Completed, scheduler.LoadReport{Reported: true, QueueDepth: waiting}, ms)
 	}
 	for range 8 {
-		e := b.quiet(9)
-		b.loaded(b.Tick(b.now))
+		e := b.submitQuietly(9)
+		b.completeLoads(b.Tick(b.now))
 		told(8)
 		b.now += 20 * ms
 		b.Tick(b.now)
 		b.now += 900 * ms
-		b.Complete(b.now, e, scheduler.Outcome{Result: scheduler.Completed, Took: 900 * ms, Final: true, Warmth: scheduler.FoundWarm})
+		b.Complete(b.now, e, scheduler.Outcome{Result: scheduler.Completed, Duration: 900 * ms, Final: true, ReplicaState: scheduler.ReplicaWarm})
 	}
 	for _, waiting := range []float64{20, 1} {
 		told(waiting)
-		e := b.quiet(9)
+		e := b.submitQuietly(9)
 		b.now += 20 * ms
 		b.Tick(b.now)
 		fmt.Println("waiting", waiting, "launched", e.InFlight())
 		b.now += 10 * ms
 		told(0)
 		b.Tick(b.now)
-		b.Complete(b.now, e, scheduler.Outcome{Result: scheduler.Completed, Took: 100 * ms, Final: true, Warmth: scheduler.FoundWarm})
+		b.Complete(b.now, e, scheduler.Outcome{Result: scheduler.Completed, Duration: 100 * ms, Final: true, ReplicaState: scheduler.ReplicaWarm})
 	}
 	// Output:
 	// waiting 20 launched false
@@ -607,9 +607,9 @@
 }
 
 // A function seen thrice is rarer where others come once only than where they come again.
-func Example_seenAgain() {
+func Example_recurringFunctions() {
 	for _, others := range []int{20, 1000} {
-		n := homes(0, func(i int) uint64 {
+		n := firstReplicaWorkers(0, func(i int) uint64 {
 			if i%20 == 9 {
 				return 9
 			}
@@ -623,15 +623,15 @@
 }
 
 // Sizes, memory and reports that are absurd or no numbers count as not told.
-func Example_absurdFacts() {
+func Example_implausibleValues() {
 	for _, v := range []float64{math.NaN(), math.Inf(1), -1, 1e300, 0} {
-		b := newBench(9)
-		b.Allowed(4, true, true, 500*ms)
-		b.AddKind("k", v)
-		b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a", Kind: "k", Size: v}, {Worker: "b", Kind: "l", Size: 1}})
+		b := newHarness(9)
+		b.SetAttemptPolicy(4, true, true, 500*ms)
+		b.AddWorkerKind("k", v)
+		b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a", Kind: "k", Weight: v}, {Worker: "b", Kind: "l", Weight: 1}})
 		orders := map[string]int{}
 		for fn := range uint64(100) {
-			b.Probed(b.now, "a", scheduler.Completed, scheduler.Load{Reported: true, QueueDepth: v}, ms)
+			b.ProbeCompleted(b.now, "a", scheduler.Completed, scheduler.LoadReport{Reported: true, QueueDepth: v}, ms)
 			e := &scheduler.Request{Type: "redeliverable", Function: fn, TimeLeft: 3000 * ms, Concurrency: 1, Memory: v}
 			for _, o := range b.serve(e, 10*ms) {
 				orders[o.Worker]++
@@ -651,7 +651,7 @@
 // waits it is slow or has slow functions, and less in flight would not make it faster.
 func Example_slowWorker() {
 	for _, waiting := range []float64{0, 3} {
-		b := fleet(0, 2, 1)
+		b := newFleet(0, 2, 1)
 		for i := range 400 {
 			took := 50 * ms
 			if i >= 100 {
@@ -660,18 +660,18 @@
 			e := &scheduler.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 64}
 			answers := []scheduler.Decision{b.Submit(b.now, e)}
 			st := b.Tick(b.now)
-			b.loaded(st)
+			b.completeLoads(st)
 			for _, a := range append(append(answers, st.Decisions...), b.Tick(b.now).Decisions...) {
 				if a.Request.InFlight() {
-					b.Complete(b.now, a.Request, scheduler.Outcome{Result: scheduler.Completed, Took: took, Final: true,
-						Load: scheduler.Load{Reported: true, QueueDepth: waiting}})
+					b.Complete(b.now, a.Request, scheduler.Outcome{Result: scheduler.Completed, Duration: took, Final: true,
+						Report: scheduler.LoadReport{Reported: true, QueueDepth: waiting}})
 				}
 			}
 			b.now += 20 * ms
 		}
 		out := 0
 		for range 40 {
-			if b.Submit(b.now, &scheduler.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 64}).Verb == scheduler.Send {
+			if b.Submit(b.now, &scheduler.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 64}).Action == scheduler.Send {
 				out++
 			}
 		}
