--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -24,20 +24,20 @@
 
 type flags struct {
 	telemetry.Flags
-	Config   string `help:"The platform's configuration: the front end speaks its protocol; no flag but --metrics and those of logs counts then." env:"GW_CONFIG" type:"path"`
-	Metrics  string `help:"Address where a front end of the platform serves its state to Prometheus; none by default." env:"LPGATE_METRICS"`
-	Settings string `help:"File of settings; without it the built-in defaults." type:"path"`
-	Listen   string `help:"Where clients come, instead of front.listen."`
-	Name     string `help:"Name of this front end in logs and events' ids."`
-	Index    int    `default:"0" help:"Its number among the front ends, from 0."`
-	Peers    int    `default:"1" help:"How many front ends there are, this one included."`
-	KeepList string `help:"File in which the list of workers is kept for the next start." type:"path"`
-	Capture  string `help:"File for a capture of all sockets." type:"path"`
-	Record   string `help:"File for a recording of the core." type:"path"`
+	Config        string `help:"The platform's configuration: the front end speaks its protocol; no flag but --metrics and those of logs counts then." env:"GW_CONFIG" type:"path"`
+	MetricsAddr   string `name:"metrics" help:"Address where a front end of the platform serves its state to Prometheus; none by default." env:"LPGATE_METRICS"`
+	Settings      string `help:"File of settings; without it the built-in defaults." type:"path"`
+	Listen        string `help:"Where clients come, instead of front.listen."`
+	Name          string `help:"Name of this front end in logs and events' ids."`
+	Index         int    `default:"0" help:"Its number among the front ends, from 0."`
+	GatewayCount  int    `name:"peers" default:"1" help:"How many front ends there are, this one included."`
+	EndpointCache string `name:"keep-list" help:"File in which the list of workers is kept for the next start." type:"path"`
+	Capture       string `help:"File for a capture of all sockets." type:"path"`
+	Record        string `help:"File for a recording of the core." type:"path"`
 }
 
-// logWithin is how long the end waits for who reads the log.
-const logWithin = 200 * time.Millisecond
+// logFlushTimeout is how long the end waits for who reads the log.
+const logFlushTimeout = 200 * time.Millisecond
 
 func main() {
 	var f flags
@@ -52,9 +52,9 @@
 func run(f flags) (err error) {
 	signal.Ignore(syscall.SIGPIPE) // of a log that nobody reads any more: what is written there fails, and is dropped
 	log, lossy := telemetry.NewLossyLogger(os.Stderr, f.Flags)
-	defer lossy.Close(logWithin)
+	defer lossy.Close(logFlushTimeout)
 	if f.Config != "" {
-		return platform.Run(f.Config, log, platform.Options{Metrics: f.Metrics, Dropped: lossy.Dropped})
+		return platform.Run(f.Config, log, platform.Options{Metrics: f.MetricsAddr, Dropped: lossy.Dropped})
 	}
 	file, err := fleetconfig.Default()
 	if f.Settings != "" {
@@ -63,8 +63,8 @@
 	if err != nil {
 		return err
 	}
-	if f.Index < 0 || f.Index >= f.Peers {
-		return fmt.Errorf("--index %d: from 0 to one less than --peers %d", f.Index, f.Peers)
+	if f.Index < 0 || f.Index >= f.GatewayCount {
+		return fmt.Errorf("--index %d: from 0 to one less than --peers %d", f.Index, f.GatewayCount)
 	}
 	if f.Listen != "" {
 		file.Front.Listen = f.Listen
@@ -72,13 +72,13 @@
 	if err := config.Loopback(file.Front.Listen); err != nil {
 		return err
 	}
-	o := gateway.Options{Name: f.Name, Self: f.Index, Peers: f.Peers, Seed: uint64(time.Now().UnixNano()), File: file, Log: log}
-	if f.KeepList != "" {
-		if o.Stale, err = gateway.ReadList(f.KeepList); err != nil { // an unreadable one is as none: the list comes anew
+	o := gateway.Options{Name: f.Name, Index: f.Index, GatewayCount: f.GatewayCount, Seed: uint64(time.Now().UnixNano()), Config: file, Log: log}
+	if f.EndpointCache != "" {
+		if o.CachedEndpoints, err = gateway.ReadEndpointCache(f.EndpointCache); err != nil { // an unreadable one is as none: the list comes anew
 			log.Warn("starting without a kept list", "err", err)
 		}
-		o.Known = func(n registry.News) {
-			if err := gateway.WriteList(f.KeepList, n); err != nil {
+		o.OnEndpoints = func(n registry.WatchEvent) {
+			if err := gateway.WriteEndpointCache(f.EndpointCache, n); err != nil {
 				log.Error("the list is not kept", "err", err)
 			}
 		}
--- a/cmd/gateway/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -21,10 +21,10 @@
 )
 
 // The test's own program is the gateway where this is set, to its name and arguments.
-const asProgram = "LPGATE_TEST_PROGRAM"
+const programEnv = "LPGATE_TEST_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if args := os.Getenv(asProgram); args != "" {
+	if args := os.Getenv(programEnv); args != "" {
 		os.Args = strings.Fields(args)
 		main()
 		os.Exit(0)
@@ -32,8 +32,8 @@
 	os.Exit(m.Run())
 }
 
-// worker answers every command well, after saw, which may be nil, was told of it; it tells its address.
-func worker(t *testing.T, saw func(words []string)) string {
+// startWorker answers every command well, after saw, which may be nil, was told of it; it tells its address.
+func startWorker(t *testing.T, saw func(words []string)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -60,8 +60,8 @@
 	return l.Addr().String()
 }
 
-// call sends one message and tells whether its answer was not an exception; an error where none came.
-func call(conn net.Conn, frame []byte) (good bool, err error) {
+// roundTrip sends one message and tells whether its answer was not an exception; an error where none came.
+func roundTrip(conn net.Conn, frame []byte) (good bool, err error) {
 	if err := conn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		return false, err
 	}
@@ -80,16 +80,16 @@
 	return err == nil && m.Kind == thrift.Reply && m.Args[2] == 0, err
 }
 
-func alive() []byte {
+func healthCheckFrame() []byte {
 	w := thrift.NewWriter("alive", thrift.Call, 1)
 	w.Bool(1, false)
 	return w.Frame()
 }
 
-func dispatch(n int) []byte { return request(n, n, 900*time.Millisecond) }
+func dispatchFrame(n int) []byte { return requestFrame(n, n, 900*time.Millisecond) }
 
-// request is a request of a function under an id that its client waits for so long.
-func request(id, function int, wait time.Duration) []byte {
+// requestFrame is a request of a function under an id that its client waits for so long.
+func requestFrame(id, function int, wait time.Duration) []byte {
 	w := thrift.NewWriter("dispatch", thrift.Call, 1)
 	w.Texts(1, "class", "call", "id", fmt.Sprintf("%016x", id), "key", fmt.Sprintf("%016x", function), "wait", strconv.FormatInt(wait.Milliseconds(), 10))
 	w.Binary(2, nil)
@@ -98,7 +98,7 @@
 
 // Idle clients take every descriptor that they can get while the journal is down, and every worker has been asked: the front
 // end goes on serving, hears of the list as soon as the journal is back, and ends with status 0.
-func TestIdleClientsTakeTheDescriptors(t *testing.T) {
+func TestIdleClientsExhaustDescriptors(t *testing.T) {
 	const sockets, workers = 64, 30
 	journal, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -115,7 +115,7 @@
 	}
 	var known, gone []string
 	for i := range workers {
-		addr := worker(t, nil)
+		addr := startWorker(t, nil)
 		known, gone = append(known, host(fmt.Sprint("w", i), addr, "up")), append(gone, host(fmt.Sprint("w", i), addr, "removed"))
 	}
 	config := fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","journal":%q,"limits":{"cores":1,"memory_mb":64,"sockets":%d},
@@ -129,7 +129,7 @@
 		t.Fatal(err)
 	}
 	program := exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %q", sockets, os.Args[0]))
-	program.Env = append(os.Environ(), asProgram+"=gateway", "GW_CONFIG="+path)
+	program.Env = append(os.Environ(), programEnv+"=gateway", "GW_CONFIG="+path)
 	program.Stderr = os.Stderr
 	if err := program.Start(); err != nil {
 		t.Fatal(err)
@@ -150,26 +150,26 @@
 	ask := func(frame []byte) (bool, error) {
 		conn := dial()
 		defer conn.Close()
-		return call(conn, frame)
+		return roundTrip(conn, frame)
 	}
 	idle := func() {
 		for range 2 * sockets {
 			conn := dial()
 			t.Cleanup(func() { conn.Close() })
-			if good, err := call(conn, alive()); err != nil || !good {
+			if good, err := roundTrip(conn, healthCheckFrame()); err != nil || !good {
 				t.Error("not alive:", good, err)
 			}
 		}
 	}
 	idle()
 	for n := range 10 * workers { // of so many functions that each worker gets some
-		if good, err := ask(dispatch(n)); err != nil || !good {
+		if good, err := ask(dispatchFrame(n)); err != nil || !good {
 			t.Error("event", n, "handled:", good, err)
 		}
 	}
 	idle()
 	heard := make(chan struct{}, 1000)
-	last := worker(t, nil)
+	last := startWorker(t, nil)
 	service := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("tail") == "1" {
 			fmt.Fprintf(w, `{"pos":2,"entries":[{"pos":2,"hosts":{"whole":false,"hosts":[%s,%s]}}]}`, strings.Join(gone, ","), host("new", last, "up"))
@@ -189,7 +189,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("the list is not heard of")
 	}
-	if good, err := ask(dispatch(1 << 20)); err != nil || !good {
+	if good, err := ask(dispatchFrame(1 << 20)); err != nil || !good {
 		t.Error("after that, handled:", good, err)
 	}
 	if err := program.Process.Signal(syscall.SIGTERM); err != nil {
--- a/cmd/gateway/process_test.go
+++ b/cmd/gateway/process_test.go
@@ -29,7 +29,7 @@
 func startProgram(t *testing.T, log *os.File, args ...string) *program {
 	t.Helper()
 	p := &program{t: t, attempts: make(chan []string, 10000), came: make(chan time.Time, 10000)}
-	at := worker(t, func(words []string) {
+	at := startWorker(t, func(words []string) {
 		if words[0] == "FN" {
 			p.came <- time.Now()
 			p.attempts <- words
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	p.Cmd = exec.Command(os.Args[0], args...)
-	p.Env = append(os.Environ(), asProgram+"="+strings.Join(append([]string{"gateway"}, args...), " "), "GW_CONFIG="+path)
+	p.Env = append(os.Environ(), programEnv+"="+strings.Join(append([]string{"gateway"}, args...), " "), "GW_CONFIG="+path)
 	p.Stderr = log
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
@@ -89,10 +89,10 @@
 
 // A request that waits in the kernel while the process stands still is older than it looks: its worker is told no more time than its
 // client has left, and one whose client has left meanwhile is not sent at all, though its end is read later.
-func TestPausedWhileRequestsWait(t *testing.T) {
+func TestPausedWithQueuedRequests(t *testing.T) {
 	const paused, wait = 700 * time.Millisecond, 2500 * time.Millisecond
 	p := startProgram(t, os.Stderr)
-	first := p.send(request(1, 1, wait)) // the replica is warm from now on
+	first := p.send(requestFrame(1, 1, wait)) // the replica is warm from now on
 	defer first.Close()
 	<-p.attempts
 	<-p.came
@@ -102,15 +102,15 @@
 	sent := time.Now()
 	const left = 20
 	for n := range left {
-		p.send(request(100+n, 1, wait)).Close()
+		p.send(requestFrame(100+n, 1, wait)).Close()
 	}
-	waiting := p.send(request(2, 1, wait))
+	waiting := p.send(requestFrame(2, 1, wait))
 	defer waiting.Close()
 	time.Sleep(paused)
 	if err := p.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	if good, err := call(waiting, nil); err != nil || !good {
+	if good, err := roundTrip(waiting, nil); err != nil || !good {
 		t.Error("the request that is waited for:", good, err)
 	}
 	for len(p.attempts) > 0 {
@@ -131,7 +131,7 @@
 }
 
 // Nobody reads the log: first its reader stands still until the pipe is full, then it is gone. Requests are served all the same.
-func TestNobodyReadsTheLog(t *testing.T) {
+func TestLogReaderStalled(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -143,7 +143,7 @@
 		t.Helper()
 		for range times {
 			conn := p.send(nil)
-			if good, err := call(conn, request(int(number.Add(1)), 1, 2*time.Second)); err != nil || !good {
+			if good, err := roundTrip(conn, requestFrame(int(number.Add(1)), 1, 2*time.Second)); err != nil || !good {
 				t.Fatal("request", number.Load(), good, err)
 			}
 			conn.Close()
--- a/cmd/lpctl/up.go
+++ b/cmd/lpctl/up.go
@@ -93,7 +93,7 @@
 		return err
 	}
 	ending := map[int]string{200: "handled", 502: "dead-lettered"}[resp.StatusCode]
-	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(invoke.HeaderEvent) != "" {
+	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(invoke.HeaderRequestID) != "" {
 		ending = "deferred"
 	} else if ending == "" {
 		ending = "not taken"
@@ -101,13 +101,13 @@
 	took := time.Since(began).Round(10 * time.Microsecond)
 	if c.JSON {
 		if err := json.NewEncoder(os.Stdout).Encode(map[string]any{"ending": ending, "status": resp.StatusCode,
-			"event": resp.Header.Get(invoke.HeaderEvent), "launches": resp.Header.Get(invoke.HeaderLaunches),
-			"back-ms": resp.Header.Get(invoke.HeaderBack), "took-ms": took.Seconds() * 1e3, "body": string(answer)}); err != nil {
+			"event": resp.Header.Get(invoke.HeaderRequestID), "launches": resp.Header.Get(invoke.HeaderAttempts),
+			"back-ms": resp.Header.Get(invoke.HeaderRetryAfterMillis), "took-ms": took.Seconds() * 1e3, "body": string(answer)}); err != nil {
 			return err
 		}
 	} else {
-		fmt.Fprintf(os.Stderr, "%s after %v and %s launches, event %s\n", ending, took, resp.Header.Get(invoke.HeaderLaunches),
-			resp.Header.Get(invoke.HeaderEvent))
+		fmt.Fprintf(os.Stderr, "%s after %v and %s launches, event %s\n", ending, took, resp.Header.Get(invoke.HeaderAttempts),
+			resp.Header.Get(invoke.HeaderRequestID))
 		fmt.Printf("%s\n", bytes.TrimSpace(answer))
 	}
 	if ending != "handled" {
@@ -125,12 +125,12 @@
 
 // Run shows or changes the list.
 func (c *workersCmd) Run(ctx context.Context, _ *slog.Logger) error {
-	list := registry.Client{Base: c.List, HTTP: http.DefaultClient}
-	for name, state := range map[string]registry.State{c.Drain: registry.Draining, c.Gone: registry.Gone} {
+	list := registry.Client{BaseURL: c.List, HTTP: http.DefaultClient}
+	for name, state := range map[string]registry.State{c.Drain: registry.Draining, c.Gone: registry.Removed} {
 		if name == "" {
 			continue
 		}
-		if err := list.Mark(ctx, name, state); err != nil {
+		if err := list.SetState(ctx, name, state); err != nil {
 			return err
 		}
 	}
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -24,8 +24,8 @@
 
 type flags struct {
 	telemetry.Flags
-	Listen string        `default:"127.0.0.1:8710" help:"Where front ends and workers come."`
-	Late   time.Duration `help:"Tell every change so much later, as a slow list would."`
+	Listen     string        `default:"127.0.0.1:8710" help:"Where front ends and workers come."`
+	WatchDelay time.Duration `name:"late" help:"Tell every change so much later, as a slow list would."`
 }
 
 func main() {
@@ -42,7 +42,7 @@
 	if err := config.Loopback(f.Listen); err != nil {
 		return err
 	}
-	if f.Late < 0 {
+	if f.WatchDelay < 0 {
 		return errors.New("--late: at least 0s")
 	}
 	log := telemetry.New(os.Stderr, f.Flags)
@@ -50,10 +50,10 @@
 	if err != nil {
 		return err
 	}
-	r := registry.New(func(front string, _ time.Time, n registry.News) {
-		log.Debug("list told", "front", front, "version", n.Version, "whole", n.Whole, "entries", len(n.Entries))
+	r := registry.New(func(front string, _ time.Time, n registry.WatchEvent) {
+		log.Debug("list told", "front", front, "version", n.Version, "whole", n.Complete, "entries", len(n.Entries))
 	})
-	r.Late(f.Late)
+	r.SetDelay(f.WatchDelay)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	server := &http.Server{Handler: r.Handler(), ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 16 << 10,
--- a/cmd/worker/main.go
+++ b/cmd/worker/main.go
@@ -125,7 +125,7 @@
 		return err
 	}
 	for _, cut := range w.Cut() {
-		log.Warn("the last life died during a load", "function", cut.Function, "version", cut.Version, "events", cut.Events)
+		log.Warn("the last life died during a load", "function", cut.Function, "version", cut.Version, "events", cut.Requests)
 	}
 	listener, err := net.Listen("tcp", c.Listen)
 	if err != nil {
@@ -149,8 +149,8 @@
 		control := &http.Server{Handler: w.Control(), ReadHeaderTimeout: 5 * time.Second}
 		g.Go(func() error { return httpserver.Until(serving, control, orders, 0) })
 	}
-	entry := registry.Entry{Name: c.Name, Addr: listener.Addr().String(), Zone: c.Zone, Cell: c.Cell, Kind: c.Kind, Cores: c.Cores, State: registry.In,
-		Started: time.Now(), Chunks: gives.Addr().String()}
+	entry := registry.Entry{Name: c.Name, Addr: listener.Addr().String(), Zone: c.Zone, Cell: c.Cell, Kind: c.Kind, Cores: c.Cores, State: registry.InService,
+		Started: time.Now(), ChunkAddr: gives.Addr().String()}
 	g.Go(func() error {
 		defer stop()
 		if c.List == "" {
@@ -170,9 +170,9 @@
 
 // listed keeps the worker on the list until ctx ends, then it is marked as draining; and learns who else gives chunks.
 func (c *serveCmd) listed(ctx context.Context, e registry.Entry, peers *atomic.Pointer[[]distribution.Peer], log *slog.Logger) {
-	list := registry.Client{Base: c.List, HTTP: &http.Client{Timeout: c.Lease}}
+	list := registry.Client{BaseURL: c.List, HTTP: &http.Client{Timeout: c.Lease}}
 	put := func() {
-		if err := list.Put(context.WithoutCancel(ctx), e, c.Lease); err != nil { // the last one says that it drains
+		if err := list.Register(context.WithoutCancel(ctx), e, c.Lease); err != nil { // the last one says that it drains
 			log.Warn("not put on the list", "err", err)
 		}
 		listed, err := list.Workers(context.WithoutCancel(ctx))
@@ -181,8 +181,8 @@
 		}
 		var all []distribution.Peer
 		for _, x := range listed {
-			if x.Chunks != "" && x.State == registry.In {
-				all = append(all, distribution.Peer{Name: x.Name, Addr: x.Chunks})
+			if x.ChunkAddr != "" && x.State == registry.InService {
+				all = append(all, distribution.Peer{Name: x.Name, Addr: x.ChunkAddr})
 			}
 		}
 		peers.Store(&all)
--- a/internal/gateway/act.go
+++ b/internal/gateway/act.go
@@ -15,76 +15,76 @@
 	"lupinpond/scheduler"
 )
 
-// links is the way out over the worker protocol, with the worker list from the registry.
-type links struct{ *Gate }
+// rpcTransport is the way out over the worker protocol, with the worker list from the registry.
+type rpcTransport struct{ *Gateway }
 
-// peer finds a worker's link; nil: none.
-func (l links) peer(worker string) *peer {
-	l.peersMu.Lock()
-	defer l.peersMu.Unlock()
-	return l.peers[worker]
+// clientOf finds a worker's link; nil: none.
+func (l rpcTransport) clientOf(worker string) *workerClient {
+	l.workerClientsMu.Lock()
+	defer l.workerClientsMu.Unlock()
+	return l.workerClients[worker]
 }
 
-// recaller gives a call up as the settings allow.
-type recaller struct {
+// cancellableCall gives a call up as the settings allow.
+type cancellableCall struct {
 	*workerrpc.Call
-	tell bool
+	notifyWorker bool
 }
 
-// Recall gives the launch up.
-func (r recaller) Recall() { r.Call.Recall(r.tell) }
+// Cancel gives the launch up.
+func (r cancellableCall) Cancel() { r.Call.Cancel(r.notifyWorker) }
 
 // Send sends a launch to a worker.
-func (l links) Send(e *Request, launch int, worker string, departure *Departure, done func(scheduler.Outcome, []byte)) Sent {
-	left, leaves := departure.Left() // the link tells what is left of it when it writes
+func (l rpcTransport) Send(e *Request, launch int, worker string, departure *SendPermit, done func(scheduler.Outcome, []byte)) Canceller {
+	left, leaves := departure.TimeLeft() // the link tells what is left of it when it writes
 	if !leaves {
 		done(scheduler.Outcome{Result: scheduler.Withheld}, nil)
 		return nil
 	}
-	p := l.peer(worker)
+	p := l.clientOf(worker)
 	if p == nil {
 		done(scheduler.Outcome{Result: scheduler.Unreachable}, nil)
 		return nil
 	}
 	c := e.Call
 	window := time.Duration(0)
-	if c.Key != "" {
+	if c.IdempotencyKey != "" {
 		window = c.Type.Window.D()
 	}
 	stillLeaves := func() bool {
-		_, leaves := departure.Left()
+		_, leaves := departure.TimeLeft()
 		return leaves
 	}
-	return recaller{p.LaunchIf(workerrpc.Launch{Event: e.Fact.ID, Number: launch, Function: c.Function.Name, Type: c.Type.Name,
-		Tenant: c.Tenant, Key: c.Key, Window: window, Client: c.Source + "\n" + c.ID, Body: e.Body}, left, stillLeaves,
-		func(o workerrpc.Outcome) { done(l.outcome(o)) }), l.cancel}
+	return cancellableCall{p.SendIf(workerrpc.Attempt{RequestID: e.Scheduled.ID, Number: launch, Function: c.Function.Name, Type: c.Type.Name,
+		Tenant: c.Tenant, IdempotencyKey: c.IdempotencyKey, IdempotencyWindow: window, ClientRequestID: c.Source + "\n" + c.ClientID, Body: e.Body}, left, stillLeaves,
+		func(o workerrpc.Outcome) { done(l.outcome(o)) }), l.cancelAttempts}
 }
 
 // outcome is how a launch ended, and its answer.
-func (l links) outcome(o workerrpc.Outcome) (out scheduler.Outcome, body []byte) {
-	switch o.Fate {
-	case workerrpc.Unsent:
+func (l rpcTransport) outcome(o workerrpc.Outcome) (out scheduler.Outcome, body []byte) {
+	switch o.Status {
+	case workerrpc.StatusUnsent:
 		out.Result = scheduler.Unreachable
 		if errors.Is(o.Err, workerrpc.ErrWithheld) {
 			out.Result = scheduler.Withheld
 		}
-	case workerrpc.Broken:
+	case workerrpc.StatusConnectionLost:
 		out.Result = scheduler.ConnectionLost
-	case workerrpc.Recalled:
+	case workerrpc.StatusCancelled:
 		out.Result = scheduler.Cancelled
-	case workerrpc.Answered:
-		a := o.Answer
-		out.ReplicaState, out.Report = scheduler.ReplicaState(a.Warmth), l.load(a.Report)
+	case workerrpc.StatusAnswered:
+		a := o.AttemptResult
+		out.ReplicaState, out.Report = scheduler.ReplicaState(a.ReplicaState), l.schedulerLoad(a.Report)
 		switch a.Code {
-		case workerrpc.Done:
+		case workerrpc.CodeOK:
 			out.Result, body = scheduler.Completed, a.Body
-		case workerrpc.Full:
+		case workerrpc.CodeOverloaded:
 			out.Result = scheduler.Full
-		case workerrpc.Missing:
+		case workerrpc.CodeNotFound:
 			out.Result = scheduler.NotFound
-		case workerrpc.NotStarted: // drained or withdrawn before its start
+		case workerrpc.CodeNotStarted: // drained or withdrawn before its start
 			out.Result = scheduler.Unreachable
-		case workerrpc.Withdrawn:
+		case workerrpc.CodeCancelled:
 			out.Result = scheduler.Cancelled
 		default:
 			out.Result = scheduler.Failed
@@ -93,53 +93,53 @@
 	return out, body
 }
 
-// load tells of a report what the settings say that reports carry.
-func (g *Gate) load(r *workerrpc.Report) scheduler.LoadReport {
-	if r == nil || g.o.File.Fleet.Workers.Reports == "none" {
+// schedulerLoad tells of a report what the settings say that reports carry.
+func (g *Gateway) schedulerLoad(r *workerrpc.LoadReport) scheduler.LoadReport {
+	if r == nil || g.options.Config.Fleet.Workers.Reports == "none" {
 		return scheduler.LoadReport{}
 	}
-	return scheduler.LoadReport{Reported: true, QueueDepth: float64(r.Waiting)}
+	return scheduler.LoadReport{Reported: true, QueueDepth: float64(r.QueueDepth)}
 }
 
 // Load sends a load order.
-func (l links) Load(o scheduler.LoadRequest, done func(copies int, r scheduler.Result)) Sent {
-	p := l.peer(o.Worker)
+func (l rpcTransport) Load(o scheduler.LoadRequest, done func(copies int, r scheduler.Result)) Canceller {
+	p := l.clientOf(o.Worker)
 	if p == nil {
 		done(o.Replicas, scheduler.Unreachable)
 		return nil
 	}
-	p.Order(workerrpc.Order{Function: l.names[o.Function], Copies: o.Replicas}, func(out workerrpc.Outcome) {
+	p.Load(workerrpc.LoadRequest{Function: l.functionNames[o.Function], Replicas: o.Replicas}, func(out workerrpc.Outcome) {
 		switch {
-		case out.Fate == workerrpc.Unsent:
+		case out.Status == workerrpc.StatusUnsent:
 			done(o.Replicas, scheduler.Unreachable)
-		case out.Ordered == nil:
+		case out.LoadResult == nil:
 			done(o.Replicas, scheduler.ConnectionLost)
 		default:
 			result := scheduler.Failed
-			switch out.Ordered.Code {
-			case workerrpc.Done:
+			switch out.LoadResult.Code {
+			case workerrpc.CodeOK:
 				result = scheduler.Completed
-			case workerrpc.Full, workerrpc.NotStarted:
+			case workerrpc.CodeOverloaded, workerrpc.CodeNotStarted:
 				result = scheduler.Full
 			}
-			done(out.Ordered.Copies, result)
+			done(out.LoadResult.Replicas, result)
 		}
 	})
 	return nil
 }
 
 // Probe asks a worker for a report.
-func (l links) Probe(worker string, done func(r scheduler.Result, load scheduler.LoadReport)) Sent {
-	p := l.peer(worker)
+func (l rpcTransport) Probe(worker string, done func(r scheduler.Result, load scheduler.LoadReport)) Canceller {
+	p := l.clientOf(worker)
 	if p == nil {
 		done(scheduler.Unreachable, scheduler.LoadReport{})
 		return nil
 	}
 	p.Probe(func(o workerrpc.Outcome) {
 		switch {
-		case o.Echo != nil:
-			done(scheduler.Completed, l.load(o.Echo.Report))
-		case o.Fate == workerrpc.Unsent:
+		case o.ProbeReply != nil:
+			done(scheduler.Completed, l.schedulerLoad(o.ProbeReply.Report))
+		case o.Status == workerrpc.StatusUnsent:
 			done(scheduler.Unreachable, scheduler.LoadReport{})
 		default:
 			done(scheduler.ConnectionLost, scheduler.LoadReport{})
@@ -149,19 +149,19 @@
 }
 
 // Subscribe subscribes to the list.
-func (l links) Subscribe() {
+func (l rpcTransport) Subscribe() {
 	select {
-	case l.asked <- struct{}{}:
+	case l.subscribeRequests <- struct{}{}:
 	default:
 	}
 }
 
-// list subscribes whenever the core asks, and tells what comes.
-func (g *Gate) list(ctx context.Context) error {
-	dial := &net.Dialer{Timeout: g.o.File.Front.Link.Dial.D()}
+// watchRegistry subscribes whenever the core asks, and tells what comes.
+func (g *Gateway) watchRegistry(ctx context.Context) error {
+	dial := &net.Dialer{Timeout: g.options.Config.Front.Link.Dial.D()}
 	transport := &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			return g.o.Tap.Dialer(capture.List, "list", func(ctx context.Context, addr string) (net.Conn, error) {
+			return g.options.Tap.Dialer(capture.List, "list", func(ctx context.Context, addr string) (net.Conn, error) {
 				return dial.DialContext(ctx, network, addr)
 			})(ctx, addr)
 		}}
@@ -171,9 +171,9 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-g.asked:
+		case <-g.subscribeRequests:
 		}
-		err := registry.Watch(ctx, client, g.o.File.Front.List, g.o.Name, func(n registry.News) { g.news(n) })
+		err := registry.Watch(ctx, client, g.options.Config.Front.List, g.options.Name, func(n registry.WatchEvent) { g.applyWatchEvent(n) })
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -182,98 +182,98 @@
 	}
 }
 
-// news takes a message of the list. Links to drained and gone workers are stopped at once, before the owner gets to it:
+// applyWatchEvent takes a message of the list. Links to drained and gone workers are stopped at once, before the owner gets to it:
 // what waits in a write queue must not leave after the grace, even where the owner is stalled.
-func (g *Gate) news(n registry.News) {
+func (g *Gateway) applyWatchEvent(n registry.WatchEvent) {
 	var listings []scheduler.Member
 	named := map[string]bool{}
-	g.peersMu.Lock()
-	within := Always
-	if !g.listedAt.IsZero() {
-		within = time.Since(g.listedAt)
+	g.workerClientsMu.Lock()
+	within := UnboundedAge
+	if !g.lastEventAt.IsZero() {
+		within = time.Since(g.lastEventAt)
 	}
-	g.listedAt = time.Now()
+	g.lastEventAt = time.Now()
 	for _, e := range n.Entries {
 		named[e.Name] = true
-		l := scheduler.Member{Worker: e.Name, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, Started: g.births.Started(e.Name, e.Started, within)}
-		if g.o.File.Fleet.Workers.Sizes == "cores" {
+		l := scheduler.Member{Worker: e.Name, Zone: e.Zone, Cell: e.Cell, Kind: e.Kind, Started: g.startTimes.Started(e.Name, e.Started, within)}
+		if g.options.Config.Fleet.Workers.Sizes == "cores" {
 			l.Weight = e.Cores
 		}
 		switch e.State {
 		case registry.Draining:
 			l.Condition = scheduler.Draining
-		case registry.Gone:
+		case registry.Removed:
 			l.Condition = scheduler.Removed
 		}
 		listings = append(listings, l)
-		g.link(e)
+		g.updateClient(e)
 	}
-	if n.Whole {
-		g.births.Keep(named)
-		for name, p := range g.peers {
+	if n.Complete {
+		g.startTimes.Retain(named)
+		for name, p := range g.workerClients {
 			if !named[name] {
-				p.Stop(g.grace)
+				p.Stop(g.stopGrace)
 			}
 		}
 	}
-	whole := g.keep(n, named)
-	g.peersMu.Unlock()
-	if g.o.Known != nil {
-		g.o.Known(whole)
+	whole := g.mergeEndpoints(n, named)
+	g.workerClientsMu.Unlock()
+	if g.options.OnEndpoints != nil {
+		g.options.OnEndpoints(whole)
 	}
-	g.UpdateMembership(n.Whole, listings, nil)
+	g.UpdateMembership(n.Complete, listings, nil)
 }
 
-// keep follows the list and gives the whole of it.
-func (g *Gate) keep(n registry.News, named map[string]bool) registry.News {
-	if n.Whole {
-		maps.DeleteFunc(g.known, func(name string, _ registry.Entry) bool { return !named[name] })
+// mergeEndpoints follows the list and gives the whole of it.
+func (g *Gateway) mergeEndpoints(n registry.WatchEvent, named map[string]bool) registry.WatchEvent {
+	if n.Complete {
+		maps.DeleteFunc(g.endpoints, func(name string, _ registry.Entry) bool { return !named[name] })
 	}
 	for _, e := range n.Entries {
-		g.known[e.Name] = e
+		g.endpoints[e.Name] = e
 	}
-	whole := registry.News{Version: n.Version, Whole: true}
-	for _, name := range slices.Sorted(maps.Keys(g.known)) {
-		whole.Entries = append(whole.Entries, g.known[name])
+	whole := registry.WatchEvent{Version: n.Version, Complete: true}
+	for _, name := range slices.Sorted(maps.Keys(g.endpoints)) {
+		whole.Entries = append(whole.Entries, g.endpoints[name])
 	}
 	return whole
 }
 
-// link follows one entry of the list with the link to that worker.
-func (g *Gate) link(e registry.Entry) {
-	p := g.peers[e.Name]
+// updateClient follows one entry of the list with the link to that worker.
+func (g *Gateway) updateClient(e registry.Entry) {
+	p := g.workerClients[e.Name]
 	if p != nil && p.entry.Addr != e.Addr { // it listens elsewhere now
 		p.stop()
 		p = nil
 	}
-	if p == nil && e.State != registry.In {
+	if p == nil && e.State != registry.InService {
 		return
 	}
 	if p == nil {
-		l := g.o.File.Front.Link
+		l := g.options.Config.Front.Link
 		var dialer net.Dialer
-		dial := g.o.Tap.Dialer(capture.Worker, e.Name, func(ctx context.Context, addr string) (net.Conn, error) {
+		dial := g.options.Tap.Dialer(capture.Worker, e.Name, func(ctx context.Context, addr string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", addr)
 		})
-		ctx, stop := context.WithCancel(g.hard)
-		p = &peer{stop: stop, Peer: workerrpc.NewPeer(g.o.Name, e.Name, e.Addr, workerrpc.Limits{Dial: l.Dial.D(),
-			Queue: l.Queue.D(), Stall: l.Stall.D(), Calls: l.Calls, Bytes: int(l.Bytes)}, dial)}
-		p.Greeted = func(h *workerrpc.Hello) {
-			if h.WarmUp > 0 {
-				g.log.Info("a worker warmed up in its last life", "worker", h.Name, "warm-up", h.WarmUp)
+		ctx, stop := context.WithCancel(g.killCtx)
+		p = &workerClient{stop: stop, Client: workerrpc.NewClient(g.options.Name, e.Name, e.Addr, workerrpc.Limits{DialTimeout: l.Dial.D(),
+			QueueTimeout: l.Queue.D(), WriteTimeout: l.Stall.D(), MaxQueuedCalls: l.Calls, MaxQueuedBytes: int(l.Bytes)}, dial)}
+		p.OnHandshake = func(h *workerrpc.Handshake) {
+			if h.WarmUpTime > 0 {
+				g.log.Info("a worker warmed up in its last life", "worker", h.Name, "warm-up", h.WarmUpTime)
 			}
-			for _, cut := range h.Cut {
+			for _, cut := range h.InterruptedLoads {
 				g.log.Warn("a worker died during a load", "worker", h.Name, "function", cut.Function, "version", cut.Version,
-					"events", cut.Events)
+					"events", cut.Requests)
 			}
 		}
-		g.group.Go(func() error { return p.Run(ctx) })
-		g.peers[e.Name] = p
+		g.background.Go(func() error { return p.Run(ctx) })
+		g.workerClients[e.Name] = p
 	}
 	p.entry = e
-	if e.State == registry.In {
+	if e.State == registry.InService {
 		p.Resume()
 	} else {
-		p.Stop(g.grace)
+		p.Stop(g.stopGrace)
 	}
 }
--- a/internal/gateway/births_test.go
+++ b/internal/gateway/births_test.go
@@ -6,9 +6,9 @@
 )
 
 // The age of a worker is taken when it is first told, whatever the wall clock says later, and is bounded by when it can have come.
-func TestBirths(t *testing.T) {
+func TestStartTimes(t *testing.T) {
 	now := 10 * time.Hour
-	b := &Births{func() time.Duration { return now }, map[string]birth{}}
+	b := &StartTimes{func() time.Duration { return now }, map[string]startTime{}}
 	wants := func(what string, got, want time.Duration) {
 		t.Helper()
 		if d := got - want; d < -time.Second || d > time.Second {
@@ -16,7 +16,7 @@
 		}
 	}
 	born := time.Now().Add(-5 * time.Second)
-	wants("known from the start", b.Started("a", born, Always), now-5*time.Second)
+	wants("known from the start", b.Started("a", born, UnboundedAge), now-5*time.Second)
 	wants("the wall clock was set ahead an hour", b.Started("b", time.Now().Add(-time.Hour), 2*time.Second), now-2*time.Second)
 	wants("the wall clock was set back an hour", b.Started("c", time.Now().Add(time.Hour), 2*time.Second), now)
 	now += time.Minute
@@ -24,7 +24,7 @@
 	wants("another life", b.Started("a", born.Add(time.Millisecond), 0), now)
 	wants("long ago", b.Started("d", time.Time{}, 0), 0)
 	b.Forget("b")
-	b.Keep(map[string]bool{"a": true})
+	b.Retain(map[string]bool{"a": true})
 	if len(b.known) != 1 {
 		t.Error(b.known)
 	}
--- a/internal/gateway/compat_test.go
+++ b/internal/gateway/compat_test.go
@@ -14,15 +14,15 @@
 
 // A worker list that an earlier version kept is read in full, and kept again in the same bytes.
 func TestStoredListIsRead(t *testing.T) {
-	got, err := gateway.ReadList("testdata/stored/list.json")
+	got, err := gateway.ReadEndpointCache("testdata/stored/list.json")
 	if err != nil || got == nil {
 		t.Fatalf("got %v, error %v, want a list", got, err)
 	}
 	at := time.Date(2026, 12, 1, 2, 3, 4, 567891234, time.UTC)
-	want := registry.News{Version: 42, Whole: true, Entries: []registry.Entry{
-		{Name: "a", Addr: "127.0.0.1:7001", Zone: "z1", Cell: "c1", Kind: "big", Cores: 2.5, State: registry.In, Chunks: "127.0.0.1:8001", Started: at},
+	want := registry.WatchEvent{Version: 42, Complete: true, Entries: []registry.Entry{
+		{Name: "a", Addr: "127.0.0.1:7001", Zone: "z1", Cell: "c1", Kind: "big", Cores: 2.5, State: registry.InService, ChunkAddr: "127.0.0.1:8001", Started: at},
 		{Name: "b", Addr: "127.0.0.1:7002", Cores: 1, State: registry.Draining, Started: at.Add(time.Hour)},
-		{Name: "c", Addr: "127.0.0.1:7003", Zone: "z2", Cores: 1, State: registry.Gone, Started: at},
+		{Name: "c", Addr: "127.0.0.1:7003", Zone: "z2", Cores: 1, State: registry.Removed, Started: at},
 	}}
 	if !reflect.DeepEqual(*got, want) {
 		t.Errorf("got %+v, want %+v", *got, want)
@@ -32,8 +32,8 @@
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "list.json")
-	want.Whole = false // as it was when it was stored
-	if err := gateway.WriteList(path, want); err != nil {
+	want.Complete = false // as it was when it was stored
+	if err := gateway.WriteEndpointCache(path, want); err != nil {
 		t.Fatal(err)
 	}
 	if again, err := os.ReadFile(path); err != nil || !bytes.Equal(again, stored) {
--- a/internal/gateway/departure.go
+++ b/internal/gateway/departure.go
@@ -14,59 +14,59 @@
 	answerSlack     = 500 * time.Millisecond // an answer later than that after the client's time is a lost request
 )
 
-// Departure is an attempt on its way out: the one place that lets it leave. Between the decision for it and the moment when
+// SendPermit is an attempt on its way out: the one place that lets it leave. Between the decision for it and the moment when
 // its bytes are written it may wait for a connection, and its client may leave or run out of time.
-type Departure struct {
-	owner   *Owner
-	request *Request
-	decided time.Duration
-	by      time.Duration // the client's time is up
-	told    time.Duration // how much of it the worker was told
-	asked   time.Time     // when
+type SendPermit struct {
+	loop           *EventLoop
+	request        *Request
+	decidedAt      time.Duration
+	deadline       time.Duration // the client's time is up
+	statedTimeLeft time.Duration // how much of it the worker was told
+	statedAt       time.Time     // when
 }
 
-// Left is what the client has left now, to be told to the worker; false: the attempt must not leave any more. It is asked
+// TimeLeft is what the client has left now, to be told to the worker; false: the attempt must not leave any more. It is asked
 // when the attempt's bytes are about to be written, from any goroutine.
-func (d *Departure) Left() (time.Duration, bool) {
-	now := d.owner.Now()
-	if d.request.clientGone.Load() != 0 {
-		d.owner.stats.WithheldLeft.Add(1)
+func (d *SendPermit) TimeLeft() (time.Duration, bool) {
+	now := d.loop.Now()
+	if d.request.disconnectedAt.Load() != 0 {
+		d.loop.stats.WithheldDisconnected.Add(1)
 		return 0, false
 	}
-	if now >= d.by {
-		d.owner.stats.WithheldLate.Add(1)
+	if now >= d.deadline {
+		d.loop.stats.WithheldExpired.Add(1)
 		return 0, false
 	}
-	if behind := d.owner.stall.Behind(time.Now()); behind > 0 && now-d.decided >= behind {
-		d.owner.stats.WithheldOld.Add(1) // what was said meanwhile is not read yet
+	if behind := d.loop.stall.Behind(time.Now()); behind > 0 && now-d.decidedAt >= behind {
+		d.loop.stats.WithheldStalled.Add(1) // what was said meanwhile is not read yet
 		return 0, false
 	}
-	d.told = d.by - now
-	d.asked = time.Now()
-	return d.told, true
+	d.statedTimeLeft = d.deadline - now
+	d.statedAt = time.Now()
+	return d.statedTimeLeft, true
 }
 
 // Written checks what has left, once its last byte has. Where the process did not run in between it can't be told when that was.
-func (d *Departure) Written() {
-	if d.owner.stall.EndedAfter(d.asked, time.Now()) {
+func (d *SendPermit) Written() {
+	if d.loop.stall.EndedAfter(d.statedAt, time.Now()) {
 		return
 	}
-	now := d.owner.Now()
-	id := d.request.Fact.ID
-	if gone := time.Duration(d.request.clientGone.Load()); gone != 0 && now > gone+clientLeftSlack {
-		d.owner.monitor.Violated(invariant.AttemptAfterClientLeft, id, "later", now-gone)
+	now := d.loop.Now()
+	id := d.request.Scheduled.ID
+	if gone := time.Duration(d.request.disconnectedAt.Load()); gone != 0 && now > gone+clientLeftSlack {
+		d.loop.monitor.Violated(invariant.AttemptAfterClientLeft, id, "later", now-gone)
 	}
-	left := d.by - now
+	left := d.deadline - now
 	if left < -deadlineSlack {
-		d.owner.monitor.Violated(invariant.AttemptPastDeadline, id, "left", left)
+		d.loop.monitor.Violated(invariant.AttemptAfterDeadline, id, "left", left)
 	}
-	if d.told > max(left, 0)+deadlineSlack {
-		d.owner.monitor.Violated(invariant.DeadlineOverstated, id, "told", d.told, "left", left)
+	if d.statedTimeLeft > max(left, 0)+deadlineSlack {
+		d.loop.monitor.Violated(invariant.DeadlineOverstated, id, "told", d.statedTimeLeft, "left", left)
 	}
 }
 
-// mayRun tells whether an attempt that ended so may have run.
-func mayRun(r scheduler.Result) bool {
+// mayHaveRun tells whether an attempt that ended so may have run.
+func mayHaveRun(r scheduler.Result) bool {
 	switch r {
 	case scheduler.Failed, scheduler.TimedOut, scheduler.ConnectionLost, scheduler.Cancelled, scheduler.Completed:
 		return true
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -30,65 +30,72 @@
 
 // Options are what a Gate is made from. File and Listener are needed; the rest has a zero value that works.
 type Options struct {
-	Name        string // of this life of the front end; events' ids begin with it
-	Self, Peers int    // its number among the front ends, and how many there are
-	Seed        uint64
-	File        fleetconfig.File
-	Listener    net.Listener
-	Tap         *capture.Tap        // sees every socket; nil: none
-	Record      io.Writer           // gets a recording of the core; nil: none
-	Stale       *registry.News      // the list as last known before the start, perhaps out of date; nil: none
-	Known       func(registry.News) // told the whole list, after every change, to be kept for the next start; may be nil
-	Log         *slog.Logger
+	Name                string // of this life of the front end; events' ids begin with it
+	Index, GatewayCount int    // its number among the front ends, and how many there are
+	Seed                uint64
+	Config              fleetconfig.File
+	Listener            net.Listener
+	Tap                 *capture.Tap              // sees every socket; nil: none
+	Record              io.Writer                 // gets a recording of the core; nil: none
+	CachedEndpoints     *registry.WatchEvent      // the list as last known before the start, perhaps out of date; nil: none
+	OnEndpoints         func(registry.WatchEvent) // told the whole list, after every change, to be kept for the next start; may be nil
+	Log                 *slog.Logger
 }
 
 // Counts are a Gate's numbers since its start.
 type Counts struct {
-	Taken, Completed, Rejected, Failed, ClientsLeft int
-	NotTaken, Refused                               int // turned away by limits or while draining; bad requests
-	Attempts, LoadRequests, Probes                  int
-	LateAnswers                                     int // outcomes of launches that had one before
-	Stray                                           int // answers that no call asked for
-	Connections                                     int // to workers
+	Accepted            int `json:"Taken"`
+	Completed           int
+	Rejected            int
+	Failed              int
+	ClientsDisconnected int `json:"ClientsLeft"`
+	NotAccepted         int `json:"NotTaken"` // turned down by limits or while draining
+	InvalidRequests     int `json:"Refused"`
+	Attempts            int
+	LoadRequests        int
+	Probes              int
+	LateOutcomes        int `json:"LateAnswers"` // of attempts that had an outcome already
+	UnmatchedResponses  int `json:"Stray"`       // of no pending call
+	Connections         int // to workers
 }
 
-// Gate is one front end whose clients come over HTTP and whose workers speak the link.
-type Gate struct {
-	*Owner
-	o         Options
-	catalogue *invoke.Catalogue
-	log       *slog.Logger
-	grace     time.Duration
-	cancel    bool
+// Gateway is one front end whose clients come over HTTP and whose workers speak the link.
+type Gateway struct {
+	*EventLoop
+	options        Options
+	catalogue      *invoke.Catalogue
+	log            *slog.Logger
+	stopGrace      time.Duration
+	cancelAttempts bool
 
-	number   atomic.Uint64
-	inHand   atomic.Int64
-	draining atomic.Bool
-	clients  atomic.Int64
-	notTaken atomic.Int64
-	refused  atomic.Int64
-	names    map[uint64]string // functions
+	lastRequestNumber atomic.Uint64
+	inFlight          atomic.Int64
+	draining          atomic.Bool
+	openConnections   atomic.Int64
+	notAccepted       atomic.Int64
+	invalidRequests   atomic.Int64
+	functionNames     map[uint64]string // functions
 
-	peersMu sync.Mutex
-	peers   map[string]*peer
-	known   map[string]registry.Entry // the list as it was told
-	births  *Births
+	workerClientsMu sync.Mutex
+	workerClients   map[string]*workerClient
+	endpoints       map[string]registry.Entry // the list as it was told
+	startTimes      *StartTimes
 	// when the list was last told
-	listedAt time.Time
-	group    *errgroup.Group // of links and the list
-	hard     context.Context // ends when the gate is gone
-	asked    chan struct{}
+	lastEventAt       time.Time
+	background        *errgroup.Group // of links and the list
+	killCtx           context.Context // ends when the gate is gone
+	subscribeRequests chan struct{}
 }
 
-// peer is a worker's link and how to end it.
-type peer struct {
-	*workerrpc.Peer
+// workerClient is a worker's link and how to end it.
+type workerClient struct {
+	*workerrpc.Client
 	entry registry.Entry
 	stop  context.CancelFunc
 }
 
 // New makes a Gate; Run serves it.
-func New(o Options) (*Gate, error) {
+func New(o Options) (*Gateway, error) {
 	if o.Listener == nil {
 		return nil, errors.New("gate: no listener")
 	}
@@ -99,48 +106,48 @@
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	if o.Name == "" {
-		o.Name = fmt.Sprintf("front-%d-%x", o.Self, time.Now().UnixNano())
+		o.Name = fmt.Sprintf("front-%d-%x", o.Index, time.Now().UnixNano())
 	}
-	g := &Gate{o: o, catalogue: invoke.NewCatalogue(o.File), log: o.Log.With("front", o.Name),
-		grace:  o.File.Fleet.StopSendingWithin.D() / 2,
-		cancel: o.File.Fleet.Allowed.Cancel, names: map[uint64]string{},
-		peers: map[string]*peer{}, known: map[string]registry.Entry{}, asked: make(chan struct{}, 1)}
-	for _, f := range o.File.Functions {
-		if other, twice := g.names[f.ID()]; twice {
+	g := &Gateway{options: o, catalogue: invoke.NewCatalogue(o.Config), log: o.Log.With("front", o.Name),
+		stopGrace:      o.Config.Fleet.StopSendingWithin.D() / 2,
+		cancelAttempts: o.Config.Fleet.Allowed.Cancel, functionNames: map[uint64]string{},
+		workerClients: map[string]*workerClient{}, endpoints: map[string]registry.Entry{}, subscribeRequests: make(chan struct{}, 1)}
+	for _, f := range o.Config.Functions {
+		if other, twice := g.functionNames[f.ID()]; twice {
 			return nil, fmt.Errorf("gate: functions %q and %q have the same number", f.Name, other)
 		}
-		g.names[f.ID()] = f.Name
+		g.functionNames[f.ID()] = f.Name
 	}
-	g.Owner = NewOwner(OwnerOptions{Core: o.File.Core(o.Seed, o.Self, max(1, o.Peers)), Workers: links{g}, Record: o.Record,
-		LoadTimeout: o.File.Fleet.Loading.OrderLimit.D(), ProbeLimit: o.File.Front.Link.Dial.D(),
+	g.EventLoop = NewEventLoop(EventLoopOptions{Core: o.Config.Core(o.Seed, o.Index, max(1, o.GatewayCount)), Transport: rpcTransport{g}, Record: o.Record,
+		LoadTimeout: o.Config.Fleet.Loading.OrderLimit.D(), ProbeTimeout: o.Config.Front.Link.Dial.D(),
 		Monitor: invariant.NewMonitor(g.log), Log: g.log})
-	g.births = g.NewBirths()
+	g.startTimes = g.NewStartTimes()
 	return g, nil
 }
 
 // Run serves until ctx ends; then it takes no new events, answers every event in hand, says goodbye to the workers and
 // returns, at the latest after the longest max age and the answer slack. kill, if it ends, ends all at once instead,
 // without a word to anybody.
-func (g *Gate) Run(ctx, kill context.Context) error {
+func (g *Gateway) Run(ctx, kill context.Context) error {
 	hard, end := context.WithCancel(kill)
 	defer end()
 	links, hardLinks := errgroup.WithContext(hard)
-	g.group, g.hard = links, hardLinks
-	defer g.recorded()
+	g.background, g.killCtx = links, hardLinks
+	defer g.logRecordingError()
 
 	server := g.server(hardLinks)
-	limited := &limitedListener{Listener: g.o.Tap.Listener(g.o.Listener), open: &g.clients,
-		most: int64(g.o.File.Front.Limits.Connections)}
+	limited := &limitedListener{Listener: g.options.Tap.Listener(g.options.Listener), open: &g.openConnections,
+		limit: int64(g.options.Config.Front.Limits.Connections)}
 
-	if g.o.Stale != nil {
-		g.news(*g.o.Stale)
-		g.listedAt = time.Time{} // it tells nothing of when the workers of the next one came
+	if g.options.CachedEndpoints != nil {
+		g.applyWatchEvent(*g.options.CachedEndpoints)
+		g.lastEventAt = time.Time{} // it tells nothing of when the workers of the next one came
 	}
-	links.Go(func() error { return g.Owner.Run(hardLinks) })
-	links.Go(func() error { return g.list(hardLinks) })
+	links.Go(func() error { return g.EventLoop.Run(hardLinks) })
+	links.Go(func() error { return g.watchRegistry(hardLinks) })
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(limited) }()
-	g.log.Info("front end listens", "address", g.o.Listener.Addr().String())
+	g.log.Info("front end listens", "address", g.options.Listener.Addr().String())
 
 	var err error
 	select {
@@ -163,20 +170,20 @@
 	if lerr := links.Wait(); err == nil && lerr != nil {
 		err = lerr
 	}
-	for g.clients.Load() > 0 || g.inHand.Load() > 0 { // handlers whose answer came with the end
+	for g.openConnections.Load() > 0 || g.inFlight.Load() > 0 { // handlers whose answer came with the end
 		time.Sleep(time.Millisecond)
 	}
 	return err
 }
 
 // server is the server of the invoke API; its requests end with hard.
-func (g *Gate) server(hard context.Context) *http.Server {
+func (g *Gateway) server(hard context.Context) *http.Server {
 	server := &http.Server{
 		Handler:           g.handler(),
-		ReadHeaderTimeout: g.o.File.Front.Limits.Read.D(),
-		ReadTimeout:       g.o.File.Front.Limits.Read.D(),
-		IdleTimeout:       g.o.File.Front.Limits.Idle.D(),
-		MaxHeaderBytes:    int(g.o.File.Front.Limits.Header),
+		ReadHeaderTimeout: g.options.Config.Front.Limits.Read.D(),
+		ReadTimeout:       g.options.Config.Front.Limits.Read.D(),
+		IdleTimeout:       g.options.Config.Front.Limits.Idle.D(),
+		MaxHeaderBytes:    int(g.options.Config.Front.Limits.Header),
 		ErrorLog:          slog.NewLogLogger(g.log.Handler(), slog.LevelDebug),
 		BaseContext:       func(net.Listener) context.Context { return hard },
 		Protocols:         new(http.Protocols),
@@ -187,12 +194,12 @@
 }
 
 // drain has every request in hand answered, and then tells the workers that nothing more comes.
-func (g *Gate) drain(hard context.Context, server *http.Server) error {
+func (g *Gateway) drain(hard context.Context, server *http.Server) error {
 	g.draining.Store(true)
-	g.log.Info("draining", "in hand", g.inHand.Load())
-	longest := g.o.File.Fleet.AnswerSlack.D()
-	for _, t := range g.o.File.Fleet.Types {
-		longest = max(longest, t.MaxAge.D()+g.o.File.Fleet.AnswerSlack.D())
+	g.log.Info("draining", "in hand", g.inFlight.Load())
+	longest := g.options.Config.Fleet.AnswerSlack.D()
+	for _, t := range g.options.Config.Fleet.Types {
+		longest = max(longest, t.MaxAge.D()+g.options.Config.Fleet.AnswerSlack.D())
 	}
 	drain, stop := context.WithTimeout(hard, longest)
 	defer stop()
@@ -200,24 +207,24 @@
 	if err != nil {
 		err = fmt.Errorf("drain: %w", err)
 	}
-	g.goodbye()
+	g.notifyDraining()
 	return err
 }
 
-// goodbye tells the workers that nothing more comes; one that does not take it in a moment does without.
-func (g *Gate) goodbye() {
-	g.peersMu.Lock()
-	defer g.peersMu.Unlock()
-	by := time.Now().Add(g.grace)
-	for _, p := range g.peers {
-		p.Goodbye()
+// notifyDraining tells the workers that nothing more comes; one that does not take it in a moment does without.
+func (g *Gateway) notifyDraining() {
+	g.workerClientsMu.Lock()
+	defer g.workerClientsMu.Unlock()
+	by := time.Now().Add(g.stopGrace)
+	for _, p := range g.workerClients {
+		p.NotifyDraining()
 	}
-	for _, p := range g.peers {
-		p.Left(time.Until(by))
+	for _, p := range g.workerClients {
+		p.AwaitDrainNotice(time.Until(by))
 	}
 }
 
-func (g *Gate) recorded() {
+func (g *Gateway) logRecordingError() {
 	if g.recorder != nil && g.recorder.Err() != nil {
 		g.log.Error("recording of the core broke off", "err", g.recorder.Err())
 	}
@@ -226,8 +233,8 @@
 // limitedListener closes connections past a limit at once.
 type limitedListener struct {
 	net.Listener
-	open *atomic.Int64
-	most int64
+	open  *atomic.Int64
+	limit int64
 }
 
 func (l *limitedListener) Accept() (net.Conn, error) {
@@ -236,107 +243,107 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.open.Add(1) > l.most {
+		if l.open.Add(1) > l.limit {
 			l.open.Add(-1)
 			conn.Close()
 			continue
 		}
-		return &counted{Conn: conn, open: l.open}, nil
+		return &countedConn{Conn: conn, open: l.open}, nil
 	}
 }
 
-type counted struct {
+type countedConn struct {
 	net.Conn
 	open *atomic.Int64
 	once sync.Once
 }
 
-func (c *counted) Close() error {
+func (c *countedConn) Close() error {
 	c.once.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
 }
 
 // handler serves the invoke API.
-func (g *Gate) handler() http.Handler {
+func (g *Gateway) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/functions/{name}/invocations", g.invoke)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		g.refuse(w, &invoke.Problem{Type: invoke.ProblemRequest, Title: http.StatusText(http.StatusNotFound),
+		g.rejectInvalid(w, &invoke.Problem{Type: invoke.ProblemInvalidRequest, Title: http.StatusText(http.StatusNotFound),
 			Status: http.StatusNotFound, Detail: r.Method + " " + r.URL.Path})
 	})
 	return mux
 }
 
-// bound cuts off a client that does not read its answer. Where that can't be set, the answer is short.
-func (g *Gate) bound(w http.ResponseWriter) {
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(g.o.File.Front.Limits.Write.D()))
+// setWriteDeadline cuts off a client that does not read its answer. Where that can't be set, the answer is short.
+func (g *Gateway) setWriteDeadline(w http.ResponseWriter) {
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(g.options.Config.Front.Limits.Write.D()))
 }
 
-func (g *Gate) refuse(w http.ResponseWriter, p *invoke.Problem) {
-	g.refused.Add(1)
-	g.bound(w)
+func (g *Gateway) rejectInvalid(w http.ResponseWriter, p *invoke.Problem) {
+	g.invalidRequests.Add(1)
+	g.setWriteDeadline(w)
 	p.Write(w)
 }
 
-func (g *Gate) invoke(w http.ResponseWriter, r *http.Request) {
-	call, problem := g.catalogue.Read(w, r)
+func (g *Gateway) invoke(w http.ResponseWriter, r *http.Request) {
+	call, problem := g.catalogue.ReadRequest(w, r)
 	if problem != nil {
-		g.refuse(w, problem)
+		g.rejectInvalid(w, problem)
 		return
 	}
 	out := http.NewResponseController(w)
 	_ = out.SetReadDeadline(time.Time{}) // the request is read; what comes now is the client's leaving
-	if g.inHand.Add(1) > int64(g.o.File.Front.Limits.InHand) || g.draining.Load() {
-		g.inHand.Add(-1)
-		g.notTaken.Add(1)
-		g.bound(w)
-		invoke.Write(w, invoke.Answer{Ending: invoke.NotTaken, Reason: "this front end takes no event now"})
+	if g.inFlight.Add(1) > int64(g.options.Config.Front.Limits.InHand) || g.draining.Load() {
+		g.inFlight.Add(-1)
+		g.notAccepted.Add(1)
+		g.setWriteDeadline(w)
+		invoke.WriteResponse(w, invoke.Response{Outcome: invoke.NotAccepted, Reason: "this front end takes no event now"})
 		return
 	}
-	defer g.inHand.Add(-1)
-	id := fmt.Sprintf("%s-%d", g.o.Name, g.number.Add(1))
-	reply := make(chan invoke.Answer, 1)
-	e := &Request{Call: call, Twin: twin(call), Body: call.Body, Reply: func(a invoke.Answer) { reply <- a },
-		Fact: &scheduler.Request{ID: id, Type: call.Type.Name, Tenant: call.Tenant, Function: call.Function.ID(),
-			TimeLeft: call.Patience, Concurrency: call.Function.Lanes, Memory: float64(call.Function.Memory),
-			LoadTime: call.Function.LoadTime.D(), Retry: call.Repeat}}
+	defer g.inFlight.Add(-1)
+	id := fmt.Sprintf("%s-%d", g.options.Name, g.lastRequestNumber.Add(1))
+	reply := make(chan invoke.Response, 1)
+	e := &Request{Call: call, DuplicateKey: duplicateKey(call), Body: call.Body, Reply: func(a invoke.Response) { reply <- a },
+		Scheduled: &scheduler.Request{ID: id, Type: call.Type.Name, Tenant: call.Tenant, Function: call.Function.ID(),
+			TimeLeft: call.TimeLeft, Concurrency: call.Function.Lanes, Memory: float64(call.Function.Memory),
+			LoadTime: call.Function.LoadTime.D(), Retry: call.Retry}}
 	g.Submit(e)
 	select {
 	case a := <-reply:
-		a.Event = id
-		g.bound(w)
-		invoke.Write(w, a)
+		a.RequestID = id
+		g.setWriteDeadline(w)
+		invoke.WriteResponse(w, a)
 	case <-r.Context().Done():
-		g.ClientGone(e)
+		g.ClientDisconnected(e)
 		panic(http.ErrAbortHandler) // returning would send an empty 200: a client that still reads would take it for handled
 	}
 }
 
-// twin is what must not be in hand twice; empty where a second one does no harm.
-func twin(c invoke.Call) string {
-	if c.ID == "" || c.Type.Name == "" || c.Type.Effect == "redeliverable" {
+// duplicateKey is what must not be in hand twice; empty where a second one does no harm.
+func duplicateKey(c invoke.Call) string {
+	if c.ClientID == "" || c.Type.Name == "" || c.Type.Effect == "redeliverable" {
 		return ""
 	}
-	return c.Tenant + "\n" + c.Source + "\n" + c.ID
+	return c.Tenant + "\n" + c.Source + "\n" + c.ClientID
 }
 
 // Counts asks the owner of a running Gate for the numbers; zero once it has ended.
-func (g *Gate) Counts(ctx context.Context) (c Counts) {
-	if !g.ask(ctx, func() { c = g.Last() }) {
+func (g *Gateway) Counts(ctx context.Context) (c Counts) {
+	if !g.query(ctx, func() { c = g.FinalCounts() }) {
 		return Counts{}
 	}
 	return c
 }
 
-// Last is the numbers of a Gate whose Run has returned.
-func (g *Gate) Last() Counts {
+// FinalCounts is the numbers of a Gate whose Run has returned.
+func (g *Gateway) FinalCounts() Counts {
 	c := g.counts
-	c.NotTaken, c.Refused = int(g.notTaken.Load()), int(g.refused.Load())
-	g.peersMu.Lock()
-	defer g.peersMu.Unlock()
-	for _, p := range g.peers {
+	c.NotAccepted, c.InvalidRequests = int(g.notAccepted.Load()), int(g.invalidRequests.Load())
+	g.workerClientsMu.Lock()
+	defer g.workerClientsMu.Unlock()
+	for _, p := range g.workerClients {
 		n := p.Counts()
-		c.Stray, c.Connections = c.Stray+n.Stray, c.Connections+n.Connections
+		c.UnmatchedResponses, c.Connections = c.UnmatchedResponses+n.UnmatchedResponses, c.Connections+n.Connections
 	}
 	return c
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -47,23 +47,23 @@
 	}))
 }
 
-// rig is one front end, the list and two workers of the worker runtime.
-type rig struct {
-	t       *testing.T
-	file    fleetconfig.File
-	gate    *gateway.Gate
-	addr    string
-	roster  *registry.Roster
-	workers []localfleet.Worker
-	entries []registry.Entry
-	effects string // what ran, written by the copies
-	record  bytes.Buffer
-	drain   context.CancelFunc
-	kill    context.CancelFunc
-	done    chan struct{}
+// harness is one front end, the list and two workers of the worker runtime.
+type harness struct {
+	t        *testing.T
+	config   fleetconfig.File
+	gateway  *gateway.Gateway
+	addr     string
+	registry *registry.Registry
+	workers  []localfleet.Worker
+	entries  []registry.Entry
+	effects  string // what ran, written by the copies
+	record   bytes.Buffer
+	drain    context.CancelFunc
+	kill     context.CancelFunc
+	done     chan struct{}
 }
 
-func start(t *testing.T, change func(*fleetconfig.File)) *rig {
+func startHarness(t *testing.T, change func(*fleetconfig.File)) *harness {
 	file, err := fleetconfig.Default()
 	if err != nil {
 		t.Fatal(err)
@@ -71,8 +71,8 @@
 	if change != nil {
 		change(&file)
 	}
-	r := &rig{t: t, file: file, roster: registry.New(nil), done: make(chan struct{})}
-	list := httptest.NewServer(r.roster.Handler())
+	r := &harness{t: t, config: file, registry: registry.New(nil), done: make(chan struct{})}
+	list := httptest.NewServer(r.registry.Handler())
 	t.Cleanup(list.Close)
 	dir := t.TempDir()
 	releases, err := localfleet.NewReleases(filepath.Join(dir, "store"), payroll, file, localfleet.Easy)
@@ -96,17 +96,17 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(w.Stop)
-		e := registry.Entry{Name: w.Name(), Addr: addr, Zone: "z", Kind: "box", Cores: 4, State: registry.In, Started: started}
+		e := registry.Entry{Name: w.Name(), Addr: addr, Zone: "z", Kind: "box", Cores: 4, State: registry.InService, Started: started}
 		r.workers, r.entries = append(r.workers, w), append(r.entries, e)
-		r.roster.Set(e)
+		r.registry.Set(e)
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.addr = listener.Addr().String()
-	r.file.Front.List = list.URL
-	r.gate, err = gateway.New(gateway.Options{Name: "f", File: r.file, Listener: listener, Seed: 1, Record: &r.record})
+	r.config.Front.List = list.URL
+	r.gateway, err = gateway.New(gateway.Options{Name: "f", Config: r.config, Listener: listener, Seed: 1, Record: &r.record})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,7 +115,7 @@
 	r.drain, r.kill = drain, kill
 	go func() {
 		defer close(r.done)
-		if err := r.gate.Run(ctx, killed); err != nil {
+		if err := r.gateway.Run(ctx, killed); err != nil {
 			t.Error(err)
 		}
 	}()
@@ -128,7 +128,7 @@
 }
 
 // post sends an event; the client's own name of it is id.
-func (r *rig) post(ctx context.Context, function, id string, wait time.Duration) (*http.Response, string, error) {
+func (r *harness) post(ctx context.Context, function, id string, wait time.Duration) (*http.Response, string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.addr+"/v1/functions/"+function+"/invocations",
 		strings.NewReader(function+"/"+id+" 5ms"))
 	if err != nil {
@@ -148,8 +148,8 @@
 	return resp, string(body), err
 }
 
-// wants posts and compares the status and a part of the answer.
-func (r *rig) wants(function, id string, wait time.Duration, status int, part string) *http.Response {
+// wantResponse posts and compares the status and a part of the answer.
+func (r *harness) wantResponse(function, id string, wait time.Duration, status int, part string) *http.Response {
 	r.t.Helper()
 	resp, body, err := r.post(context.Background(), function, id, wait)
 	if err != nil {
@@ -161,8 +161,8 @@
 	return resp
 }
 
-// until waits for a condition.
-func (r *rig) until(what string, is func() bool) {
+// waitFor waits for a condition.
+func (r *harness) waitFor(what string, is func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -171,13 +171,13 @@
 	}
 }
 
-func (r *rig) trouble(change func(*faultinject.Troubles)) {
+func (r *harness) injectFaults(change func(*faultinject.Troubles)) {
 	for _, w := range r.workers {
 		w.Trouble(change)
 	}
 }
 
-func (r *rig) ran(kind string) int {
+func (r *harness) executions(kind string) int {
 	runs, err := localfleet.Effects(r.effects)
 	if err != nil {
 		r.t.Fatal(err)
@@ -185,7 +185,7 @@
 	n := 0
 	for name, times := range runs {
 		function, _, _ := strings.Cut(name, "/")
-		for _, fn := range r.file.Functions {
+		for _, fn := range r.config.Functions {
 			if fn.Name == function && fn.Type == kind {
 				n += times
 			}
@@ -195,121 +195,121 @@
 }
 
 // Handled, deferred and dead-lettered are told apart, and the last says whether the event may have run.
-func TestEndings(t *testing.T) {
-	r := start(t, nil)
-	r.wants("gross-salary", "1", 2*time.Second, 200, " released")
-	r.wants("release-ravi", "0", 2*time.Second, 200, " released")
-	r.trouble(func(x *faultinject.Troubles) { x.Errors = true })
-	r.wants("gross-salary", "2", 2*time.Second, 502, `"may-have-run":true`)
-	r.trouble(func(x *faultinject.Troubles) { x.Errors, x.Refuse = false, "indus-textiles" })
-	resp := r.wants("gross-salary", "3", time.Second, 503, invoke.ProblemDeferred)
-	if resp.Header.Get("Retry-After") == "" || resp.Header.Get(invoke.HeaderBack) == "" {
+func TestOutcomes(t *testing.T) {
+	r := startHarness(t, nil)
+	r.wantResponse("gross-salary", "1", 2*time.Second, 200, " released")
+	r.wantResponse("release-ravi", "0", 2*time.Second, 200, " released")
+	r.injectFaults(func(x *faultinject.Troubles) { x.Errors = true })
+	r.wantResponse("gross-salary", "2", 2*time.Second, 502, `"may-have-run":true`)
+	r.injectFaults(func(x *faultinject.Troubles) { x.Errors, x.Refuse = false, "indus-textiles" })
+	resp := r.wantResponse("gross-salary", "3", time.Second, 503, invoke.ProblemRejected)
+	if resp.Header.Get("Retry-After") == "" || resp.Header.Get(invoke.HeaderRetryAfterMillis) == "" {
 		t.Error("deferred without a time to come back")
 	}
-	r.trouble(func(x *faultinject.Troubles) { x.Refuse, x.Hang = "", true })
-	r.wants("release-ravi", "4", 300*time.Millisecond, 502, `"may-have-run":true`)
-	r.wants("preview", "5", 300*time.Millisecond, 503, invoke.ProblemDeferred)
-	if n := r.ran("salary-release"); n != 3 { // none of the one that was told to fail
+	r.injectFaults(func(x *faultinject.Troubles) { x.Refuse, x.Hang = "", true })
+	r.wantResponse("release-ravi", "4", 300*time.Millisecond, 502, `"may-have-run":true`)
+	r.wantResponse("preview", "5", 300*time.Millisecond, 503, invoke.ProblemRejected)
+	if n := r.executions("salary-release"); n != 3 { // none of the one that was told to fail
 		t.Errorf("%d runs at the workers, want 3", n)
 	}
 }
 
 // Two events with one id: while the first is in hand, an event that must not run twice is not taken.
-func TestTwoEventsWithOneID(t *testing.T) {
-	r := start(t, nil)
-	r.wants("gross-salary", "0", 2*time.Second, 200, " released") // loaded
-	r.trouble(func(x *faultinject.Troubles) { x.Hang = true })
+func TestDuplicateRequestID(t *testing.T) {
+	r := startHarness(t, nil)
+	r.wantResponse("gross-salary", "0", 2*time.Second, 200, " released") // loaded
+	r.injectFaults(func(x *faultinject.Troubles) { x.Hang = true })
 	var both sync.WaitGroup
-	both.Go(func() { r.wants("gross-salary", "one", time.Second, 502, "dead-lettered") })
-	r.until("the first runs", func() bool { return r.ran("salary-release") == 2 })
-	r.wants("gross-salary", "one", time.Second, 409, invoke.ProblemNotTaken)
+	both.Go(func() { r.wantResponse("gross-salary", "one", time.Second, 502, "dead-lettered") })
+	r.waitFor("the first runs", func() bool { return r.executions("salary-release") == 2 })
+	r.wantResponse("gross-salary", "one", time.Second, 409, invoke.ProblemNotAccepted)
 	both.Wait()
-	if n := r.ran("salary-release"); n != 2 {
+	if n := r.executions("salary-release"); n != 2 {
 		t.Errorf("%d runs", n)
 	}
-	r.trouble(func(x *faultinject.Troubles) { x.Hang = false })
-	r.wants("gross-salary", "one", 4*time.Second, 200, " released") // no longer in hand
+	r.injectFaults(func(x *faultinject.Troubles) { x.Hang = false })
+	r.wantResponse("gross-salary", "one", 4*time.Second, 200, " released") // no longer in hand
 }
 
 // A client that leaves while its at-most-once event runs is told to the module; the event runs once, whatever follows.
-func TestClientGoneWhileItRuns(t *testing.T) {
-	r := start(t, nil)
-	r.wants("gross-salary", "0", 2*time.Second, 200, " released") // loaded
-	r.trouble(func(x *faultinject.Troubles) { x.Hang = true })
+func TestClientDisconnectsWhileRunning(t *testing.T) {
+	r := startHarness(t, nil)
+	r.wantResponse("gross-salary", "0", 2*time.Second, 200, " released") // loaded
+	r.injectFaults(func(x *faultinject.Troubles) { x.Hang = true })
 	ctx, leave := context.WithCancel(context.Background())
 	gone := make(chan error, 1)
 	go func() {
 		_, _, err := r.post(ctx, "gross-salary", "left", 500*time.Millisecond)
 		gone <- err
 	}()
-	r.until("it runs", func() bool { return r.ran("salary-release") == 2 })
+	r.waitFor("it runs", func() bool { return r.executions("salary-release") == 2 })
 	leave()
 	if err := <-gone; err == nil {
 		t.Error("the client got an answer")
 	}
-	r.until("the module knows", func() bool { return r.gate.Counts(context.Background()).ClientsLeft == 1 })
+	r.waitFor("the module knows", func() bool { return r.gateway.Counts(context.Background()).ClientsDisconnected == 1 })
 	r.drain()
 	<-r.done
-	if c := r.gate.Last(); c.Taken != 2 || c.Completed+c.Rejected+c.Failed != 1 || r.ran("salary-release") != 2 {
-		t.Errorf("%+v, %d runs", c, r.ran("salary-release"))
+	if c := r.gateway.FinalCounts(); c.Accepted != 2 || c.Completed+c.Rejected+c.Failed != 1 || r.executions("salary-release") != 2 {
+		t.Errorf("%+v, %d runs", c, r.executions("salary-release"))
 	}
 }
 
 // A list that empties: events are deferred with a time to come back, and served again when workers are listed.
-func TestListEmpties(t *testing.T) {
-	r := start(t, nil)
-	r.wants("preview", "1", 2*time.Second, 200, " released")
-	r.roster.Clear()
-	r.until("deferred", func() bool {
+func TestEndpointListBecomesEmpty(t *testing.T) {
+	r := startHarness(t, nil)
+	r.wantResponse("preview", "1", 2*time.Second, 200, " released")
+	r.registry.RemoveAll()
+	r.waitFor("deferred", func() bool {
 		resp, _, err := r.post(context.Background(), "preview", "x", 200*time.Millisecond)
 		return err == nil && resp.StatusCode == 503 && resp.Header.Get("Retry-After") != ""
 	})
 	for _, e := range r.entries {
-		r.roster.Set(e)
+		r.registry.Set(e)
 	}
-	r.until("handled", func() bool {
+	r.waitFor("handled", func() bool {
 		resp, _, err := r.post(context.Background(), "preview", "x", time.Second)
 		return err == nil && resp.StatusCode == 200
 	})
 }
 
 // A front end that was paused hears what was said meanwhile before it judges anything late.
-func TestPausedFrontEnd(t *testing.T) {
-	r := start(t, nil)
-	r.wants("gross-salary", "1", 2*time.Second, 200, " released") // loaded
-	r.until("known", func() bool { return r.gate.Counts(context.Background()).Completed == 1 })
+func TestPausedGateway(t *testing.T) {
+	r := startHarness(t, nil)
+	r.wantResponse("gross-salary", "1", 2*time.Second, 200, " released") // loaded
+	r.waitFor("known", func() bool { return r.gateway.Counts(context.Background()).Completed == 1 })
 	var all sync.WaitGroup
-	r.trouble(func(x *faultinject.Troubles) { x.Slow = 20 })
-	before := r.ran("salary-release")
-	all.Go(func() { r.wants("gross-salary", "2", 900*time.Millisecond, 200, " released") })
-	r.until("it runs", func() bool { return r.ran("salary-release") > before })
-	r.gate.Pause(1500 * time.Millisecond) // past the client's time; the answer comes during the pause
+	r.injectFaults(func(x *faultinject.Troubles) { x.Slow = 20 })
+	before := r.executions("salary-release")
+	all.Go(func() { r.wantResponse("gross-salary", "2", 900*time.Millisecond, 200, " released") })
+	r.waitFor("it runs", func() bool { return r.executions("salary-release") > before })
+	r.gateway.Pause(1500 * time.Millisecond) // past the client's time; the answer comes during the pause
 	all.Wait()
 }
 
 // What a front end finds after a pause that outlasted the client's time is deferred; it is not launched for nobody.
-func TestCameDuringPause(t *testing.T) {
-	r := start(t, nil)
-	r.wants("preview", "1", 2*time.Second, 200, " released") // loaded
-	before := r.ran("pay-preview")
-	r.gate.Pause(2 * time.Second)
-	r.wants("preview", "2", 500*time.Millisecond, 503, invoke.ProblemDeferred)
-	if n := r.ran("pay-preview") - before; n != 0 {
+func TestRequestArrivesDuringPause(t *testing.T) {
+	r := startHarness(t, nil)
+	r.wantResponse("preview", "1", 2*time.Second, 200, " released") // loaded
+	before := r.executions("pay-preview")
+	r.gateway.Pause(2 * time.Second)
+	r.wantResponse("preview", "2", 500*time.Millisecond, 503, invoke.ProblemRejected)
+	if n := r.executions("pay-preview") - before; n != 0 {
 		t.Errorf("%d runs for a client whose time was up", n)
 	}
 }
 
 // On the signal to end: what is in hand is answered, nothing new is taken, and it ends.
 func TestDrain(t *testing.T) {
-	r := start(t, nil)
-	r.trouble(func(x *faultinject.Troubles) { x.Slow = 100 })
+	r := startHarness(t, nil)
+	r.injectFaults(func(x *faultinject.Troubles) { x.Slow = 100 })
 	var all sync.WaitGroup
 	for i := range 8 {
-		all.Go(func() { r.wants("tax-slab", fmt.Sprint(i), 4*time.Second, 200, " released") })
+		all.Go(func() { r.wantResponse("tax-slab", fmt.Sprint(i), 4*time.Second, 200, " released") })
 	}
-	r.until("all in hand", func() bool { return r.gate.Counts(context.Background()).Taken == 8 })
+	r.waitFor("all in hand", func() bool { return r.gateway.Counts(context.Background()).Accepted == 8 })
 	r.drain()
-	r.until("the listener is closed", func() bool {
+	r.waitFor("the listener is closed", func() bool {
 		conn, err := net.Dial("tcp", r.addr)
 		if err == nil {
 			conn.Close()
@@ -318,22 +318,22 @@
 	})
 	all.Wait()
 	<-r.done
-	if c := r.gate.Last(); c.Completed != 8 {
+	if c := r.gateway.FinalCounts(); c.Completed != 8 {
 		t.Errorf("%+v", c)
 	}
 }
 
 // Killed, it ends at once; a hundred clients that were connected come back to the next life, and are served.
-func TestStormAfterKill(t *testing.T) {
-	r := start(t, nil)
-	r.wants("preview", "1", 2*time.Second, 200, " released")
+func TestRetryStormAfterKill(t *testing.T) {
+	r := startHarness(t, nil)
+	r.wantResponse("preview", "1", 2*time.Second, 200, " released")
 	r.kill()
 	<-r.done
 	listener, err := net.Listen("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g, err := gateway.New(gateway.Options{Name: "next", File: r.file, Listener: listener, Seed: 2})
+	g, err := gateway.New(gateway.Options{Name: "next", Config: r.config, Listener: listener, Seed: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -343,15 +343,15 @@
 	var all sync.WaitGroup
 	for i := range 100 {
 		all.Go(func() { // all at once are more than the tenant's share: some are deferred, and come back as told
-			r.until("handled", func() bool {
+			r.waitFor("handled", func() bool {
 				resp, body, err := r.post(context.Background(), "preview", fmt.Sprint("s", i), 3*time.Second)
-				if err != nil || resp.StatusCode != 200 && !strings.Contains(body, invoke.ProblemDeferred) {
+				if err != nil || resp.StatusCode != 200 && !strings.Contains(body, invoke.ProblemRejected) {
 					t.Errorf("client %d: %v, %s", i, err, body)
 				}
 				if err == nil && resp.StatusCode != 200 {
-					ms, err := strconv.Atoi(resp.Header.Get(invoke.HeaderBack))
+					ms, err := strconv.Atoi(resp.Header.Get(invoke.HeaderRetryAfterMillis))
 					if err != nil || ms > 1000 {
-						t.Errorf("client %d: told to come back in %q ms", i, resp.Header.Get(invoke.HeaderBack))
+						t.Errorf("client %d: told to come back in %q ms", i, resp.Header.Get(invoke.HeaderRetryAfterMillis))
 					}
 					time.Sleep(time.Duration(ms) * time.Millisecond)
 				}
@@ -364,14 +364,14 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	if c := g.Last(); c.Connections > len(r.workers) {
+	if c := g.FinalCounts(); c.Connections > len(r.workers) {
 		t.Errorf("%d connections to %d workers", c.Connections, len(r.workers))
 	}
 }
 
 // What clients can take is bounded: bodies, headers, connections, events in hand, time to send a request.
 func TestLimits(t *testing.T) {
-	r := start(t, func(f *fleetconfig.File) {
+	r := startHarness(t, func(f *fleetconfig.File) {
 		f.Front.Limits.Body, f.Front.Limits.Header, f.Front.Limits.InHand = 64, 4096, 1
 		f.Front.Limits.Read, f.Front.Limits.Connections = config.Time(300*time.Millisecond), 20
 	})
@@ -405,12 +405,12 @@
 			t.Errorf("%s %.40q: status %d, want %d", c.path, c.head, got, c.want)
 		}
 	}
-	r.wants("gross-salary", "0", 2*time.Second, 200, " released") // loaded
-	r.trouble(func(x *faultinject.Troubles) { x.Hang = true })
+	r.wantResponse("gross-salary", "0", 2*time.Second, 200, " released") // loaded
+	r.injectFaults(func(x *faultinject.Troubles) { x.Hang = true })
 	var one sync.WaitGroup
-	one.Go(func() { r.wants("gross-salary", "1", time.Second, 502, "dead-lettered") })
-	r.until("one in hand", func() bool { return r.ran("salary-release") == 2 })
-	r.wants("preview", "2", time.Second, 503, invoke.ProblemNotTaken)
+	one.Go(func() { r.wantResponse("gross-salary", "1", time.Second, 502, "dead-lettered") })
+	r.waitFor("one in hand", func() bool { return r.executions("salary-release") == 2 })
+	r.wantResponse("preview", "2", time.Second, 503, invoke.ProblemNotAccepted)
 	one.Wait()
 	var open []net.Conn
 	closed := 0
@@ -431,7 +431,7 @@
 	if closed != 40 {
 		t.Errorf("%d of 40 idle connections were closed", closed)
 	}
-	if c := r.gate.Counts(context.Background()); c.Taken != 2 || c.NotTaken != 1 || c.Refused != 7 {
+	if c := r.gateway.Counts(context.Background()); c.Accepted != 2 || c.NotAccepted != 1 || c.InvalidRequests != 7 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -452,8 +452,8 @@
 				h.Add(k, strings.TrimSpace(v))
 			}
 		}
-		call, problem := catalogue.Head(name, h)
-		if problem == nil && (call.Patience <= 0 || call.Patience > call.Type.MaxAge.D() || call.Type.Effect == "keyed" && call.Key == "") {
+		call, problem := catalogue.ReadHeader(name, h)
+		if problem == nil && (call.TimeLeft <= 0 || call.TimeLeft > call.Type.MaxAge.D() || call.Type.Effect == "keyed" && call.IdempotencyKey == "") {
 			t.Errorf("%q %q was taken as %+v", name, head, call)
 		}
 		if problem != nil && (problem.Status < 400 || problem.Detail == "") {
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -23,7 +23,7 @@
 }
 
 // raw sends a request as bytes on a connection of its own and gives the whole response, volatile parts replaced.
-func (r *rig) raw(request string) string {
+func (r *harness) raw(request string) string {
 	r.t.Helper()
 	conn, err := net.Dial("tcp", r.addr)
 	if err != nil {
@@ -47,8 +47,8 @@
 	return got
 }
 
-// posted is a request of the invoke API; headers end with CRLF each.
-func posted(path, headers, body string) string {
+// postRequest is a request of the invoke API; headers end with CRLF each.
+func postRequest(path, headers, body string) string {
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\nConnection: close\r\n%sContent-Length: %d\r\n\r\n%s", path, headers, len(body), body)
 }
 
@@ -66,22 +66,22 @@
 
 // Responses on the wire are to the byte what they were: handled, and refused before an event was in hand.
 func TestGoldenResponses(t *testing.T) {
-	r := start(t, func(f *fleetconfig.File) { f.Front.Limits.Body = 64 })
+	r := startHarness(t, func(f *fleetconfig.File) { f.Front.Limits.Body = 64 })
 	const path = "/v1/functions/preview/invocations"
 	for _, c := range []struct{ request, want string }{
-		{posted("/v1/functions/none/invocations", "", "x"), refusal("404 Not Found",
+		{postRequest("/v1/functions/none/invocations", "", "x"), refusal("404 Not Found",
 			`{"type":"urn:lupinpond:request","title":"Not Found","status":404,"detail":"no function \"none\""}`+"\n")},
-		{posted("/v2", "", ""), refusal("404 Not Found",
+		{postRequest("/v2", "", ""), refusal("404 Not Found",
 			`{"type":"urn:lupinpond:request","title":"Not Found","status":404,"detail":"POST /v2"}`+"\n")},
 		{"GET " + path + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", refusal("404 Not Found",
 			`{"type":"urn:lupinpond:request","title":"Not Found","status":404,"detail":"GET `+path+`"}`+"\n")},
-		{posted(path, "Prefer: respond-async\r\n", ""), refusal("501 Not Implemented",
+		{postRequest(path, "Prefer: respond-async\r\n", ""), refusal("501 Not Implemented",
 			`{"type":"urn:lupinpond:request","title":"Not Implemented","status":501,"detail":"deferred calls (respond-async) are not built yet"}`+"\n")},
-		{posted(path, "Lupin-Tenant: ravi-foods\r\n", ""), refusal("403 Forbidden",
+		{postRequest(path, "Lupin-Tenant: ravi-foods\r\n", ""), refusal("403 Forbidden",
 			`{"type":"urn:lupinpond:request","title":"Forbidden","status":403,"detail":"preview belongs to another tenant"}`+"\n")},
-		{posted(path, "", strings.Repeat("x", 65)), closing("413 Request Entity Too Large",
+		{postRequest(path, "", strings.Repeat("x", 65)), closing("413 Request Entity Too Large",
 			`{"type":"urn:lupinpond:request","title":"Request Entity Too Large","status":413,"detail":"the body is longer than 64 bytes"}`+"\n")},
-		{posted(path, "Ce-Id: i\r\nCe-Source: s\r\nPrefer: wait=3\r\n", "preview/i 5ms"),
+		{postRequest(path, "Ce-Id: i\r\nCe-Source: s\r\nPrefer: wait=3\r\n", "preview/i 5ms"),
 			"HTTP/1.1 200 OK\r\nContent-Length: 18\r\nContent-Type: application/octet-stream\r\nLupin-Event: f-1\r\nLupin-Launches: 1\r\nDate: D\r\nConnection: close\r\n\r\npreview/i released"},
 	} {
 		if got := r.raw(c.request); got != c.want {
@@ -91,11 +91,11 @@
 }
 
 // A front end that takes no event says so, with its connection closed.
-func TestGoldenNotTaken(t *testing.T) {
-	r := start(t, func(f *fleetconfig.File) { f.Front.Limits.InHand = 0 })
+func TestGoldenNotAccepted(t *testing.T) {
+	r := startHarness(t, func(f *fleetconfig.File) { f.Front.Limits.InHand = 0 })
 	want := closing("503 Service Unavailable",
 		`{"type":"urn:lupinpond:not-taken","title":"Not taken","status":503,"detail":"this front end takes no event now"}`+"\n")
-	if got := r.raw(posted("/v1/functions/preview/invocations", "", "x")); got != want {
+	if got := r.raw(postRequest("/v1/functions/preview/invocations", "", "x")); got != want {
 		t.Errorf("\n got %q\nwant %q", got, want)
 	}
 }
--- a/internal/gateway/invariants_test.go
+++ b/internal/gateway/invariants_test.go
@@ -17,91 +17,93 @@
 	"lupinpond/scheduler"
 )
 
-// sending is one attempt that came to the test's way out.
-type sending struct {
-	departure *gateway.Departure
-	done      func(scheduler.Outcome, []byte)
+// pendingAttempt is one attempt that came to the test's way out.
+type pendingAttempt struct {
+	permit *gateway.SendPermit
+	report func(scheduler.Outcome, []byte)
 }
 
-// leaves has the attempt leave, if it may.
-func (s sending) leaves() {
-	if _, leaves := s.departure.Left(); leaves {
-		s.departure.Written()
+// leave has the attempt leave, if it may.
+func (s pendingAttempt) leave() {
+	if _, leaves := s.permit.TimeLeft(); leaves {
+		s.permit.Written()
 	}
 }
 
-// ends ends the attempt.
-func (s sending) ends(r scheduler.Result) { s.done(scheduler.Outcome{Result: r}, nil) }
+// complete ends the attempt.
+func (s pendingAttempt) complete(r scheduler.Result) { s.report(scheduler.Outcome{Result: r}, nil) }
 
-// manual is a way out whose attempts and load requests the test carries on.
-type manual struct {
-	sent  chan sending
-	loads chan scheduler.LoadRequest
-	fast  bool // load requests are carried out at once
+// manualTransport is a way out whose attempts and load requests the test carries on.
+type manualTransport struct {
+	attempts      chan pendingAttempt
+	loadRequests  chan scheduler.LoadRequest
+	completeLoads bool // load requests are carried out at once
 }
 
-func (m *manual) Send(_ *gateway.Request, _ int, _ string, d *gateway.Departure, done func(scheduler.Outcome, []byte)) gateway.Sent {
-	m.sent <- sending{d, done}
+func (m *manualTransport) Send(_ *gateway.Request, _ int, _ string, d *gateway.SendPermit, done func(scheduler.Outcome, []byte)) gateway.Canceller {
+	m.attempts <- pendingAttempt{d, done}
 	return nil
 }
 
-func (m *manual) Load(o scheduler.LoadRequest, done func(int, scheduler.Result)) gateway.Sent {
-	m.loads <- o
-	if m.fast {
+func (m *manualTransport) Load(o scheduler.LoadRequest, done func(int, scheduler.Result)) gateway.Canceller {
+	m.loadRequests <- o
+	if m.completeLoads {
 		done(o.Replicas, scheduler.Completed)
 	}
 	return nil
 }
 
-func (m *manual) Probe(string, func(scheduler.Result, scheduler.LoadReport)) gateway.Sent { return nil }
-func (m *manual) Subscribe()                                                              {}
+func (m *manualTransport) Probe(string, func(scheduler.Result, scheduler.LoadReport)) gateway.Canceller {
+	return nil
+}
+func (m *manualTransport) Subscribe() {}
 
-// scene is an owner with a few workers and a way out that the test carries on.
-type scene struct {
-	*manual
-	t        *testing.T
-	owner    *gateway.Owner
-	answered chan invoke.Answer
-	ended    sync.WaitGroup
+// scenario is an owner with a few workers and a way out that the test carries on.
+type scenario struct {
+	*manualTransport
+	t         *testing.T
+	loop      *gateway.EventLoop
+	responses chan invoke.Response
+	pending   sync.WaitGroup
 }
 
-func newScene(t *testing.T, kind scheduler.RequestType, loading core.LoadPolicy) *scene {
+func newScenario(t *testing.T, kind scheduler.RequestType, loading core.LoadPolicy) *scenario {
 	kind.Name, kind.Objective = "call", 100*time.Millisecond
-	s := &scene{manual: &manual{sent: make(chan sending, 100), loads: make(chan scheduler.LoadRequest, 100)}, t: t,
-		answered: make(chan invoke.Answer, 100)}
-	s.owner = gateway.NewOwner(gateway.OwnerOptions{Core: core.Settings{Seed: 1, Gateways: 1, MinTickInterval: time.Millisecond, MaxAttempts: 5, EnforceDeadlines: true,
-		LoadPolicy: loading, Types: []scheduler.RequestType{kind}}, Workers: s, LoadTimeout: time.Minute, ProbeLimit: time.Minute,
+	s := &scenario{manualTransport: &manualTransport{attempts: make(chan pendingAttempt, 100), loadRequests: make(chan scheduler.LoadRequest, 100)}, t: t,
+		responses: make(chan invoke.Response, 100)}
+	s.loop = gateway.NewEventLoop(gateway.EventLoopOptions{Core: core.Settings{Seed: 1, Gateways: 1, MinTickInterval: time.Millisecond, MaxAttempts: 5, EnforceDeadlines: true,
+		LoadPolicy: loading, Types: []scheduler.RequestType{kind}}, Transport: s, LoadTimeout: time.Minute, ProbeTimeout: time.Minute,
 		Monitor: invariant.NewMonitor(slog.New(slog.DiscardHandler))})
-	run(t, s.owner)
-	s.owner.UpdateMembership(true, []scheduler.Member{{Worker: "a"}, {Worker: "b"}, {Worker: "c"}}, nil)
+	runLoop(t, s.loop)
+	s.loop.UpdateMembership(true, []scheduler.Member{{Worker: "a"}, {Worker: "b"}, {Worker: "c"}}, nil)
 	return s
 }
 
-// onMiss is loading by the requests themselves.
-var onMiss = core.LoadPolicy{LoadOnMiss: true, ReplicaIdleTimeout: time.Minute}
+// loadOnMiss is loading by the requests themselves.
+var loadOnMiss = core.LoadPolicy{LoadOnMiss: true, ReplicaIdleTimeout: time.Minute}
 
 // submit submits a request of a function.
-func (s *scene) submit(id string, function uint64, left time.Duration) *gateway.Request {
-	e := &gateway.Request{Fact: &scheduler.Request{ID: id, Type: "call", Function: function, TimeLeft: left, Concurrency: 1},
-		Reply: func(a invoke.Answer) { s.answered <- a }}
-	s.ended.Add(1)
-	e.Gone = s.ended.Done
-	s.owner.Submit(e)
+func (s *scenario) submit(id string, function uint64, left time.Duration) *gateway.Request {
+	e := &gateway.Request{Scheduled: &scheduler.Request{ID: id, Type: "call", Function: function, TimeLeft: left, Concurrency: 1},
+		Reply: func(a invoke.Response) { s.responses <- a }}
+	s.pending.Add(1)
+	e.Done = s.pending.Done
+	s.loop.Submit(e)
 	return e
 }
 
 // next is the next attempt, if one comes within a time.
-func (s *scene) next(within time.Duration) (x sending, came bool) {
+func (s *scenario) next(within time.Duration) (x pendingAttempt, came bool) {
 	select {
-	case x = <-s.sent:
+	case x = <-s.attempts:
 		return x, true
 	case <-time.After(within):
 		return x, false
 	}
 }
 
-// first is the next attempt, which must come.
-func (s *scene) first() sending {
+// mustNext is the next attempt, which must come.
+func (s *scenario) mustNext() pendingAttempt {
 	s.t.Helper()
 	x, came := s.next(20 * time.Second)
 	if !came {
@@ -110,41 +112,41 @@
 	return x
 }
 
-// scenes are crossings in which a guard keeps an invariant. Each ends with all requests ended.
-var scenes = map[string]func(t *testing.T) *scene{
-	"ClientLeft": func(t *testing.T) *scene {
-		s := newScene(t, scheduler.RequestType{}, onMiss)
+// scenarios are crossings in which a guard keeps an invariant. Each ends with all requests ended.
+var scenarios = map[string]func(t *testing.T) *scenario{
+	"ClientLeft": func(t *testing.T) *scenario {
+		s := newScenario(t, scheduler.RequestType{}, loadOnMiss)
 		e := s.submit("e", 1, 10*time.Second)
-		x := s.first()
-		s.owner.ClientGone(e)
+		x := s.mustNext()
+		s.loop.ClientDisconnected(e)
 		time.Sleep(150 * time.Millisecond)
-		x.leaves()
-		x.ends(scheduler.Withheld)
+		x.leave()
+		x.complete(scheduler.Withheld)
 		return s
 	},
-	"NoTimeLeft": func(t *testing.T) *scene {
-		s := newScene(t, scheduler.RequestType{}, onMiss)
+	"NoTimeLeft": func(t *testing.T) *scenario {
+		s := newScenario(t, scheduler.RequestType{}, loadOnMiss)
 		s.submit("e", 1, 100*time.Millisecond)
-		x := s.first()
+		x := s.mustNext()
 		time.Sleep(400 * time.Millisecond)
-		x.leaves()
-		x.ends(scheduler.Withheld)
+		x.leave()
+		x.complete(scheduler.Withheld)
 		return s
 	},
-	"SlowDeparture": func(t *testing.T) *scene {
-		s := newScene(t, scheduler.RequestType{}, onMiss)
+	"SlowDeparture": func(t *testing.T) *scenario {
+		s := newScenario(t, scheduler.RequestType{}, loadOnMiss)
 		s.submit("e", 1, 10*time.Second)
-		x := s.first()
+		x := s.mustNext()
 		time.Sleep(250 * time.Millisecond)
-		x.leaves()
-		x.ends(scheduler.Completed)
+		x.leave()
+		x.complete(scheduler.Completed)
 		return s
 	},
-	"SecondOutcome": func(t *testing.T) *scene {
-		s := newScene(t, scheduler.RequestType{}, core.LoadPolicy{RequestLoads: true, ReplicaIdleTimeout: time.Minute, RequestTimeout: time.Minute})
-		s.fast = true
+	"SecondOutcome": func(t *testing.T) *scenario {
+		s := newScenario(t, scheduler.RequestType{}, core.LoadPolicy{RequestLoads: true, ReplicaIdleTimeout: time.Minute, RequestTimeout: time.Minute})
+		s.completeLoads = true
 		const others = 6 // have replicas loaded at all workers
-		var all []sending
+		var all []pendingAttempt
 		for i := range others {
 			s.submit(fmt.Sprint("e", i), 1, 10*time.Second)
 		}
@@ -156,70 +158,70 @@
 			all = append(all, x)
 		}
 		for _, x := range all {
-			x.ends(scheduler.Completed)
+			x.complete(scheduler.Completed)
 		}
 		for range others - len(all) {
-			s.first().ends(scheduler.Completed)
+			s.mustNext().complete(scheduler.Completed)
 		}
 		s.submit("e", 1, 10*time.Second)
-		x := s.first()
-		x.ends(scheduler.Full)
-		y := s.first()
-		x.ends(scheduler.Full)
+		x := s.mustNext()
+		x.complete(scheduler.Full)
+		y := s.mustNext()
+		x.complete(scheduler.Full)
 		z, came := s.next(300 * time.Millisecond)
-		y.ends(scheduler.Completed)
+		y.complete(scheduler.Completed)
 		if came {
-			z.ends(scheduler.Completed)
+			z.complete(scheduler.Completed)
 		}
 		return s
 	},
-	"AtMostOnce": func(t *testing.T) *scene {
-		s := newScene(t, scheduler.RequestType{Effect: scheduler.AtMostOnce}, onMiss)
+	"AtMostOnce": func(t *testing.T) *scenario {
+		s := newScenario(t, scheduler.RequestType{Effect: scheduler.AtMostOnce}, loadOnMiss)
 		s.submit("e", 1, time.Second)
-		s.first().ends(scheduler.ConnectionLost)
+		s.mustNext().complete(scheduler.ConnectionLost)
 		if x, came := s.next(500 * time.Millisecond); came {
-			x.ends(scheduler.Completed)
+			x.complete(scheduler.Completed)
 		}
 		return s
 	},
-	"WindowOver": func(t *testing.T) *scene {
-		s := newScene(t, scheduler.RequestType{Effect: scheduler.IdempotencyKey, DedupWindow: 100 * time.Millisecond}, onMiss)
+	"WindowOver": func(t *testing.T) *scenario {
+		s := newScenario(t, scheduler.RequestType{Effect: scheduler.IdempotencyKey, DedupWindow: 100 * time.Millisecond}, loadOnMiss)
 		s.submit("e", 1, 2*time.Second)
-		x := s.first()
+		x := s.mustNext()
 		time.Sleep(150 * time.Millisecond)
-		x.ends(scheduler.ConnectionLost)
+		x.complete(scheduler.ConnectionLost)
 		if x, came := s.next(500 * time.Millisecond); came {
-			x.ends(scheduler.Completed)
+			x.complete(scheduler.Completed)
 		}
 		return s
 	},
-	"NoOutcome": func(t *testing.T) *scene {
-		s := newScene(t, scheduler.RequestType{}, onMiss)
+	"NoOutcome": func(t *testing.T) *scenario {
+		s := newScenario(t, scheduler.RequestType{}, loadOnMiss)
 		s.submit("e", 1, 100*time.Millisecond)
-		x := s.first()
+		x := s.mustNext()
 		time.Sleep(800 * time.Millisecond)
-		x.ends(scheduler.Full)
+		x.complete(scheduler.Full)
 		for {
 			y, came := s.next(200 * time.Millisecond)
 			if !came {
 				return s
 			}
-			y.ends(scheduler.Full)
+			y.complete(scheduler.Full)
 		}
 	},
-	"Rejected": func(t *testing.T) *scene {
-		s := newScene(t, scheduler.RequestType{}, onMiss)
+	"Rejected": func(t *testing.T) *scenario {
+		s := newScenario(t, scheduler.RequestType{}, loadOnMiss)
 		s.submit("e", 1, 200*time.Millisecond)
 		for {
 			x, came := s.next(400 * time.Millisecond)
 			if !came {
 				return s
 			}
-			x.ends(scheduler.Full)
+			x.complete(scheduler.Full)
 		}
 	},
-	"ManyLoads": func(t *testing.T) *scene {
-		s := newScene(t, scheduler.RequestType{}, core.LoadPolicy{RequestLoads: true, ReplicaIdleTimeout: time.Minute, RequestTimeout: time.Minute, RateWindow: 10 * time.Second, RateBurst: 2})
+	"ManyLoads": func(t *testing.T) *scenario {
+		s := newScenario(t, scheduler.RequestType{}, core.LoadPolicy{RequestLoads: true, ReplicaIdleTimeout: time.Minute, RequestTimeout: time.Minute, RateWindow: 10 * time.Second, RateBurst: 2})
 		for function := range uint64(10) {
 			s.submit(fmt.Sprint("e", function), function, 300*time.Millisecond)
 		}
@@ -229,13 +231,13 @@
 
 // No crossing violates an invariant.
 func TestInvariantsHold(t *testing.T) {
-	for name, play := range scenes {
+	for name, play := range scenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := play(t)
 			ended := make(chan struct{})
 			go func() {
-				s.ended.Wait()
+				s.pending.Wait()
 				close(ended)
 			}()
 			select {
@@ -243,28 +245,28 @@
 			case <-time.After(20 * time.Second):
 				t.Error("a request does not end")
 			}
-			s.owner.Pause(0) // it has heard all
-			if counts := s.owner.Monitor().Counts(); len(counts) > 0 {
+			s.loop.Pause(0) // it has heard all
+			if counts := s.loop.Monitor().Counts(); len(counts) > 0 {
 				t.Errorf("violated: %v", counts)
 			}
-			if stats := s.owner.Counts(context.Background()); stats.Taken == 0 {
+			if stats := s.loop.Counts(context.Background()); stats.Accepted == 0 {
 				t.Error("nothing was taken")
 			}
 		})
 	}
 }
 
-// unguarded are guards taken out, by the scene in which that shows, and the invariant that counts it.
-var unguarded = []struct {
+// guardMutations are guards taken out, by the scene in which that shows, and the invariant that counts it.
+var guardMutations = []struct {
 	scene, file, text, instead string
 	kind                       invariant.Kind
 }{
-	{"ClientLeft", "departure.go", "if d.request.clientGone.Load() != 0 {", "if false {", invariant.AttemptAfterClientLeft},
-	{"NoTimeLeft", "departure.go", "if now >= d.by {", "if false {", invariant.AttemptPastDeadline},
-	{"SlowDeparture", "departure.go", "d.told = d.by - now", "d.told = d.by - d.decided", invariant.DeadlineOverstated},
+	{"ClientLeft", "departure.go", "if d.request.disconnectedAt.Load() != 0 {", "if false {", invariant.AttemptAfterClientLeft},
+	{"NoTimeLeft", "departure.go", "if now >= d.deadline {", "if false {", invariant.AttemptAfterDeadline},
+	{"SlowDeparture", "departure.go", "d.statedTimeLeft = d.deadline - now", "d.statedTimeLeft = d.deadline - d.decidedAt", invariant.DeadlineOverstated},
 	{"SecondOutcome", "core/core.go", "h == nil || launch != h.attempts-1 ||", "h == nil ||", invariant.AttemptInParallel},
-	{"AtMostOnce", "../../scheduler/scheduler.go", "(late || e.typ.Effect == AtMostOnce)", "late", invariant.RepeatOfAtMostOnce},
-	{"WindowOver", "../../scheduler/scheduler.go", "late := e.typ.Effect == IdempotencyKey &&", "late := false &&", invariant.RepeatOutsideOfWindow},
+	{"AtMostOnce", "../../scheduler/scheduler.go", "(late || e.typ.Effect == AtMostOnce)", "late", invariant.RetryOfAtMostOnce},
+	{"WindowOver", "../../scheduler/scheduler.go", "late := e.typ.Effect == IdempotencyKey &&", "late := false &&", invariant.RetryOutsideWindow},
 	{"NoOutcome", "core/core.go", "h := heap.Pop(&c.deadlines).(*trackedRequest)\n\t\tif h.request.InFlight() {", "h := heap.Pop(&c.deadlines).(*trackedRequest)\n\t\tif false {",
 		invariant.AnsweredLate},
 	{"Rejected", "core/core.go", "c.actor.Reject(a.Request, a.RetryAfter, h.mayHaveRun)", "c.actor.Reject(a.Request, a.RetryAfter, h.mayHaveRun); c.actor.Reject(a.Request, 0, false)",
@@ -274,8 +276,8 @@
 }
 
 // With its guard taken out, each invariant is seen to be violated.
-func TestInvariantsCountWithoutTheirGuards(t *testing.T) {
-	for _, u := range unguarded {
+func TestMutatedGuardsViolateInvariants(t *testing.T) {
+	for _, u := range guardMutations {
 		t.Run(u.kind.String(), func(t *testing.T) {
 			t.Parallel()
 			out, passed, err := mutationtest.Test(t.Context(), t.TempDir(), u.file, u.text, u.instead, "^TestInvariantsHold$/^"+u.scene+"$")
--- a/internal/gateway/invoke/golden_test.go
+++ b/internal/gateway/invoke/golden_test.go
@@ -26,39 +26,39 @@
 }
 
 // Each ending is this status, these headers and this body, to the byte.
-func TestGoldenAnswers(t *testing.T) {
+func TestGoldenResponses(t *testing.T) {
 	for _, c := range []struct {
-		answer invoke.Answer
+		answer invoke.Response
 		want   string
 	}{
-		{invoke.Answer{Ending: invoke.Completed, Event: "f-1", Launches: 2, Body: []byte("ran\x00")},
+		{invoke.Response{Outcome: invoke.Completed, RequestID: "f-1", Attempts: 2, Body: []byte("ran\x00")},
 			"200\nContent-Length: 4\nContent-Type: application/octet-stream\nLupin-Event: f-1\nLupin-Launches: 2\n\nran\x00"},
-		{invoke.Answer{Ending: invoke.Rejected, Event: "f-2", Launches: 1, Back: 1200 * time.Millisecond, Reason: "no room"},
+		{invoke.Response{Outcome: invoke.Rejected, RequestID: "f-2", Attempts: 1, RetryAfter: 1200 * time.Millisecond, Reason: "no room"},
 			"503\nContent-Type: application/problem+json\nLupin-Back-Ms: 1200\nLupin-Event: f-2\nLupin-Launches: 1\nRetry-After: 2\n\n" +
 				`{"type":"urn:lupinpond:deferred","title":"Deferred: try again later","status":503,"detail":"no room","event":"f-2","launches":1}` + "\n"},
-		{invoke.Answer{Ending: invoke.Rejected, Event: "f-2"},
+		{invoke.Response{Outcome: invoke.Rejected, RequestID: "f-2"},
 			"503\nContent-Type: application/problem+json\nLupin-Event: f-2\nLupin-Launches: 0\n\n" +
 				`{"type":"urn:lupinpond:deferred","title":"Deferred: try again later","status":503,"event":"f-2"}` + "\n"},
-		{invoke.Answer{Ending: invoke.Failed, Event: "f-3", Launches: 3, MayRun: true, Reason: "broken"},
+		{invoke.Response{Outcome: invoke.Failed, RequestID: "f-3", Attempts: 3, MayHaveRun: true, Reason: "broken"},
 			"502\nContent-Type: application/problem+json\nLupin-Event: f-3\nLupin-Launches: 3\n\n" +
 				`{"type":"urn:lupinpond:dead-lettered","title":"Dead-lettered","status":502,"detail":"broken","event":"f-3","may-have-run":true,"launches":3}` + "\n"},
-		{invoke.Answer{Ending: invoke.Failed, Event: "f-4"},
+		{invoke.Response{Outcome: invoke.Failed, RequestID: "f-4"},
 			"502\nContent-Type: application/problem+json\nLupin-Event: f-4\nLupin-Launches: 0\n\n" +
 				`{"type":"urn:lupinpond:dead-lettered","title":"Dead-lettered","status":502,"event":"f-4","may-have-run":false}` + "\n"},
-		{invoke.Answer{Ending: invoke.NotTaken, Reason: "this front end takes no event now"},
+		{invoke.Response{Outcome: invoke.NotAccepted, Reason: "this front end takes no event now"},
 			"503\nConnection: close\nContent-Type: application/problem+json\n\n" +
 				`{"type":"urn:lupinpond:not-taken","title":"Not taken","status":503,"detail":"this front end takes no event now"}` + "\n"},
-		{invoke.Answer{Ending: invoke.InHand, Event: "f-5", Back: 500 * time.Microsecond, Reason: "twin"},
+		{invoke.Response{Outcome: invoke.InFlight, RequestID: "f-5", RetryAfter: 500 * time.Microsecond, Reason: "twin"},
 			"409\nContent-Type: application/problem+json\nLupin-Back-Ms: 1\nRetry-After: 1\n\n" +
 				`{"type":"urn:lupinpond:not-taken","title":"In hand already","status":409,"detail":"twin","event":"f-5"}` + "\n"},
 	} {
 		w := httptest.NewRecorder()
-		invoke.Write(w, c.answer)
+		invoke.WriteResponse(w, c.answer)
 		if got := spelled(w); got != c.want {
 			t.Errorf("%+v:\n got %q\nwant %q", c.answer, got, c.want)
 		}
 	}
-	names := fmt.Sprint(invoke.Completed, invoke.Rejected, invoke.Failed, invoke.NotTaken, invoke.InHand)
+	names := fmt.Sprint(invoke.Completed, invoke.Rejected, invoke.Failed, invoke.NotAccepted, invoke.InFlight)
 	if want := "completed rejected failed not_taken in_hand"; names != want {
 		t.Errorf("names of endings:\n got %s\nwant %s", names, want)
 	}
@@ -90,12 +90,12 @@
 	}
 	catalogue, mux := invoke.NewCatalogue(f), http.NewServeMux()
 	mux.HandleFunc("POST /v1/functions/{name}/invocations", func(w http.ResponseWriter, r *http.Request) {
-		c, p := catalogue.Read(w, r)
+		c, p := catalogue.ReadRequest(w, r)
 		if p != nil {
 			p.Write(w)
 			return
 		}
-		fmt.Fprintf(w, "%s %s %q %q %q %q %v %v %q", c.Function.Name, c.Type.Name, c.Tenant, c.Source, c.ID, c.Key, c.Patience, c.Repeat, c.Body)
+		fmt.Fprintf(w, "%s %s %q %q %q %q %v %v %q", c.Function.Name, c.Type.Name, c.Tenant, c.Source, c.ClientID, c.IdempotencyKey, c.TimeLeft, c.Retry, c.Body)
 	})
 	return mux
 }
--- a/internal/gateway/latency_test.go
+++ b/internal/gateway/latency_test.go
@@ -22,20 +22,20 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// atOnce is a worker that answers every event at once, from a copy that stands.
-type atOnce struct{}
+// instantHandler is a worker that answers every event at once, from a copy that stands.
+type instantHandler struct{}
 
-func (atOnce) Launch(_ string, _ *workerrpc.Launch, reply func(*workerrpc.Answer)) func() {
-	reply(&workerrpc.Answer{Code: workerrpc.Done, Warmth: workerrpc.FoundWarm, Worked: time.Microsecond, Report: &workerrpc.Report{}, Body: []byte("ok")})
+func (instantHandler) HandleAttempt(_ string, _ *workerrpc.Attempt, reply func(*workerrpc.AttemptResult)) func() {
+	reply(&workerrpc.AttemptResult{Code: workerrpc.CodeOK, ReplicaState: workerrpc.ReplicaWarm, CPUTime: time.Microsecond, Report: &workerrpc.LoadReport{}, Body: []byte("ok")})
 	return nil
 }
-func (atOnce) Order(_ string, o *workerrpc.Order, reply func(*workerrpc.Ordered)) {
-	reply(&workerrpc.Ordered{Code: workerrpc.Done, Copies: o.Copies})
+func (instantHandler) HandleLoadRequest(_ string, o *workerrpc.LoadRequest, reply func(*workerrpc.LoadResult)) {
+	reply(&workerrpc.LoadResult{Code: workerrpc.CodeOK, Replicas: o.Replicas})
 }
-func (atOnce) Report() *workerrpc.Report { return &workerrpc.Report{} }
+func (instantHandler) LoadReport() *workerrpc.LoadReport { return &workerrpc.LoadReport{} }
 
-// bare is a front end over so many workers that answer at once.
-func bare(b *testing.B, workers int) (addr string, addrs []string, end func()) {
+// startBareGateway is a front end over so many workers that answer at once.
+func startBareGateway(b *testing.B, workers int) (addr string, addrs []string, end func()) {
 	ctx, stop := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	r := registry.New(nil)
@@ -46,10 +46,10 @@
 			b.Fatal(err)
 		}
 		name := fmt.Sprint("w", i)
-		s := &workerrpc.Server{Hello: workerrpc.Hello{Name: name, Launches: 1000}, Handler: atOnce{}}
+		s := &workerrpc.Server{Handshake: workerrpc.Handshake{Name: name, MaxAttempts: 1000}, Handler: instantHandler{}}
 		all.Go(func() { _ = s.Serve(ctx, listener) })
 		addrs = append(addrs, listener.Addr().String())
-		r.Set(registry.Entry{Name: name, Addr: addrs[i], Zone: "z", Cores: 4, State: registry.In})
+		r.Set(registry.Entry{Name: name, Addr: addrs[i], Zone: "z", Cores: 4, State: registry.InService})
 	}
 	file, err := fleetconfig.Default()
 	if err != nil {
@@ -64,7 +64,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	g, err := gateway.New(gateway.Options{Name: "f", File: file, Listener: listener, Seed: 1})
+	g, err := gateway.New(gateway.Options{Name: "f", Config: file, Listener: listener, Seed: 1})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -111,19 +111,19 @@
 	return h, failed
 }
 
-// lines are kept connections of clients.
-type lines struct {
+// connPool are kept connections of clients.
+type connPool struct {
 	addr string
-	idle chan *line
+	idle chan *bufferedConn
 }
 
-type line struct {
+type bufferedConn struct {
 	net.Conn
 	read *bufio.Reader
 }
 
-func (l *lines) once() error {
-	var c *line
+func (l *connPool) roundTrip() error {
+	var c *bufferedConn
 	select {
 	case c = <-l.idle:
 	default:
@@ -131,7 +131,7 @@
 		if err != nil {
 			return err
 		}
-		c = &line{conn, bufio.NewReader(conn)}
+		c = &bufferedConn{conn, bufio.NewReader(conn)}
 	}
 	if _, err := io.WriteString(c, "POST /v1/functions/preview/invocations HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nx"); err != nil {
 		return err
@@ -154,7 +154,7 @@
 	return nil
 }
 
-func (l *lines) close() {
+func (l *connPool) close() {
 	for {
 		select {
 		case c := <-l.idle:
@@ -165,7 +165,7 @@
 	}
 }
 
-func cpu() time.Duration {
+func cpuTime() time.Duration {
 	var r syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r) // it has no reason to fail for the process itself
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
@@ -178,29 +178,29 @@
 		b.Run(fmt.Sprint(rate), func(b *testing.B) {
 			const lasts = 4 * time.Second
 			for range b.N {
-				addr, addrs, end := bare(b, 8)
+				addr, addrs, end := startBareGateway(b, 8)
 				ctx, stop := context.WithCancel(context.Background())
 				dial := func(ctx context.Context, addr string) (net.Conn, error) {
 					var d net.Dialer
 					return d.DialContext(ctx, "tcp", addr)
 				}
-				p := workerrpc.NewPeer("direct", "w0", addrs[0], workerrpc.Limits{Dial: time.Second, Queue: time.Second, Stall: time.Second,
-					Calls: 10000, Bytes: 1 << 24}, dial)
+				p := workerrpc.NewClient("direct", "w0", addrs[0], workerrpc.Limits{DialTimeout: time.Second, QueueTimeout: time.Second, WriteTimeout: time.Second,
+					MaxQueuedCalls: 10000, MaxQueuedBytes: 1 << 24}, dial)
 				gone := make(chan error, 1)
 				go func() { gone <- p.Run(ctx) }()
 				direct, failedDirect := openLoop(rate, lasts, func() error {
 					got := make(chan workerrpc.Outcome, 1)
-					p.Launch(workerrpc.Launch{Event: "e", Function: "preview", Body: []byte("x")}, time.Second, func(o workerrpc.Outcome) { got <- o })
-					if o := <-got; o.Fate != workerrpc.Answered {
+					p.Send(workerrpc.Attempt{RequestID: "e", Function: "preview", Body: []byte("x")}, time.Second, func(o workerrpc.Outcome) { got <- o })
+					if o := <-got; o.Status != workerrpc.StatusAnswered {
 						return o.Err
 					}
 					return nil
 				})
 				stop()
 				<-gone
-				l := &lines{addr: addr, idle: make(chan *line, 4096)}
-				openLoop(min(rate, 500), time.Second, l.once) // copies loaded, connections made
-				through, failed := openLoop(rate, lasts, l.once)
+				l := &connPool{addr: addr, idle: make(chan *bufferedConn, 4096)}
+				openLoop(min(rate, 500), time.Second, l.roundTrip) // copies loaded, connections made
+				through, failed := openLoop(rate, lasts, l.roundTrip)
 				l.close()
 				end()
 				for _, q := range []float64{50, 99, 99.9} {
@@ -222,7 +222,7 @@
 		var all sync.WaitGroup
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
-		used := cpu()
+		used := cpuTime()
 		b.ResetTimer()
 		for i := range 8 {
 			all.Go(func() {
@@ -236,25 +236,25 @@
 		}
 		all.Wait()
 		b.StopTimer()
-		used = cpu() - used
+		used = cpuTime() - used
 		runtime.ReadMemStats(&after)
 		b.ReportMetric(float64(used.Nanoseconds())/1000/float64(b.N), "cpu-us/event")
 		b.ReportMetric(float64(after.Mallocs-before.Mallocs)/float64(b.N), "allocs/event")
 	}
 	b.Run("through", func(b *testing.B) {
-		addr, _, end := bare(b, 8)
+		addr, _, end := startBareGateway(b, 8)
 		defer end()
-		l := &lines{addr: addr, idle: make(chan *line, 64)}
+		l := &connPool{addr: addr, idle: make(chan *bufferedConn, 64)}
 		defer l.close()
-		openLoop(200, time.Second, l.once)
-		closed(b, l.once)
+		openLoop(200, time.Second, l.roundTrip)
+		closed(b, l.roundTrip)
 	})
 	b.Run("direct", func(b *testing.B) {
-		_, addrs, end := bare(b, 8)
+		_, addrs, end := startBareGateway(b, 8)
 		defer end()
 		ctx, stop := context.WithCancel(context.Background())
-		p := workerrpc.NewPeer("direct", "w0", addrs[0], workerrpc.Limits{Dial: time.Second, Queue: time.Second, Stall: time.Second, Calls: 100,
-			Bytes: 1 << 20}, func(ctx context.Context, addr string) (net.Conn, error) {
+		p := workerrpc.NewClient("direct", "w0", addrs[0], workerrpc.Limits{DialTimeout: time.Second, QueueTimeout: time.Second, WriteTimeout: time.Second, MaxQueuedCalls: 100,
+			MaxQueuedBytes: 1 << 20}, func(ctx context.Context, addr string) (net.Conn, error) {
 			var d net.Dialer
 			return d.DialContext(ctx, "tcp", addr)
 		})
@@ -262,7 +262,7 @@
 		go func() { gone <- p.Run(ctx) }()
 		closed(b, func() error {
 			got := make(chan workerrpc.Outcome, 1)
-			p.Launch(workerrpc.Launch{Event: "e", Function: "preview", Body: []byte("x")}, time.Second, func(o workerrpc.Outcome) { got <- o })
+			p.Send(workerrpc.Attempt{RequestID: "e", Function: "preview", Body: []byte("x")}, time.Second, func(o workerrpc.Outcome) { got <- o })
 			return (<-got).Err
 		})
 		stop()
@@ -279,9 +279,9 @@
 		return float64(m.HeapInuse + m.StackInuse)
 	}
 	for range b.N {
-		addr, _, end := bare(b, 1)
-		l := &lines{addr: addr, idle: make(chan *line, 4096)}
-		openLoop(100, time.Second, l.once)
+		addr, _, end := startBareGateway(b, 1)
+		l := &connPool{addr: addr, idle: make(chan *bufferedConn, 4096)}
+		openLoop(100, time.Second, l.roundTrip)
 		before := held()
 		var conns []net.Conn
 		for range 1000 {
@@ -302,9 +302,9 @@
 		l.close()
 		end()
 		of := func(workers int) float64 {
-			addr, _, end := bare(b, workers)
-			l := &lines{addr: addr, idle: make(chan *line, 4096)}
-			openLoop(700, 2*time.Second, l.once)
+			addr, _, end := startBareGateway(b, workers)
+			l := &connPool{addr: addr, idle: make(chan *bufferedConn, 4096)}
+			openLoop(700, 2*time.Second, l.roundTrip)
 			l.close()
 			m := held()
 			end()
--- a/internal/gateway/listfile.go
+++ b/internal/gateway/listfile.go
@@ -12,8 +12,8 @@
 	"lupinpond/internal/registry"
 )
 
-// ReadList reads a list that WriteList kept; nil where there is none yet.
-func ReadList(path string) (*registry.News, error) {
+// ReadEndpointCache reads a list that WriteList kept; nil where there is none yet.
+func ReadEndpointCache(path string) (*registry.WatchEvent, error) {
 	b, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -21,19 +21,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("kept list: %w", err)
 	}
-	var n registry.News
+	var n registry.WatchEvent
 	if err := json.Unmarshal(b, &n); err != nil {
 		return nil, fmt.Errorf("kept list %s: %w", path, err)
 	}
-	if err := n.Check(); err != nil {
+	if err := n.Validate(); err != nil {
 		return nil, fmt.Errorf("kept list %s: %w", path, err)
 	}
-	n.Whole = true
+	n.Complete = true
 	return &n, nil
 }
 
-// WriteList keeps a list for the next start. A crash leaves the old one or the new one.
-func WriteList(path string, n registry.News) error {
+// WriteEndpointCache keeps a list for the next start. A crash leaves the old one or the new one.
+func WriteEndpointCache(path string, n registry.WatchEvent) error {
 	b, err := json.Marshal(n)
 	if err != nil {
 		return fmt.Errorf("keep list: %w", err)
--- a/internal/gateway/platform/engine.go
+++ b/internal/gateway/platform/engine.go
@@ -19,11 +19,11 @@
 
 // engine is a front end without its clients: the owner of its core, the connections to workers, and the list.
 type engine struct {
-	*gateway.Owner
+	*gateway.EventLoop
 	config  Config
 	log     *slog.Logger
 	workers *workers
-	births  *gateway.Births // used by the list's goroutine
+	births  *gateway.StartTimes // used by the list's goroutine
 	monitor *invariant.Monitor
 	feed    *discovery.Feed
 	hard    context.Context // ends when nothing is left to do
@@ -43,9 +43,9 @@
 	if c.Settings["report.source"] != "off" {
 		e.workers.report = "pending"
 	}
-	e.Owner = gateway.NewOwner(gateway.OwnerOptions{Core: c.Front, Workers: e.workers, Record: record, LoadTimeout: c.Front.LoadPolicy.RequestTimeout,
-		ProbeLimit: dial, Monitor: e.monitor, Log: e.log})
-	e.births = e.NewBirths()
+	e.EventLoop = gateway.NewEventLoop(gateway.EventLoopOptions{Core: c.Front, Transport: e.workers, Record: record, LoadTimeout: c.Front.LoadPolicy.RequestTimeout,
+		ProbeTimeout: dial, Monitor: e.monitor, Log: e.log})
+	e.births = e.NewStartTimes()
 	grace := c.Settings.Time("rules.stop_sending_within", 500*time.Millisecond)
 	e.workers.grace = grace
 	wait := min(max(dial, journalWaits*grace), mostWait)
@@ -72,7 +72,7 @@
 	defer e.stopped()
 	g, hard := errgroup.WithContext(e.hard)
 	e.feed.Tell(e.config.Known)
-	g.Go(func() error { return e.Owner.Run(hard) })
+	g.Go(func() error { return e.EventLoop.Run(hard) })
 	g.Go(func() error { return e.feed.Run(hard) })
 	start(g, hard)
 	err := g.Wait()
@@ -97,7 +97,7 @@
 		return
 	}
 	adopt := e.workers.news(event)
-	within := gateway.Always
+	within := gateway.UnboundedAge
 	if event.Within > 0 {
 		within = event.Within
 	}
@@ -124,7 +124,7 @@
 		listings = append(listings, l)
 	}
 	if event.List.Whole {
-		e.births.Keep(named)
+		e.births.Retain(named)
 	}
 	e.logList(event)
 	e.UpdateMembership(event.List.Whole, listings, adopt)
--- a/internal/gateway/platform/front.go
+++ b/internal/gateway/platform/front.go
@@ -100,7 +100,7 @@
 func (f *Front) drain(hard context.Context) {
 	left := min(f.longest, killAfter) + comeLate/2
 	f.draining.Store(true)
-	f.EndBy(time.Now().Add(left))
+	f.ShutdownBy(time.Now().Add(left))
 	f.log.Info("draining", "in hand", f.server.Open())
 	come, end := time.After(comeLate), time.After(left+comeLate)
 	for {
@@ -124,7 +124,7 @@
 		f.monitor.Violated(invariant.ClosedUnanswered, "", "reason", c.Reason.String(), "client", c.Client, "requests", c.Open)
 	}
 	if c.Unwritten > 0 {
-		f.monitor.Violated(invariant.ClosedUnwritten, "", "reason", c.Reason.String(), "client", c.Client, "bytes", c.Unwritten)
+		f.monitor.Violated(invariant.ClosedBeforeWritten, "", "reason", c.Reason.String(), "client", c.Client, "bytes", c.Unwritten)
 	}
 }
 
@@ -155,10 +155,10 @@
 	if err != nil {
 		r = request{fact: &scheduler.Request{}}
 	}
-	e := &gateway.Request{Fact: r.fact, Body: r.body, Call: invoke.Call{Key: r.mark},
-		Reply: func(a invoke.Answer) { c.Answer(seq, spellAnswer(seq, a)) }}
+	e := &gateway.Request{Scheduled: r.fact, Body: r.body, Call: invoke.Call{IdempotencyKey: r.mark},
+		Reply: func(a invoke.Response) { c.Answer(seq, spellAnswer(seq, a)) }}
 	// the number is checked first: an answer under one that is open would be the answer to another request
-	if !c.Begin(seq, func() { f.ClientGone(e) }) {
+	if !c.Begin(seq, func() { f.ClientDisconnected(e) }) {
 		refuse(thrift.BadSequence, "a number that is not new, or too many requests at a time")
 		return
 	}
@@ -179,20 +179,20 @@
 		c.Answer(seq, thrown(seq, resultThrottled))
 		return
 	}
-	e.Gone = func() { f.bytes.Add(-size) }
+	e.Done = func() { f.bytes.Add(-size) }
 	f.Submit(e)
 }
 
 // spellAnswer spells the final answer of an event.
-func spellAnswer(seq int32, a invoke.Answer) []byte {
-	switch a.Ending {
+func spellAnswer(seq int32, a invoke.Response) []byte {
+	switch a.Outcome {
 	case invoke.Completed:
 		return answer(methodDispatch, seq, a.Body, true)
 	case invoke.Rejected:
-		if a.Back <= 0 {
+		if a.RetryAfter <= 0 {
 			return thrown(seq, resultThrottled)
 		}
-		ms := (a.Back + time.Millisecond - 1) / time.Millisecond
+		ms := (a.RetryAfter + time.Millisecond - 1) / time.Millisecond
 		return thrown(seq, resultThrottled, "after", strconv.FormatInt(int64(ms), 10))
 	case invoke.Failed:
 		return thrown(seq, resultBroken)
--- a/internal/gateway/platform/hollow.go
+++ b/internal/gateway/platform/hollow.go
@@ -51,7 +51,7 @@
 }
 
 // SubmitDrawn takes a drawn request; reply is told its final answer, by the goroutine that owns the core, and must not wait.
-func (h *Hollow) SubmitDrawn(r Request, reply func(invoke.Answer)) {
-	h.Submit(&gateway.Request{Fact: &scheduler.Request{ID: r.ID, Type: r.Class, Tenant: r.Tenant, Function: r.Function, TimeLeft: r.Wait,
+func (h *Hollow) SubmitDrawn(r Request, reply func(invoke.Response)) {
+	h.Submit(&gateway.Request{Scheduled: &scheduler.Request{ID: r.ID, Type: r.Class, Tenant: r.Tenant, Function: r.Function, TimeLeft: r.Wait,
 		Concurrency: r.Lanes, Memory: r.Memory, LoadTime: r.LoadTime}, Reply: reply})
 }
--- a/internal/gateway/platform/invariants_test.go
+++ b/internal/gateway/platform/invariants_test.go
@@ -74,9 +74,9 @@
 		kind                       invariant.Kind
 	}{
 		{"DrainedWhileConnecting", "workers.go", "b.stopped.CompareAndSwap(0, int64(now))\n\tb.Stop()", "b.stopped.CompareAndSwap(0, int64(now))",
-			invariant.AttemptToDrained},
+			invariant.AttemptToDrainedWorker},
 		{"NextLife", "workers.go", "b := w.find(worker)\n\tif b == nil {\n\t\tdone(scheduler.Outcome{", "b := w.listed[worker]\n\tif b == nil {\n\t\tdone(scheduler.Outcome{",
-			invariant.AttemptToOtherLife},
+			invariant.AttemptToOtherIncarnation},
 		{"IdleUnderACall", "../thrift/conn.go", "return len(c.calls) == 0 && len(c.out) == 0 && !c.writing", "return len(c.out) == 0 && !c.writing",
 			invariant.ClosedUnanswered},
 	} {
--- a/internal/gateway/platform/metrics.go
+++ b/internal/gateway/platform/metrics.go
@@ -58,16 +58,16 @@
 			closed[thrift.CloseReason(r).String()] = n
 		}
 	}
-	for r := range more.GivenUp {
-		if n := more.GivenUp[r].Load(); n > 0 {
+	for r := range more.Unserved {
+		if n := more.Unserved[r].Load(); n > 0 {
 			givenUp[scheduler.Reason(r).String()] = n
 		}
 	}
-	f.log.Log(context.Background(), level, "status", "violations", f.monitor.Counts(), "requests", s.Taken, "completed", s.Completed,
-		"rejected", s.Rejected, "failed", s.Failed, "clients_left", s.ClientsLeft, "attempts", s.Attempts, "retries", more.Retries.Load(),
-		"given_up", givenUp, "withheld_left", more.WithheldLeft.Load(), "withheld_late", more.WithheldLate.Load(),
-		"withheld_stalled", more.WithheldOld.Load(), "read_after_stall", more.Stalled.Load(), "load_requests", s.LoadRequests, "probes", s.Probes,
-		"late_answers", s.LateAnswers, "closed", closed, "open", s.Open, "connections", s.Connections, "to_workers", s.ToWorkers,
+	f.log.Log(context.Background(), level, "status", "violations", f.monitor.Counts(), "requests", s.Accepted, "completed", s.Completed,
+		"rejected", s.Rejected, "failed", s.Failed, "clients_left", s.ClientsDisconnected, "attempts", s.Attempts, "retries", more.Retries.Load(),
+		"given_up", givenUp, "withheld_left", more.WithheldDisconnected.Load(), "withheld_late", more.WithheldExpired.Load(),
+		"withheld_stalled", more.WithheldStalled.Load(), "read_after_stall", more.ReadAfterStall.Load(), "load_requests", s.LoadRequests, "probes", s.Probes,
+		"late_answers", s.LateOutcomes, "closed", closed, "open", s.Open, "connections", s.Connections, "to_workers", s.ToWorkers,
 		"stray_answers", s.Stray, "workers", s.Fleet.Workers, "ejected", s.Fleet.Ejected, "with_room", s.Fleet.WithCapacity,
 		"in_flight", s.Fleet.InFlight, "overloaded", s.Fleet.Overloaded, "list_position", s.Position, "log_lines_dropped", s.LogLinesDropped)
 }
@@ -98,20 +98,20 @@
 	counter("requests_total", requests, int64(s.Completed), "ending", "completed")
 	counter("requests_total", requests, int64(s.Rejected), "ending", "rejected")
 	counter("requests_total", requests, int64(s.Failed), "ending", "failed")
-	counter("requests_total", requests, int64(s.ClientsLeft), "ending", "client_left")
-	for r := range more.GivenUp {
-		counter("requests_given_up_total", "Requests answered without being served, by reason.", more.GivenUp[r].Load(), "reason", scheduler.Reason(r).String())
+	counter("requests_total", requests, int64(s.ClientsDisconnected), "ending", "client_left")
+	for r := range more.Unserved {
+		counter("requests_given_up_total", "Requests answered without being served, by reason.", more.Unserved[r].Load(), "reason", scheduler.Reason(r).String())
 	}
 	counter("attempts_total", "Attempts decided on.", int64(s.Attempts))
 	counter("retries_total", "Attempts of requests that had one before.", more.Retries.Load())
 	withheld := "Attempts that did not leave, by reason."
-	counter("attempts_withheld_total", withheld, more.WithheldLeft.Load(), "reason", "client_left")
-	counter("attempts_withheld_total", withheld, more.WithheldLate.Load(), "reason", "no_time_left")
-	counter("attempts_withheld_total", withheld, more.WithheldOld.Load(), "reason", "stalled")
-	counter("requests_read_after_stall_total", "Requests read right after the process had not run.", more.Stalled.Load())
+	counter("attempts_withheld_total", withheld, more.WithheldDisconnected.Load(), "reason", "client_left")
+	counter("attempts_withheld_total", withheld, more.WithheldExpired.Load(), "reason", "no_time_left")
+	counter("attempts_withheld_total", withheld, more.WithheldStalled.Load(), "reason", "stalled")
+	counter("requests_read_after_stall_total", "Requests read right after the process had not run.", more.ReadAfterStall.Load())
 	counter("load_requests_total", "Load requests sent.", int64(s.LoadRequests))
 	counter("probes_total", "Probes sent.", int64(s.Probes))
-	counter("late_answers_total", "Answers to attempts that had ended.", int64(s.LateAnswers))
+	counter("late_answers_total", "Answers to attempts that had ended.", int64(s.LateOutcomes))
 	counter("stray_answers_total", "Answers that no call waited for.", s.Stray)
 	counter("log_lines_dropped_total", "Log lines that found no reader.", s.LogLinesDropped)
 	for r := range f.closings {
--- a/internal/gateway/platform/workers.go
+++ b/internal/gateway/platform/workers.go
@@ -123,14 +123,14 @@
 	chosen := w.adopted[name]
 	w.mu.Unlock()
 	if b != chosen {
-		w.monitor.Violated(invariant.AttemptToOtherLife, request, "worker", name, "address", b.addr, "born", b.born)
+		w.monitor.Violated(invariant.AttemptToOtherIncarnation, request, "worker", name, "address", b.addr, "born", b.born)
 	}
 }
 
 // checkDrained checks that an attempt that has left did not go to a worker that has drained for too long.
 func (w *workers) checkDrained(request, name string, b *backend) {
 	if stopped := time.Duration(b.stopped.Load()); stopped != 0 && w.now() > stopped+w.grace {
-		w.monitor.Violated(invariant.AttemptToDrained, request, "worker", name, "later", w.now()-stopped)
+		w.monitor.Violated(invariant.AttemptToDrainedWorker, request, "worker", name, "later", w.now()-stopped)
 	}
 }
 
@@ -140,17 +140,17 @@
 	kill []byte
 }
 
-// Recall gives it up.
-func (s sent) Recall() { s.Call.Recall(s.kill) }
+// Cancel gives it up.
+func (s sent) Cancel() { s.Call.Recall(s.kill) }
 
 // Send sends an attempt to a worker.
-func (w *workers) Send(e *gateway.Request, _ int, worker string, departure *gateway.Departure, done func(scheduler.Outcome, []byte)) gateway.Sent {
+func (w *workers) Send(e *gateway.Request, _ int, worker string, departure *gateway.SendPermit, done func(scheduler.Outcome, []byte)) gateway.Canceller {
 	b := w.find(worker)
 	if b == nil {
 		done(scheduler.Outcome{Result: scheduler.Unreachable}, nil)
 		return nil
 	}
-	id := e.Fact.ID
+	id := e.Scheduled.ID
 	w.checkLife(id, worker, b)
 	var kill []byte
 	if w.cancel {
@@ -158,7 +158,7 @@
 	}
 	message := resp.Message{Within: mostWriting,
 		Compose: func() []byte {
-			left, leaves := departure.Left()
+			left, leaves := departure.TimeLeft()
 			if !leaves {
 				return nil
 			}
@@ -173,11 +173,11 @@
 
 // spellRequest spells a request with the time that its client has left.
 func spellRequest(e *gateway.Request, left time.Duration) []byte {
-	fields := "class=" + e.Fact.Type + ",key=" + spell(e.Fact.Function) + ",wait=" + strconv.FormatInt(max(1, left.Milliseconds()), 10)
-	if e.Call.Key != "" {
-		fields += ",once=" + e.Call.Key
+	fields := "class=" + e.Scheduled.Type + ",key=" + spell(e.Scheduled.Function) + ",wait=" + strconv.FormatInt(max(1, left.Milliseconds()), 10)
+	if e.Call.IdempotencyKey != "" {
+		fields += ",once=" + e.Call.IdempotencyKey
 	}
-	return resp.Append(make([]byte, 0, mostFields+len(e.Body)), "FN", e.Fact.ID, fields, string(e.Body))
+	return resp.Append(make([]byte, 0, mostFields+len(e.Body)), "FN", e.Scheduled.ID, fields, string(e.Body))
 }
 
 // mostFields is room for all of a request but its body.
@@ -228,7 +228,7 @@
 }
 
 // Load sends a load order.
-func (w *workers) Load(o scheduler.LoadRequest, done func(copies int, r scheduler.Result)) gateway.Sent {
+func (w *workers) Load(o scheduler.LoadRequest, done func(copies int, r scheduler.Result)) gateway.Canceller {
 	b := w.find(o.Worker)
 	if b == nil {
 		done(o.Replicas, scheduler.Unreachable)
@@ -263,7 +263,7 @@
 }
 
 // Probe asks a worker for a report.
-func (w *workers) Probe(worker string, done func(scheduler.Result, scheduler.LoadReport)) gateway.Sent {
+func (w *workers) Probe(worker string, done func(scheduler.Result, scheduler.LoadReport)) gateway.Canceller {
 	b := w.find(worker)
 	if b == nil {
 		done(scheduler.Unreachable, scheduler.LoadReport{})
--- a/internal/gateway/shape_test.go
+++ b/internal/gateway/shape_test.go
@@ -16,8 +16,8 @@
 
 // One build serves a deployment whose workers answer a miss, report no waiting events and are told by kind and zone, by
 // its settings alone; the load reports and the list reach the module as those settings say.
-func TestOtherShape(t *testing.T) {
-	r := start(t, func(f *fleetconfig.File) {
+func TestRecordingOfAnotherShape(t *testing.T) {
+	r := startHarness(t, func(f *fleetconfig.File) {
 		localfleet.OtherShape(f, "z")
 		f.Fleet.Workers.Kinds = []fleetconfig.Kind{{Name: "box", Memory: 1 << 30}}
 		f.Front.List = "http://127.0.0.1:1"
@@ -30,15 +30,15 @@
 		}
 	})
 	for _, id := range []string{"1", "2", "3"} { // the first brings a load order, whose copy the others find
-		r.wants("preview", id, 3*time.Second, 200, " released")
+		r.wantResponse("preview", id, 3*time.Second, 200, " released")
 	}
-	r.until("an order", func() bool { return r.gate.Counts(context.Background()).LoadRequests > 0 })
-	if n := r.ran("pay-preview"); n != 3 {
+	r.waitFor("an order", func() bool { return r.gateway.Counts(context.Background()).LoadRequests > 0 })
+	if n := r.executions("pay-preview"); n != 3 {
 		t.Errorf("%d runs, want 3", n)
 	}
 	r.drain()
 	<-r.done
-	facts := entries(t, &r.record)
+	facts := readRecording(t, &r.record)
 	listed, came := false, false
 	for _, e := range facts {
 		for _, l := range e.Members {
@@ -55,13 +55,13 @@
 }
 
 // The shape that was there before stays as it was: its reports tell waiting events, its list no size.
-func TestFormerShape(t *testing.T) {
-	r := start(t, nil)
-	r.wants("preview", "1", 2*time.Second, 200, " released")
+func TestRecordingOfFormerShape(t *testing.T) {
+	r := startHarness(t, nil)
+	r.wantResponse("preview", "1", 2*time.Second, 200, " released")
 	r.drain()
 	<-r.done
 	told := false
-	for _, e := range entries(t, &r.record) {
+	for _, e := range readRecording(t, &r.record) {
 		for _, l := range e.Members {
 			if l.Weight != 0 {
 				t.Errorf("a size was told: %+v", l)
@@ -74,8 +74,8 @@
 	}
 }
 
-// entries are the facts of a recording, which a replay repeats to the last action.
-func entries(t *testing.T, record *bytes.Buffer) (facts []core.Input) {
+// readRecording are the facts of a recording, which a replay repeats to the last action.
+func readRecording(t *testing.T, record *bytes.Buffer) (facts []core.Input) {
 	t.Helper()
 	_, err := replay.Replay(bytes.NewReader(record.Bytes()), func(e *core.Input, _ *replay.Action) {
 		if e != nil {
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -12,37 +12,37 @@
 	"lupinpond/internal/base/httpclient"
 )
 
-const mostAnswer = 16 << 20
+const maxResponseBytes = 16 << 20
 
 // Client asks a list at Base, such as http://127.0.0.1:8710.
 type Client struct {
-	Base string
-	HTTP *http.Client
+	BaseURL string
+	HTTP    *http.Client
 }
 
-// Put puts an entry on the list for so long; it is renewed by the next Put.
-func (c Client) Put(ctx context.Context, e Entry, lease time.Duration) error {
+// Register puts an entry on the list for so long; it is renewed by the next Put.
+func (c Client) Register(ctx context.Context, e Entry, lease time.Duration) error {
 	body, err := json.Marshal(e)
 	if err != nil {
 		return err
 	}
-	_, err = c.ask(ctx, http.MethodPut, "/v1/workers/"+url.PathEscape(e.Name)+"?lease="+lease.String(), body)
+	_, err = c.do(ctx, http.MethodPut, "/v1/workers/"+url.PathEscape(e.Name)+"?lease="+lease.String(), body)
 	return err
 }
 
-// Mark sets a worker's state to Draining or Gone.
-func (c Client) Mark(ctx context.Context, name string, s State) error {
-	path, is := map[State]string{Draining: "drain", Gone: "gone"}[s]
+// SetState sets a worker's state to Draining or Gone.
+func (c Client) SetState(ctx context.Context, name string, s State) error {
+	path, is := map[State]string{Draining: "drain", Removed: "gone"}[s]
 	if !is {
 		return fmt.Errorf("a worker can't be marked as %q", s)
 	}
-	_, err := c.ask(ctx, http.MethodPost, "/v1/workers/"+url.PathEscape(name)+"/"+path, nil)
+	_, err := c.do(ctx, http.MethodPost, "/v1/workers/"+url.PathEscape(name)+"/"+path, nil)
 	return err
 }
 
 // Workers is the present list, gone ones left out.
 func (c Client) Workers(ctx context.Context) ([]Entry, error) {
-	text, err := c.ask(ctx, http.MethodGet, "/v1/workers", nil)
+	text, err := c.do(ctx, http.MethodGet, "/v1/workers", nil)
 	if err != nil {
 		return nil, err
 	}
@@ -53,8 +53,8 @@
 	return entries, nil
 }
 
-func (c Client) ask(ctx context.Context, method, path string, body []byte) ([]byte, error) {
-	b, err := httpclient.Do(ctx, c.HTTP, method, c.Base+path, body, mostAnswer)
+func (c Client) do(ctx context.Context, method, path string, body []byte) ([]byte, error) {
+	b, err := httpclient.Do(ctx, c.HTTP, method, c.BaseURL+path, body, maxResponseBytes)
 	if err != nil {
 		return nil, fmt.Errorf("registry: %w", err)
 	}
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -29,7 +29,7 @@
 
 func full() registry.Entry {
 	return registry.Entry{Name: "w-1", Addr: "10.0.0.1:8720", Zone: "z-2", Cell: "c-3", Kind: "k-4", Cores: 5.5,
-		State: registry.In, Chunks: "10.0.0.1:8721", Started: time.Date(2021, 3, 4, 5, 6, 7, 89, time.UTC)}
+		State: registry.InService, ChunkAddr: "10.0.0.1:8721", Started: time.Date(2021, 3, 4, 5, 6, 7, 89, time.UTC)}
 }
 
 // exchange sends a request to a handler and gives the answer as text: status, the headers that are set, the body. There is
@@ -92,7 +92,7 @@
 func TestGoldenStream(t *testing.T) {
 	var mu sync.Mutex
 	var fronts []string
-	r := registry.New(func(front string, _ time.Time, _ registry.News) {
+	r := registry.New(func(front string, _ time.Time, _ registry.WatchEvent) {
 		mu.Lock()
 		defer mu.Unlock()
 		fronts = append(fronts, front)
@@ -131,9 +131,9 @@
 		}
 	}
 	line(`{"version":1,"whole":true,"entries":[` + fullJSON + "]}\n")
-	r.Mark("w-1", registry.Draining)
+	r.SetState("w-1", registry.Draining)
 	line(`{"version":2,"whole":false,"entries":[` + strings.Replace(fullJSON, `"in"`, `"draining"`, 1) + "]}\n")
-	r.Mark("w-1", registry.Gone)
+	r.SetState("w-1", registry.Removed)
 	line(`{"version":3,"whole":false,"entries":[` + strings.Replace(fullJSON, `"in"`, `"gone"`, 1) + "]}\n")
 	mu.Lock()
 	defer mu.Unlock()
@@ -201,16 +201,16 @@
 		want    any
 		err     string
 	}{
-		{"put", 204, "", func(c registry.Client) (any, error) { return nil, c.Put(ctx, full(), 3*time.Second) },
+		{"put", 204, "", func(c registry.Client) (any, error) { return nil, c.Register(ctx, full(), 3*time.Second) },
 			"PUT " + base + "/v1/workers/w-1?lease=3s\n" + fullJSON, nil, ""},
-		{"put an odd name", 400, "no\n", func(c registry.Client) (any, error) { return nil, c.Put(ctx, odd, 90*time.Second) },
+		{"put an odd name", 400, "no\n", func(c registry.Client) (any, error) { return nil, c.Register(ctx, odd, 90*time.Second) },
 			"PUT " + base + "/v1/workers/w%2F1%20%C3%BC?lease=1m30s\n" + strings.Replace(fullJSON, "w-1", "w/1 ü", 1), nil,
 			"registry: 400 Bad Request: no"},
-		{"drain", 204, "", func(c registry.Client) (any, error) { return nil, c.Mark(ctx, "w-1", registry.Draining) },
+		{"drain", 204, "", func(c registry.Client) (any, error) { return nil, c.SetState(ctx, "w-1", registry.Draining) },
 			"POST " + base + "/v1/workers/w-1/drain\n", nil, ""},
-		{"gone", 404, "no such worker\n", func(c registry.Client) (any, error) { return nil, c.Mark(ctx, "w-1", registry.Gone) },
+		{"gone", 404, "no such worker\n", func(c registry.Client) (any, error) { return nil, c.SetState(ctx, "w-1", registry.Removed) },
 			"POST " + base + "/v1/workers/w-1/gone\n", nil, "registry: 404 Not Found: no such worker"},
-		{"in", 204, "", func(c registry.Client) (any, error) { return nil, c.Mark(ctx, "w-1", registry.In) },
+		{"in", 204, "", func(c registry.Client) (any, error) { return nil, c.SetState(ctx, "w-1", registry.InService) },
 			"", nil, `a worker can't be marked as "in"`},
 		{"workers", 200, "[" + fullJSON + "]\n", func(c registry.Client) (any, error) { return c.Workers(ctx) },
 			"GET " + base + "/v1/workers\n", []registry.Entry{full()}, ""},
@@ -220,7 +220,7 @@
 			[]registry.Entry(nil), "registry sent no list\ninvalid character 'x' looking for beginning of value"},
 	} {
 		wire := &canned{status: x.status, body: x.body}
-		got, err := x.call(registry.Client{Base: base, HTTP: &http.Client{Transport: wire}})
+		got, err := x.call(registry.Client{BaseURL: base, HTTP: &http.Client{Transport: wire}})
 		text := ""
 		if err != nil {
 			text = err.Error()
@@ -238,24 +238,24 @@
 func TestGoldenWatch(t *testing.T) {
 	const base = "http://list:8710"
 	whole := `{"version":7,"whole":true,"entries":[` + fullJSON + "]}\n"
-	seven := registry.News{Version: 7, Whole: true, Entries: []registry.Entry{full()}}
+	seven := registry.WatchEvent{Version: 7, Complete: true, Entries: []registry.Entry{full()}}
 	for _, x := range []struct {
 		name   string
 		status int
 		body   string
-		want   []registry.News
+		want   []registry.WatchEvent
 		err    string
 	}{
-		{"ends", 200, "\n" + whole + "\n" + `{"version":8,"whole":false,"entries":null}` + "\n", []registry.News{seven, {Version: 8}},
+		{"ends", 200, "\n" + whole + "\n" + `{"version":8,"whole":false,"entries":null}` + "\n", []registry.WatchEvent{seven, {Version: 8}},
 			"watch the list: unexpected EOF"},
-		{"bad state", 200, whole + `{"version":8,"whole":false,"entries":[{"name":"w-1","state":"out"}]}` + "\n", []registry.News{seven},
+		{"bad state", 200, whole + `{"version":8,"whole":false,"entries":[{"name":"w-1","state":"out"}]}` + "\n", []registry.WatchEvent{seven},
 			`watch the list: list version 8, entry 0: worker "w-1" in state "out"`},
 		{"no JSON", 200, "x\n", nil, "watch the list: invalid character 'x' looking for beginning of value"},
 		{"refused", 503, "", nil, "watch the list: status 503 Service Unavailable"},
 	} {
 		wire := &canned{status: x.status, body: x.body}
-		var got []registry.News
-		err := registry.Watch(context.Background(), &http.Client{Transport: wire}, base, "front 1&x", func(n registry.News) { got = append(got, n) })
+		var got []registry.WatchEvent
+		err := registry.Watch(context.Background(), &http.Client{Transport: wire}, base, "front 1&x", func(n registry.WatchEvent) { got = append(got, n) })
 		if want := "GET " + base + "/v1/list?front=front+1%26x\n"; wire.request != want {
 			t.Errorf("%s: request got %q, want %q", x.name, wire.request, want)
 		}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -22,35 +22,35 @@
 
 // The states.
 const (
-	In       State = "in"
-	Draining State = "draining"
-	Gone     State = "gone"
+	InService State = "in"
+	Draining  State = "draining"
+	Removed   State = "gone"
 )
 
 // Entry is one worker.
 type Entry struct {
-	Name    string    `json:"name"`
-	Addr    string    `json:"addr"`
-	Zone    string    `json:"zone,omitempty"`
-	Cell    string    `json:"cell,omitempty"`
-	Kind    string    `json:"kind,omitempty"`
-	Cores   float64   `json:"cores"`
-	State   State     `json:"state"`
-	Chunks  string    `json:"chunks,omitempty"` // where it gives chunks to other workers
-	Started time.Time `json:"started"`
+	Name      string    `json:"name"`
+	Addr      string    `json:"addr"`
+	Zone      string    `json:"zone,omitempty"`
+	Cell      string    `json:"cell,omitempty"`
+	Kind      string    `json:"kind,omitempty"`
+	Cores     float64   `json:"cores"`
+	State     State     `json:"state"`
+	ChunkAddr string    `json:"chunks,omitempty"` // where it gives chunks to other workers
+	Started   time.Time `json:"started"`
 }
 
-// News is one message: a whole list, or what has changed since the one before.
-type News struct {
-	Version uint64  `json:"version"`
-	Whole   bool    `json:"whole"`
-	Entries []Entry `json:"entries"`
+// WatchEvent is one message: a whole list, or what has changed since the one before.
+type WatchEvent struct {
+	Version  uint64  `json:"version"`
+	Complete bool    `json:"whole"`
+	Entries  []Entry `json:"entries"`
 }
 
-// Check finds what can't be in a message.
-func (n News) Check() error {
+// Validate finds what can't be in a message.
+func (n WatchEvent) Validate() error {
 	for i, e := range n.Entries {
-		if e.Name == "" || e.State != In && e.State != Draining && e.State != Gone {
+		if e.Name == "" || e.State != InService && e.State != Draining && e.State != Removed {
 			return fmt.Errorf("list version %d, entry %d: worker %q in state %q", n.Version, i, e.Name, e.State)
 		}
 	}
@@ -58,100 +58,100 @@
 }
 
 type change struct {
-	version uint64
-	due     time.Time // told from then on
-	entry   Entry
+	version   uint64
+	visibleAt time.Time // told from then on
+	entry     Entry
 }
 
-// Roster keeps the list. The zero value is not ready; use New.
-type Roster struct {
+// Registry keeps the list. The zero value is not ready; use New.
+type Registry struct {
 	mu      sync.Mutex
 	version uint64
 	changes []change // newest last; for each worker the last that is told and the last that is not
 	leases  map[string]time.Time
-	late    time.Duration
+	delay   time.Duration
 	changed chan struct{}
-	sent    func(front string, at time.Time, n News)
+	onSend  func(front string, at time.Time, n WatchEvent)
 }
 
 // New makes a Roster. sent, if given, is told of every message just before it is written to a front end.
-func New(sent func(front string, at time.Time, n News)) *Roster {
-	return &Roster{leases: map[string]time.Time{}, changed: make(chan struct{}), sent: sent}
+func New(sent func(front string, at time.Time, n WatchEvent)) *Registry {
+	return &Registry{leases: map[string]time.Time{}, changed: make(chan struct{}), onSend: sent}
 }
 
-// Late has every change from now on told so much later than it is made; one that waits already no later than that.
-func (r *Roster) Late(by time.Duration) {
+// SetDelay has every change from now on told so much later than it is made; one that waits already no later than that.
+func (r *Registry) SetDelay(by time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.late = by
+	r.delay = by
 	most := time.Now().Add(by)
 	for i := range r.changes {
-		if r.changes[i].due.After(most) {
-			r.changes[i].due = most
+		if r.changes[i].visibleAt.After(most) {
+			r.changes[i].visibleAt = most
 		}
 	}
-	r.tell()
+	r.broadcast()
 }
 
 // Set puts a worker's entry in place of its last one. Gone workers stay in the list as gone until they come back.
-func (r *Roster) Set(e Entry) {
+func (r *Registry) Set(e Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.set(e)
+	r.setLocked(e)
 }
 
-func (r *Roster) set(e Entry) {
+func (r *Registry) setLocked(e Entry) {
 	r.version++
 	now := time.Now()
-	due := now.Add(r.late)
+	due := now.Add(r.delay)
 	// what was told before stays to be told to those who come anew until this is told too
 	r.changes = slices.DeleteFunc(r.changes, func(c change) bool {
-		return c.entry.Name == e.Name && (c.due.After(now) || !due.After(now))
+		return c.entry.Name == e.Name && (c.visibleAt.After(now) || !due.After(now))
 	})
-	r.changes = append(r.changes, change{version: r.version, due: due, entry: e})
-	r.tell()
+	r.changes = append(r.changes, change{version: r.version, visibleAt: due, entry: e})
+	r.broadcast()
 }
 
-func (r *Roster) tell() {
+func (r *Registry) broadcast() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Mark sets the state of a worker; false if there is none of that name.
-func (r *Roster) Mark(name string, s State) bool {
+// SetState sets the state of a worker; false if there is none of that name.
+func (r *Registry) SetState(name string, s State) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range slices.Backward(r.changes) {
 		if c.entry.Name == name {
 			c.entry.State = s
-			r.set(c.entry)
+			r.setLocked(c.entry)
 			return true
 		}
 	}
 	return false
 }
 
-// Clear takes every worker off the list.
-func (r *Roster) Clear() {
+// RemoveAll takes every worker off the list.
+func (r *Registry) RemoveAll() {
 	for _, e := range r.List() {
-		r.Mark(e.Name, Gone)
+		r.SetState(e.Name, Removed)
 	}
 }
 
 // List is the present list by name, gone workers left out.
-func (r *Roster) List() []Entry {
+func (r *Registry) List() []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	all := map[string]Entry{}
 	for _, c := range r.changes {
 		all[c.entry.Name] = c.entry
 	}
-	maps.DeleteFunc(all, func(_ string, e Entry) bool { return e.State == Gone })
+	maps.DeleteFunc(all, func(_ string, e Entry) bool { return e.State == Removed })
 	return slices.SortedFunc(maps.Values(all), func(a, b Entry) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// since gives the changes after a version that may be told by now, the moment when more may be, and what to wait for.
-func (r *Roster) since(version uint64) (n News, next time.Time, wait <-chan struct{}) {
+// changesSince gives the changes after a version that may be told by now, the moment when more may be, and what to wait for.
+func (r *Registry) changesSince(version uint64) (n WatchEvent, next time.Time, wait <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n.Version = version
@@ -160,8 +160,8 @@
 		if c.version <= version {
 			continue
 		}
-		if c.due.After(now) {
-			next = c.due
+		if c.visibleAt.After(now) {
+			next = c.visibleAt
 			break
 		}
 		n.Version = c.version
@@ -172,7 +172,7 @@
 }
 
 // Run ends the leases of workers that have not renewed them, until ctx ends.
-func (r *Roster) Run(ctx context.Context) error {
+func (r *Registry) Run(ctx context.Context) error {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -190,7 +190,7 @@
 			}
 			r.mu.Unlock()
 			for _, name := range over {
-				r.Mark(name, Gone)
+				r.SetState(name, Removed)
 			}
 		}
 	}
@@ -198,9 +198,9 @@
 
 // Handler serves GET /v1/list (the stream, with ?front=NAME), GET /v1/workers (the present list), PUT
 // /v1/workers/{name} (an entry, with ?lease=DURATION renewed by each PUT) and POST /v1/workers/{name}/drain and /gone.
-func (r *Roster) Handler() http.Handler {
+func (r *Registry) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/list", r.stream)
+	mux.HandleFunc("GET /v1/list", r.serveWatch)
 	mux.HandleFunc("GET /v1/workers", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(r.List()) // the asker is gone
@@ -213,7 +213,7 @@
 			http.Error(w, "entry: "+err.Error(), http.StatusBadRequest)
 			return
 		}
-		if err := (News{Entries: []Entry{e}}).Check(); err != nil || e.Name != req.PathValue("name") || e.Addr == "" {
+		if err := (WatchEvent{Entries: []Entry{e}}).Validate(); err != nil || e.Name != req.PathValue("name") || e.Addr == "" {
 			http.Error(w, "entry: a name as in the address, an addr and a known state are needed", http.StatusBadRequest)
 			return
 		}
@@ -234,7 +234,7 @@
 	})
 	mark := func(s State) http.HandlerFunc {
 		return func(w http.ResponseWriter, req *http.Request) {
-			if !r.Mark(req.PathValue("name"), s) {
+			if !r.SetState(req.PathValue("name"), s) {
 				http.Error(w, "no such worker", http.StatusNotFound)
 				return
 			}
@@ -242,29 +242,29 @@
 		}
 	}
 	mux.HandleFunc("POST /v1/workers/{name}/drain", mark(Draining))
-	mux.HandleFunc("POST /v1/workers/{name}/gone", mark(Gone))
+	mux.HandleFunc("POST /v1/workers/{name}/gone", mark(Removed))
 	return mux
 }
 
-const beat = time.Second // between empty lines where nothing changes
+const heartbeatInterval = time.Second // between empty lines where nothing changes
 
-func (r *Roster) stream(w http.ResponseWriter, req *http.Request) {
+func (r *Registry) serveWatch(w http.ResponseWriter, req *http.Request) {
 	front := req.URL.Query().Get("front")
 	out := http.NewResponseController(w)
 	enc := json.NewEncoder(w)
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	whole, version := true, uint64(0)
 	for {
-		n, next, wait := r.since(version)
-		if err := out.SetWriteDeadline(time.Now().Add(2 * beat)); err != nil {
+		n, next, wait := r.changesSince(version)
+		if err := out.SetWriteDeadline(time.Now().Add(2 * heartbeatInterval)); err != nil {
 			return
 		}
 		var err error
 		if whole || len(n.Entries) > 0 {
-			n.Whole = whole
+			n.Complete = whole
 			whole, version = false, n.Version
-			if r.sent != nil {
-				r.sent(front, time.Now(), n)
+			if r.onSend != nil {
+				r.onSend(front, time.Now(), n)
 			}
 			err = enc.Encode(n)
 		} else {
@@ -273,9 +273,9 @@
 		if err != nil || out.Flush() != nil {
 			return
 		}
-		pause := beat
+		pause := heartbeatInterval
 		if !next.IsZero() {
-			pause = min(beat, max(time.Millisecond, time.Until(next)))
+			pause = min(heartbeatInterval, max(time.Millisecond, time.Until(next)))
 		}
 		timer := time.NewTimer(pause)
 		select {
@@ -289,12 +289,12 @@
 	}
 }
 
-// ErrSilent says that a subscription brought nothing, not even an empty line, for several beats.
-var ErrSilent = errors.New("the list has gone silent")
+// ErrWatchSilent says that a subscription brought nothing, not even an empty line, for several beats.
+var ErrWatchSilent = errors.New("the list has gone silent")
 
 // Watch subscribes front to the list at base and hands every message to take, until the stream breaks or ctx ends. It
 // always returns an error.
-func Watch(ctx context.Context, client *http.Client, base, front string, take func(News)) error {
+func Watch(ctx context.Context, client *http.Client, base, front string, take func(WatchEvent)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+"/v1/list", nil)
@@ -304,7 +304,7 @@
 	q := req.URL.Query()
 	q.Set("front", front)
 	req.URL.RawQuery = q.Encode()
-	silent := time.AfterFunc(5*beat, func() { cancel(ErrSilent) })
+	silent := time.AfterFunc(5*heartbeatInterval, func() { cancel(ErrWatchSilent) })
 	defer silent.Stop()
 	fail := func(err error) error {
 		if cause := context.Cause(ctx); cause != nil {
@@ -323,15 +323,15 @@
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(nil, 8<<20)
 	for lines.Scan() {
-		silent.Reset(5 * beat)
+		silent.Reset(5 * heartbeatInterval)
 		if len(lines.Bytes()) == 0 {
 			continue
 		}
-		var n News
+		var n WatchEvent
 		if err := json.Unmarshal(lines.Bytes(), &n); err != nil {
 			return fail(err)
 		}
-		if err := n.Check(); err != nil {
+		if err := n.Validate(); err != nil {
 			return fail(err)
 		}
 		take(n)
--- a/internal/testbed/checker/checker.go
+++ b/internal/testbed/checker/checker.go
@@ -83,7 +83,7 @@
 		j.types[t.Name] = t
 	}
 	for _, l := range s.launches {
-		j.events[l.frame.Event] = append(j.events[l.frame.Event], l)
+		j.events[l.frame.RequestID] = append(j.events[l.frame.RequestID], l)
 	}
 	if j.facts.End == 0 {
 		for _, front := range f.Fronts {
@@ -121,7 +121,7 @@
 		}
 		j.Tries++
 		j.Checked[1]++
-		due := t.at + t.call.Patience + slack
+		due := t.at + t.call.TimeLeft + slack
 		killed, wasKilled := j.seen.killed[t.front]
 		switch {
 		case t.status != 0:
@@ -147,9 +147,9 @@
 		case t.isGone && t.gone <= due:
 			j.Left++
 		case t.isCut:
-			j.breach(1, t.front.Name, t.cut, t.call.ID, "", "the connection was closed without an answer")
+			j.breach(1, t.front.Name, t.cut, t.call.ClientID, "", "the connection was closed without an answer")
 		case due <= j.facts.End && !t.front.Torn:
-			j.breach(1, t.front.Name, due, t.call.ID, "", "no answer within %v and %v of slack", t.call.Patience, slack)
+			j.breach(1, t.front.Name, due, t.call.ClientID, "", "no answer within %v and %v of slack", t.call.TimeLeft, slack)
 		}
 	}
 	for event, launches := range j.events {
@@ -263,10 +263,10 @@
 		named := map[string]bool{}
 		for _, e := range n.News.Entries {
 			k := key{n.Front, e.Name}
-			told[k] = append(told[k], change{n.At, e.State != registry.In})
+			told[k] = append(told[k], change{n.At, e.State != registry.InService})
 			known[n.Front][e.Name], named[e.Name] = true, true
 		}
-		if n.News.Whole {
+		if n.News.Complete {
 			for w := range known[n.Front] {
 				if !named[w] {
 					told[key{n.Front, w}] = append(told[key{n.Front, w}], change{n.At, true})
@@ -291,10 +291,10 @@
 		}
 	}
 	for _, l := range j.seen.launches {
-		check(l.front.Name, l.worker, l.frame.Event, "launched", l.begin, l.end)
+		check(l.front.Name, l.worker, l.frame.RequestID, "launched", l.begin, l.end)
 	}
 	for _, o := range j.seen.orders {
-		if o.frame.Copies > 0 {
+		if o.frame.Replicas > 0 {
 			check(o.front.Name, o.worker, "", "load ordered", o.begin, o.end)
 		}
 	}
@@ -312,16 +312,16 @@
 	var all time.Duration
 	n := 0
 	for _, l := range j.seen.launches {
-		if l.answer != nil && l.answer.Worked > 0 {
-			sum[l.frame.Function] += l.answer.Worked
+		if l.answer != nil && l.answer.CPUTime > 0 {
+			sum[l.frame.Function] += l.answer.CPUTime
 			count[l.frame.Function]++
-			all += l.answer.Worked
+			all += l.answer.CPUTime
 			n++
 		}
 	}
 	work := func(l *launch) float64 {
-		if l.answer != nil && l.answer.Worked > 0 {
-			return float64(l.answer.Worked)
+		if l.answer != nil && l.answer.CPUTime > 0 {
+			return float64(l.answer.CPUTime)
 		}
 		if k := count[l.frame.Function]; k > 0 {
 			return float64(sum[l.frame.Function]) / float64(k)
@@ -344,7 +344,7 @@
 	starts := map[start]*first{}
 	for _, t := range j.facts.News {
 		for _, e := range t.News.Entries {
-			if e.State != registry.In || e.Started.IsZero() {
+			if e.State != registry.InService || e.Started.IsZero() {
 				continue
 			}
 			k := start{e.Name, e.Started}
@@ -385,7 +385,7 @@
 			budget += 3 * math.Sqrt(budget*mean)
 			j.Tightest = max(j.Tightest, sent/budget)
 			if sent > budget && knew >= 2*sent/3 {
-				j.breach(4, l.front.Name, l.begin, l.frame.Event, k.worker,
+				j.breach(4, l.front.Name, l.begin, l.frame.RequestID, k.worker,
 					"pushed over while cold: %v of work in %v, it stands %v", time.Duration(sent), c.Fall.D(), time.Duration(budget))
 			}
 		}
@@ -417,7 +417,7 @@
 		return n
 	}
 	for _, o := range j.seen.orders {
-		if o.frame.Copies <= 0 {
+		if o.frame.Replicas <= 0 {
 			continue
 		}
 		j.Checked[5]++
--- a/internal/testbed/checker/checker_test.go
+++ b/internal/testbed/checker/checker_test.go
@@ -44,14 +44,14 @@
 	s := &script{t: t, Facts: checker.Facts{File: f, Base: base, End: time.Minute,
 		Fronts: []checker.Front{{Name: "f0"}, {Name: "f1", Index: 1}}}}
 	for i := range s.Fronts {
-		s.news(i, 0, true, entry("a", "z1", registry.In, -time.Hour), entry("b", "z1", registry.In, -time.Hour),
-			entry("c", "z2", registry.In, -time.Hour))
+		s.news(i, 0, true, entry("a", "z1", registry.InService, -time.Hour), entry("b", "z1", registry.InService, -time.Hour),
+			entry("c", "z2", registry.InService, -time.Hour))
 	}
 	return s
 }
 
 func (s *script) news(front int, at time.Duration, whole bool, entries ...registry.Entry) {
-	s.News = append(s.News, checker.Told{Front: s.Fronts[front].Name, At: at, News: registry.News{Whole: whole, Entries: entries}})
+	s.News = append(s.News, checker.Told{Front: s.Fronts[front].Name, At: at, News: registry.WatchEvent{Complete: whole, Entries: entries}})
 }
 
 func (s *script) record(front int, r capture.Record) {
@@ -75,7 +75,7 @@
 }
 
 func (s *script) frame(front int, kind capture.Kind, c uint64, worker string, at time.Duration, body any) {
-	b, err := workerrpc.Append(nil, body)
+	b, err := workerrpc.AppendFrame(nil, body)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -87,46 +87,46 @@
 	c := s.open()
 	s.seq++
 	seq := s.seq
-	s.frame(front, capture.Wrote, c, worker, at, &workerrpc.Launch{Seq: seq, Event: event, Function: function, Type: kind})
+	s.frame(front, capture.Wrote, c, worker, at, &workerrpc.Attempt{Seq: seq, RequestID: event, Function: function, Type: kind})
 	return func(at time.Duration, code workerrpc.Code, worked time.Duration) {
-		s.frame(front, capture.Read, c, worker, at, &workerrpc.Answer{Seq: seq, Event: event, Code: code, Worked: worked})
+		s.frame(front, capture.Read, c, worker, at, &workerrpc.AttemptResult{Seq: seq, RequestID: event, Code: code, CPUTime: worked})
 	}
 }
 
 // ordinary is a day without a breach that comes close to each rule.
 func ordinary(s *script) {
 	c := s.request(0, 100*ms, "gross-salary", "1") // at-most-once, turned away twice, then handled
-	s.launch(0, 101*ms, "a", "gross-salary", "salary-release", "e1")(105*ms, workerrpc.Full, 0)
-	s.launch(0, 106*ms, "c", "gross-salary", "salary-release", "e1")(110*ms, workerrpc.NotStarted, 0)
-	s.launch(0, 111*ms, "b", "gross-salary", "salary-release", "e1")(150*ms, workerrpc.Done, 10*ms)
+	s.launch(0, 101*ms, "a", "gross-salary", "salary-release", "e1")(105*ms, workerrpc.CodeOverloaded, 0)
+	s.launch(0, 106*ms, "c", "gross-salary", "salary-release", "e1")(110*ms, workerrpc.CodeNotStarted, 0)
+	s.launch(0, 111*ms, "b", "gross-salary", "salary-release", "e1")(150*ms, workerrpc.CodeOK, 10*ms)
 	s.answer(0, c, 151*ms, 200, "e1")
 	c = s.request(0, 200*ms, "transfer", "2") // keyed by zone, failed, again in the zone and window
-	s.launch(0, 201*ms, "a", "transfer", "bank-transfer", "e2")(205*ms, workerrpc.Failed, ms)
-	s.launch(0, 206*ms, "b", "transfer", "bank-transfer", "e2")(230*ms, workerrpc.Done, ms)
+	s.launch(0, 201*ms, "a", "transfer", "bank-transfer", "e2")(205*ms, workerrpc.CodeFailed, ms)
+	s.launch(0, 206*ms, "b", "transfer", "bank-transfer", "e2")(230*ms, workerrpc.CodeOK, ms)
 	s.answer(0, c, 231*ms, 200, "e2")
 	c = s.request(1, 300*ms, "preview", "3") // redeliverable, failed and deferred
-	s.launch(1, 301*ms, "c", "preview", "pay-preview", "e3")(305*ms, workerrpc.Failed, ms)
+	s.launch(1, 301*ms, "c", "preview", "pay-preview", "e3")(305*ms, workerrpc.CodeFailed, ms)
 	s.answer(1, c, 306*ms, 503, "e3")
 	c = s.request(1, 320*ms, "gross-salary", "4") // at-most-once, failed and dead-lettered
-	s.launch(1, 321*ms, "c", "gross-salary", "salary-release", "e4")(325*ms, workerrpc.Failed, ms)
+	s.launch(1, 321*ms, "c", "gross-salary", "salary-release", "e4")(325*ms, workerrpc.CodeFailed, ms)
 	s.answer(1, c, 326*ms, 502, "e4")
 	c = s.request(1, 340*ms, "preview", "5") // the client leaves
 	s.record(1, capture.Record{Kind: capture.Closed, Conn: c, Side: capture.Client, At: 400 * ms, Far: true})
 	for i, at := range []time.Duration{500 * ms, 501 * ms} {
-		s.frame(0, capture.Wrote, s.open(), "a", at, &workerrpc.Order{Seq: uint64(i), Function: "preview", Copies: 1})
+		s.frame(0, capture.Wrote, s.open(), "a", at, &workerrpc.LoadRequest{Seq: uint64(i), Function: "preview", Replicas: 1})
 	}
 	s.news(0, 1000*ms, false, entry("c", "z2", registry.Draining, -time.Hour))
 	c = s.request(0, 1400*ms, "preview", "6") // within the grace
-	s.launch(0, 1450*ms, "c", "preview", "pay-preview", "e6")(1460*ms, workerrpc.Done, ms)
+	s.launch(0, 1450*ms, "c", "preview", "pay-preview", "e6")(1460*ms, workerrpc.CodeOK, ms)
 	s.answer(0, c, 1461*ms, 200, "e6")
 	for i := range s.Fronts {
-		s.news(i, 2000*ms, false, entry("b", "z1", registry.In, 1990*ms))
+		s.news(i, 2000*ms, false, entry("b", "z1", registry.InService, 1990*ms))
 	}
 	for i := range 10 { // 100 ms of work in a second at a worker that stands about 500 ms
 		id := fmt.Sprint("cold", i)
 		at := 2100*ms + time.Duration(i)*50*ms
 		c = s.request(i%2, at, "preview", id)
-		s.launch(i%2, at+ms, "b", "preview", "pay-preview", id)(at+20*ms, workerrpc.Done, 10*ms)
+		s.launch(i%2, at+ms, "b", "preview", "pay-preview", id)(at+20*ms, workerrpc.CodeOK, 10*ms)
 		s.answer(i%2, c, at+21*ms, 200, id)
 	}
 }
@@ -153,7 +153,7 @@
 		}},
 		{"launched after the answer", []int{1}, func(s *script) {
 			s.answer(0, s.request(0, 5*time.Second, "preview", "x"), 5100*ms, 503, "x")
-			s.launch(0, 5200*ms, "a", "preview", "pay-preview", "x")(5300*ms, workerrpc.Done, ms)
+			s.launch(0, 5200*ms, "a", "preview", "pay-preview", "x")(5300*ms, workerrpc.CodeOK, ms)
 		}},
 		{"connection closed instead of an answer", []int{1}, func(s *script) {
 			c := s.request(0, 5*time.Second, "preview", "x")
@@ -161,8 +161,8 @@
 		}},
 		{"at-most-once again after an error", []int{2}, func(s *script) {
 			c := s.request(0, 5*time.Second, "gross-salary", "x")
-			s.launch(0, 5001*ms, "a", "gross-salary", "salary-release", "x")(5010*ms, workerrpc.Failed, ms)
-			s.launch(0, 5011*ms, "b", "gross-salary", "salary-release", "x")(5020*ms, workerrpc.Done, ms)
+			s.launch(0, 5001*ms, "a", "gross-salary", "salary-release", "x")(5010*ms, workerrpc.CodeFailed, ms)
+			s.launch(0, 5011*ms, "b", "gross-salary", "salary-release", "x")(5020*ms, workerrpc.CodeOK, ms)
 			s.answer(0, c, 5021*ms, 200, "x")
 		}},
 		{"at-most-once deferred while outstanding", []int{2}, func(s *script) {
@@ -172,58 +172,58 @@
 		}},
 		{"two launches at once", []int{2}, func(s *script) {
 			c := s.request(0, 5*time.Second, "preview", "x")
-			s.launch(0, 5001*ms, "a", "preview", "pay-preview", "x")(5050*ms, workerrpc.Done, ms)
-			s.launch(0, 5002*ms, "b", "preview", "pay-preview", "x")(5040*ms, workerrpc.Done, ms)
+			s.launch(0, 5001*ms, "a", "preview", "pay-preview", "x")(5050*ms, workerrpc.CodeOK, ms)
+			s.launch(0, 5002*ms, "b", "preview", "pay-preview", "x")(5040*ms, workerrpc.CodeOK, ms)
 			s.answer(0, c, 5060*ms, 200, "x")
 		}},
 		{"two launches at once, allowed", nil, func(s *script) {
 			s.File.Fleet.Allowed.SecondCopies = true
 			c := s.request(0, 5*time.Second, "preview", "x")
-			s.launch(0, 5001*ms, "a", "preview", "pay-preview", "x")(5050*ms, workerrpc.Done, ms)
-			s.launch(0, 5002*ms, "b", "preview", "pay-preview", "x")(5040*ms, workerrpc.Done, ms)
+			s.launch(0, 5001*ms, "a", "preview", "pay-preview", "x")(5050*ms, workerrpc.CodeOK, ms)
+			s.launch(0, 5002*ms, "b", "preview", "pay-preview", "x")(5040*ms, workerrpc.CodeOK, ms)
 			s.answer(0, c, 5060*ms, 200, "x")
 		}},
 		{"launched after a longer grace", nil, func(s *script) {
 			s.File.Fleet.StopSendingWithin = config.Time(10 * time.Second)
 			c := s.request(0, 1500*ms, "preview", "x")
-			s.launch(0, 1501*ms, "c", "preview", "pay-preview", "x")(1510*ms, workerrpc.Done, ms)
+			s.launch(0, 1501*ms, "c", "preview", "pay-preview", "x")(1510*ms, workerrpc.CodeOK, ms)
 			s.answer(0, c, 1511*ms, 200, "x")
 		}},
 		{"keyed in another zone", []int{2}, func(s *script) {
 			c := s.request(0, 900*ms, "transfer", "x")
-			s.launch(0, 901*ms, "a", "transfer", "bank-transfer", "x")(910*ms, workerrpc.Failed, ms)
-			s.launch(0, 911*ms, "c", "transfer", "bank-transfer", "x")(920*ms, workerrpc.Done, ms)
+			s.launch(0, 901*ms, "a", "transfer", "bank-transfer", "x")(910*ms, workerrpc.CodeFailed, ms)
+			s.launch(0, 911*ms, "c", "transfer", "bank-transfer", "x")(920*ms, workerrpc.CodeOK, ms)
 			s.answer(0, c, 921*ms, 200, "x")
 		}},
 		{"keyed outside its window", []int{2}, func(s *script) {
 			s.File.Fleet.Types[1].Window = config.Time(100 * ms)
 			c := s.request(0, 900*ms, "transfer", "x")
-			s.launch(0, 901*ms, "a", "transfer", "bank-transfer", "x")(990*ms, workerrpc.Failed, ms)
-			s.launch(0, 1002*ms, "b", "transfer", "bank-transfer", "x")(1020*ms, workerrpc.Done, ms)
+			s.launch(0, 901*ms, "a", "transfer", "bank-transfer", "x")(990*ms, workerrpc.CodeFailed, ms)
+			s.launch(0, 1002*ms, "b", "transfer", "bank-transfer", "x")(1020*ms, workerrpc.CodeOK, ms)
 			s.answer(0, c, 1021*ms, 200, "x")
 		}},
 		{"launched after a drain", []int{3}, func(s *script) {
 			c := s.request(0, 1500*ms, "preview", "x")
-			s.launch(0, 1501*ms, "c", "preview", "pay-preview", "x")(1510*ms, workerrpc.Done, ms)
+			s.launch(0, 1501*ms, "c", "preview", "pay-preview", "x")(1510*ms, workerrpc.CodeOK, ms)
 			s.answer(0, c, 1511*ms, 200, "x")
 		}},
 		{"load ordered after a drain", []int{3}, func(s *script) {
-			s.frame(0, capture.Wrote, s.open(), "c", 1600*ms, &workerrpc.Order{Seq: 99, Function: "preview", Copies: 1})
+			s.frame(0, capture.Wrote, s.open(), "c", 1600*ms, &workerrpc.LoadRequest{Seq: 99, Function: "preview", Replicas: 1})
 		}},
 		{"launched to a worker that a whole list left out", []int{3}, func(s *script) {
-			s.news(1, 3000*ms, true, entry("a", "z1", registry.In, -time.Hour), entry("b", "z1", registry.In, 1990*ms))
+			s.news(1, 3000*ms, true, entry("a", "z1", registry.InService, -time.Hour), entry("b", "z1", registry.InService, 1990*ms))
 			c := s.request(1, 3600*ms, "preview", "x")
-			s.launch(1, 3601*ms, "c", "preview", "pay-preview", "x")(3610*ms, workerrpc.Done, ms)
+			s.launch(1, 3601*ms, "c", "preview", "pay-preview", "x")(3610*ms, workerrpc.CodeOK, ms)
 			s.answer(1, c, 3611*ms, 200, "x")
 		}},
 		{"a cold worker pushed by one front end", []int{4}, func(s *script) { push(s, func(int) int { return 0 }) }},
 		{"a cold worker pushed by all together", []int{4}, func(s *script) { push(s, func(i int) int { return i % 2 }) }},
 		{"orders past the ration", []int{5}, func(s *script) {
 			for i := range 3 {
-				s.frame(0, capture.Wrote, s.open(), "a", time.Duration(10+i)*time.Second/10*10, &workerrpc.Order{Seq: uint64(i), Function: "preview", Copies: 1})
+				s.frame(0, capture.Wrote, s.open(), "a", time.Duration(10+i)*time.Second/10*10, &workerrpc.LoadRequest{Seq: uint64(i), Function: "preview", Replicas: 1})
 			}
 			for i := range 3 {
-				s.frame(0, capture.Wrote, s.open(), "a", 20*time.Second+time.Duration(i)*ms, &workerrpc.Order{Seq: uint64(i), Function: "preview", Copies: 1})
+				s.frame(0, capture.Wrote, s.open(), "a", 20*time.Second+time.Duration(i)*ms, &workerrpc.LoadRequest{Seq: uint64(i), Function: "preview", Replicas: 1})
 			}
 		}},
 		{"orders after the events that paid for them have aged", []int{5}, func(s *script) {
@@ -232,7 +232,7 @@
 				s.answer(0, c, 30100*ms, 200, fmt.Sprint("x", i))
 			}
 			for i := range 6 { // eight events pay for six orders, but only within their second
-				s.frame(0, capture.Wrote, s.open(), "a", 31100*ms+time.Duration(i)*ms, &workerrpc.Order{Seq: uint64(i), Function: "preview", Copies: 1})
+				s.frame(0, capture.Wrote, s.open(), "a", 31100*ms+time.Duration(i)*ms, &workerrpc.LoadRequest{Seq: uint64(i), Function: "preview", Replicas: 1})
 			}
 		}},
 	} {
@@ -266,7 +266,7 @@
 		id := fmt.Sprint("push", i)
 		at := 2600*ms + time.Duration(i)*10*ms
 		c := s.request(front(i), at, "preview", id)
-		s.launch(front(i), at+ms, "b", "preview", "pay-preview", id)(at+200*ms, workerrpc.Done, 100*ms)
+		s.launch(front(i), at+ms, "b", "preview", "pay-preview", id)(at+200*ms, workerrpc.CodeOK, 100*ms)
 		s.answer(front(i), c, at+201*ms, 200, id)
 	}
 }
--- a/internal/testbed/checker/read.go
+++ b/internal/testbed/checker/read.go
@@ -31,7 +31,7 @@
 type Told struct {
 	Front string
 	At    time.Duration
-	News  registry.News
+	News  registry.WatchEvent
 }
 
 // Facts are all that is judged.
@@ -101,9 +101,9 @@
 type launch struct {
 	front      *Front
 	worker     string
-	frame      *workerrpc.Launch
+	frame      *workerrpc.Attempt
 	begin, end time.Duration
-	answer     *workerrpc.Answer
+	answer     *workerrpc.AttemptResult
 	answered   time.Duration
 	cancelled  time.Duration // 0: never
 	broken     time.Duration // 0: never
@@ -113,7 +113,7 @@
 type order struct {
 	front      *Front
 	worker     string
-	frame      *workerrpc.Order
+	frame      *workerrpc.LoadRequest
 	begin, end time.Duration
 }
 
@@ -190,7 +190,7 @@
 		name, isInvoke := strings.CutPrefix(r.URL.Path, "/v1/functions/")
 		name, isInvocation := strings.CutSuffix(name, "/invocations")
 		var problem *invoke.Problem
-		t.call, problem = catalogue.Head(name, r.Header)
+		t.call, problem = catalogue.ReadHeader(name, r.Header)
 		t.notTaken = !isInvoke || !isInvocation || r.Method != http.MethodPost || problem != nil
 		from := len(c.out.data) - out.Len() - answers.Buffered()
 		a, err := http.ReadResponse(answers, r)
@@ -199,8 +199,8 @@
 			if body, err = io.ReadAll(a.Body); err == nil {
 				used := len(c.out.data) - out.Len() - answers.Buffered()
 				t.status, t.begin, t.end = a.StatusCode, c.out.at(from).begin, c.out.at(used-1).end
-				t.event, t.back = a.Header.Get(invoke.HeaderEvent), a.Header.Get("Retry-After") != ""
-				t.notTaken = t.notTaken || t.event == "" || bytes.Contains(body, []byte(invoke.ProblemNotTaken))
+				t.event, t.back = a.Header.Get(invoke.HeaderRequestID), a.Header.Get("Retry-After") != ""
+				t.notTaken = t.notTaken || t.event == "" || bytes.Contains(body, []byte(invoke.ProblemNotAccepted))
 			}
 		}
 		if t.status == 0 && c.isClosed {
@@ -238,14 +238,14 @@
 			break
 		}
 		switch b := body.(type) {
-		case *workerrpc.Launch:
+		case *workerrpc.Attempt:
 			l := &launch{front: front, worker: c.peer, frame: b, begin: first.begin, end: last.end}
 			if c.isClosed {
 				l.broken = c.closed
 			}
 			calls[b.Seq] = l
 			s.launches = append(s.launches, l)
-		case *workerrpc.Order:
+		case *workerrpc.LoadRequest:
 			s.orders = append(s.orders, &order{front, c.peer, b, first.begin, last.end})
 		case *workerrpc.Cancel:
 			cancels = append(cancels, cancel{b.Seq, first.begin})
@@ -261,8 +261,8 @@
 		if err != nil || body == nil {
 			return nil // what a worker sends is not judged
 		}
-		if b, is := body.(*workerrpc.Answer); is {
-			if l := calls[b.Seq]; l != nil && l.answer == nil && l.frame.Event == b.Event {
+		if b, is := body.(*workerrpc.AttemptResult); is {
+			if l := calls[b.Seq]; l != nil && l.answer == nil && l.frame.RequestID == b.RequestID {
 				l.answer, l.answered = b, last.begin
 			}
 		}
@@ -287,7 +287,7 @@
 	if len(rest) < 4+n {
 		return nil, mark{}, mark{}, nil
 	}
-	body, err = workerrpc.Parse(rest[4 : 4+n])
+	body, err = workerrpc.ParseFrame(rest[4 : 4+n])
 	first, last = f.at(f.used), f.at(f.used+3+n)
 	f.used += 4 + n
 	return body, first, last, err
--- a/internal/testbed/emulator/store.go
+++ b/internal/testbed/emulator/store.go
@@ -78,10 +78,10 @@
 	return client
 }
 
-func (l *Ledger) ran(launch *workerrpc.Launch, worker string) {
+func (l *Ledger) ran(launch *workerrpc.Attempt, worker string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	name := Logical(launch.Client)
+	name := Logical(launch.ClientRequestID)
 	r := l.runs[name]
 	if r == nil {
 		r = &Run{Type: launch.Type}
@@ -127,8 +127,8 @@
 func NewGroup() *Group { return &Group{until: map[string]time.Time{}} }
 
 // repeat tells whether an event was begun inside its window already, and notes that it is begun.
-func (g *Group) repeat(l *workerrpc.Launch) bool {
-	if l.Key == "" {
+func (g *Group) repeat(l *workerrpc.Attempt) bool {
+	if l.IdempotencyKey == "" {
 		return false
 	}
 	g.mu.Lock()
@@ -142,9 +142,9 @@
 			}
 		}
 	}
-	if now.Before(g.until[l.Key]) {
+	if now.Before(g.until[l.IdempotencyKey]) {
 		return true
 	}
-	g.until[l.Key] = now.Add(l.Window)
+	g.until[l.IdempotencyKey] = now.Add(l.IdempotencyWindow)
 	return false
 }
--- a/internal/testbed/emulator/worker.go
+++ b/internal/testbed/emulator/worker.go
@@ -82,10 +82,10 @@
 }
 
 type job struct {
-	launch  *workerrpc.Launch
-	reply   func(*workerrpc.Answer)
+	launch  *workerrpc.Attempt
+	reply   func(*workerrpc.AttemptResult)
 	life    int
-	warmth  workerrpc.Warmth
+	warmth  workerrpc.ReplicaState
 	company int
 	work    time.Duration
 	timer   *time.Timer
@@ -124,7 +124,7 @@
 	}
 	w.copies, w.memory, w.running, w.waiting, w.window = map[string]*set{}, 0, 0, 0, nil
 	w.addr, w.end, w.ended = listener.Addr().String(), end, make(chan struct{})
-	server := &workerrpc.Server{Hello: workerrpc.Hello{Name: w.name, Started: w.started, Launches: w.model.Launches},
+	server := &workerrpc.Server{Handshake: workerrpc.Handshake{Name: w.name, Started: w.started, MaxAttempts: w.model.Launches},
 		Handler: &life{w: w, n: w.life}}
 	w.server = server
 	ended := w.ended
@@ -179,7 +179,7 @@
 	w.mu.Lock()
 	s := w.server
 	w.mu.Unlock()
-	s.Reset()
+	s.CloseConnections()
 }
 
 // Goodbye says on its connections that nothing new is started there.
@@ -187,7 +187,7 @@
 	w.mu.Lock()
 	s := w.server
 	w.mu.Unlock()
-	s.Goodbye("draining")
+	s.NotifyDraining("draining")
 }
 
 // Release has every copy of a function out of date: what runs ends, the next event finds nothing loaded.
@@ -213,20 +213,20 @@
 	n int
 }
 
-// Report tells its load.
-func (l *life) Report() *workerrpc.Report {
+// LoadReport tells its load.
+func (l *life) LoadReport() *workerrpc.LoadReport {
 	l.w.mu.Lock()
 	defer l.w.mu.Unlock()
 	return l.w.report()
 }
 
-func (w *Worker) report() *workerrpc.Report {
+func (w *Worker) report() *workerrpc.LoadReport {
 	waiting := float64(w.waiting)
 	if w.troubles.Reports > 0 {
 		waiting *= w.troubles.Reports
 	}
-	return &workerrpc.Report{Waiting: int(waiting), Running: w.running, Memory: w.memory,
-		Busy: min(1, float64(w.running)/w.model.Cores)}
+	return &workerrpc.LoadReport{QueueDepth: int(waiting), Running: w.running, MemoryBytes: w.memory,
+		CPUUtilization: min(1, float64(w.running)/w.model.Cores)}
 }
 
 // share is the part of its cores that a worker has by now.
@@ -238,8 +238,8 @@
 	return w.model.ColdFrom + (1-w.model.ColdFrom)*float64(warm)/float64(w.model.WarmAfter)
 }
 
-// Launch takes an event.
-func (l *life) Launch(_ string, launch *workerrpc.Launch, reply func(*workerrpc.Answer)) (cancel func()) {
+// HandleAttempt takes an event.
+func (l *life) HandleAttempt(_ string, launch *workerrpc.Attempt, reply func(*workerrpc.AttemptResult)) (cancel func()) {
 	w := l.w
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -255,32 +255,32 @@
 	}
 	switch {
 	case !known:
-		reply(&workerrpc.Answer{Code: workerrpc.Missing, Reason: "no such function", Report: w.report()})
+		reply(&workerrpc.AttemptResult{Code: workerrpc.CodeNotFound, Reason: "no such function", Report: w.report()})
 		return nil
 	case t.Hang:
 		w.ledger.ran(launch, w.name)
 		return nil
 	case t.Errors:
 		w.ledger.ran(launch, w.name)
-		reply(&workerrpc.Answer{Code: workerrpc.Failed, Reason: "error", Report: w.report(), Worked: time.Microsecond})
+		reply(&workerrpc.AttemptResult{Code: workerrpc.CodeFailed, Reason: "error", Report: w.report(), CPUTime: time.Microsecond})
 		return nil
 	case t.Refuse != "" && t.Refuse == launch.Tenant, w.waiting >= w.model.Queue:
-		reply(&workerrpc.Answer{Code: workerrpc.Full, Reason: "full", Report: w.report()})
+		reply(&workerrpc.AttemptResult{Code: workerrpc.CodeOverloaded, Reason: "full", Report: w.report()})
 		return nil
 	}
 	s := w.set(f)
-	j := &job{launch: launch, reply: reply, life: w.life, work: work, warmth: workerrpc.FoundWarm,
+	j := &job{launch: launch, reply: reply, life: w.life, work: work, warmth: workerrpc.ReplicaWarm,
 		company: s.busy + len(s.queue)}
 	if s.copies == 0 {
-		j.warmth = workerrpc.AwaitedLoad
+		j.warmth = workerrpc.ReplicaLoadAwaited
 		if s.loading == 0 {
 			if !w.model.LoadOnMiss {
-				reply(&workerrpc.Answer{Code: workerrpc.Missing, Reason: "not loaded", Report: w.report()})
+				reply(&workerrpc.AttemptResult{Code: workerrpc.CodeNotFound, Reason: "not loaded", Report: w.report()})
 				return nil
 			}
-			j.warmth = workerrpc.BeganLoad
+			j.warmth = workerrpc.ReplicaLoadStarted
 			if !w.load(s, nil) {
-				reply(&workerrpc.Answer{Code: workerrpc.Full, Reason: "no memory", Report: w.report()})
+				reply(&workerrpc.AttemptResult{Code: workerrpc.CodeOverloaded, Reason: "no memory", Report: w.report()})
 				return nil
 			}
 		}
@@ -324,7 +324,7 @@
 	w.falls++
 	w.life++ // all that it holds is lost; its connections break
 	server := w.server
-	go server.Reset()
+	go server.CloseConnections()
 	return true
 }
 
@@ -346,14 +346,14 @@
 			return
 		}
 		s.loading--
-		code := workerrpc.Done
+		code := workerrpc.CodeOK
 		if failed {
-			code = workerrpc.Failed
+			code = workerrpc.CodeFailed
 			w.memory -= s.f.Memory
 			if s.copies == 0 && s.loading == 0 {
 				for _, j := range s.queue {
-					j.warmth = workerrpc.LoadFailed
-					w.answer(j, workerrpc.Failed, "load failed")
+					j.warmth = workerrpc.ReplicaLoadFailed
+					w.answer(j, workerrpc.CodeFailed, "load failed")
 				}
 				w.waiting -= len(s.queue)
 				s.queue = nil
@@ -400,7 +400,7 @@
 		s.queue = s.queue[1:]
 		w.waiting--
 		if g := w.groups[j.launch.Type]; g != nil && g.repeat(j.launch) {
-			w.answer(j, workerrpc.Done, "repeat")
+			w.answer(j, workerrpc.CodeOK, "repeat")
 			continue
 		}
 		s.busy++
@@ -425,19 +425,19 @@
 	s.busy--
 	w.running--
 	s.idle = time.Now()
-	w.answer(j, workerrpc.Done, "")
+	w.answer(j, workerrpc.CodeOK, "")
 	w.dispatch(s)
 }
 
 func (w *Worker) answer(j *job, code workerrpc.Code, reason string) {
 	j.over = true
-	a := &workerrpc.Answer{Code: code, Warmth: j.warmth, Company: j.company, Worked: j.work, Report: w.report(), Reason: reason}
+	a := &workerrpc.AttemptResult{Code: code, ReplicaState: j.warmth, ConcurrentRequests: j.company, CPUTime: j.work, Report: w.report(), Reason: reason}
 	switch {
-	case code != workerrpc.Done:
+	case code != workerrpc.CodeOK:
 	case reason == "repeat":
-		a.Repeat, a.Worked = true, 0
+		a.Deduplicated, a.CPUTime = true, 0
 	default:
-		a.Body = fmt.Appendf(nil, "%s handled %s", w.name, j.launch.Client)
+		a.Body = fmt.Appendf(nil, "%s handled %s", w.name, j.launch.ClientRequestID)
 	}
 	j.reply(a)
 }
@@ -452,7 +452,7 @@
 		j.timer.Stop()
 		s.busy--
 		w.running--
-		w.answer(j, workerrpc.Withdrawn, "withdrawn")
+		w.answer(j, workerrpc.CodeCancelled, "withdrawn")
 	} else {
 		for i, x := range s.queue {
 			if x == j {
@@ -461,13 +461,13 @@
 				break
 			}
 		}
-		w.answer(j, workerrpc.NotStarted, "withdrawn before its start")
+		w.answer(j, workerrpc.CodeNotStarted, "withdrawn before its start")
 	}
 	w.dispatch(s)
 }
 
-// Order loads copies up to the count.
-func (l *life) Order(_ string, o *workerrpc.Order, reply func(*workerrpc.Ordered)) {
+// HandleLoadRequest loads copies up to the count.
+func (l *life) HandleLoadRequest(_ string, o *workerrpc.LoadRequest, reply func(*workerrpc.LoadResult)) {
 	w := l.w
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -476,34 +476,34 @@
 	}
 	f, known := w.functions[o.Function]
 	if !known {
-		reply(&workerrpc.Ordered{Code: workerrpc.Missing, Reason: "no such function"})
+		reply(&workerrpc.LoadResult{Code: workerrpc.CodeNotFound, Reason: "no such function"})
 		return
 	}
 	s := w.set(f)
 	missing, failed := 0, false
 	ended := func(code workerrpc.Code) { // the lock is held
 		missing--
-		failed = failed || code != workerrpc.Done
+		failed = failed || code != workerrpc.CodeOK
 		if missing == 0 {
-			code = workerrpc.Done
+			code = workerrpc.CodeOK
 			if failed {
-				code = workerrpc.Failed
+				code = workerrpc.CodeFailed
 			}
-			reply(&workerrpc.Ordered{Code: code, Copies: s.copies})
+			reply(&workerrpc.LoadResult{Code: code, Replicas: s.copies})
 		}
 	}
-	for s.copies+s.loading < o.Copies {
+	for s.copies+s.loading < o.Replicas {
 		missing++
 		if !w.load(s, ended) {
 			missing--
 			if missing == 0 {
-				reply(&workerrpc.Ordered{Code: workerrpc.Full, Copies: s.copies, Reason: "no memory"})
+				reply(&workerrpc.LoadResult{Code: workerrpc.CodeOverloaded, Replicas: s.copies, Reason: "no memory"})
 				return
 			}
 			break
 		}
 	}
 	if missing == 0 {
-		reply(&workerrpc.Ordered{Code: workerrpc.Done, Copies: s.copies})
+		reply(&workerrpc.LoadResult{Code: workerrpc.CodeOK, Replicas: s.copies})
 	}
 }
--- a/internal/testbed/scale/fronts.go
+++ b/internal/testbed/scale/fronts.go
@@ -175,12 +175,12 @@
 	came := time.Now()
 	front.SubmitDrawn(platform.Request{ID: fmt.Sprintf("%016x", f.random.Uint64()), Class: className, Tenant: tenantName,
 		Function: p.draw.Draw(f.random), Lanes: p.plan.Functions.Lanes, Memory: replicaMB, LoadTime: p.plan.Workers.Load.D(),
-		Wait: p.plan.FrontEnds.Wait.D()}, func(a invoke.Answer) { p.answered(came, a) })
+		Wait: p.plan.FrontEnds.Wait.D()}, func(a invoke.Response) { p.answered(came, a) })
 }
 
 // answered counts a final answer.
-func (p *frontPool) answered(came time.Time, a invoke.Answer) {
-	switch a.Ending {
+func (p *frontPool) answered(came time.Time, a invoke.Response) {
+	switch a.Outcome {
 	case invoke.Completed:
 		p.served.Add(1)
 		ready, err := strconv.ParseInt(string(a.Body), 10, 64)
@@ -191,7 +191,7 @@
 		p.latency(cold, time.Since(came))
 	case invoke.Rejected:
 		p.rejected.Add(1)
-		if a.Launches == 0 {
+		if a.Attempts == 0 {
 			p.foundNone.Add(1)
 		}
 	default:
--- a/internal/testbed/scenario/clients.go
+++ b/internal/testbed/scenario/clients.go
@@ -74,7 +74,7 @@
 	}
 	head += "Idempotency-Key: " + a.name + "\r\n"
 	if repeat {
-		head += invoke.HeaderRepeat + ": 1\r\n"
+		head += invoke.HeaderRetry + ": 1\r\n"
 	}
 	_ = l.conn.SetDeadline(deadline)
 	if _, err := l.conn.Write([]byte(head + "\r\n" + body)); err != nil {
@@ -97,7 +97,7 @@
 		return broken, 0
 	}
 	back := time.Duration(0)
-	if ms, err := strconv.Atoi(resp.Header.Get(invoke.HeaderBack)); err == nil {
+	if ms, err := strconv.Atoi(resp.Header.Get(invoke.HeaderRetryAfterMillis)); err == nil {
 		back = time.Duration(ms) * time.Millisecond
 	}
 	if resp.Close {
@@ -108,7 +108,7 @@
 	switch {
 	case resp.StatusCode == http.StatusOK:
 		return served, 0
-	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(invoke.HeaderEvent) != "":
+	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(invoke.HeaderRequestID) != "":
 		return deferred, back
 	case resp.StatusCode == http.StatusBadGateway:
 		return dead, 0
--- a/internal/testbed/scenario/play.go
+++ b/internal/testbed/scenario/play.go
@@ -57,7 +57,7 @@
 
 // life is one life of a front end.
 type life struct {
-	gate    *gateway.Gate
+	gate    *gateway.Gateway
 	front   *checker.Front
 	mu      sync.Mutex
 	drain   context.CancelFunc
@@ -73,7 +73,7 @@
 	day      Day
 	o        Options
 	base     time.Time
-	roster   *registry.Roster
+	roster   *registry.Registry
 	list     string // its address
 	workers  []localfleet.Worker
 	dir      string // of the worker runtime's folders
@@ -88,8 +88,8 @@
 
 	mu     sync.Mutex
 	lives  []*life
-	now    []*life               // by front end
-	known  map[int]registry.News // the list as each front end last kept it
+	now    []*life                     // by front end
+	known  map[int]registry.WatchEvent // the list as each front end last kept it
 	news   []checker.Told
 	bare   bool // nothing is captured
 	listen func() (io.Closer, error)
@@ -102,7 +102,7 @@
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	s := &stage{day: day, o: o, base: time.Now(), store: emulator.NewStore(day.Store), ledger: emulator.NewLedger(),
-		list: "127.0.0.1:0", known: map[int]registry.News{}}
+		list: "127.0.0.1:0", known: map[int]registry.WatchEvent{}}
 	if o.Keep != "" {
 		if err := os.MkdirAll(o.Keep, 0o755); err != nil {
 			return Result{}, fmt.Errorf("rehearse %s: %w", day.Name, err)
@@ -342,17 +342,17 @@
 }
 
 func add(a, b gateway.Counts) gateway.Counts {
-	a.Taken, a.Completed, a.Rejected = a.Taken+b.Taken, a.Completed+b.Completed, a.Rejected+b.Rejected
-	a.Failed, a.ClientsLeft = a.Failed+b.Failed, a.ClientsLeft+b.ClientsLeft
-	a.NotTaken, a.Refused = a.NotTaken+b.NotTaken, a.Refused+b.Refused
+	a.Accepted, a.Completed, a.Rejected = a.Accepted+b.Accepted, a.Completed+b.Completed, a.Rejected+b.Rejected
+	a.Failed, a.ClientsDisconnected = a.Failed+b.Failed, a.ClientsDisconnected+b.ClientsDisconnected
+	a.NotAccepted, a.InvalidRequests = a.NotAccepted+b.NotAccepted, a.InvalidRequests+b.InvalidRequests
 	a.Attempts, a.LoadRequests, a.Probes = a.Attempts+b.Attempts, a.LoadRequests+b.LoadRequests, a.Probes+b.Probes
-	a.LateAnswers, a.Stray, a.Connections = a.LateAnswers+b.LateAnswers, a.Stray+b.Stray, a.Connections+b.Connections
+	a.LateOutcomes, a.UnmatchedResponses, a.Connections = a.LateOutcomes+b.LateOutcomes, a.UnmatchedResponses+b.UnmatchedResponses, a.Connections+b.Connections
 	return a
 }
 
 // fleet starts the list and the workers.
 func (s *stage) fleet(ctx context.Context) error {
-	s.roster = registry.New(func(front string, at time.Time, n registry.News) {
+	s.roster = registry.New(func(front string, at time.Time, n registry.WatchEvent) {
 		if s.bare {
 			return
 		}
@@ -410,7 +410,7 @@
 		if err != nil {
 			return err
 		}
-		e := registry.Entry{Name: worker.Name(), Addr: addr, Zone: zone, Cell: "0", Cores: w.Cores, State: registry.In,
+		e := registry.Entry{Name: worker.Name(), Addr: addr, Zone: zone, Cell: "0", Cores: w.Cores, State: registry.InService,
 			Started: started}
 		s.mu.Lock()
 		s.workers, s.entries = append(s.workers, worker), append(s.entries, e)
@@ -428,7 +428,7 @@
 	}
 	s.mu.Lock()
 	name := fmt.Sprintf("front-%d.%d", i, len(s.lives))
-	var stale *registry.News
+	var stale *registry.WatchEvent
 	if n, is := s.known[i]; is {
 		stale = &n
 		s.news = append(s.news, checker.Told{Front: name, At: time.Since(s.base), News: n})
@@ -444,8 +444,8 @@
 	}
 	file := s.o.File
 	file.Front.List = "http://" + s.list
-	options := gateway.Options{Name: name, Self: i, Peers: s.day.Fronts, Seed: s.day.Seed + uint64(i), File: file,
-		Listener: listener, Tap: l.tap, Log: s.o.Log, Stale: stale, Known: func(n registry.News) {
+	options := gateway.Options{Name: name, Index: i, GatewayCount: s.day.Fronts, Seed: s.day.Seed + uint64(i), Config: file,
+		Listener: listener, Tap: l.tap, Log: s.o.Log, CachedEndpoints: stale, OnEndpoints: func(n registry.WatchEvent) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.known[i] = n
@@ -488,7 +488,7 @@
 	}
 	err := <-l.done
 	if inOrder {
-		l.counts = l.gate.Last()
+		l.counts = l.gate.FinalCounts()
 	}
 	l.drain()
 	l.kill()
@@ -543,7 +543,7 @@
 		return s.restart(t.Workers)
 	case "drain":
 		for _, i := range t.Workers {
-			s.roster.Mark(s.entries[i].Name, registry.Draining)
+			s.roster.SetState(s.entries[i].Name, registry.Draining)
 			s.workers[i].Goodbye()
 		}
 		if err := until(); err != nil {
@@ -576,10 +576,10 @@
 			w.Release(t.Function)
 		}
 	case "late-list":
-		s.roster.Late(t.For.D())
-		defer s.roster.Late(0)
+		s.roster.SetDelay(t.For.D())
+		defer s.roster.SetDelay(0)
 	case "empty-list":
-		s.roster.Clear()
+		s.roster.RemoveAll()
 		if err := until(); err != nil {
 			return err
 		}
@@ -632,7 +632,7 @@
 		if err != nil {
 			return err
 		}
-		s.entries[i].Started, s.entries[i].State = started, registry.In
+		s.entries[i].Started, s.entries[i].State = started, registry.InService
 		s.roster.Set(s.entries[i])
 	}
 	return nil
--- a/internal/testbed/scenario/up.go
+++ b/internal/testbed/scenario/up.go
@@ -38,7 +38,7 @@
 		day.Work[fn.Name] = config.Time(20 * time.Millisecond)
 	}
 	s := &stage{day: day, o: Options{File: f, Log: log}, base: time.Now(), store: emulator.NewStore(day.Store),
-		ledger: emulator.NewLedger(), list: list.Host, bare: true, known: map[int]registry.News{}}
+		ledger: emulator.NewLedger(), list: list.Host, bare: true, known: map[int]registry.WatchEvent{}}
 	if err := s.fleet(ctx); err != nil {
 		return err
 	}
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -198,7 +198,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	program := build(t, overlayOf(t, source, "d.told = d.by - now", "d.told = d.by - now + time.Second"))
+	program := build(t, overlayOf(t, source, "d.statedTimeLeft = d.deadline - now", "d.statedTimeLeft = d.deadline - now + time.Second"))
 	report, err := Run(context.Background(), Options{Seed: 1, Processes: 2, Workers: 3, Rate: 20, Quiet: 2 * time.Second, For: time.Millisecond,
 		Program: program, Dir: t.TempDir()})
 	if err != nil {
--- a/internal/worker/bench_test.go
+++ b/internal/worker/bench_test.go
@@ -20,7 +20,7 @@
 )
 
 // bench starts a worker and a link to it.
-func bench(b *testing.B, base string) (*worker.Worker, func(function, body string) *workerrpc.Answer, func()) {
+func bench(b *testing.B, base string) (*worker.Worker, func(function, body string) *workerrpc.AttemptResult, func()) {
 	o, done := options(b.TempDir(), base)
 	o.Limits.Memory = 1 << 40
 	w, err := worker.New(o)
@@ -36,14 +36,14 @@
 	ended := make(chan error, 2)
 	go func() { ended <- w.Run(ctx, listener) }()
 	go func() { ended <- p.Run(ctx) }()
-	call := func(function, body string) *workerrpc.Answer {
+	call := func(function, body string) *workerrpc.AttemptResult {
 		got := make(chan workerrpc.Outcome, 1)
-		p.Launch(workerrpc.Launch{Event: "e", Function: function, Body: []byte(body)}, time.Minute, func(o workerrpc.Outcome) { got <- o })
+		p.Send(workerrpc.Attempt{RequestID: "e", Function: function, Body: []byte(body)}, time.Minute, func(o workerrpc.Outcome) { got <- o })
 		o := <-got
-		if o.Answer == nil {
+		if o.AttemptResult == nil {
 			b.Fatal(o.Err)
 		}
-		return o.Answer
+		return o.AttemptResult
 	}
 	return w, call, func() {
 		stop()
@@ -70,7 +70,7 @@
 			call("preview-"+kind, `{"features":[1,2,3]}`)
 			b.ResetTimer()
 			for range b.N {
-				if a := call("preview-"+kind, `{"features":[1,2,3]}`); a.Code != workerrpc.Done {
+				if a := call("preview-"+kind, `{"features":[1,2,3]}`); a.Code != workerrpc.CodeOK {
 					b.Fatal(a.Reason)
 				}
 			}
@@ -89,7 +89,7 @@
 			b.ResetTimer()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					if a := call("preview-"+kind, `{"features":[1,2,3]}`); a.Code != workerrpc.Done {
+					if a := call("preview-"+kind, `{"features":[1,2,3]}`); a.Code != workerrpc.CodeOK {
 						b.Error(a.Reason)
 					}
 				}
@@ -130,7 +130,7 @@
 			var took []time.Duration
 			for range 1500 {
 				at := time.Now()
-				if a := call("preview-process", `{"features":[1,2,3]}`); a.Code != workerrpc.Done {
+				if a := call("preview-process", `{"features":[1,2,3]}`); a.Code != workerrpc.CodeOK {
 					b.Fatal(a.Reason)
 				}
 				took = append(took, time.Since(at))
@@ -192,14 +192,14 @@
 					}
 					w, call, end := bench(b, own.Client.Base)
 					time.Sleep(50 * time.Millisecond)
-					before := w.Report().Memory
+					before := w.LoadReport().MemoryBytes
 					at := time.Now()
 					for i := range n {
 						call(fmt.Sprint("f", i), "{}")
 					}
 					took := time.Since(at)
 					time.Sleep(100 * time.Millisecond)
-					b.ReportMetric(float64(w.Report().Memory-before)/float64(n)/(1<<20), "MiB/copy")
+					b.ReportMetric(float64(w.LoadReport().MemoryBytes-before)/float64(n)/(1<<20), "MiB/copy")
 					b.ReportMetric(float64(took.Milliseconds())/float64(n), "ms/load")
 					end()
 					own.Close()
--- a/internal/worker/compat_test.go
+++ b/internal/worker/compat_test.go
@@ -28,7 +28,7 @@
 	if err := os.WriteFile(path, stored, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cut := []workerrpc.CutLoad{{Function: "cut", Version: "v2", Events: []workerrpc.CutEvent{{Event: "e1"}, {Event: "e2", MayRun: true}}}}
+	cut := []workerrpc.InterruptedLoad{{Function: "cut", Version: "v2", Requests: []workerrpc.InterruptedRequest{{RequestID: "e1"}, {RequestID: "e2", MayHaveRun: true}}}}
 	last := storedAt
 	for life := 1; life <= 2; life++ {
 		j, err := openJournal(path, slog.New(slog.DiscardHandler))
--- a/internal/worker/journal.go
+++ b/internal/worker/journal.go
@@ -61,7 +61,7 @@
 	mu     sync.Mutex
 	file   *recordLog
 	keys   map[string]key
-	cut    []workerrpc.CutLoad
+	cut    []workerrpc.InterruptedLoad
 	warmUp time.Duration // of the last life, or the one before if that never was warm
 	sweep  time.Time
 	bodies int // bytes of answers kept in keys
@@ -130,7 +130,7 @@
 	}
 	defer in.Close()
 	type load struct {
-		workerrpc.CutLoad
+		workerrpc.InterruptedLoad
 		id uint64
 	}
 	var open []*load
@@ -154,7 +154,7 @@
 		}
 		switch x.Kind {
 		case noteLoad:
-			open = append(open, &load{workerrpc.CutLoad{Function: x.Function, Version: x.Version}, x.Load})
+			open = append(open, &load{workerrpc.InterruptedLoad{Function: x.Function, Version: x.Version}, x.Load})
 		case noteLoaded:
 			open = slices.DeleteFunc(open, func(l *load) bool { return l.id == x.Load })
 		case noteTaken:
@@ -178,16 +178,16 @@
 	for _, l := range open {
 		for event, function := range taken {
 			if function == l.Function {
-				l.Events = append(l.Events, workerrpc.CutEvent{Event: event, MayRun: ran[event]})
+				l.Requests = append(l.Requests, workerrpc.InterruptedRequest{RequestID: event, MayHaveRun: ran[event]})
 			}
 		}
-		slices.SortFunc(l.Events, func(a, b workerrpc.CutEvent) int {
-			if a.Event < b.Event {
+		slices.SortFunc(l.Requests, func(a, b workerrpc.InterruptedRequest) int {
+			if a.RequestID < b.RequestID {
 				return -1
 			}
 			return 1
 		})
-		j.cut = append(j.cut, l.CutLoad)
+		j.cut = append(j.cut, l.InterruptedLoad)
 	}
 	return nil
 }
