--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -102,9 +102,9 @@
 
 type call struct {
 	id     uint64
-	launch *workerrpc.Launch
-	reply  func(*workerrpc.Answer)
-	warmth workerrpc.Warmth
+	launch *workerrpc.Attempt
+	reply  func(*workerrpc.AttemptResult)
+	warmth workerrpc.ReplicaState
 	others int // of its function here when it came
 }
 
@@ -123,7 +123,7 @@
 type order struct {
 	function string
 	copies   int
-	reply    func(*workerrpc.Ordered)
+	reply    func(*workerrpc.LoadResult)
 }
 
 // New opens a worker's folder and asks for the releases that the store has; without an answer it goes by those that it knew. Another worker that uses the folder is refused.
@@ -162,8 +162,8 @@
 	if w.host, err = runner.NewHost(ro); err != nil {
 		return nil, errors.Join(err, w.journal.close())
 	}
-	w.server = &workerrpc.Server{Hello: workerrpc.Hello{Name: o.Name, Started: w.started, Launches: o.Launches, Cut: w.journal.cut,
-		WarmUp: w.journal.warmUp}, Handler: w}
+	w.server = &workerrpc.Server{Handshake: workerrpc.Handshake{Name: o.Name, Started: w.started, MaxAttempts: o.Launches, InterruptedLoads: w.journal.cut,
+		WarmUpTime: w.journal.warmUp}, Handler: w}
 	w.wake = time.AfterFunc(time.Hour, w.step)
 	o.Supply.Follow(w.Busy)
 	return w, nil
@@ -259,11 +259,11 @@
 	w.mu.Lock()
 	w.draining = true
 	w.mu.Unlock()
-	w.server.Goodbye("draining")
+	w.server.NotifyDraining("draining")
 }
 
 // Reset breaks its connections; it goes on.
-func (w *Worker) Reset() { w.server.Reset() }
+func (w *Worker) Reset() { w.server.CloseConnections() }
 
 // Busy is the part of its lanes that run.
 func (w *Worker) Busy() float64 {
@@ -290,7 +290,7 @@
 func (w *Worker) Silence(on bool) { w.silencer.Set(on) }
 
 // Cut tells the loads that the last life did not end.
-func (w *Worker) Cut() []workerrpc.CutLoad { return w.journal.cut }
+func (w *Worker) Cut() []workerrpc.InterruptedLoad { return w.journal.cut }
 
 // Loads tells how long the steps of the loads of this life took.
 func (w *Worker) Loads() []Loading {
@@ -301,20 +301,20 @@
 
 func (w *Worker) now() time.Duration { return time.Since(w.started) }
 
-// Report tells its load; the memory is what the operating system said at the last look.
-func (w *Worker) Report() *workerrpc.Report {
+// LoadReport tells its load; the memory is what the operating system said at the last look.
+func (w *Worker) LoadReport() *workerrpc.LoadReport {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.report()
 }
 
-func (w *Worker) report() *workerrpc.Report {
+func (w *Worker) report() *workerrpc.LoadReport {
 	waiting := float64(w.room.Waiting())
 	if w.troubles.Reports > 0 {
 		waiting *= w.troubles.Reports
 	}
-	return &workerrpc.Report{Waiting: int(waiting), Running: w.room.Running(), Memory: w.memory, Cold: w.cold(),
-		Busy: min(1, float64(w.room.Running())/float64(runtime.NumCPU()))}
+	return &workerrpc.LoadReport{QueueDepth: int(waiting), Running: w.room.Running(), MemoryBytes: w.memory, ColdStartRate: w.cold(),
+		CPUUtilization: min(1, float64(w.room.Running())/float64(runtime.NumCPU()))}
 }
 
 // cold is the part of the last launches that found no warm copy.
@@ -332,44 +332,44 @@
 	return float64(cold) / float64(n)
 }
 
-// Launch takes an event.
-func (w *Worker) Launch(_ string, l *workerrpc.Launch, reply func(*workerrpc.Answer)) (cancel func()) {
+// HandleAttempt takes an event.
+func (w *Worker) HandleAttempt(_ string, l *workerrpc.Attempt, reply func(*workerrpc.AttemptResult)) (cancel func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.troubles.Hang {
-		reply = func(*workerrpc.Answer) {}
+		reply = func(*workerrpc.AttemptResult) {}
 	}
 	refuse := func(code workerrpc.Code, why string) func() {
-		reply(&workerrpc.Answer{Code: code, Reason: why, Report: w.report()})
+		reply(&workerrpc.AttemptResult{Code: code, Reason: why, Report: w.report()})
 		return nil
 	}
 	switch {
 	case w.closed || w.draining:
-		return refuse(workerrpc.NotStarted, "draining")
+		return refuse(workerrpc.CodeNotStarted, "draining")
 	case w.troubles.Errors:
-		return refuse(workerrpc.Failed, "told to fail")
+		return refuse(workerrpc.CodeFailed, "told to fail")
 	case w.troubles.Refuse != "" && w.troubles.Refuse == l.Tenant:
-		return refuse(workerrpc.Full, "full")
+		return refuse(workerrpc.CodeOverloaded, "full")
 	}
 	have := w.room.Of(l.Function)
 	w.next++
-	c := &call{id: w.next, launch: l, reply: reply, warmth: workerrpc.FoundWarm, others: have.Waiting + have.Busy}
+	c := &call{id: w.next, launch: l, reply: reply, warmth: workerrpc.ReplicaWarm, others: have.Waiting + have.Busy}
 	if have.Warm == 0 {
-		c.warmth = workerrpc.AwaitedLoad
+		c.warmth = workerrpc.ReplicaLoadAwaited
 		if have.Loading == 0 {
-			c.warmth = workerrpc.BeganLoad
+			c.warmth = workerrpc.ReplicaLoadStarted
 		}
 	}
-	switch w.room.Take(w.now(), admission.Call{ID: c.id, Function: l.Function, Tenant: l.Tenant, Ends: w.now() + l.Left}) {
+	switch w.room.Take(w.now(), admission.Call{ID: c.id, Function: l.Function, Tenant: l.Tenant, Ends: w.now() + l.TimeLeft}) {
 	case admission.Full:
-		return refuse(workerrpc.Full, "full")
+		return refuse(workerrpc.CodeOverloaded, "full")
 	case admission.Missing:
-		return refuse(workerrpc.Missing, "not here")
+		return refuse(workerrpc.CodeNotFound, "not here")
 	case admission.TooBig:
-		return refuse(workerrpc.Missing, "its package needs more memory than this worker has")
+		return refuse(workerrpc.CodeNotFound, "its package needs more memory than this worker has")
 	}
 	w.calls[c.id] = c
-	w.found[w.taken%recent] = c.warmth != workerrpc.FoundWarm
+	w.found[w.taken%recent] = c.warmth != workerrpc.ReplicaWarm
 	w.taken++
 	if !w.warmed && w.taken >= recent && w.cold() <= warmShare {
 		w.warmed = true
@@ -379,8 +379,8 @@
 			w.o.Log.Error("the warm-up is not noted", "err", err) // the next life tells none
 		}
 	}
-	if c.warmth != workerrpc.FoundWarm {
-		if err := w.journal.write(note{Kind: noteTaken, Function: l.Function, Event: l.Event}, false); err != nil {
+	if c.warmth != workerrpc.ReplicaWarm {
+		if err := w.journal.write(note{Kind: noteTaken, Function: l.Function, Event: l.RequestID}, false); err != nil {
 			w.o.Log.Error("an event taken for a load is not noted", "err", err) // it is told to have run if the worker dies
 		}
 	}
@@ -395,48 +395,48 @@
 		return
 	}
 	if w.room.Dropped(c.launch.Function, c.id) {
-		w.answer(c, &workerrpc.Answer{Code: workerrpc.NotStarted, Reason: "withdrawn before its start"})
+		w.answer(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "withdrawn before its start"})
 		return
 	}
 	// it runs: what was begun is not stopped, but its answer is not waited for
-	w.answer(c, &workerrpc.Answer{Code: workerrpc.Withdrawn, Reason: "withdrawn"})
+	w.answer(c, &workerrpc.AttemptResult{Code: workerrpc.CodeCancelled, Reason: "withdrawn"})
 }
 
 // answer ends a call for its front end; the lock is held. Later results of it change nothing.
-func (w *Worker) answer(c *call, a *workerrpc.Answer) {
+func (w *Worker) answer(c *call, a *workerrpc.AttemptResult) {
 	if w.calls[c.id] == nil {
 		return
 	}
 	delete(w.calls, c.id)
-	a.Warmth, a.Company, a.Report = c.warmth, c.others, w.report()
-	if a.Code == workerrpc.Missing && a.Reason == "load failed" {
-		a.Warmth = workerrpc.LoadFailed
+	a.ReplicaState, a.ConcurrentRequests, a.Report = c.warmth, c.others, w.report()
+	if a.Code == workerrpc.CodeNotFound && a.Reason == "load failed" {
+		a.ReplicaState = workerrpc.ReplicaLoadFailed
 	}
-	if c.warmth != workerrpc.FoundWarm {
-		if err := w.journal.write(note{Kind: noteOver, Event: c.launch.Event}, false); err != nil {
+	if c.warmth != workerrpc.ReplicaWarm {
+		if err := w.journal.write(note{Kind: noteOver, Event: c.launch.RequestID}, false); err != nil {
 			w.o.Log.Error("an answer is not noted", "err", err)
 		}
 	}
 	c.reply(a)
 }
 
-// Order has copies loaded.
-func (w *Worker) Order(_ string, o *workerrpc.Order, reply func(*workerrpc.Ordered)) {
+// HandleLoadRequest has copies loaded.
+func (w *Worker) HandleLoadRequest(_ string, o *workerrpc.LoadRequest, reply func(*workerrpc.LoadResult)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.troubles.Hang {
-		reply = func(*workerrpc.Ordered) {}
+		reply = func(*workerrpc.LoadResult) {}
 	}
 	if w.closed || w.draining {
-		reply(&workerrpc.Ordered{Code: workerrpc.NotStarted, Reason: "draining"})
+		reply(&workerrpc.LoadResult{Code: workerrpc.CodeNotStarted, Reason: "draining"})
 		return
 	}
-	_, refused := w.room.Order(w.now(), o.Function, o.Copies)
+	_, refused := w.room.Order(w.now(), o.Function, o.Replicas)
 	if refused != admission.Taken {
-		reply(&workerrpc.Ordered{Code: workerrpc.Missing, Reason: "not here, or too big for this worker"})
+		reply(&workerrpc.LoadResult{Code: workerrpc.CodeNotFound, Reason: "not here, or too big for this worker"})
 		return
 	}
-	w.orders = append(w.orders, &order{o.Function, o.Copies, reply})
+	w.orders = append(w.orders, &order{o.Function, o.Replicas, reply})
 	w.due()
 }
 
@@ -458,9 +458,9 @@
 			continue
 		}
 		if o.Why == admission.NoLoad {
-			w.answer(c, &workerrpc.Answer{Code: workerrpc.Missing, Reason: "load failed"})
+			w.answer(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotFound, Reason: "load failed"})
 		} else {
-			w.answer(c, &workerrpc.Answer{Code: workerrpc.NotStarted, Reason: "its time was up before it could begin"})
+			w.answer(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "its time was up before it could begin"})
 		}
 	}
 	for _, id := range st.Unloads {
@@ -483,9 +483,9 @@
 		n := w.room.Of(o.function)
 		switch {
 		case n.Warm >= o.copies:
-			o.reply(&workerrpc.Ordered{Code: workerrpc.Done, Copies: n.Warm})
+			o.reply(&workerrpc.LoadResult{Code: workerrpc.CodeOK, Replicas: n.Warm})
 		case n.Loading+n.Asked == 0:
-			o.reply(&workerrpc.Ordered{Code: workerrpc.Full, Copies: n.Warm, Reason: "no room, or a load failed"})
+			o.reply(&workerrpc.LoadResult{Code: workerrpc.CodeOverloaded, Replicas: n.Warm, Reason: "no room, or a load failed"})
 		default:
 			kept = append(kept, o)
 		}
@@ -503,11 +503,11 @@
 		w.room.Ended(w.now(), r.Call)
 		w.wake.Reset(0)
 		if c != nil {
-			w.answer(c, &workerrpc.Answer{Code: workerrpc.NotStarted, Reason: "its copy ended"})
+			w.answer(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "its copy ended"})
 		}
 		return
 	}
-	if c.launch.Key == "" {
+	if c.launch.IdempotencyKey == "" {
 		w.run(r, c, l, "")
 		return
 	}
@@ -517,8 +517,8 @@
 // claim asks whether a keyed event is a repeat before it is handed over.
 func (w *Worker) claim(r admission.Run, c *call) {
 	key := keyOf(c.launch)
-	ctx, stop := context.WithTimeout(context.Background(), time.Duration(claimShare*float64(c.launch.Left)))
-	claim, v, body := w.keeper.Claim(ctx, key, c.launch.Window)
+	ctx, stop := context.WithTimeout(context.Background(), time.Duration(claimShare*float64(c.launch.TimeLeft)))
+	claim, v, body := w.keeper.Claim(ctx, key, c.launch.IdempotencyWindow)
 	stop()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -533,37 +533,37 @@
 	w.room.Ended(w.now(), r.Call)
 	switch v {
 	case idempotency.Handled:
-		w.answer(c, &workerrpc.Answer{Code: workerrpc.Done, Repeat: true, Body: body, Reason: "a repeat inside its window"})
+		w.answer(c, &workerrpc.AttemptResult{Code: workerrpc.CodeOK, Deduplicated: true, Body: body, Reason: "a repeat inside its window"})
 	case idempotency.Repeat:
-		w.answer(c, &workerrpc.Answer{Code: workerrpc.Failed, Repeat: true, Reason: "a repeat of one that may have run"})
+		w.answer(c, &workerrpc.AttemptResult{Code: workerrpc.CodeFailed, Deduplicated: true, Reason: "a repeat of one that may have run"})
 	case idempotency.Run:
-		w.answer(c, &workerrpc.Answer{Code: workerrpc.NotStarted, Reason: "its copy ended"})
+		w.answer(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "its copy ended"})
 	default:
-		w.answer(c, &workerrpc.Answer{Code: workerrpc.NotStarted, Reason: "it is not known whether it is a repeat"})
+		w.answer(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "it is not known whether it is a repeat"})
 	}
 	w.due()
 }
 
 // keyOf is a key among those of all tenants and event types.
-func keyOf(l *workerrpc.Launch) string { return l.Type + "\n" + l.Tenant + "\n" + l.Key }
+func keyOf(l *workerrpc.Attempt) string { return l.Type + "\n" + l.Tenant + "\n" + l.IdempotencyKey }
 
 // run hands an event over; the lock is held.
 func (w *Worker) run(r admission.Run, c *call, l *loaded, claim string) {
 	e := c.launch
-	if c.warmth != workerrpc.FoundWarm {
-		if err := w.journal.write(note{Kind: noteRun, Event: e.Event}, false); err != nil {
+	if c.warmth != workerrpc.ReplicaWarm {
+		if err := w.journal.write(note{Kind: noteRun, Event: e.RequestID}, false); err != nil {
 			if claim != "" {
 				w.keeper.Release(keyOf(e), claim)
 			}
 			w.room.Ended(w.now(), r.Call) // not written down as run: it must not run
 			w.wake.Reset(0)
-			w.answer(c, &workerrpc.Answer{Code: workerrpc.NotStarted, Reason: err.Error()})
+			w.answer(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: err.Error()})
 			return
 		}
 	}
 	slow := w.troubles.Slow
 	w.work.Add(1)
-	l.copy.Call(e.Body, e.Left, func(res runner.Result) {
+	l.copy.Call(e.Body, e.TimeLeft, func(res runner.Result) {
 		defer w.work.Done()
 		if slow > 1 {
 			time.Sleep(time.Duration(float64(res.Took) * (slow - 1)))
@@ -576,18 +576,18 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.room.Ended(w.now(), id)
-	a := &workerrpc.Answer{Code: workerrpc.Done, Body: res.Body, Worked: res.Took}
+	a := &workerrpc.AttemptResult{Code: workerrpc.CodeOK, Body: res.Body, CPUTime: res.Took}
 	if res.Err != nil {
-		a.Code, a.Reason = workerrpc.Failed, res.Err.Error()
+		a.Code, a.Reason = workerrpc.CodeFailed, res.Err.Error()
 	}
 	if errors.Is(res.Err, runner.ErrNotBegun) {
-		a.Code = workerrpc.NotStarted
+		a.Code = workerrpc.CodeNotStarted
 	}
 	if claim != "" {
 		switch a.Code {
-		case workerrpc.Done:
+		case workerrpc.CodeOK:
 			w.keeper.Handled(keyOf(c.launch), claim, a.Body)
-		case workerrpc.NotStarted:
+		case workerrpc.CodeNotStarted:
 			w.keeper.Release(keyOf(c.launch), claim)
 		}
 	}
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -116,7 +116,7 @@
 type rig struct {
 	*worker.Worker
 	t       *testing.T
-	peer    *workerrpc.Peer
+	peer    *workerrpc.Client
 	effects string
 	addr    string
 }
@@ -159,17 +159,17 @@
 	return r
 }
 
-func connect(_ context.Context, addr string) *workerrpc.Peer {
-	return workerrpc.NewPeer("front", "w", addr, workerrpc.Limits{Dial: 10 * time.Second, Queue: 30 * time.Second, Stall: 10 * time.Second,
-		Calls: 1000, Bytes: 1 << 24}, func(ctx context.Context, addr string) (net.Conn, error) {
+func connect(_ context.Context, addr string) *workerrpc.Client {
+	return workerrpc.NewClient("front", "w", addr, workerrpc.Limits{DialTimeout: 10 * time.Second, QueueTimeout: 30 * time.Second, WriteTimeout: 10 * time.Second,
+		MaxQueuedCalls: 1000, MaxQueuedBytes: 1 << 24}, func(ctx context.Context, addr string) (net.Conn, error) {
 		var d net.Dialer
 		return d.DialContext(ctx, "tcp", addr)
 	})
 }
 
-func (r *rig) send(l workerrpc.Launch) <-chan workerrpc.Outcome {
+func (r *rig) send(l workerrpc.Attempt) <-chan workerrpc.Outcome {
 	got := make(chan workerrpc.Outcome, 1)
-	r.peer.Launch(l, 60*time.Second, func(o workerrpc.Outcome) { got <- o })
+	r.peer.Send(l, 60*time.Second, func(o workerrpc.Outcome) { got <- o })
 	return got
 }
 
@@ -184,19 +184,19 @@
 }
 
 // wants runs an event and compares its code and a part of the body or reason.
-func (r *rig) wants(function, body string, code workerrpc.Code, part string) *workerrpc.Answer {
+func (r *rig) wants(function, body string, code workerrpc.Code, part string) *workerrpc.AttemptResult {
 	r.t.Helper()
-	o := <-r.send(workerrpc.Launch{Event: body, Function: function, Body: []byte(body)})
-	for o.Answer != nil && o.Answer.Code == workerrpc.NotStarted { // its copy was just ending: a front end goes on elsewhere
-		o = <-r.send(workerrpc.Launch{Event: body, Function: function, Body: []byte(body)})
+	o := <-r.send(workerrpc.Attempt{RequestID: body, Function: function, Body: []byte(body)})
+	for o.AttemptResult != nil && o.AttemptResult.Code == workerrpc.CodeNotStarted { // its copy was just ending: a front end goes on elsewhere
+		o = <-r.send(workerrpc.Attempt{RequestID: body, Function: function, Body: []byte(body)})
 	}
-	if o.Answer == nil {
+	if o.AttemptResult == nil {
 		r.t.Fatalf("%s %q: %+v", function, body, o)
 	}
-	if a := o.Answer; a.Code != code || !strings.Contains(string(a.Body)+a.Reason, part) {
+	if a := o.AttemptResult; a.Code != code || !strings.Contains(string(a.Body)+a.Reason, part) {
 		r.t.Errorf("%s %q: code %d, %.80q %q; want %d, %s", function, body, a.Code, a.Body, a.Reason, code, part)
 	}
-	return o.Answer
+	return o.AttemptResult
 }
 
 // Both kinds run the same program to the same answers; a copy that misbehaves costs its own events only, and the function
@@ -205,25 +205,25 @@
 	r := start(t, nil)
 	for _, kind := range []string{manifest.Process, manifest.Wasm} {
 		model, mis := "preview-"+kind, "misbehave-"+kind
-		a := r.wants(model, `{"features":[1,2,3]}`, workerrpc.Done, `{"score":0.83`)
-		if a.Warmth != workerrpc.BeganLoad {
-			t.Errorf("warmth %d", a.Warmth)
+		a := r.wants(model, `{"features":[1,2,3]}`, workerrpc.CodeOK, `{"score":0.83`)
+		if a.ReplicaState != workerrpc.ReplicaLoadStarted {
+			t.Errorf("warmth %d", a.ReplicaState)
 		}
-		if a = r.wants(model, `{"features":[1,2,3]}`, workerrpc.Done, `{"score":0.83`); a.Warmth != workerrpc.FoundWarm {
+		if a = r.wants(model, `{"features":[1,2,3]}`, workerrpc.CodeOK, `{"score":0.83`); a.ReplicaState != workerrpc.ReplicaWarm {
 			t.Errorf("%+v", a)
 		}
-		r.wants(model, `{"features":[1]}`, workerrpc.Failed, "1 features, the model has 3")
-		r.wants(mis, "echo", workerrpc.Done, "echo")
-		r.wants(mis, "fail", workerrpc.Failed, "told to fail")
-		r.wants(mis, "panic "+kind, workerrpc.Failed, "")
-		r.wants(mis, "exit "+kind, workerrpc.Failed, "")
-		r.wants(mis, "flood "+kind, workerrpc.Failed, "")
-		r.wants(mis, "spin "+kind, workerrpc.Failed, runner.ErrTime.Error())
-		r.wants(mis, "allocate "+kind, workerrpc.Failed, "")
-		r.wants(mis, "echo again", workerrpc.Done, "echo again")
-		r.wants(model, `{"features":[1,2,3]}`, workerrpc.Done, `{"score":0.83`)
-	}
-	r.wants("nobody", "x", workerrpc.Missing, "not here")
+		r.wants(model, `{"features":[1]}`, workerrpc.CodeFailed, "1 features, the model has 3")
+		r.wants(mis, "echo", workerrpc.CodeOK, "echo")
+		r.wants(mis, "fail", workerrpc.CodeFailed, "told to fail")
+		r.wants(mis, "panic "+kind, workerrpc.CodeFailed, "")
+		r.wants(mis, "exit "+kind, workerrpc.CodeFailed, "")
+		r.wants(mis, "flood "+kind, workerrpc.CodeFailed, "")
+		r.wants(mis, "spin "+kind, workerrpc.CodeFailed, runner.ErrTime.Error())
+		r.wants(mis, "allocate "+kind, workerrpc.CodeFailed, "")
+		r.wants(mis, "echo again", workerrpc.CodeOK, "echo again")
+		r.wants(model, `{"features":[1,2,3]}`, workerrpc.CodeOK, `{"score":0.83`)
+	}
+	r.wants("nobody", "x", workerrpc.CodeNotFound, "not here")
 	log, err := os.ReadFile(r.effects)
 	if err != nil {
 		t.Fatal(err)
@@ -259,11 +259,11 @@
 		t.Fatal(err)
 	}
 	r := startAt(t, t.TempDir(), own.Client.Base, nil)
-	a := r.wants("preview-process", "x", workerrpc.Missing, "load failed")
-	if a.Warmth != workerrpc.LoadFailed || !a.Code.NeverRan() {
+	a := r.wants("preview-process", "x", workerrpc.CodeNotFound, "load failed")
+	if a.ReplicaState != workerrpc.ReplicaLoadFailed || !a.Code.NeverRan() {
 		t.Errorf("%+v", a)
 	}
-	r.wants("misbehave-process", "echo", workerrpc.Done, "echo")
+	r.wants("misbehave-process", "echo", workerrpc.CodeOK, "echo")
 }
 
 // A keyed event's repeat inside its window is dropped, also across a restart; outside it runs.
@@ -273,20 +273,20 @@
 	t.Run("first life", func(t *testing.T) {
 		r := startAt(t, folder, base, nil)
 		effects = r.effects
-		send := func(body, key string, window time.Duration) *workerrpc.Answer {
-			o := <-r.send(workerrpc.Launch{Event: body, Function: "misbehave-process", Key: key, Window: window, Body: []byte(body)})
-			return o.Answer
+		send := func(body, key string, window time.Duration) *workerrpc.AttemptResult {
+			o := <-r.send(workerrpc.Attempt{RequestID: body, Function: "misbehave-process", IdempotencyKey: key, IdempotencyWindow: window, Body: []byte(body)})
+			return o.AttemptResult
 		}
-		if a := send("one", "k", time.Minute); a.Repeat || a.Code != workerrpc.Done {
+		if a := send("one", "k", time.Minute); a.Deduplicated || a.Code != workerrpc.CodeOK {
 			t.Errorf("%+v", a)
 		}
-		if a := send("two", "k", time.Minute); !a.Repeat || a.Code != workerrpc.Done || string(a.Body) != "one" {
+		if a := send("two", "k", time.Minute); !a.Deduplicated || a.Code != workerrpc.CodeOK || string(a.Body) != "one" {
 			t.Errorf("%+v", a)
 		}
-		if a := send("exit", "gone", time.Minute); a.Code != workerrpc.Failed {
+		if a := send("exit", "gone", time.Minute); a.Code != workerrpc.CodeFailed {
 			t.Errorf("%+v", a)
 		}
-		if a := send("short", "s", time.Millisecond); a.Repeat || a.Code != workerrpc.Done {
+		if a := send("short", "s", time.Millisecond); a.Deduplicated || a.Code != workerrpc.CodeOK {
 			t.Errorf("%+v", a)
 		}
 		log, err := os.ReadFile(effects)
@@ -295,15 +295,15 @@
 		}
 	})
 	r := startAt(t, folder, base, nil)
-	for key, want := range map[string]workerrpc.Code{"k": workerrpc.Done, "gone": workerrpc.Failed} {
-		o := <-r.send(workerrpc.Launch{Event: "again", Function: "misbehave-process", Key: key, Window: time.Minute, Body: []byte("again")})
-		if !o.Answer.Repeat || o.Answer.Code != want {
-			t.Errorf("%s: %+v", key, o.Answer)
+	for key, want := range map[string]workerrpc.Code{"k": workerrpc.CodeOK, "gone": workerrpc.CodeFailed} {
+		o := <-r.send(workerrpc.Attempt{RequestID: "again", Function: "misbehave-process", IdempotencyKey: key, IdempotencyWindow: time.Minute, Body: []byte("again")})
+		if !o.AttemptResult.Deduplicated || o.AttemptResult.Code != want {
+			t.Errorf("%s: %+v", key, o.AttemptResult)
 		}
 	}
-	o := <-r.send(workerrpc.Launch{Event: "new", Function: "misbehave-process", Key: "s", Window: time.Minute, Body: []byte("new")})
-	if o.Answer.Repeat || o.Answer.Code != workerrpc.Done {
-		t.Errorf("outside its window: %+v", o.Answer)
+	o := <-r.send(workerrpc.Attempt{RequestID: "new", Function: "misbehave-process", IdempotencyKey: "s", IdempotencyWindow: time.Minute, Body: []byte("new")})
+	if o.AttemptResult.Deduplicated || o.AttemptResult.Code != workerrpc.CodeOK {
+		t.Errorf("outside its window: %+v", o.AttemptResult)
 	}
 }
 
@@ -331,22 +331,22 @@
 			t.Errorf("%s: %d %s", text, status, got)
 		}
 	}
-	r.wants("misbehave-process", "echo", workerrpc.Done, "echo")
+	r.wants("misbehave-process", "echo", workerrpc.CodeOK, "echo")
 	if status, got := order(`{"what":"refuse","tenant":"x","for":"300ms"}`); status != 204 {
 		t.Fatal(got)
 	}
-	send := func(tenant string) *workerrpc.Answer {
-		return (<-r.send(workerrpc.Launch{Event: "e", Function: "misbehave-process", Tenant: tenant, Body: []byte("echo")})).Answer
+	send := func(tenant string) *workerrpc.AttemptResult {
+		return (<-r.send(workerrpc.Attempt{RequestID: "e", Function: "misbehave-process", Tenant: tenant, Body: []byte("echo")})).AttemptResult
 	}
-	for end := time.Now().Add(20 * time.Second); send("x").Code != workerrpc.Full; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); send("x").Code != workerrpc.CodeOverloaded; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the tenant was never refused")
 		}
 	}
-	if a := send("y"); a.Code != workerrpc.Done {
+	if a := send("y"); a.Code != workerrpc.CodeOK {
 		t.Errorf("another tenant: %+v", a)
 	}
-	for end := time.Now().Add(20 * time.Second); send("x").Code != workerrpc.Done; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); send("x").Code != workerrpc.CodeOK; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("it was never undone")
 		}
@@ -371,9 +371,9 @@
 		panic(err)
 	}
 	ended := make(chan struct{})
-	w.Launch("front", &workerrpc.Launch{Event: "waits", Function: "misbehave-process", Left: time.Minute, Body: []byte("waits")},
-		func(a *workerrpc.Answer) {
-			if a.Code != workerrpc.Done {
+	w.HandleAttempt("front", &workerrpc.Attempt{RequestID: "waits", Function: "misbehave-process", TimeLeft: time.Minute, Body: []byte("waits")},
+		func(a *workerrpc.AttemptResult) {
+			if a.Code != workerrpc.CodeOK {
 				panic(a.Reason)
 			}
 			close(ended)
@@ -429,13 +429,13 @@
 			ran := strings.Contains(string(log), "effect waits")
 			cut := next.Cut()
 			open := point != worker.PointWarm && point != "after"
-			if open != (len(cut) == 1) || open && (cut[0].Function != "misbehave-process" || len(cut[0].Events) != 1 || cut[0].Events[0].Event != "waits") {
+			if open != (len(cut) == 1) || open && (cut[0].Function != "misbehave-process" || len(cut[0].Requests) != 1 || cut[0].Requests[0].RequestID != "waits") {
 				t.Errorf("%s: told %+v", point, cut)
 			}
 			for _, c := range cut {
-				for _, e := range c.Events {
-					if checked++; ran && !e.MayRun {
-						t.Errorf("%s: %s ran, and is told not to have", point, e.Event)
+				for _, e := range c.Requests {
+					if checked++; ran && !e.MayHaveRun {
+						t.Errorf("%s: %s ran, and is told not to have", point, e.RequestID)
 					}
 				}
 			}
@@ -452,18 +452,18 @@
 	r := start(t, nil)
 	worst, samples := 0.0, 0
 	for _, kind := range []string{manifest.Process, manifest.Wasm} {
-		r.wants("misbehave-"+kind, "hold", workerrpc.Done, "")
+		r.wants("misbehave-"+kind, "hold", workerrpc.CodeOK, "")
 		for range 30 {
-			r.wants("misbehave-"+kind, "echo", workerrpc.Done, "")
+			r.wants("misbehave-"+kind, "echo", workerrpc.CodeOK, "")
 			// a quiet moment: two looks of the worker with the same result around ours
 			for range 50 {
-				before := r.Report().Memory
+				before := r.LoadReport().MemoryBytes
 				real, err := tree(os.Getpid())
 				if err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(25 * time.Millisecond)
-				after := r.Report().Memory
+				after := r.LoadReport().MemoryBytes
 				if low, high := min(before, after), max(before, after); float64(high-low) < 0.02*float64(real) {
 					off := max(float64(real-high), float64(low-real), 0) / float64(real)
 					worst = max(worst, off)
@@ -545,11 +545,11 @@
 		t.Cleanup(g.Close)
 		rigs = append(rigs, start(t, func(o *worker.Options) { o.Group = g }))
 	}
-	send := func(r *rig, body, tenant, key string) *workerrpc.Answer {
-		return (<-r.send(workerrpc.Launch{Event: body, Function: "misbehave-process", Type: "t", Tenant: tenant, Key: key, Window: time.Minute,
-			Body: []byte(body)})).Answer
+	send := func(r *rig, body, tenant, key string) *workerrpc.AttemptResult {
+		return (<-r.send(workerrpc.Attempt{RequestID: body, Function: "misbehave-process", Type: "t", Tenant: tenant, IdempotencyKey: key, IdempotencyWindow: time.Minute,
+			Body: []byte(body)})).AttemptResult
 	}
-	settled := func(r *rig, body, key string, want func(*workerrpc.Answer) bool) {
+	settled := func(r *rig, body, key string, want func(*workerrpc.AttemptResult) bool) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) { // registers hear of ends a little later
 			a := send(r, body, "x", key)
@@ -561,28 +561,30 @@
 			}
 		}
 	}
-	if a := send(rigs[0], "one", "x", "k"); a.Repeat || a.Code != workerrpc.Done {
+	if a := send(rigs[0], "one", "x", "k"); a.Deduplicated || a.Code != workerrpc.CodeOK {
 		t.Errorf("%+v", a)
 	}
-	settled(rigs[1], "two", "k", func(a *workerrpc.Answer) bool { return a.Repeat && a.Code == workerrpc.Done && string(a.Body) == "one" })
-	if a := send(rigs[1], "other tenant", "y", "k"); a.Repeat || a.Code != workerrpc.Done {
+	settled(rigs[1], "two", "k", func(a *workerrpc.AttemptResult) bool {
+		return a.Deduplicated && a.Code == workerrpc.CodeOK && string(a.Body) == "one"
+	})
+	if a := send(rigs[1], "other tenant", "y", "k"); a.Deduplicated || a.Code != workerrpc.CodeOK {
 		t.Errorf("%+v", a)
 	}
-	if a := send(rigs[0], "exit", "x", "gone"); a.Code != workerrpc.Failed {
+	if a := send(rigs[0], "exit", "x", "gone"); a.Code != workerrpc.CodeFailed {
 		t.Errorf("%+v", a)
 	}
-	if a := send(rigs[1], "exit again", "x", "gone"); a.Code != workerrpc.Failed || !a.Repeat {
+	if a := send(rigs[1], "exit again", "x", "gone"); a.Code != workerrpc.CodeFailed || !a.Deduplicated {
 		t.Errorf("%+v", a)
 	}
 	servers[0].Close()
-	if a := send(rigs[1], "three", "x", "k3"); a.Repeat || a.Code != workerrpc.Done {
+	if a := send(rigs[1], "three", "x", "k3"); a.Deduplicated || a.Code != workerrpc.CodeOK {
 		t.Errorf("%+v", a)
 	}
-	settled(rigs[0], "four", "k3", func(a *workerrpc.Answer) bool {
-		return a.Repeat && a.Code == workerrpc.Done && string(a.Body) == "three"
+	settled(rigs[0], "four", "k3", func(a *workerrpc.AttemptResult) bool {
+		return a.Deduplicated && a.Code == workerrpc.CodeOK && string(a.Body) == "three"
 	})
 	servers[1].Close()
-	if a := send(rigs[0], "five", "x", "k5"); a.Code != workerrpc.NotStarted {
+	if a := send(rigs[0], "five", "x", "k5"); a.Code != workerrpc.CodeNotStarted {
 		t.Errorf("%+v", a)
 	}
 	for _, r := range rigs {
@@ -610,9 +612,9 @@
 		t.Fatal(err)
 	}
 	r := startAt(t, t.TempDir(), own.Client.Base, nil)
-	r.wants("misbehave-process", "echo", workerrpc.Done, "echo")
-	busy := r.send(workerrpc.Launch{Event: "b", Function: "misbehave-process", Body: []byte("sleep 700ms")})
-	r.until("it runs", func() bool { return r.Report().Running == 1 })
+	r.wants("misbehave-process", "echo", workerrpc.CodeOK, "echo")
+	busy := r.send(workerrpc.Attempt{RequestID: "b", Function: "misbehave-process", Body: []byte("sleep 700ms")})
+	r.until("it runs", func() bool { return r.LoadReport().Running == 1 })
 	next := t.TempDir()
 	if err := os.CopyFS(next, os.DirFS(filepath.Join(store, "preview-process", "1"))); err != nil {
 		t.Fatal(err)
@@ -631,29 +633,29 @@
 	if err := r.Refresh(t.Context()); err == nil {
 		t.Error("a stopped store answers")
 	}
-	if a := r.wants("misbehave-process", "echo", workerrpc.Done, "echo"); a.Warmth != workerrpc.FoundWarm {
+	if a := r.wants("misbehave-process", "echo", workerrpc.CodeOK, "echo"); a.ReplicaState != workerrpc.ReplicaWarm {
 		t.Errorf("the old version is not warm while the store is stopped: %+v", a)
 	}
 	r.until("the new version is here", func() bool {
 		if err := r.Refresh(t.Context()); err != nil {
 			return false
 		}
-		o := <-r.send(workerrpc.Launch{Event: "p", Function: "misbehave-process", Body: []byte(`{"features":[1,2,3]}`)})
-		return o.Answer != nil && strings.Contains(string(o.Answer.Body), "score")
+		o := <-r.send(workerrpc.Attempt{RequestID: "p", Function: "misbehave-process", Body: []byte(`{"features":[1,2,3]}`)})
+		return o.AttemptResult != nil && strings.Contains(string(o.AttemptResult.Body), "score")
 	})
-	if o := <-busy; o.Answer == nil || o.Answer.Code != workerrpc.Done {
-		t.Errorf("what ran on the old version: %+v", o.Answer)
+	if o := <-busy; o.AttemptResult == nil || o.AttemptResult.Code != workerrpc.CodeOK {
+		t.Errorf("what ran on the old version: %+v", o.AttemptResult)
 	}
 	ordered := make(chan workerrpc.Outcome, 3)
 	for _, n := range []int{2, 0, 1} {
-		r.peer.Order(workerrpc.Order{Function: "preview-process", Copies: n}, func(o workerrpc.Outcome) { ordered <- o })
+		r.peer.Load(workerrpc.LoadRequest{Function: "preview-process", Replicas: n}, func(o workerrpc.Outcome) { ordered <- o })
 	}
 	for range 3 {
-		if o := <-ordered; o.Ordered == nil {
+		if o := <-ordered; o.LoadResult == nil {
 			t.Errorf("an order has no answer: %v", o.Err)
 		}
 	}
-	r.wants("preview-process", `{"features":[1,2,3]}`, workerrpc.Done, "score")
+	r.wants("preview-process", `{"features":[1,2,3]}`, workerrpc.CodeOK, "score")
 }
 
 // With memory for one copy and that one busy, an event of another function waits for it to be idle; more memory than there
@@ -663,22 +665,22 @@
 	r := start(t, func(o *worker.Options) { o.Limits.Memory, o.Limits.Loads = 100<<20, 2 })
 	var all []<-chan workerrpc.Outcome
 	for range 2 {
-		all = append(all, r.send(workerrpc.Launch{Event: "s", Function: "misbehave-process", Body: []byte("sleep 300ms")}))
+		all = append(all, r.send(workerrpc.Attempt{RequestID: "s", Function: "misbehave-process", Body: []byte("sleep 300ms")}))
 	}
-	r.until("both run", func() bool { return r.Report().Running == 2 })
+	r.until("both run", func() bool { return r.LoadReport().Running == 2 })
 	if n := len(r.Loads()); n != 1 {
 		t.Errorf("%d loads for two events that came together", n)
 	}
-	all = append(all, r.send(workerrpc.Launch{Event: "p", Function: "preview-process", Body: []byte(`{"features":[1,2,3]}`)}))
+	all = append(all, r.send(workerrpc.Attempt{RequestID: "p", Function: "preview-process", Body: []byte(`{"features":[1,2,3]}`)}))
 	for i, c := range all {
-		if o := <-c; o.Answer == nil || o.Answer.Code != workerrpc.Done {
-			t.Errorf("event %d: %+v", i, o.Answer)
+		if o := <-c; o.AttemptResult == nil || o.AttemptResult.Code != workerrpc.CodeOK {
+			t.Errorf("event %d: %+v", i, o.AttemptResult)
 		}
 	}
 	if n := len(r.Loads()); n != 2 {
 		t.Errorf("%d loads, want 2", n)
 	}
-	r.wants("preview-wasm", "x", workerrpc.Missing, "more memory than this worker has")
+	r.wants("preview-wasm", "x", workerrpc.CodeNotFound, "more memory than this worker has")
 }
 
 // A worker whose system's clock was a day off, and was set right between two lives, holds a key as long as its window is,
@@ -690,10 +692,10 @@
 		var first time.Time
 		t.Run("first life", func(t *testing.T) {
 			r := startAt(t, folder, base, nil)
-			r.wants("misbehave-process", "echo", workerrpc.Done, "echo")
+			r.wants("misbehave-process", "echo", workerrpc.CodeOK, "echo")
 			first = time.Now()
-			o := <-r.send(workerrpc.Launch{Event: "a", Function: "misbehave-process", Key: "k", Window: window, Body: []byte("a")})
-			if o.Answer == nil || o.Answer.Code != workerrpc.Done {
+			o := <-r.send(workerrpc.Attempt{RequestID: "a", Function: "misbehave-process", IdempotencyKey: "k", IdempotencyWindow: window, Body: []byte("a")})
+			if o.AttemptResult == nil || o.AttemptResult.Code != workerrpc.CodeOK {
 				t.Fatalf("%+v", o)
 			}
 		})
@@ -701,8 +703,8 @@
 		r := startAt(t, folder, base, nil)
 		for {
 			asked := time.Now()
-			a := (<-r.send(workerrpc.Launch{Event: "b", Function: "misbehave-process", Key: "k", Window: window, Body: []byte("b")})).Answer
-			if !a.Repeat {
+			a := (<-r.send(workerrpc.Attempt{RequestID: "b", Function: "misbehave-process", IdempotencyKey: "k", IdempotencyWindow: window, Body: []byte("b")})).AttemptResult
+			if !a.Deduplicated {
 				if since := time.Since(first); since < window {
 					t.Errorf("off by %v: a repeat ran %v after the first, inside its window", off, since)
 				}
@@ -721,13 +723,13 @@
 	folder := t.TempDir()
 	t.Run("first life", func(t *testing.T) {
 		r := startAt(t, folder, base, func(o *worker.Options) { o.MostLog = 100 })
-		if c := r.Report().Cold; c != 1 {
+		if c := r.LoadReport().ColdStartRate; c != 1 {
 			t.Errorf("cold %v before its first event", c)
 		}
 		for range 40 {
-			r.wants("misbehave-process", "echo", workerrpc.Done, "echo")
+			r.wants("misbehave-process", "echo", workerrpc.CodeOK, "echo")
 		}
-		if c := r.Report().Cold; c != 0 {
+		if c := r.LoadReport().ColdStartRate; c != 0 {
 			t.Errorf("cold %v after 40 events", c)
 		}
 		r.until("the log is moved aside", func() bool {
@@ -738,13 +740,13 @@
 	r := startAt(t, folder, base, nil)
 	var told time.Duration
 	greeted := make(chan struct{})
-	p := workerrpc.NewPeer("second", "w", r.addr, workerrpc.Limits{Dial: 10 * time.Second, Queue: 30 * time.Second, Stall: 10 * time.Second, Calls: 10,
-		Bytes: 1 << 20}, func(ctx context.Context, addr string) (net.Conn, error) {
+	p := workerrpc.NewClient("second", "w", r.addr, workerrpc.Limits{DialTimeout: 10 * time.Second, QueueTimeout: 30 * time.Second, WriteTimeout: 10 * time.Second, MaxQueuedCalls: 10,
+		MaxQueuedBytes: 1 << 20}, func(ctx context.Context, addr string) (net.Conn, error) {
 		var d net.Dialer
 		return d.DialContext(ctx, "tcp", addr)
 	})
-	p.Greeted = func(h *workerrpc.Hello) {
-		told = h.WarmUp
+	p.OnHandshake = func(h *workerrpc.Handshake) {
+		told = h.WarmUpTime
 		close(greeted)
 	}
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/workerrpc/golden_test.go
+++ b/internal/workerrpc/golden_test.go
@@ -43,8 +43,8 @@
 // started is a time with nanoseconds, in a zone other than UTC.
 var started = time.Date(2021, 3, 4, 5, 6, 7, 89, time.FixedZone("", 2*60*60))
 
-func fullReport() *workerrpc.Report {
-	return &workerrpc.Report{Waiting: 41, Running: 42, Busy: 0.4375, Memory: 1 << 33, Cold: 0.1}
+func fullReport() *workerrpc.LoadReport {
+	return &workerrpc.LoadReport{QueueDepth: 41, Running: 42, CPUUtilization: 0.4375, MemoryBytes: 1 << 33, ColdStartRate: 0.1}
 }
 
 // goldenFrame is a message, its kind on the wire and the name of the file with its bytes.
@@ -57,30 +57,30 @@
 // goldenFrames are messages of every kind: with every field set to a distinct value, and with all fields zero.
 func goldenFrames() []goldenFrame {
 	return []goldenFrame{
-		{"hello-full", 1, &workerrpc.Hello{Version: 1, Name: "w-1", Started: started, Launches: 64, MaxFrame: 16777216,
-			Cut: []workerrpc.CutLoad{
-				{Function: "resize", Version: "v7", Events: []workerrpc.CutEvent{{Event: "e-1", MayRun: true}, {Event: "e-2"}}},
+		{"hello-full", 1, &workerrpc.Handshake{Version: 1, Name: "w-1", Started: started, MaxAttempts: 64, MaxFrame: 16777216,
+			InterruptedLoads: []workerrpc.InterruptedLoad{
+				{Function: "resize", Version: "v7", Requests: []workerrpc.InterruptedRequest{{RequestID: "e-1", MayHaveRun: true}, {RequestID: "e-2"}}},
 				{Function: "thumb", Version: "v8"}},
-			WarmUp: 1234567890 * time.Nanosecond}},
-		{"hello-empty", 1, &workerrpc.Hello{}},
-		{"launch-full", 2, &workerrpc.Launch{Seq: 11, Event: "e-12", Number: 13, Function: "f-14", Type: "t-15", Tenant: "n-16",
-			Key: "k-17", Window: 18 * time.Second, Left: 19 * time.Millisecond, Client: "c-20", Body: []byte{0, 21, 255}}},
-		{"launch-empty", 2, &workerrpc.Launch{}},
-		{"answer-full", 3, &workerrpc.Answer{Seq: 31, Event: "e-32", Code: workerrpc.Withdrawn, Warmth: workerrpc.LoadFailed, Company: 35,
-			Worked: 36 * time.Microsecond, Report: fullReport(), Repeat: true, Reason: "r-39", Body: []byte("b-40")}},
-		{"answer-empty", 3, &workerrpc.Answer{}},
+			WarmUpTime: 1234567890 * time.Nanosecond}},
+		{"hello-empty", 1, &workerrpc.Handshake{}},
+		{"launch-full", 2, &workerrpc.Attempt{Seq: 11, RequestID: "e-12", Number: 13, Function: "f-14", Type: "t-15", Tenant: "n-16",
+			IdempotencyKey: "k-17", IdempotencyWindow: 18 * time.Second, TimeLeft: 19 * time.Millisecond, ClientRequestID: "c-20", Body: []byte{0, 21, 255}}},
+		{"launch-empty", 2, &workerrpc.Attempt{}},
+		{"answer-full", 3, &workerrpc.AttemptResult{Seq: 31, RequestID: "e-32", Code: workerrpc.CodeCancelled, ReplicaState: workerrpc.ReplicaLoadFailed, ConcurrentRequests: 35,
+			CPUTime: 36 * time.Microsecond, Report: fullReport(), Deduplicated: true, Reason: "r-39", Body: []byte("b-40")}},
+		{"answer-empty", 3, &workerrpc.AttemptResult{}},
 		{"cancel-full", 4, &workerrpc.Cancel{Seq: 1 << 40}},
 		{"cancel-empty", 4, &workerrpc.Cancel{}},
-		{"order-full", 5, &workerrpc.Order{Seq: 51, Function: "f-52", Copies: 53}},
-		{"order-empty", 5, &workerrpc.Order{}},
-		{"ordered-full", 6, &workerrpc.Ordered{Seq: 61, Code: workerrpc.Missing, Copies: 63, Reason: "r-64"}},
-		{"ordered-empty", 6, &workerrpc.Ordered{}},
+		{"order-full", 5, &workerrpc.LoadRequest{Seq: 51, Function: "f-52", Replicas: 53}},
+		{"order-empty", 5, &workerrpc.LoadRequest{}},
+		{"ordered-full", 6, &workerrpc.LoadResult{Seq: 61, Code: workerrpc.CodeNotFound, Replicas: 63, Reason: "r-64"}},
+		{"ordered-empty", 6, &workerrpc.LoadResult{}},
 		{"probe-full", 7, &workerrpc.Probe{Seq: 71}},
 		{"probe-empty", 7, &workerrpc.Probe{}},
-		{"echo-full", 8, &workerrpc.Echo{Seq: 81, Report: fullReport()}},
-		{"echo-empty", 8, &workerrpc.Echo{}},
-		{"goodbye-full", 9, &workerrpc.Goodbye{Reason: "r-91"}},
-		{"goodbye-empty", 9, &workerrpc.Goodbye{}},
+		{"echo-full", 8, &workerrpc.ProbeReply{Seq: 81, Report: fullReport()}},
+		{"echo-empty", 8, &workerrpc.ProbeReply{}},
+		{"goodbye-full", 9, &workerrpc.DrainNotice{Reason: "r-91"}},
+		{"goodbye-empty", 9, &workerrpc.DrainNotice{}},
 	}
 }
 
@@ -88,7 +88,7 @@
 func TestGoldenFrames(t *testing.T) {
 	for _, f := range goldenFrames() {
 		t.Run(f.name, func(t *testing.T) {
-			got, err := workerrpc.Append(nil, f.body)
+			got, err := workerrpc.AppendFrame(nil, f.body)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -97,12 +97,12 @@
 			if len(want) < 6 || int(binary.BigEndian.Uint32(want)) != len(want)-4 || want[4] != f.kind {
 				t.Fatalf("file %s: header %x does not tell its length %d and kind %d", f.name, want, len(want)-4, f.kind)
 			}
-			back, err := workerrpc.NewReader(bytes.NewReader(want), len(want)-4).Next()
+			back, err := workerrpc.NewFrameReader(bytes.NewReader(want), len(want)-4).Next()
 			if err != nil {
 				t.Fatal(err)
 			}
-			if h, is := back.(*workerrpc.Hello); is {
-				if exp := f.body.(*workerrpc.Hello); !h.Started.Equal(exp.Started) {
+			if h, is := back.(*workerrpc.Handshake); is {
+				if exp := f.body.(*workerrpc.Handshake); !h.Started.Equal(exp.Started) {
 					t.Errorf("%s: started got %v, want %v", f.name, h.Started, exp.Started)
 				} else {
 					h.Started = exp.Started // the same moment, perhaps of another zone
@@ -117,7 +117,7 @@
 
 // TestGoldenCodes: the numbers of the codes, of the warmth and of the kinds, and which codes say that the launch never ran.
 func TestGoldenCodes(t *testing.T) {
-	for i, c := range []workerrpc.Code{workerrpc.Done, workerrpc.Failed, workerrpc.Full, workerrpc.Missing, workerrpc.NotStarted, workerrpc.Withdrawn} {
+	for i, c := range []workerrpc.Code{workerrpc.CodeOK, workerrpc.CodeFailed, workerrpc.CodeOverloaded, workerrpc.CodeNotFound, workerrpc.CodeNotStarted, workerrpc.CodeCancelled} {
 		if int(c) != i {
 			t.Errorf("code: got %d, want %d", c, i)
 		}
@@ -125,19 +125,19 @@
 			t.Errorf("code %d: never ran got %v, want %v", i, got, want)
 		}
 	}
-	for i, w := range []workerrpc.Warmth{workerrpc.Untold, workerrpc.FoundWarm, workerrpc.BeganLoad, workerrpc.AwaitedLoad, workerrpc.LoadFailed} {
+	for i, w := range []workerrpc.ReplicaState{workerrpc.ReplicaStateUnknown, workerrpc.ReplicaWarm, workerrpc.ReplicaLoadStarted, workerrpc.ReplicaLoadAwaited, workerrpc.ReplicaLoadFailed} {
 		if int(w) != i {
 			t.Errorf("warmth: got %d, want %d", w, i)
 		}
 	}
-	for i, k := range []workerrpc.Kind{workerrpc.KindHello, workerrpc.KindLaunch, workerrpc.KindAnswer, workerrpc.KindCancel, workerrpc.KindOrder,
-		workerrpc.KindOrdered, workerrpc.KindProbe, workerrpc.KindEcho, workerrpc.KindGoodbye} {
+	for i, k := range []workerrpc.Kind{workerrpc.KindHandshake, workerrpc.KindAttempt, workerrpc.KindAttemptResult, workerrpc.KindCancel, workerrpc.KindLoadRequest,
+		workerrpc.KindLoadResult, workerrpc.KindProbe, workerrpc.KindProbeReply, workerrpc.KindDrainNotice} {
 		if int(k) != i+1 {
 			t.Errorf("kind: got %d, want %d", k, i+1)
 		}
 	}
-	if workerrpc.Version != 1 || workerrpc.MaxFrame != 16777216 {
-		t.Errorf("version, longest frame: got %d, %d, want 1, 16777216", workerrpc.Version, workerrpc.MaxFrame)
+	if workerrpc.ProtocolVersion != 1 || workerrpc.MaxFrame != 16777216 {
+		t.Errorf("version, longest frame: got %d, %d, want 1, 16777216", workerrpc.ProtocolVersion, workerrpc.MaxFrame)
 	}
 }
 
@@ -158,7 +158,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if body, err := workerrpc.NewReader(bytes.NewReader(raw), workerrpc.MaxFrame).Next(); !errors.Is(err, workerrpc.ErrProtocol) {
+		if body, err := workerrpc.NewFrameReader(bytes.NewReader(raw), workerrpc.MaxFrame).Next(); !errors.Is(err, workerrpc.ErrProtocol) {
 			t.Errorf("%s (%s): got %+v, %v, want %v", name, text, body, err, workerrpc.ErrProtocol)
 		}
 	}
@@ -166,7 +166,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	body, err := workerrpc.NewReader(bytes.NewReader(raw), workerrpc.MaxFrame).Next()
+	body, err := workerrpc.NewFrameReader(bytes.NewReader(raw), workerrpc.MaxFrame).Next()
 	if want := (&workerrpc.Cancel{Seq: 7}); err != nil || !reflect.DeepEqual(body, want) {
 		t.Errorf("unknown field: got %+v, %v, want %+v", body, err, want)
 	}
@@ -196,21 +196,23 @@
 // goldenHandler is a handler that answers a keyed launch at once and any other when it is cancelled.
 type goldenHandler struct{ got chan any }
 
-func (h goldenHandler) Launch(front string, l *workerrpc.Launch, reply func(*workerrpc.Answer)) func() {
+func (h goldenHandler) HandleAttempt(front string, l *workerrpc.Attempt, reply func(*workerrpc.AttemptResult)) func() {
 	h.got <- l
-	if l.Key == "" {
-		return func() { reply(&workerrpc.Answer{Code: workerrpc.NotStarted, Reason: "cancelled by " + front}) }
+	if l.IdempotencyKey == "" {
+		return func() {
+			reply(&workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "cancelled by " + front})
+		}
 	}
-	reply(&workerrpc.Answer{Seq: 1, Event: "other", Code: workerrpc.Done, Body: []byte("ok")}) // the server sets seq and event
+	reply(&workerrpc.AttemptResult{Seq: 1, RequestID: "other", Code: workerrpc.CodeOK, Body: []byte("ok")}) // the server sets seq and event
 	return nil
 }
 
-func (h goldenHandler) Order(_ string, o *workerrpc.Order, reply func(*workerrpc.Ordered)) {
+func (h goldenHandler) HandleLoadRequest(_ string, o *workerrpc.LoadRequest, reply func(*workerrpc.LoadResult)) {
 	h.got <- o
-	reply(&workerrpc.Ordered{Seq: 9, Copies: o.Copies})
+	reply(&workerrpc.LoadResult{Seq: 9, Replicas: o.Replicas})
 }
 
-func (h goldenHandler) Report() *workerrpc.Report { return fullReport() }
+func (h goldenHandler) LoadReport() *workerrpc.LoadReport { return fullReport() }
 
 // TestGoldenServer: a worker's bytes on a connection, for each message that a front end sends.
 func TestGoldenServer(t *testing.T) {
@@ -220,7 +222,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	h := goldenHandler{got: make(chan any, 4)}
-	s := &workerrpc.Server{Hello: workerrpc.Hello{Name: "w-1", Started: started, Launches: 8, WarmUp: 5}, Handler: h}
+	s := &workerrpc.Server{Handshake: workerrpc.Handshake{Name: "w-1", Started: started, MaxAttempts: 8, WarmUpTime: 5}, Handler: h}
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve(ctx, listener) }()
 	defer func() {
@@ -255,9 +257,9 @@
 	echo := golden(t, "echo-full") // of call 81; the probe is call 71
 	echo[bytes.Index(echo, []byte{0x18, 81})+1] = 71
 	expect(t, conn, "server-echo", echo)
-	s.Goodbye("r-91")
+	s.NotifyDraining("r-91")
 	expect(t, conn, "server-goodbye", golden(t, "goodbye-full"))
-	for i, want := range []any{goldenFrames()[2].body, goldenFrames()[3].body, &workerrpc.Order{Seq: 51, Function: "f-52", Copies: 53}} {
+	for i, want := range []any{goldenFrames()[2].body, goldenFrames()[3].body, &workerrpc.LoadRequest{Seq: 51, Function: "f-52", Replicas: 53}} {
 		if got := <-h.got; !reflect.DeepEqual(got, want) {
 			t.Errorf("handler's call %d:\n got %+v\nwant %+v", i, got, want)
 		}
@@ -268,8 +270,8 @@
 	}
 }
 
-// told is what a call of a peer ended with.
-func told(t *testing.T, c chan workerrpc.Outcome) workerrpc.Outcome {
+// receiveOutcome is what a call of a peer ended with.
+func receiveOutcome(t *testing.T, c chan workerrpc.Outcome) workerrpc.Outcome {
 	t.Helper()
 	select {
 	case o := <-c:
@@ -280,17 +282,17 @@
 	}
 }
 
-// TestGoldenPeer: a front end's bytes on a connection. The time left of a launch depends on the clock, so that one launch
+// TestGoldenClient: a front end's bytes on a connection. The time left of a launch depends on the clock, so that one launch
 // has a time that is up (0 on the wire).
-func TestGoldenPeer(t *testing.T) {
+func TestGoldenClient(t *testing.T) {
 	here, there := net.Pipe()
 	if err := there.SetDeadline(time.Now().Add(deadline)); err != nil {
 		t.Fatal(err)
 	}
-	p := workerrpc.NewPeer("front-1", "w-1", "addr", workerrpc.Limits{Dial: deadline, Queue: deadline, Stall: deadline, Calls: 8, Bytes: 1 << 20},
+	p := workerrpc.NewClient("front-1", "w-1", "addr", workerrpc.Limits{DialTimeout: deadline, QueueTimeout: deadline, WriteTimeout: deadline, MaxQueuedCalls: 8, MaxQueuedBytes: 1 << 20},
 		func(context.Context, string) (net.Conn, error) { return here, nil })
-	greeted := make(chan *workerrpc.Hello, 1)
-	p.Greeted = func(h *workerrpc.Hello) { greeted <- h }
+	greeted := make(chan *workerrpc.Handshake, 1)
+	p.OnHandshake = func(h *workerrpc.Handshake) { greeted <- h }
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- p.Run(ctx) }()
@@ -311,35 +313,35 @@
 	echo = bytes.Replace(echo, []byte{0x18, 81}, []byte{1}, 1)
 	echo[3]--
 	send(t, there, echo)
-	if o, want := told(t, outcomes), (&workerrpc.Echo{Seq: 1, Report: fullReport()}); o.Fate != workerrpc.Answered || !reflect.DeepEqual(o.Echo, want) {
+	if o, want := receiveOutcome(t, outcomes), (&workerrpc.ProbeReply{Seq: 1, Report: fullReport()}); o.Status != workerrpc.StatusAnswered || !reflect.DeepEqual(o.ProbeReply, want) {
 		t.Errorf("probe: got %+v, want answered, %+v", o, want)
 	}
-	if h := <-greeted; h.Name != "w-1" || h.Launches != 64 || !h.Started.Equal(started) || len(h.Cut) != 2 {
+	if h := <-greeted; h.Name != "w-1" || h.MaxAttempts != 64 || !h.Started.Equal(started) || len(h.InterruptedLoads) != 2 {
 		t.Errorf("hello: got %+v, want that of hello-full", h)
 	}
 
-	p.Order(workerrpc.Order{Seq: 99, Function: "f-52", Copies: 53}, done)
+	p.Load(workerrpc.LoadRequest{Seq: 99, Function: "f-52", Replicas: 53}, done)
 	expect(t, there, "peer-order", golden(t, "peer-order"))
 	send(t, there, []byte{0, 0, 0, 8, 6, 0xa3, 1, 2, 2, 3, 3, 4})
-	if o, want := told(t, outcomes), (&workerrpc.Ordered{Seq: 2, Code: workerrpc.Missing, Copies: 4}); o.Fate != workerrpc.Answered || !reflect.DeepEqual(o.Ordered, want) {
+	if o, want := receiveOutcome(t, outcomes), (&workerrpc.LoadResult{Seq: 2, Code: workerrpc.CodeNotFound, Replicas: 4}); o.Status != workerrpc.StatusAnswered || !reflect.DeepEqual(o.LoadResult, want) {
 		t.Errorf("order: got %+v, want answered, %+v", o, want)
 	}
 
-	full := *goldenFrames()[2].body.(*workerrpc.Launch)
-	p.Launch(full, 0, done)
+	full := *goldenFrames()[2].body.(*workerrpc.Attempt)
+	p.Send(full, 0, done)
 	expect(t, there, "peer-launch", golden(t, "peer-launch"))
 	send(t, there, []byte{0, 0, 0, 12, 3, 0xa3, 1, 3, 2, 0x64, 'e', '-', '1', '2', 3, 2})
-	if o, want := told(t, outcomes), (&workerrpc.Answer{Seq: 3, Event: "e-12", Code: workerrpc.Full}); !o.NeverRan() || !reflect.DeepEqual(o.Answer, want) {
+	if o, want := receiveOutcome(t, outcomes), (&workerrpc.AttemptResult{Seq: 3, RequestID: "e-12", Code: workerrpc.CodeOverloaded}); !o.NeverRan() || !reflect.DeepEqual(o.AttemptResult, want) {
 		t.Errorf("launch: got %+v, want never ran, %+v", o, want)
 	}
 
-	c := p.Launch(workerrpc.Launch{Event: "e-2"}, 0, done)
+	c := p.Send(workerrpc.Attempt{RequestID: "e-2"}, 0, done)
 	expect(t, there, "peer-launch-short", golden(t, "peer-launch-short"))
-	c.Recall(true)
+	c.Cancel(true)
 	expect(t, there, "peer-cancel", []byte{0, 0, 0, 4, 4, 0xa1, 1, 4})
-	if o := told(t, outcomes); o.Fate != workerrpc.Recalled || o.NeverRan() {
+	if o := receiveOutcome(t, outcomes); o.Status != workerrpc.StatusCancelled || o.NeverRan() {
 		t.Errorf("recalled launch: got %+v, want recalled, may have run", o)
 	}
-	p.Goodbye()
+	p.NotifyDraining()
 	expect(t, there, "peer-goodbye", golden(t, "peer-goodbye"))
 }
--- a/internal/workerrpc/server.go
+++ b/internal/workerrpc/server.go
@@ -15,32 +15,32 @@
 // Handler is what a worker does with calls. Its methods return at once; reply may be called later by any goroutine, and
 // counts the first time only. A reply to a connection that is gone is lost: the front end knows it as broken.
 type Handler interface {
-	Launch(front string, l *Launch, reply func(*Answer)) (cancel func())
-	Order(front string, o *Order, reply func(*Ordered))
-	Report() *Report
+	HandleAttempt(front string, l *Attempt, reply func(*AttemptResult)) (cancel func())
+	HandleLoadRequest(front string, o *LoadRequest, reply func(*LoadResult))
+	LoadReport() *LoadReport
 }
 
 // Server is a worker's side of the protocol.
 type Server struct {
-	Hello       Hello
-	Handler     Handler
-	Stall       time.Duration // a write that takes longer ends the connection; 0: 5 s
-	Connections int           // most connections; more are closed at once; 0: 1024
-	Broken      func(error)   // told why a connection ended, if not in order; may be nil
+	Handshake         Handshake
+	Handler           Handler
+	WriteTimeout      time.Duration // a write that takes longer ends the connection; 0: 5 s
+	MaxConnections    int           // most connections; more are closed at once; 0: 1024
+	OnConnectionError func(error)   // told why a connection ended, if not in order; may be nil
 
 	mu    sync.Mutex
 	conns map[*serverConn]struct{}
 }
 
 type serverConn struct {
-	server *Server
-	conn   net.Conn
-	front  string
-	mu     sync.Mutex
-	kick   chan struct{}
-	out    [][]byte
-	calls  map[uint64]func() // launches not answered: how to cancel them
-	orders int
+	server       *Server
+	conn         net.Conn
+	gateway      string
+	mu           sync.Mutex
+	wakeup       chan struct{}
+	outQueue     [][]byte
+	cancels      map[uint64]func() // launches not answered: how to cancel them
+	loadRequests int
 }
 
 // Serve takes connections until ctx ends or the listener fails. It closes the listener and leaves no goroutine.
@@ -68,9 +68,9 @@
 				}
 				return fmt.Errorf("accept: %w", err)
 			}
-			c := &serverConn{server: s, conn: conn, kick: make(chan struct{}, 1), calls: map[uint64]func(){}}
+			c := &serverConn{server: s, conn: conn, wakeup: make(chan struct{}, 1), cancels: map[uint64]func(){}}
 			s.mu.Lock()
-			limit := s.Connections
+			limit := s.MaxConnections
 			if limit == 0 {
 				limit = 1024
 			}
@@ -88,8 +88,8 @@
 				s.mu.Lock()
 				delete(s.conns, c)
 				s.mu.Unlock()
-				if s.Broken != nil && err != nil && ctx.Err() == nil {
-					s.Broken(err)
+				if s.OnConnectionError != nil && err != nil && ctx.Err() == nil {
+					s.OnConnectionError(err)
 				}
 				return nil
 			})
@@ -98,8 +98,8 @@
 	return g.Wait()
 }
 
-// Reset breaks all connections.
-func (s *Server) Reset() {
+// CloseConnections breaks all connections.
+func (s *Server) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -107,12 +107,12 @@
 	}
 }
 
-// Goodbye says on all connections that nothing new is started here.
-func (s *Server) Goodbye(reason string) {
+// NotifyDraining says on all connections that nothing new is started here.
+func (s *Server) NotifyDraining(reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.send(&Goodbye{Reason: reason})
+		c.send(&DrainNotice{Reason: reason})
 	}
 }
 
@@ -123,17 +123,17 @@
 		return c.conn.Close()
 	})
 	g.Go(func() error {
-		err := c.read()
+		err := c.readLoop()
 		if err == nil {
 			err = io.EOF // ends the group
 		}
 		return err
 	})
-	g.Go(func() error { return c.write(ctx) })
+	g.Go(func() error { return c.writeLoop(ctx) })
 	err := g.Wait()
 	c.mu.Lock()
-	cancels := c.calls
-	c.calls = nil
+	cancels := c.cancels
+	c.cancels = nil
 	c.mu.Unlock()
 	for _, cancel := range cancels {
 		if cancel != nil {
@@ -147,40 +147,40 @@
 }
 
 func (c *serverConn) send(body any) {
-	frame, err := Append(nil, body)
-	if a, is := body.(*Answer); is && err != nil { // the answer is too long for a frame
-		frame, err = Append(nil, &Answer{Seq: a.Seq, Event: a.Event, Code: Failed, Worked: a.Worked, Report: a.Report,
+	frame, err := AppendFrame(nil, body)
+	if a, is := body.(*AttemptResult); is && err != nil { // the answer is too long for a frame
+		frame, err = AppendFrame(nil, &AttemptResult{Seq: a.Seq, RequestID: a.RequestID, Code: CodeFailed, CPUTime: a.CPUTime, Report: a.Report,
 			Reason: err.Error()})
 	}
 	if err != nil {
 		return
 	}
 	c.mu.Lock()
-	if c.calls != nil {
-		c.out = append(c.out, frame)
+	if c.cancels != nil {
+		c.outQueue = append(c.outQueue, frame)
 	}
 	c.mu.Unlock()
 	select {
-	case c.kick <- struct{}{}:
+	case c.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-func (c *serverConn) write(ctx context.Context) error {
-	stall := c.server.Stall
+func (c *serverConn) writeLoop(ctx context.Context) error {
+	stall := c.server.WriteTimeout
 	if stall == 0 {
 		stall = 5 * time.Second
 	}
 	for {
 		c.mu.Lock()
-		out := c.out
-		c.out = nil
+		out := c.outQueue
+		c.outQueue = nil
 		c.mu.Unlock()
 		if len(out) == 0 {
 			select {
 			case <-ctx.Done():
 				return nil
-			case <-c.kick:
+			case <-c.wakeup:
 			}
 			continue
 		}
@@ -189,115 +189,115 @@
 				return err
 			}
 			if _, err := c.conn.Write(frame); err != nil {
-				return fmt.Errorf("write to %s: %w", c.front, err)
+				return fmt.Errorf("write to %s: %w", c.gateway, err)
 			}
 		}
 	}
 }
 
-// waiting is the number of frames that the front end has not read.
-func (c *serverConn) waiting() int {
+// queuedFrames is the number of frames that the front end has not read.
+func (c *serverConn) queuedFrames() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.out)
+	return len(c.outQueue)
 }
 
-func (c *serverConn) read() error {
+func (c *serverConn) readLoop() error {
 	if err := c.conn.SetReadDeadline(time.Now().Add(5 * time.Second)); err != nil {
 		return err
 	}
-	r := NewReader(c.conn, MaxFrame)
+	r := NewFrameReader(c.conn, MaxFrame)
 	body, err := r.Next()
 	if err != nil {
 		return err
 	}
-	hello, is := body.(*Hello)
+	hello, is := body.(*Handshake)
 	if !is {
 		return fmt.Errorf("%w: %T instead of hello", ErrProtocol, body)
 	}
 	if err := c.conn.SetReadDeadline(time.Time{}); err != nil {
 		return err
 	}
-	c.front = hello.Name
-	mine := c.server.Hello
-	mine.Version, mine.MaxFrame = Version, MaxFrame
+	c.gateway = hello.Name
+	mine := c.server.Handshake
+	mine.Version, mine.MaxFrame = ProtocolVersion, MaxFrame
 	c.send(&mine)
-	if hello.Version != Version {
+	if hello.Version != ProtocolVersion {
 		return fmt.Errorf("%w: %q speaks version %d", ErrProtocol, hello.Name, hello.Version)
 	}
-	most := max(1, mine.Launches)
+	most := max(1, mine.MaxAttempts)
 	for {
 		body, err := r.Next()
 		if err != nil {
 			return err
 		}
-		if c.waiting() > most+256 {
-			return fmt.Errorf("%w: %s does not read its answers", ErrProtocol, c.front)
+		if c.queuedFrames() > most+256 {
+			return fmt.Errorf("%w: %s does not read its answers", ErrProtocol, c.gateway)
 		}
 		switch b := body.(type) {
-		case *Launch:
-			if err := c.launch(b, most); err != nil {
+		case *Attempt:
+			if err := c.handleAttempt(b, most); err != nil {
 				return err
 			}
 		case *Cancel:
 			c.mu.Lock()
-			cancel := c.calls[b.Seq]
+			cancel := c.cancels[b.Seq]
 			c.mu.Unlock()
 			if cancel != nil {
 				cancel()
 			}
-		case *Order:
+		case *LoadRequest:
 			c.mu.Lock()
-			c.orders++
-			over := c.orders > most+256
+			c.loadRequests++
+			over := c.loadRequests > most+256
 			c.mu.Unlock()
 			if over {
-				return fmt.Errorf("%w: %s has too many orders outstanding", ErrProtocol, c.front)
+				return fmt.Errorf("%w: %s has too many orders outstanding", ErrProtocol, c.gateway)
 			}
 			var once sync.Once
-			c.server.Handler.Order(c.front, b, func(a *Ordered) {
+			c.server.Handler.HandleLoadRequest(c.gateway, b, func(a *LoadResult) {
 				once.Do(func() {
 					c.mu.Lock()
-					c.orders--
+					c.loadRequests--
 					c.mu.Unlock()
 					a.Seq = b.Seq
 					c.send(a)
 				})
 			})
 		case *Probe:
-			c.send(&Echo{Seq: b.Seq, Report: c.server.Handler.Report()})
-		case *Goodbye:
+			c.send(&ProbeReply{Seq: b.Seq, Report: c.server.Handler.LoadReport()})
+		case *DrainNotice:
 			return nil
 		default:
-			return fmt.Errorf("%w: %s sent a %T", ErrProtocol, c.front, body)
+			return fmt.Errorf("%w: %s sent a %T", ErrProtocol, c.gateway, body)
 		}
 	}
 }
 
-func (c *serverConn) launch(l *Launch, most int) error {
+func (c *serverConn) handleAttempt(l *Attempt, most int) error {
 	c.mu.Lock()
-	_, twice := c.calls[l.Seq]
-	over := len(c.calls) >= most
+	_, twice := c.cancels[l.Seq]
+	over := len(c.cancels) >= most
 	if !twice && !over {
-		c.calls[l.Seq] = nil
+		c.cancels[l.Seq] = nil
 	}
 	c.mu.Unlock()
 	if twice || over {
-		return fmt.Errorf("%w: %s launches past the limit of %d or uses a number twice", ErrProtocol, c.front, most)
+		return fmt.Errorf("%w: %s launches past the limit of %d or uses a number twice", ErrProtocol, c.gateway, most)
 	}
-	cancel := c.server.Handler.Launch(c.front, l, func(a *Answer) {
+	cancel := c.server.Handler.HandleAttempt(c.gateway, l, func(a *AttemptResult) {
 		c.mu.Lock()
-		_, is := c.calls[l.Seq]
-		delete(c.calls, l.Seq)
+		_, is := c.cancels[l.Seq]
+		delete(c.cancels, l.Seq)
 		c.mu.Unlock()
 		if is {
-			a.Seq, a.Event = l.Seq, l.Event
+			a.Seq, a.RequestID = l.Seq, l.RequestID
 			c.send(a)
 		}
 	})
 	c.mu.Lock()
-	if _, is := c.calls[l.Seq]; is {
-		c.calls[l.Seq] = cancel
+	if _, is := c.cancels[l.Seq]; is {
+		c.cancels[l.Seq] = cancel
 	}
 	c.mu.Unlock()
 	return nil
--- a/internal/workerrpc/workerrpc_test.go
+++ b/internal/workerrpc/workerrpc_test.go
@@ -20,18 +20,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var limits = workerrpc.Limits{Dial: 2 * time.Second, Queue: 5 * time.Second, Stall: 5 * time.Second, Calls: 8, Bytes: 1 << 20}
+var limits = workerrpc.Limits{DialTimeout: 2 * time.Second, QueueTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second, MaxQueuedCalls: 8, MaxQueuedBytes: 1 << 20}
 
-// script is a worker's end of a pipe that does just what a test says.
-type script struct {
+// fakeWorker is a worker's end of a pipe that does just what a test says.
+type fakeWorker struct {
 	net.Conn
-	t    *testing.T
-	read *workerrpc.Reader
+	t      *testing.T
+	frames *workerrpc.FrameReader
 }
 
-func (s *script) send(body any) {
+func (s *fakeWorker) send(body any) {
 	s.t.Helper()
-	frame, err := workerrpc.Append(nil, body)
+	frame, err := workerrpc.AppendFrame(nil, body)
 	if err == nil {
 		_, err = s.Write(frame)
 	}
@@ -40,32 +40,32 @@
 	}
 }
 
-// rest reads whatever still comes.
-func (s *script) rest() { _, _ = io.Copy(io.Discard, s) }
+// discardRest reads whatever still comes.
+func (s *fakeWorker) discardRest() { _, _ = io.Copy(io.Discard, s) }
 
-func (s *script) next() any {
+func (s *fakeWorker) next() any {
 	s.t.Helper()
-	body, err := s.read.Next()
+	body, err := s.frames.Next()
 	if err != nil {
 		s.t.Error(err)
 	}
 	return body
 }
 
-// peer starts a Peer of worker w whose connections are played by play, over pipes: a byte is written when it is read.
-func peer(t *testing.T, l workerrpc.Limits, play ...func(*script)) *workerrpc.Peer {
+// startClient starts a Peer of worker w whose connections are played by play, over pipes: a byte is written when it is read.
+func startClient(t *testing.T, l workerrpc.Limits, play ...func(*fakeWorker)) *workerrpc.Client {
 	ctx, stop := context.WithCancel(context.Background())
 	var scripts sync.WaitGroup
 	n := 0
-	p := workerrpc.NewPeer("front", "w", "addr", l, func(context.Context, string) (net.Conn, error) {
+	p := workerrpc.NewClient("front", "w", "addr", l, func(context.Context, string) (net.Conn, error) {
 		if n++; n > len(play) {
 			return nil, errors.New("nobody listens")
 		}
 		here, there := net.Pipe()
 		scripts.Go(func() {
-			s := &script{Conn: there, t: t, read: workerrpc.NewReader(there, workerrpc.MaxFrame)}
+			s := &fakeWorker{Conn: there, t: t, frames: workerrpc.NewFrameReader(there, workerrpc.MaxFrame)}
 			s.next() // hello
-			s.send(&workerrpc.Hello{Version: workerrpc.Version, Name: "w", Launches: 2})
+			s.send(&workerrpc.Handshake{Version: workerrpc.ProtocolVersion, Name: "w", MaxAttempts: 2})
 			play[n-1](s)
 			there.Close()
 		})
@@ -83,80 +83,80 @@
 	return p
 }
 
-// launch sends event id and hands out its outcome.
-func launch(p *workerrpc.Peer, id string) (*workerrpc.Call, <-chan workerrpc.Outcome) {
+// sendAttempt sends event id and hands out its outcome.
+func sendAttempt(p *workerrpc.Client, id string) (*workerrpc.Call, <-chan workerrpc.Outcome) {
 	got := make(chan workerrpc.Outcome, 2)
-	return p.Launch(workerrpc.Launch{Event: id}, time.Minute, func(o workerrpc.Outcome) { got <- o }), got
+	return p.Send(workerrpc.Attempt{RequestID: id}, time.Minute, func(o workerrpc.Outcome) { got <- o }), got
 }
 
-func want(t *testing.T, got <-chan workerrpc.Outcome, fate workerrpc.Fate, neverRan bool) workerrpc.Outcome {
+func wantOutcome(t *testing.T, got <-chan workerrpc.Outcome, fate workerrpc.Status, neverRan bool) workerrpc.Outcome {
 	t.Helper()
 	o := <-got
-	if o.Fate != fate || o.NeverRan() != neverRan {
-		t.Errorf("fate %d, never ran %v (%v); want %d, %v", o.Fate, o.NeverRan(), o.Err, fate, neverRan)
+	if o.Status != fate || o.NeverRan() != neverRan {
+		t.Errorf("fate %d, never ran %v (%v); want %d, %v", o.Status, o.NeverRan(), o.Err, fate, neverRan)
 	}
 	return o
 }
 
 // A worker that answers twice, or an event it never had, is counted; the events' own outcomes stand.
-func TestAnswersThatNoCallAskedFor(t *testing.T) {
-	p := peer(t, limits, func(s *script) {
-		a := s.next().(*workerrpc.Launch)
-		s.send(&workerrpc.Answer{Seq: a.Seq + 7, Event: "never"})
-		s.send(&workerrpc.Answer{Seq: a.Seq, Event: "another"})
-		s.send(&workerrpc.Answer{Seq: a.Seq, Event: a.Event, Code: workerrpc.Done})
-		s.send(&workerrpc.Answer{Seq: a.Seq, Event: a.Event, Code: workerrpc.Failed})
-		b := s.next().(*workerrpc.Launch)
-		s.send(&workerrpc.Answer{Seq: b.Seq, Event: b.Event, Code: workerrpc.Full})
-		s.rest()
+func TestUnmatchedResponses(t *testing.T) {
+	p := startClient(t, limits, func(s *fakeWorker) {
+		a := s.next().(*workerrpc.Attempt)
+		s.send(&workerrpc.AttemptResult{Seq: a.Seq + 7, RequestID: "never"})
+		s.send(&workerrpc.AttemptResult{Seq: a.Seq, RequestID: "another"})
+		s.send(&workerrpc.AttemptResult{Seq: a.Seq, RequestID: a.RequestID, Code: workerrpc.CodeOK})
+		s.send(&workerrpc.AttemptResult{Seq: a.Seq, RequestID: a.RequestID, Code: workerrpc.CodeFailed})
+		b := s.next().(*workerrpc.Attempt)
+		s.send(&workerrpc.AttemptResult{Seq: b.Seq, RequestID: b.RequestID, Code: workerrpc.CodeOverloaded})
+		s.discardRest()
 	})
-	_, got := launch(p, "a")
-	if o := want(t, got, workerrpc.Answered, false); o.Answer.Code != workerrpc.Done {
+	_, got := sendAttempt(p, "a")
+	if o := wantOutcome(t, got, workerrpc.StatusAnswered, false); o.AttemptResult.Code != workerrpc.CodeOK {
 		t.Error("the second answer counted")
 	}
-	_, got = launch(p, "b")
-	want(t, got, workerrpc.Answered, true)
-	if n := p.Counts().Stray; n != 3 {
+	_, got = sendAttempt(p, "b")
+	wantOutcome(t, got, workerrpc.StatusAnswered, true)
+	if n := p.Counts().UnmatchedResponses; n != 3 {
 		t.Errorf("%d stray answers, want 3", n)
 	}
-	p.Goodbye()
+	p.NotifyDraining()
 }
 
 // A launch that must not leave any more when it is about to be written is withheld, and the one behind it is sent.
-func TestWithheldLaunch(t *testing.T) {
-	p := peer(t, limits, func(s *script) {
-		b := s.next().(*workerrpc.Launch)
-		if b.Event != "b" {
-			t.Error(b.Event, "was sent")
+func TestWithheldAttempt(t *testing.T) {
+	p := startClient(t, limits, func(s *fakeWorker) {
+		b := s.next().(*workerrpc.Attempt)
+		if b.RequestID != "b" {
+			t.Error(b.RequestID, "was sent")
 		}
-		s.send(&workerrpc.Answer{Seq: b.Seq, Event: b.Event, Code: workerrpc.Done})
-		s.rest()
+		s.send(&workerrpc.AttemptResult{Seq: b.Seq, RequestID: b.RequestID, Code: workerrpc.CodeOK})
+		s.discardRest()
 	})
 	withheld := make(chan workerrpc.Outcome, 2)
-	p.LaunchIf(workerrpc.Launch{Event: "a"}, time.Minute, func() bool { return false }, func(o workerrpc.Outcome) { withheld <- o })
-	_, got := launch(p, "b")
-	if o := want(t, withheld, workerrpc.Unsent, true); !errors.Is(o.Err, workerrpc.ErrWithheld) {
+	p.SendIf(workerrpc.Attempt{RequestID: "a"}, time.Minute, func() bool { return false }, func(o workerrpc.Outcome) { withheld <- o })
+	_, got := sendAttempt(p, "b")
+	if o := wantOutcome(t, withheld, workerrpc.StatusUnsent, true); !errors.Is(o.Err, workerrpc.ErrWithheld) {
 		t.Error(o.Err)
 	}
-	want(t, got, workerrpc.Answered, false)
-	p.Goodbye()
+	wantOutcome(t, got, workerrpc.StatusAnswered, false)
+	p.NotifyDraining()
 }
 
 // A launch half written when the connection breaks may have run; one behind it, still in the queue, never did. Nothing
 // is sent a second time.
-func TestHalfWrittenLaunch(t *testing.T) {
+func TestPartlyWrittenAttempt(t *testing.T) {
 	waits := make(chan struct{})
-	p := peer(t, limits, func(s *script) {
+	p := startClient(t, limits, func(s *fakeWorker) {
 		if _, err := io.ReadFull(s, make([]byte, 6)); err != nil { // the length, the kind and a little
 			t.Error(err)
 		}
 		<-waits
 	})
-	_, first := launch(p, "half")
-	_, second := launch(p, "behind")
+	_, first := sendAttempt(p, "half")
+	_, second := sendAttempt(p, "behind")
 	close(waits)
-	want(t, first, workerrpc.Broken, false)
-	want(t, second, workerrpc.Unsent, true)
+	wantOutcome(t, first, workerrpc.StatusConnectionLost, false)
+	wantOutcome(t, second, workerrpc.StatusUnsent, true)
 	if n := p.Counts().Connections; n != 1 {
 		t.Errorf("%d connections", n)
 	}
@@ -164,101 +164,101 @@
 
 // A drain told while launches wait: those are unsent at once, a write under way is broken off after the grace, and
 // nothing new is taken until the worker is back.
-func TestDrainWhileLaunchesWait(t *testing.T) {
+func TestDrainWithQueuedAttempts(t *testing.T) {
 	waits, begun := make(chan struct{}), make(chan struct{})
-	p := peer(t, limits, func(s *script) { // the second launch finds a reader that has stopped
+	p := startClient(t, limits, func(s *fakeWorker) { // the second launch finds a reader that has stopped
 		s.next()
 		if _, err := io.ReadFull(s, make([]byte, 2)); err != nil {
 			t.Error(err)
 		}
 		close(begun)
 		<-waits
-	}, func(s *script) {
-		a := s.next().(*workerrpc.Launch)
-		s.send(&workerrpc.Answer{Seq: a.Seq, Event: a.Event})
-		s.rest()
+	}, func(s *fakeWorker) {
+		a := s.next().(*workerrpc.Attempt)
+		s.send(&workerrpc.AttemptResult{Seq: a.Seq, RequestID: a.RequestID})
+		s.discardRest()
 	})
-	_, first := launch(p, "sent")
-	_, second := launch(p, "writing")
-	_, third := launch(p, "waiting")
+	_, first := sendAttempt(p, "sent")
+	_, second := sendAttempt(p, "writing")
+	_, third := sendAttempt(p, "waiting")
 	<-begun
 	p.Stop(20 * time.Millisecond)
-	want(t, third, workerrpc.Unsent, true)
-	_, fourth := launch(p, "too late")
-	if o := want(t, fourth, workerrpc.Unsent, true); !errors.Is(o.Err, workerrpc.ErrStopped) {
+	wantOutcome(t, third, workerrpc.StatusUnsent, true)
+	_, fourth := sendAttempt(p, "too late")
+	if o := wantOutcome(t, fourth, workerrpc.StatusUnsent, true); !errors.Is(o.Err, workerrpc.ErrStopped) {
 		t.Error(o.Err)
 	}
-	want(t, first, workerrpc.Broken, false)
-	want(t, second, workerrpc.Broken, false)
+	wantOutcome(t, first, workerrpc.StatusConnectionLost, false)
+	wantOutcome(t, second, workerrpc.StatusConnectionLost, false)
 	close(waits)
 	p.Resume()
-	_, fifth := launch(p, "back")
-	want(t, fifth, workerrpc.Answered, false)
-	p.Goodbye()
+	_, fifth := sendAttempt(p, "back")
+	wantOutcome(t, fifth, workerrpc.StatusAnswered, false)
+	p.NotifyDraining()
 }
 
 // A cancel that crosses an answer: the launch is recalled once the cancel has left; the answer is late and dropped.
-func TestCancelCrossesAnswer(t *testing.T) {
+func TestCancelRacesWithResult(t *testing.T) {
 	both, told := make(chan struct{}), make(chan struct{})
-	p := peer(t, limits, func(s *script) {
-		a := s.next().(*workerrpc.Launch)
-		b := s.next().(*workerrpc.Launch)
+	p := startClient(t, limits, func(s *fakeWorker) {
+		a := s.next().(*workerrpc.Attempt)
+		b := s.next().(*workerrpc.Attempt)
 		close(both)
 		if c, is := s.next().(*workerrpc.Cancel); !is || c.Seq != a.Seq {
 			t.Error("no cancel of the first launch")
 		}
 		<-told
-		s.send(&workerrpc.Answer{Seq: a.Seq, Event: a.Event})
-		s.send(&workerrpc.Answer{Seq: b.Seq, Event: b.Event, Code: workerrpc.NotStarted})
-		s.rest()
+		s.send(&workerrpc.AttemptResult{Seq: a.Seq, RequestID: a.RequestID})
+		s.send(&workerrpc.AttemptResult{Seq: b.Seq, RequestID: b.RequestID, Code: workerrpc.CodeNotStarted})
+		s.discardRest()
 	})
-	call, first := launch(p, "a")
-	_, second := launch(p, "b")
+	call, first := sendAttempt(p, "a")
+	_, second := sendAttempt(p, "b")
 	<-both
-	call.Recall(true)
-	want(t, first, workerrpc.Recalled, false)
+	call.Cancel(true)
+	wantOutcome(t, first, workerrpc.StatusCancelled, false)
 	close(told)
-	want(t, second, workerrpc.Answered, true)
-	call.Recall(true)
-	if n := p.Counts(); len(first) != 0 || n.Late != 1 || n.Stray != 0 {
+	wantOutcome(t, second, workerrpc.StatusAnswered, true)
+	call.Cancel(true)
+	if n := p.Counts(); len(first) != 0 || n.LateResponses != 1 || n.UnmatchedResponses != 0 {
 		t.Errorf("%d more outcomes, %+v", len(first), n)
 	}
-	p.Goodbye()
+	p.NotifyDraining()
 }
 
 // A peer that stops reading holds a bounded number of calls and bytes; the rest is unsent at once.
-func TestBoundedWhileNobodyReads(t *testing.T) {
+func TestQueueIsBoundedWhileNobodyReads(t *testing.T) {
 	waits := make(chan struct{})
-	p := peer(t, limits, func(s *script) { <-waits })
+	p := startClient(t, limits, func(s *fakeWorker) { <-waits })
 	var got []<-chan workerrpc.Outcome
 	for i := range 40 {
-		_, o := launch(p, fmt.Sprint(i))
+		_, o := sendAttempt(p, fmt.Sprint(i))
 		got = append(got, o)
 	}
 	full := 0
-	for range 40 - limits.Calls - 1 {
+	for range 40 - limits.MaxQueuedCalls - 1 {
 		for _, o := range got {
 			select {
 			case x := <-o:
-				if errors.Is(x.Err, workerrpc.ErrFull) && x.NeverRan() {
+				if errors.Is(x.Err, workerrpc.ErrQueueFull) && x.NeverRan() {
 					full++
 				}
 			case <-time.After(time.Microsecond):
 			}
 		}
 	}
-	if full < 40-limits.Calls-1 {
-		t.Errorf("%d of 40 were refused, at most %d may wait", full, limits.Calls)
+	if full < 40-limits.MaxQueuedCalls-1 {
+		t.Errorf("%d of 40 were refused, at most %d may wait", full, limits.MaxQueuedCalls)
 	}
 	over := make(chan workerrpc.Outcome, 1)
-	p.Launch(workerrpc.Launch{Event: "big", Body: make([]byte, limits.Bytes+1)}, time.Minute, func(o workerrpc.Outcome) { over <- o })
-	want(t, over, workerrpc.Unsent, true)
+	p.Send(workerrpc.Attempt{RequestID: "big", Body: make([]byte, limits.MaxQueuedBytes+1)}, time.Minute, func(o workerrpc.Outcome) { over <- o })
+	wantOutcome(t, over, workerrpc.StatusUnsent, true)
 	close(waits)
 }
 
 // Frames that no peer should send are refused with a reason and without memory for what they claim.
-func TestFramesThatCantBe(t *testing.T) {
-	nested := append([]byte{byte(workerrpc.KindAnswer)}, bytes.Repeat([]byte{0x81}, 5000)...)
+func TestInvalidFrames(t *testing.T) {
+	nested := append([]byte{byte(workerrpc.KindAttemptResult)}, bytes.Repeat([]byte{0x81}, 5000)...)
 	for _, c := range []struct {
 		name, want string
 		frame      []byte
@@ -270,17 +270,17 @@
 		{"a key twice", "duplicate", []byte{0, 0, 0, 6, byte(workerrpc.KindProbe), 0xa2, 1, 1, 1, 2}},
 		{"cut short", "unexpected EOF", []byte{0, 0, 0, 9, byte(workerrpc.KindProbe), 0xa1}},
 	} {
-		_, err := workerrpc.NewReader(bytes.NewReader(c.frame), workerrpc.MaxFrame).Next()
+		_, err := workerrpc.NewFrameReader(bytes.NewReader(c.frame), workerrpc.MaxFrame).Next()
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %s", c.name, err, c.want)
 		}
 	}
 }
 
-func FuzzReader(f *testing.F) {
-	for _, body := range []any{&workerrpc.Hello{Version: 1, Name: "w"}, &workerrpc.Launch{Seq: 1, Event: "e", Body: []byte("x")},
-		&workerrpc.Answer{Seq: 1, Report: &workerrpc.Report{}}, &workerrpc.Order{Seq: 2, Copies: 3}, &workerrpc.Goodbye{}} {
-		frame, err := workerrpc.Append(nil, body)
+func FuzzFrameReader(f *testing.F) {
+	for _, body := range []any{&workerrpc.Handshake{Version: 1, Name: "w"}, &workerrpc.Attempt{Seq: 1, RequestID: "e", Body: []byte("x")},
+		&workerrpc.AttemptResult{Seq: 1, Report: &workerrpc.LoadReport{}}, &workerrpc.LoadRequest{Seq: 2, Replicas: 3}, &workerrpc.DrainNotice{}} {
+		frame, err := workerrpc.AppendFrame(nil, body)
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -288,13 +288,13 @@
 	}
 	f.Add([]byte{255, 255, 255, 255})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		r := workerrpc.NewReader(bytes.NewReader(b), 1<<16)
+		r := workerrpc.NewFrameReader(bytes.NewReader(b), 1<<16)
 		for {
 			body, err := r.Next()
 			if err != nil {
 				return
 			}
-			if _, err := workerrpc.Append(nil, body); err != nil {
+			if _, err := workerrpc.AppendFrame(nil, body); err != nil {
 				t.Fatalf("what was read can't be written: %v", err)
 			}
 		}
