--- a/cmd/artifact-store/main.go
+++ b/cmd/artifact-store/main.go
@@ -44,7 +44,7 @@
 }
 
 func run(f flags) (err error) {
-	if err := config.Loopback(f.Listen); err != nil {
+	if err := config.CheckLoopback(f.Listen); err != nil {
 		return err
 	}
 	if f.Requests < 1 || f.Rate < 0 || f.Stop < 0 || f.StopFor <= 0 || f.Grace < 0 || f.Collect <= 0 {
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -54,7 +54,7 @@
 	log, lossy := telemetry.NewLossyLogger(os.Stderr, f.Flags)
 	defer lossy.Close(logFlushTimeout)
 	if f.Config != "" {
-		return platform.Run(f.Config, log, platform.Options{Metrics: f.MetricsAddr, Dropped: lossy.Dropped})
+		return platform.Run(f.Config, log, platform.Options{MetricsAddr: f.MetricsAddr, DroppedLogLines: lossy.Dropped})
 	}
 	file, err := fleetconfig.Default()
 	if f.Settings != "" {
@@ -67,9 +67,9 @@
 		return fmt.Errorf("--index %d: from 0 to one less than --peers %d", f.Index, f.GatewayCount)
 	}
 	if f.Listen != "" {
-		file.Front.Listen = f.Listen
+		file.Gateway.Listen = f.Listen
 	}
-	if err := config.Loopback(file.Front.Listen); err != nil {
+	if err := config.CheckLoopback(file.Gateway.Listen); err != nil {
 		return err
 	}
 	o := gateway.Options{Name: f.Name, Index: f.Index, GatewayCount: f.GatewayCount, Seed: uint64(time.Now().UnixNano()), Config: file, Log: log}
@@ -110,7 +110,7 @@
 		defer closing(out.Close)
 		o.Record = out
 	}
-	if o.Listener, err = net.Listen("tcp", file.Front.Listen); err != nil {
+	if o.Listener, err = net.Listen("tcp", file.Gateway.Listen); err != nil {
 		return err
 	}
 	g, err := gateway.New(o)
--- a/cmd/gateway/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -51,7 +51,7 @@
 					if saw != nil {
 						saw(words)
 					}
-					_, err := conn.Write(resp.Append(nil, words[1], "ok", "n=1,how=ready", "body"))
+					_, err := conn.Write(resp.AppendArray(nil, words[1], "ok", "n=1,how=ready", "body"))
 					return err
 				})
 			}()
@@ -77,7 +77,7 @@
 		return false, err
 	}
 	m, err := thrift.Parse(b)
-	return err == nil && m.Kind == thrift.Reply && m.Args[2] == 0, err
+	return err == nil && m.Type == thrift.Reply && m.Args[2] == 0, err
 }
 
 func healthCheckFrame() []byte {
@@ -91,7 +91,7 @@
 // requestFrame is a request of a function under an id that its client waits for so long.
 func requestFrame(id, function int, wait time.Duration) []byte {
 	w := thrift.NewWriter("dispatch", thrift.Call, 1)
-	w.Texts(1, "class", "call", "id", fmt.Sprintf("%016x", id), "key", fmt.Sprintf("%016x", function), "wait", strconv.FormatInt(wait.Milliseconds(), 10))
+	w.StringMap(1, "class", "call", "id", fmt.Sprintf("%016x", id), "key", fmt.Sprintf("%016x", function), "wait", strconv.FormatInt(wait.Milliseconds(), 10))
 	w.Binary(2, nil)
 	return w.Frame()
 }
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -39,7 +39,7 @@
 }
 
 func run(f flags) error {
-	if err := config.Loopback(f.Listen); err != nil {
+	if err := config.CheckLoopback(f.Listen); err != nil {
 		return err
 	}
 	if f.WatchDelay < 0 {
--- a/cmd/worker/main.go
+++ b/cmd/worker/main.go
@@ -74,7 +74,7 @@
 func (c *serveCmd) Run(ctx context.Context, log *slog.Logger) (err error) {
 	for _, addr := range []string{c.Listen, c.Control, c.Chunks} {
 		if addr != "" {
-			if err := config.Loopback(addr); err != nil {
+			if err := config.CheckLoopback(addr); err != nil {
 				return err
 			}
 		}
@@ -208,7 +208,7 @@
 
 // Run serves until a signal.
 func (c *regCmd) Run(ctx context.Context, log *slog.Logger) (err error) {
-	if err := config.Loopback(c.Listen); err != nil {
+	if err := config.CheckLoopback(c.Listen); err != nil {
 		return err
 	}
 	if c.Most < 1 {
@@ -254,7 +254,7 @@
 // Run writes the manifest.
 func (c *packCmd) Run() error {
 	p, err := manifest.Write(c.Folder, manifest.Manifest{Name: c.Name, Version: c.Version, Type: c.Type, Kind: c.Kind, Entry: c.Entry,
-		Lanes: c.Lanes, Memory: config.Size(c.Memory << 20), Time: config.Time(c.Time)})
+		Lanes: c.Lanes, Memory: config.ByteSize(c.Memory << 20), Time: config.Duration(c.Time)})
 	if err != nil {
 		return err
 	}
--- a/internal/artifact/artifactstore/golden_test.go
+++ b/internal/artifact/artifactstore/golden_test.go
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	if _, err := manifest.Write(dir, manifest.Manifest{Name: "f-1", Version: version, Type: "t-2", Kind: manifest.Process, Lanes: 3,
-		Memory: 4 << 20, Time: config.Time(5 * time.Second), Entry: "entry"}); err != nil {
+		Memory: 4 << 20, Time: config.Duration(5 * time.Second), Entry: "entry"}); err != nil {
 		t.Fatal(err)
 	}
 	return dir
--- a/internal/artifact/artifactstore/store_test.go
+++ b/internal/artifact/artifactstore/store_test.go
@@ -42,7 +42,7 @@
 		return "", err
 	}
 	_, err := manifest.Write(dir, manifest.Manifest{Name: "f", Version: version, Type: "t", Kind: manifest.Process, Lanes: 1, Memory: 1 << 20,
-		Time: config.Time(time.Second), Entry: "entry"})
+		Time: config.Duration(time.Second), Entry: "entry"})
 	return dir, err
 }
 
--- a/internal/artifact/distribution/distribution_test.go
+++ b/internal/artifact/distribution/distribution_test.go
@@ -128,7 +128,7 @@
 		f.t.Fatal(err)
 	}
 	if _, err := manifest.Write(folder, manifest.Manifest{Name: "f", Version: version, Type: "t", Kind: manifest.Process, Lanes: 1, Memory: 1 << 20,
-		Time: config.Time(time.Second), Entry: "entry"}); err != nil {
+		Time: config.Duration(time.Second), Entry: "entry"}); err != nil {
 		f.t.Fatal(err)
 	}
 	sent, err := artifactstore.Client{Base: f.base, HTTP: &http.Client{}}.Publish(context.Background(), folder)
--- a/internal/artifact/layer/layer_test.go
+++ b/internal/artifact/layer/layer_test.go
@@ -26,7 +26,7 @@
 		}
 	}
 	if _, err := manifest.Write(dir, manifest.Manifest{Name: "f", Version: "1", Type: "t", Kind: manifest.Process, Lanes: 1, Memory: 1 << 20,
-		Time: config.Time(time.Second), Entry: "entry"}); err != nil {
+		Time: config.Duration(time.Second), Entry: "entry"}); err != nil {
 		t.Fatal(err)
 	}
 	return dir
--- a/internal/artifact/manifest/manifest.go
+++ b/internal/artifact/manifest/manifest.go
@@ -32,16 +32,16 @@
 
 // Manifest says what a package is.
 type Manifest struct {
-	Format  int         `yaml:"format"`
-	Name    string      `yaml:"name"`    // of the function
-	Version string      `yaml:"version"` // of the release
-	Type    string      `yaml:"type"`    // event type
-	Kind    string      `yaml:"kind"`
-	Lanes   int         `yaml:"lanes"`  // events that one copy runs at a time
-	Memory  config.Size `yaml:"memory"` // limit of a copy
-	Time    config.Time `yaml:"time"`   // limit of one event
-	Entry   string      `yaml:"entry"`  // the file that is run, in the package's folder
-	Digest  string      `yaml:"digest"` // BLAKE3 of the entry, hex
+	Format  int             `yaml:"format"`
+	Name    string          `yaml:"name"`    // of the function
+	Version string          `yaml:"version"` // of the release
+	Type    string          `yaml:"type"`    // event type
+	Kind    string          `yaml:"kind"`
+	Lanes   int             `yaml:"lanes"`  // events that one copy runs at a time
+	Memory  config.ByteSize `yaml:"memory"` // limit of a copy
+	Time    config.Duration `yaml:"time"`   // limit of one event
+	Entry   string          `yaml:"entry"`  // the file that is run, in the package's folder
+	Digest  string          `yaml:"digest"` // BLAKE3 of the entry, hex
 }
 
 // Package is a manifest and where its content stands.
@@ -56,11 +56,11 @@
 // ReadManifest reads a manifest; a mistake has file, line and column.
 func ReadManifest(name string, b []byte) (Manifest, error) {
 	var m Manifest
-	if err := config.Strict(name, b, &m); err != nil {
+	if err := config.DecodeStrict(name, b, &m); err != nil {
 		return m, err
 	}
 	if field, reason := m.contradiction(); reason != "" {
-		return m, config.At(name, b, "$."+field, reason)
+		return m, config.ErrorAt(name, b, "$."+field, reason)
 	}
 	return m, nil
 }
--- a/internal/base/config/config.go
+++ b/internal/base/config/config.go
@@ -25,8 +25,8 @@
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Reason)
 }
 
-// Strict decodes one YAML document into v; a mistake becomes an *Error.
-func Strict(name string, b []byte, v any) error {
+// DecodeStrict decodes one YAML document into v; a mistake becomes an *Error.
+func DecodeStrict(name string, b []byte, v any) error {
 	if len(b) > 4<<20 {
 		return &Error{File: name, Line: 1, Column: 1, Reason: "longer than 4 MiB"}
 	}
@@ -50,8 +50,8 @@
 	return &Error{File: name, Line: 1, Column: 1, Reason: reason}
 }
 
-// At makes an Error for the place of a YAML path such as $.fleet.types[0].name, or of what is nearest above it.
-func At(name string, b []byte, path, reason string) error {
+// ErrorAt makes an Error for the place of a YAML path such as $.fleet.types[0].name, or of what is nearest above it.
+func ErrorAt(name string, b []byte, path, reason string) error {
 	e := &Error{File: name, Line: 1, Column: 1, Reason: strings.TrimPrefix(path, "$.") + ": " + reason}
 	file, err := parser.ParseBytes(b, 0)
 	for err == nil && len(path) > 1 {
--- a/internal/base/config/loopback.go
+++ b/internal/base/config/loopback.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// Loopback refuses an address of a socket that is not on loopback.
-func Loopback(addr string) error {
+// CheckLoopback refuses an address of a socket that is not on loopback.
+func CheckLoopback(addr string) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return fmt.Errorf("%q is no address with a port", addr)
--- a/internal/gateway/act.go
+++ b/internal/gateway/act.go
@@ -49,7 +49,7 @@
 	c := e.Call
 	window := time.Duration(0)
 	if c.IdempotencyKey != "" {
-		window = c.Type.Window.D()
+		window = c.Type.DedupWindow.Std()
 	}
 	stillLeaves := func() bool {
 		_, leaves := departure.TimeLeft()
@@ -158,7 +158,7 @@
 
 // watchRegistry subscribes whenever the core asks, and tells what comes.
 func (g *Gateway) watchRegistry(ctx context.Context) error {
-	dial := &net.Dialer{Timeout: g.options.Config.Front.Link.Dial.D()}
+	dial := &net.Dialer{Timeout: g.options.Config.Gateway.WorkerRPC.Dial.Std()}
 	transport := &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			return g.options.Tap.Dialer(capture.List, "list", func(ctx context.Context, addr string) (net.Conn, error) {
@@ -173,7 +173,7 @@
 			return nil
 		case <-g.subscribeRequests:
 		}
-		err := registry.Watch(ctx, client, g.options.Config.Front.List, g.options.Name, func(n registry.WatchEvent) { g.applyWatchEvent(n) })
+		err := registry.Watch(ctx, client, g.options.Config.Gateway.RegistryURL, g.options.Name, func(n registry.WatchEvent) { g.applyWatchEvent(n) })
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -250,14 +250,14 @@
 		return
 	}
 	if p == nil {
-		l := g.options.Config.Front.Link
+		l := g.options.Config.Gateway.WorkerRPC
 		var dialer net.Dialer
 		dial := g.options.Tap.Dialer(capture.Worker, e.Name, func(ctx context.Context, addr string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", addr)
 		})
 		ctx, stop := context.WithCancel(g.killCtx)
-		p = &workerClient{stop: stop, Client: workerrpc.NewClient(g.options.Name, e.Name, e.Addr, workerrpc.Limits{DialTimeout: l.Dial.D(),
-			QueueTimeout: l.Queue.D(), WriteTimeout: l.Stall.D(), MaxQueuedCalls: l.Calls, MaxQueuedBytes: int(l.Bytes)}, dial)}
+		p = &workerClient{stop: stop, Client: workerrpc.NewClient(g.options.Name, e.Name, e.Addr, workerrpc.Limits{DialTimeout: l.Dial.Std(),
+			QueueTimeout: l.Queue.Std(), WriteTimeout: l.Stall.Std(), MaxQueuedCalls: l.Calls, MaxQueuedBytes: int(l.Bytes)}, dial)}
 		p.OnHandshake = func(h *workerrpc.Handshake) {
 			if h.WarmUpTime > 0 {
 				g.log.Info("a worker warmed up in its last life", "worker", h.Name, "warm-up", h.WarmUpTime)
--- a/internal/gateway/departure.go
+++ b/internal/gateway/departure.go
@@ -37,7 +37,7 @@
 		d.loop.stats.WithheldExpired.Add(1)
 		return 0, false
 	}
-	if behind := d.loop.stall.Behind(time.Now()); behind > 0 && now-d.decidedAt >= behind {
+	if behind := d.loop.stall.Lag(time.Now()); behind > 0 && now-d.decidedAt >= behind {
 		d.loop.stats.WithheldStalled.Add(1) // what was said meanwhile is not read yet
 		return 0, false
 	}
--- a/internal/gateway/discovery/golden_test.go
+++ b/internal/gateway/discovery/golden_test.go
@@ -23,7 +23,7 @@
 	defer listener.Close()
 	addr := listener.Addr().String()
 	told := make(chan discovery.Event, 2)
-	f := discovery.New(addr, discovery.Limits{Wait: 60 * time.Second, Answer: 20 * time.Second, Slow: 20 * time.Second, Bytes: 1 << 16},
+	f := discovery.NewWatcher(addr, discovery.Limits{PollWait: 60 * time.Second, UsualResponse: 20 * time.Second, MaxResponse: 20 * time.Second, MaxBytes: 1 << 16},
 		slog.New(slog.DiscardHandler), func(e discovery.Event) { told <- e })
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -65,8 +65,8 @@
 	if _, err := io.WriteString(conn, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)); err != nil {
 		t.Fatal(err)
 	}
-	if e := <-told; e.Number != 7 {
-		t.Errorf("got event %d, want 7", e.Number)
+	if e := <-told; e.Position != 7 {
+		t.Errorf("got event %d, want 7", e.Position)
 	}
 	if got := head(); got != fmt.Sprintf(want, 7) {
 		t.Errorf("\n got %q\nwant %q", got, fmt.Sprintf(want, 7))
@@ -90,18 +90,18 @@
 			`error journal: event 5: worker "w": address x: missing port in address`},
 	} {
 		n, err := discovery.Parse([]byte(c.text))
-		got := fmt.Sprint("last ", n.Last)
+		got := fmt.Sprint("last ", n.Position)
 		if err != nil {
 			got = "error " + err.Error()
 		}
 		for _, e := range n.Events {
-			if e.List == nil {
-				got += fmt.Sprintf("; event %d no list", e.Number)
+			if e.Update == nil {
+				got += fmt.Sprintf("; event %d no list", e.Position)
 				continue
 			}
-			got += fmt.Sprintf("; event %d whole %v", e.Number, e.List.Whole)
-			for _, w := range e.List.Workers {
-				got += fmt.Sprintf(" {%v %v %v %v %v %v %v %v}", w.Name, w.Addr, w.Zone, w.Kind, w.Cell, w.State, w.Size, w.Born)
+			got += fmt.Sprintf("; event %d whole %v", e.Position, e.Update.Complete)
+			for _, w := range e.Update.Endpoints {
+				got += fmt.Sprintf(" {%v %v %v %v %v %v %v %v}", w.Name, w.Addr, w.Zone, w.Kind, w.Cell, w.State, w.Size, w.StartedUnixMilli)
 			}
 		}
 		if got != c.want {
--- a/internal/gateway/discovery/watch_test.go
+++ b/internal/gateway/discovery/watch_test.go
@@ -18,56 +18,56 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func event(n int) string {
+func eventJSON(n int) string {
 	return fmt.Sprintf(`{"pos":%d,"hosts":{"seq":1,"whole":%v,"hosts":[{"host":"w%d","dial":"127.0.0.1:9","site":"z","class":"k",`+
 		`"block":2,"health":"up","share":4,"born_ms":0}]}}`, n, n == 1, n)
 }
 
-func news(events ...int) string {
+func batchJSON(events ...int) string {
 	s := ""
 	for i, n := range events {
 		if i > 0 {
 			s += ","
 		}
-		s += event(n)
+		s += eventJSON(n)
 	}
 	return fmt.Sprintf(`{"pos":%d,"entries":[%s]}`, events[len(events)-1], s)
 }
 
 func TestParse(t *testing.T) {
-	n, err := discovery.Parse([]byte(news(1, 2)))
-	if err != nil || n.Last != 2 || len(n.Events) != 2 || !n.Events[0].List.Whole || n.Events[1].List.Workers[0].Name != "w2" {
+	n, err := discovery.Parse([]byte(batchJSON(1, 2)))
+	if err != nil || n.Position != 2 || len(n.Events) != 2 || !n.Events[0].Update.Complete || n.Events[1].Update.Endpoints[0].Name != "w2" {
 		t.Error(n, err)
 	}
-	for _, bad := range []string{"", "{", news(1)[:80], `{"pos":1,"entries":[{"hosts":{"hosts":[]}}]}`,
+	for _, bad := range []string{"", "{", batchJSON(1)[:80], `{"pos":1,"entries":[{"hosts":{"hosts":[]}}]}`,
 		`{"pos":1,"entries":[{"pos":1,"hosts":{"hosts":[{"host":"w","dial":"x","health":"up"}]}}]}`,
 		`{"pos":1,"entries":[{"pos":1,"hosts":{"hosts":[{"host":"w","dial":"127.0.0.1:1","health":"well"}]}}]}`} {
 		if n, err := discovery.Parse([]byte(bad)); err == nil {
 			t.Errorf("%s is taken as %+v", bad, n)
 		}
 	}
-	if n, err := discovery.Parse([]byte(`{"pos":3,"entries":[{"pos":3,"other":1}]}`)); err != nil || n.Events[0].List != nil {
+	if n, err := discovery.Parse([]byte(`{"pos":3,"entries":[{"pos":3,"other":1}]}`)); err != nil || n.Events[0].Update != nil {
 		t.Error("an event of another sort", n, err)
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(news(1, 2)))
+	f.Add([]byte(batchJSON(1, 2)))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		n, err := discovery.Parse(b)
 		for _, e := range n.Events {
-			if err != nil || e.Number <= 0 {
+			if err != nil || e.Position <= 0 {
 				t.Error(e, err)
 			}
 		}
 	})
 }
 
-var limits = discovery.Limits{Wait: 20 * time.Millisecond, Answer: 200 * time.Millisecond, Bytes: 1 << 16}
+var limits = discovery.Limits{PollWait: 20 * time.Millisecond, UsualResponse: 200 * time.Millisecond, MaxBytes: 1 << 16}
 
 // An answer that breaks off is as none, a silent service is asked again, at another address the numbers go on, and each
 // event is told once.
-func TestFollow(t *testing.T) {
+func TestWatch(t *testing.T) {
 	asked := make(chan string, 1000)
 	script := func(answers ...func(w http.ResponseWriter)) *httptest.Server {
 		n := make(chan int, 1)
@@ -90,30 +90,30 @@
 	}
 	breaks := func(w http.ResponseWriter) {
 		w.Header().Set("Content-Length", "5000")
-		fmt.Fprint(w, news(2)[:60])
+		fmt.Fprint(w, batchJSON(2)[:60])
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if err == nil {
 			conn.Close()
 		}
 	}
-	first := script(says(news(1)), breaks, says(news(2)), says(`{"pos":2,"entries":[]}`), says("noise"))
-	second := script(says(news(2, 3)))
+	first := script(says(batchJSON(1)), breaks, says(batchJSON(2)), says(`{"pos":2,"entries":[]}`), says("noise"))
+	second := script(says(batchJSON(2, 3)))
 	told := make(chan discovery.Event, 10)
-	f := discovery.New(first.Listener.Addr().String(), limits, slog.New(slog.DiscardHandler), func(e discovery.Event) { told <- e })
+	f := discovery.NewWatcher(first.Listener.Addr().String(), limits, slog.New(slog.DiscardHandler), func(e discovery.Event) { told <- e })
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- f.Run(ctx) }()
 	for n := int64(1); n <= 2; n++ {
-		if e := <-told; e.Number != n {
-			t.Error(e.Number, "instead of", n)
+		if e := <-told; e.Position != n {
+			t.Error(e.Position, "instead of", n)
 		}
 	}
 	for range 7 { // past the script it is silent, and is asked again after that
 		<-asked
 	}
-	f.Move(second.Listener.Addr().String())
-	if e := <-told; e.Number != 3 {
-		t.Error(e.Number, "instead of 3")
+	f.SetAddress(second.Listener.Addr().String())
+	if e := <-told; e.Position != 3 {
+		t.Error(e.Position, "instead of 3")
 	}
 	stop()
 	if err := <-ended; err != nil {
@@ -131,18 +131,18 @@
 }
 
 // A move ends a wait at the old address at once.
-func TestMoveEndsWait(t *testing.T) {
+func TestSetAddressInterruptsPoll(t *testing.T) {
 	mute, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer mute.Close()
-	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, news(1)) }))
+	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, batchJSON(1)) }))
 	defer service.Close()
 	l := limits
-	l.Wait = time.Hour
+	l.PollWait = time.Hour
 	told := make(chan discovery.Event, 1)
-	f := discovery.New(mute.Addr().String(), l, slog.New(slog.DiscardHandler), func(e discovery.Event) { told <- e })
+	f := discovery.NewWatcher(mute.Addr().String(), l, slog.New(slog.DiscardHandler), func(e discovery.Event) { told <- e })
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- f.Run(ctx) }()
@@ -151,14 +151,14 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	f.Move(service.Listener.Addr().String())
+	f.SetAddress(service.Listener.Addr().String())
 	<-told
 	stop()
 	<-ended
 }
 
-// follows runs a feed whose service answers one after the other, and then says nothing; it tells what was asked for.
-func follows(t *testing.T, answers ...string) (told chan discovery.Event, asked chan string, stop func()) {
+// scriptedWatcher runs a feed whose service answers one after the other, and then says nothing; it tells what was asked for.
+func scriptedWatcher(t *testing.T, answers ...string) (told chan discovery.Event, asked chan string, stop func()) {
 	told, asked = make(chan discovery.Event, 100), make(chan string, 100)
 	left := make(chan string, len(answers))
 	for _, a := range answers {
@@ -174,8 +174,8 @@
 		}
 	}))
 	l := limits
-	l.Wait = time.Minute
-	f := discovery.New(service.Listener.Addr().String(), l, slog.New(slog.DiscardHandler), func(e discovery.Event) { told <- e })
+	l.PollWait = time.Minute
+	f := discovery.NewWatcher(service.Listener.Addr().String(), l, slog.New(slog.DiscardHandler), func(e discovery.Event) { told <- e })
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- f.Run(ctx) }()
@@ -190,26 +190,26 @@
 
 // Events that are missing may have drained a worker: none of the answer is told, and the whole list is asked for, in which
 // what is left out is gone and what goes in the same answer never came.
-func TestMissingEvents(t *testing.T) {
-	gone := strings.Replace(event(5), `"up"`, `"removed"`, 1)
-	anew := fmt.Sprintf(`{"pos":6,"entries":[%s,%s,%s,%s]}`, event(1), event(4), event(5), strings.Replace(gone, `"pos":5`, `"pos":6`, 1))
-	told, asked, stop := follows(t, news(1, 2), news(4), anew, news(7))
+func TestMissingEventsCauseResync(t *testing.T) {
+	gone := strings.Replace(eventJSON(5), `"up"`, `"removed"`, 1)
+	anew := fmt.Sprintf(`{"pos":6,"entries":[%s,%s,%s,%s]}`, eventJSON(1), eventJSON(4), eventJSON(5), strings.Replace(gone, `"pos":5`, `"pos":6`, 1))
+	told, asked, stop := scriptedWatcher(t, batchJSON(1, 2), batchJSON(4), anew, batchJSON(7))
 	defer stop()
 	for n := int64(1); n <= 2; n++ {
-		if e := <-told; e.Number != n {
-			t.Error(e.Number, "instead of", n)
+		if e := <-told; e.Position != n {
+			t.Error(e.Position, "instead of", n)
 		}
 	}
 	e := <-told
 	var names []string
-	for _, w := range e.List.Workers {
+	for _, w := range e.Update.Endpoints {
 		names = append(names, w.Name)
 	}
-	if e.Number != 6 || !e.List.Whole || fmt.Sprint(names) != "[w1 w4]" {
-		t.Errorf("event %d, whole %v, %v", e.Number, e.List.Whole, names)
+	if e.Position != 6 || !e.Update.Complete || fmt.Sprint(names) != "[w1 w4]" {
+		t.Errorf("event %d, whole %v, %v", e.Position, e.Update.Complete, names)
 	}
-	if e := <-told; e.Number != 7 {
-		t.Error(e.Number, "instead of 7")
+	if e := <-told; e.Position != 7 {
+		t.Error(e.Position, "instead of 7")
 	}
 	for _, want := range []string{"0", "2", "0", "6", "7"} {
 		if got := <-asked; got != want {
@@ -219,28 +219,28 @@
 }
 
 // A whole list out of turn needs nothing before it; an event that is known already is not told again, nor an older list.
-func TestWholeListOutOfTurn(t *testing.T) {
-	whole := strings.Replace(event(9), `"whole":false`, `"whole":true`, 1)
-	told, _, stop := follows(t, news(1), fmt.Sprintf(`{"pos":9,"entries":[%s]}`, whole), news(1, 2), news(9, 10))
+func TestCompleteUpdateNeedsNoPredecessor(t *testing.T) {
+	whole := strings.Replace(eventJSON(9), `"whole":false`, `"whole":true`, 1)
+	told, _, stop := scriptedWatcher(t, batchJSON(1), fmt.Sprintf(`{"pos":9,"entries":[%s]}`, whole), batchJSON(1, 2), batchJSON(9, 10))
 	defer stop()
 	for _, want := range []int64{1, 9, 10} {
-		if e := <-told; e.Number != want {
-			t.Error(e.Number, "instead of", want)
+		if e := <-told; e.Position != want {
+			t.Error(e.Position, "instead of", want)
 		}
 	}
 }
 
 // A service that answers at once with nothing new, or with a number past its events, is not asked without a pause.
-func TestNothingNew(t *testing.T) {
+func TestEmptyBatchBacksOff(t *testing.T) {
 	empty := `{"pos":7,"entries":[]}`
-	_, asked, stop := follows(t, empty, empty, empty, empty, empty)
+	_, asked, stop := scriptedWatcher(t, empty, empty, empty, empty, empty)
 	defer stop()
 	<-asked
 	first := time.Now()
 	for range 5 {
 		<-asked
 	}
-	if least := 5 * limits.Answer / 8 / 2; time.Since(first) < least { // a pause is drawn from half its length on
+	if least := 5 * limits.UsualResponse / 8 / 2; time.Since(first) < least { // a pause is drawn from half its length on
 		t.Errorf("asked five times within %v", time.Since(first))
 	}
 }
--- a/internal/gateway/fleetconfig/config_test.go
+++ b/internal/gateway/fleetconfig/config_test.go
@@ -10,7 +10,7 @@
 )
 
 // Every mistake is one message with file, line and column, at the value that is wrong.
-func TestMistakesHaveTheirPlace(t *testing.T) {
+func TestValidationErrorsHavePosition(t *testing.T) {
 	text := string(fleetconfig.DefaultText())
 	for _, c := range []struct{ old, new, want string }{
 		{"effect: at-most-once", "effect: twice", `f.yaml:4:38: fleet.types[0].effect: "twice" is not`},
--- a/internal/gateway/fleetconfig/golden_test.go
+++ b/internal/gateway/fleetconfig/golden_test.go
@@ -81,13 +81,13 @@
 
 // Times and sizes are written with these units, and read again.
 func TestGoldenUnits(t *testing.T) {
-	b, err := yaml.Marshal(fleetconfig.Function{Name: "pay", Type: "once", Tenant: "acme", Lanes: 2, Memory: 256 << 20, LoadTime: 1500e6})
+	b, err := yaml.Marshal(fleetconfig.Function{Name: "pay", Type: "once", Tenant: "acme", Concurrency: 2, Memory: 256 << 20, LoadTime: 1500e6})
 	want := "name: pay\ntype: once\ntenant: acme\nlanes: 2\nmemory: 268435456B\nload-time: 1.5s\n"
 	if err != nil || string(b) != want {
 		t.Errorf("\n got %q, %v\nwant %q", b, err, want)
 	}
 	var f fleetconfig.Function
-	if err := config.Strict("f", b, &f); err != nil || f.Memory != 256<<20 || f.LoadTime != 1500e6 {
+	if err := config.DecodeStrict("f", b, &f); err != nil || f.Memory != 256<<20 || f.LoadTime != 1500e6 {
 		t.Errorf("got %v, %v", f, err)
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -99,7 +99,7 @@
 	if o.Listener == nil {
 		return nil, errors.New("gate: no listener")
 	}
-	if err := config.Loopback(o.Listener.Addr().String()); err != nil {
+	if err := config.CheckLoopback(o.Listener.Addr().String()); err != nil {
 		return nil, fmt.Errorf("gate: %w", err)
 	}
 	if o.Log == nil {
@@ -109,8 +109,8 @@
 		o.Name = fmt.Sprintf("front-%d-%x", o.Index, time.Now().UnixNano())
 	}
 	g := &Gateway{options: o, catalogue: invoke.NewCatalogue(o.Config), log: o.Log.With("front", o.Name),
-		stopGrace:      o.Config.Fleet.StopSendingWithin.D() / 2,
-		cancelAttempts: o.Config.Fleet.Allowed.Cancel, functionNames: map[uint64]string{},
+		stopGrace:      o.Config.Fleet.DrainGrace.Std() / 2,
+		cancelAttempts: o.Config.Fleet.Policy.Cancel, functionNames: map[uint64]string{},
 		workerClients: map[string]*workerClient{}, endpoints: map[string]registry.Entry{}, subscribeRequests: make(chan struct{}, 1)}
 	for _, f := range o.Config.Functions {
 		if other, twice := g.functionNames[f.ID()]; twice {
@@ -119,7 +119,7 @@
 		g.functionNames[f.ID()] = f.Name
 	}
 	g.EventLoop = NewEventLoop(EventLoopOptions{Core: o.Config.Core(o.Seed, o.Index, max(1, o.GatewayCount)), Transport: rpcTransport{g}, Record: o.Record,
-		LoadTimeout: o.Config.Fleet.Loading.OrderLimit.D(), ProbeTimeout: o.Config.Front.Link.Dial.D(),
+		LoadTimeout: o.Config.Fleet.LoadPolicy.RequestTimeout.Std(), ProbeTimeout: o.Config.Gateway.WorkerRPC.Dial.Std(),
 		Monitor: invariant.NewMonitor(g.log), Log: g.log})
 	g.startTimes = g.NewStartTimes()
 	return g, nil
@@ -137,7 +137,7 @@
 
 	server := g.server(hardLinks)
 	limited := &limitedListener{Listener: g.options.Tap.Listener(g.options.Listener), open: &g.openConnections,
-		limit: int64(g.options.Config.Front.Limits.Connections)}
+		limit: int64(g.options.Config.Gateway.Limits.Connections)}
 
 	if g.options.CachedEndpoints != nil {
 		g.applyWatchEvent(*g.options.CachedEndpoints)
@@ -180,10 +180,10 @@
 func (g *Gateway) server(hard context.Context) *http.Server {
 	server := &http.Server{
 		Handler:           g.handler(),
-		ReadHeaderTimeout: g.options.Config.Front.Limits.Read.D(),
-		ReadTimeout:       g.options.Config.Front.Limits.Read.D(),
-		IdleTimeout:       g.options.Config.Front.Limits.Idle.D(),
-		MaxHeaderBytes:    int(g.options.Config.Front.Limits.Header),
+		ReadHeaderTimeout: g.options.Config.Gateway.Limits.Read.Std(),
+		ReadTimeout:       g.options.Config.Gateway.Limits.Read.Std(),
+		IdleTimeout:       g.options.Config.Gateway.Limits.Idle.Std(),
+		MaxHeaderBytes:    int(g.options.Config.Gateway.Limits.Header),
 		ErrorLog:          slog.NewLogLogger(g.log.Handler(), slog.LevelDebug),
 		BaseContext:       func(net.Listener) context.Context { return hard },
 		Protocols:         new(http.Protocols),
@@ -197,9 +197,9 @@
 func (g *Gateway) drain(hard context.Context, server *http.Server) error {
 	g.draining.Store(true)
 	g.log.Info("draining", "in hand", g.inFlight.Load())
-	longest := g.options.Config.Fleet.AnswerSlack.D()
+	longest := g.options.Config.Fleet.AnswerSlack.Std()
 	for _, t := range g.options.Config.Fleet.Types {
-		longest = max(longest, t.MaxAge.D()+g.options.Config.Fleet.AnswerSlack.D())
+		longest = max(longest, t.MaxAge.Std()+g.options.Config.Fleet.AnswerSlack.Std())
 	}
 	drain, stop := context.WithTimeout(hard, longest)
 	defer stop()
@@ -276,7 +276,7 @@
 
 // setWriteDeadline cuts off a client that does not read its answer. Where that can't be set, the answer is short.
 func (g *Gateway) setWriteDeadline(w http.ResponseWriter) {
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(g.options.Config.Front.Limits.Write.D()))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(g.options.Config.Gateway.Limits.Write.Std()))
 }
 
 func (g *Gateway) rejectInvalid(w http.ResponseWriter, p *invoke.Problem) {
@@ -293,7 +293,7 @@
 	}
 	out := http.NewResponseController(w)
 	_ = out.SetReadDeadline(time.Time{}) // the request is read; what comes now is the client's leaving
-	if g.inFlight.Add(1) > int64(g.options.Config.Front.Limits.InHand) || g.draining.Load() {
+	if g.inFlight.Add(1) > int64(g.options.Config.Gateway.Limits.InFlight) || g.draining.Load() {
 		g.inFlight.Add(-1)
 		g.notAccepted.Add(1)
 		g.setWriteDeadline(w)
@@ -305,8 +305,8 @@
 	reply := make(chan invoke.Response, 1)
 	e := &Request{Call: call, DuplicateKey: duplicateKey(call), Body: call.Body, Reply: func(a invoke.Response) { reply <- a },
 		Scheduled: &scheduler.Request{ID: id, Type: call.Type.Name, Tenant: call.Tenant, Function: call.Function.ID(),
-			TimeLeft: call.TimeLeft, Concurrency: call.Function.Lanes, Memory: float64(call.Function.Memory),
-			LoadTime: call.Function.LoadTime.D(), Retry: call.Retry}}
+			TimeLeft: call.TimeLeft, Concurrency: call.Function.Concurrency, Memory: float64(call.Function.Memory),
+			LoadTime: call.Function.LoadTime.Std(), Retry: call.Retry}}
 	g.Submit(e)
 	select {
 	case a := <-reply:
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -90,7 +90,7 @@
 		name := fmt.Sprint("w", i)
 		w := localfleet.NewRuntime(localfleet.RuntimeOptions{Name: name, Folder: filepath.Join(dir, name), Store: releases, Effects: effects,
 			Limits: admission.Limits{Memory: 16 * 64 << 20, Running: 8, Waiting: 100, Loads: 4, Keep: time.Minute,
-				OnMiss: file.Fleet.Loading.OnMiss == "load"}})
+				OnMiss: file.Fleet.LoadPolicy.OnMiss == "load"}})
 		addr, started, err := w.Start("", true)
 		if err != nil {
 			t.Fatal(err)
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	r.addr = listener.Addr().String()
-	r.config.Front.List = list.URL
+	r.config.Gateway.RegistryURL = list.URL
 	r.gateway, err = gateway.New(gateway.Options{Name: "f", Config: r.config, Listener: listener, Seed: 1, Record: &r.record})
 	if err != nil {
 		t.Fatal(err)
@@ -372,8 +372,8 @@
 // What clients can take is bounded: bodies, headers, connections, events in hand, time to send a request.
 func TestLimits(t *testing.T) {
 	r := startHarness(t, func(f *fleetconfig.File) {
-		f.Front.Limits.Body, f.Front.Limits.Header, f.Front.Limits.InHand = 64, 4096, 1
-		f.Front.Limits.Read, f.Front.Limits.Connections = config.Time(300*time.Millisecond), 20
+		f.Gateway.Limits.Body, f.Gateway.Limits.Header, f.Gateway.Limits.InFlight = 64, 4096, 1
+		f.Gateway.Limits.Read, f.Gateway.Limits.Connections = config.Duration(300*time.Millisecond), 20
 	})
 	send := func(path, head, body string) int {
 		conn, err := net.Dial("tcp", r.addr)
@@ -453,7 +453,7 @@
 			}
 		}
 		call, problem := catalogue.ReadHeader(name, h)
-		if problem == nil && (call.TimeLeft <= 0 || call.TimeLeft > call.Type.MaxAge.D() || call.Type.Effect == "keyed" && call.IdempotencyKey == "") {
+		if problem == nil && (call.TimeLeft <= 0 || call.TimeLeft > call.Type.MaxAge.Std() || call.Type.Effect == "keyed" && call.IdempotencyKey == "") {
 			t.Errorf("%q %q was taken as %+v", name, head, call)
 		}
 		if problem != nil && (problem.Status < 400 || problem.Detail == "") {
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -66,7 +66,7 @@
 
 // Responses on the wire are to the byte what they were: handled, and refused before an event was in hand.
 func TestGoldenResponses(t *testing.T) {
-	r := startHarness(t, func(f *fleetconfig.File) { f.Front.Limits.Body = 64 })
+	r := startHarness(t, func(f *fleetconfig.File) { f.Gateway.Limits.Body = 64 })
 	const path = "/v1/functions/preview/invocations"
 	for _, c := range []struct{ request, want string }{
 		{postRequest("/v1/functions/none/invocations", "", "x"), refusal("404 Not Found",
@@ -92,7 +92,7 @@
 
 // A front end that takes no event says so, with its connection closed.
 func TestGoldenNotAccepted(t *testing.T) {
-	r := startHarness(t, func(f *fleetconfig.File) { f.Front.Limits.InHand = 0 })
+	r := startHarness(t, func(f *fleetconfig.File) { f.Gateway.Limits.InFlight = 0 })
 	want := closing("503 Service Unavailable",
 		`{"type":"urn:lupinpond:not-taken","title":"Not taken","status":503,"detail":"this front end takes no event now"}`+"\n")
 	if got := r.raw(postRequest("/v1/functions/preview/invocations", "", "x")); got != want {
--- a/internal/gateway/invoke/invoke.go
+++ b/internal/gateway/invoke/invoke.go
@@ -28,7 +28,7 @@
 // Call is one event as a client sends it.
 type Call struct {
 	Function       fleetconfig.Function
-	Type           fleetconfig.EventType
+	Type           fleetconfig.RequestType
 	Tenant         string
 	Source         string // ce-source
 	ClientID       string // ce-id: the client's own name of the event
@@ -67,15 +67,15 @@
 // Catalogue finds functions and what is known of them.
 type Catalogue struct {
 	functions map[string]fleetconfig.Function
-	types     map[string]fleetconfig.EventType
+	types     map[string]fleetconfig.RequestType
 	tenants   map[string]bool
 	maxBody   int64
 }
 
 // NewCatalogue takes the catalogue of a file of settings.
 func NewCatalogue(f fleetconfig.File) *Catalogue {
-	c := &Catalogue{functions: map[string]fleetconfig.Function{}, types: map[string]fleetconfig.EventType{},
-		tenants: map[string]bool{}, maxBody: int64(f.Front.Limits.Body)}
+	c := &Catalogue{functions: map[string]fleetconfig.Function{}, types: map[string]fleetconfig.RequestType{},
+		tenants: map[string]bool{}, maxBody: int64(f.Gateway.Limits.Body)}
 	for _, fn := range f.Functions {
 		c.functions[fn.Name] = fn
 	}
@@ -149,7 +149,7 @@
 	if async {
 		return call, invalidRequest(http.StatusNotImplemented, "deferred calls (respond-async) are not built yet")
 	}
-	call.TimeLeft = call.Type.MaxAge.D()
+	call.TimeLeft = call.Type.MaxAge.Std()
 	if wait > 0 {
 		call.TimeLeft = min(call.TimeLeft, wait)
 	}
--- a/internal/gateway/latency_test.go
+++ b/internal/gateway/latency_test.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	file.Front.List = list.URL
+	file.Gateway.RegistryURL = list.URL
 	file.Fleet.Tenants = nil // shares are not what is measured
 	for i := range file.Functions {
 		file.Functions[i].Tenant = ""
--- a/internal/gateway/owner.go
+++ b/internal/gateway/owner.go
@@ -62,7 +62,7 @@
 	transport    WorkerTransport
 	loadTimeout  time.Duration // a load request that is not answered by then is lost
 	probeTimeout time.Duration // and a probe
-	stall        stall.Watcher
+	stall        stall.Detector
 	monitor      *invariant.Monitor
 	log          *slog.Logger
 	stats        Stats
@@ -137,14 +137,14 @@
 // Submit takes a request that was read just now. Just one final answer is given to its Reply, unless its client leaves.
 func (o *EventLoop) Submit(e *Request) {
 	read := o.Now()
-	behind := o.stall.Behind(time.Now())
+	behind := o.stall.Lag(time.Now())
 	if behind == 0 {
 		o.submit(e, read)
 		return
 	}
 	// the process did not run: the client's time went on meanwhile, and that it has left may not be read yet
 	o.stats.ReadAfterStall.Add(1)
-	time.AfterFunc(stall.Settle, func() { o.submit(e, read-behind) })
+	time.AfterFunc(stall.SettleTime, func() { o.submit(e, read-behind) })
 }
 
 func (o *EventLoop) submit(e *Request, sent time.Duration) {
@@ -223,7 +223,7 @@
 				o.wakeTimer.Reset(time.Until(o.wakeTimes[n-1]))
 			}
 		}
-		if late || o.stall.Behind(time.Now()) > 0 { // paused: what was said meanwhile is heard before anything is judged late
+		if late || o.stall.Lag(time.Now()) > 0 { // paused: what was said meanwhile is heard before anything is judged late
 			select {
 			case <-ctx.Done():
 				return nil
@@ -244,7 +244,7 @@
 // A timer that comes so late tells of a pause of the process; then sockets are listened to for a moment first.
 const (
 	pauseThreshold = 200 * time.Millisecond
-	pauseSettle    = stall.Settle
+	pauseSettle    = stall.SettleTime
 )
 
 // Pause stops the owner for a time, as a stopped process would, and returns when it stands still: for tests and
--- a/internal/gateway/platform/config.go
+++ b/internal/gateway/platform/config.go
@@ -19,16 +19,16 @@
 
 // Config is what the platform tells a front end.
 type Config struct {
-	Name, Listen, Journal string
-	Cores                 float64
-	Memory                int64 // bytes
-	Sockets               int
-	Known                 discovery.News
-	Settings              settings.Paths
-	Front                 core.Settings
+	Name, Listen, DiscoveryAddr string
+	Cores                       float64
+	Memory                      int64 // bytes
+	Sockets                     int
+	KnownEndpoints              discovery.Batch
+	Settings                    settings.Values
+	Core                        core.Settings
 }
 
-const mostConfig = 16 << 20
+const maxConfigBytes = 16 << 20
 
 // Read reads a configuration file.
 func Read(path string) (Config, error) {
@@ -36,8 +36,8 @@
 	if err != nil {
 		return Config{}, fmt.Errorf("configuration: %w", err)
 	}
-	if info.Size() > mostConfig {
-		return Config{}, fmt.Errorf("configuration %s: longer than %d bytes", path, mostConfig)
+	if info.Size() > maxConfigBytes {
+		return Config{}, fmt.Errorf("configuration %s: longer than %d bytes", path, maxConfigBytes)
 	}
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -67,9 +67,9 @@
 	if err := decode.Decode(&file); err != nil {
 		return Config{}, err
 	}
-	c := Config{Name: file.Name, Listen: file.Listen, Journal: file.Journal, Cores: file.Limits.Cores,
+	c := Config{Name: file.Name, Listen: file.Listen, DiscoveryAddr: file.Journal, Cores: file.Limits.Cores,
 		Memory: int64(file.Limits.Memory * (1 << 20)), Sockets: file.Limits.Sockets}
-	for key, addr := range map[string]string{"listen": c.Listen, "journal": c.Journal} {
+	for key, addr := range map[string]string{"listen": c.Listen, "journal": c.DiscoveryAddr} {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
 			return Config{}, fmt.Errorf("%s: %w", key, err)
 		}
@@ -78,30 +78,30 @@
 	if err != nil {
 		return Config{}, fmt.Errorf("seed: %w", err)
 	}
-	if !(c.Cores > 0) || c.Memory <= 0 || c.Sockets < leastSockets {
-		return Config{}, fmt.Errorf("limits: cores and memory_mb above 0 and at least %d sockets are needed", leastSockets)
+	if !(c.Cores > 0) || c.Memory <= 0 || c.Sockets < minSockets {
+		return Config{}, fmt.Errorf("limits: cores and memory_mb above 0 and at least %d sockets are needed", minSockets)
 	}
 	if len(file.Known) > 0 {
-		if c.Known, err = discovery.Parse(file.Known); err != nil {
+		if c.KnownEndpoints, err = discovery.Parse(file.Known); err != nil {
 			return Config{}, fmt.Errorf("known: %w", err)
 		}
 	}
-	c.Settings = settings.Flat(file.Settings)
-	c.Front = c.Settings.Front(seed)
-	c.Front.EnforceDeadlines = true
-	if len(c.Front.Types) == 0 {
+	c.Settings = settings.Flatten(file.Settings)
+	c.Core = c.Settings.Core(seed)
+	c.Core.EnforceDeadlines = true
+	if len(c.Core.Types) == 0 {
 		return Config{}, fmt.Errorf("settings: request_classes: there is none")
 	}
 	return c, nil
 }
 
-const leastSockets = 3 * ownSockets
+const minSockets = 3 * reservedSockets
 
-// ages tells the max age of each event type, and the longest.
-func (c Config) ages() (ages map[string]time.Duration, longest time.Duration) {
+// maxAges tells the max age of each event type, and the longest.
+func (c Config) maxAges() (ages map[string]time.Duration, longest time.Duration) {
 	ages = map[string]time.Duration{}
-	for i, t := range c.Front.Types {
-		ages[t.Name] = c.Settings.Time("request_classes."+strconv.Itoa(i)+".give_up", time.Minute)
+	for i, t := range c.Core.Types {
+		ages[t.Name] = c.Settings.Duration("request_classes."+strconv.Itoa(i)+".give_up", time.Minute)
 		longest = max(longest, ages[t.Name])
 	}
 	return ages, longest
--- a/internal/gateway/platform/deadline_test.go
+++ b/internal/gateway/platform/deadline_test.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// crowdedListener listens with a queue for a single connection, and fills it: a connection to it comes up only when the
+// congestedListener listens with a queue for a single connection, and fills it: a connection to it comes up only when the
 // kernel tries again a second after accept has made room.
-type crowdedListener struct {
+type congestedListener struct {
 	fd   int
 	addr string
 }
 
-func newCrowdedListener(t *testing.T) *crowdedListener {
+func newCongestedListener(t *testing.T) *congestedListener {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &crowdedListener{fd: fd}
+	l := &congestedListener{fd: fd}
 	t.Cleanup(func() { syscall.Close(fd) })
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
@@ -46,7 +46,7 @@
 }
 
 // accept takes the next connection; the first is the one that fills the queue.
-func (l *crowdedListener) accept(t *testing.T) int {
+func (l *congestedListener) accept(t *testing.T) int {
 	t.Helper()
 	fd, _, err := syscall.Accept(l.fd)
 	if err != nil {
@@ -55,19 +55,19 @@
 	return fd
 }
 
-// startBehindCrowd starts a front end whose only worker is at a crowded listener: what goes there is requests alone.
-func startBehindCrowd(t *testing.T) (*crowdedListener, *rig) {
-	slow := newCrowdedListener(t)
+// startWithCongestedWorker starts a front end whose only worker is at a crowded listener: what goes there is requests alone.
+func startWithCongestedWorker(t *testing.T) (*congestedListener, *harness) {
+	slow := newCongestedListener(t)
 	r := start(t, `"dial_timeout":0.25`, `"dial_timeout":5`, `"orders":true`, `"orders":false`, `"probing":true`, `"probing":false`)
-	r.journal <- changes(2, false, host("slow", slow.addr, "up")+","+host("w", r.worker.Addr().String(), "removed"))
-	waited(t, r)
+	r.batches <- batchJSON(2, false, hostJSON("slow", slow.addr, "up")+","+hostJSON("w", r.worker.Addr().String(), "removed"))
+	awaitPoll(t, r)
 	return slow, r
 }
 
 // The time that a worker is told is what the client has left when the request leaves, however long the connection took to
 // come up.
-func TestDeadlineAfterASlowConnection(t *testing.T) {
-	slow, r := startBehindCrowd(t)
+func TestDeadlineAfterSlowConnection(t *testing.T) {
+	slow, r := startWithCongestedWorker(t)
 	c := r.dial()
 	sent := time.Now()
 	c.dispatch("a", fields(id(1))...)
@@ -103,12 +103,12 @@
 }
 
 // A client that leaves while its attempt waits for a connection gets none, though the owner stands still and has not heard of it.
-func TestLeavesWhileConnectingAndTheOwnerStandsStill(t *testing.T) {
-	slow, r := startBehindCrowd(t)
+func TestClientLeavesWhileConnectingAndOwnerStalls(t *testing.T) {
+	slow, r := startWithCongestedWorker(t)
 	c := r.dial()
 	c.dispatch("a", fields(id(1))...)
 	time.Sleep(50 * time.Millisecond) // the first try to connect finds no room
-	r.front.Pause(3 * time.Second)
+	r.gateway.Pause(3 * time.Second)
 	c.Close()
 	syscall.Close(slow.accept(t))
 	fd := slow.accept(t)
@@ -122,12 +122,12 @@
 	}
 }
 
-// waited returns when the front end has asked for what comes after the answers given so far.
-func waited(t *testing.T, r *rig) {
+// awaitPoll returns when the front end has asked for what comes after the answers given so far.
+func awaitPoll(t *testing.T, r *harness) {
 	t.Helper()
 	for range 2 {
 		select {
-		case <-r.waits:
+		case <-r.pollWaits:
 		case <-time.After(20 * time.Second):
 			t.Fatal("the journal is not asked")
 		}
--- a/internal/gateway/platform/golden_test.go
+++ b/internal/gateway/platform/golden_test.go
@@ -50,10 +50,10 @@
 		t.Fatal(err)
 	}
 	list := ""
-	for _, e := range c.Known.Events {
-		list += fmt.Sprint(e.Number, *e.List)
+	for _, e := range c.KnownEndpoints.Events {
+		list += fmt.Sprint(e.Position, *e.Update)
 	}
-	c.Known.Events = nil
+	c.KnownEndpoints.Events = nil
 	if got := fmt.Sprintf("%v %s", c, list); got != goldenRead {
 		t.Errorf("\n got %s\nwant %s", got, goldenRead)
 	}
@@ -382,9 +382,9 @@
 	if err := os.WriteFile(path, []byte(strings.Replace(r.config, `"listen":`, `"listen":"`+addrs[0]+`","was":`, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	l, ended := &logs{kick: make(chan struct{})}, make(chan error, 1)
+	l, ended := &logBuffer{changed: make(chan struct{})}, make(chan error, 1)
 	go func() {
-		ended <- platform.Run(path, slog.New(slog.NewJSONHandler(l, nil)), platform.Options{Metrics: addrs[1]})
+		ended <- platform.Run(path, slog.New(slog.NewJSONHandler(l, nil)), platform.Options{MetricsAddr: addrs[1]})
 	}()
 	l.wait("metrics are served", 1)
 	l.wait("front end listens", 1)
@@ -415,8 +415,8 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at := slices.IndexFunc(strings.Split(l.have, "\n"), func(s string) bool { return strings.Contains(s, `"msg":"status"`) })
-	decode := json.NewDecoder(bytes.NewReader([]byte(strings.Split(l.have, "\n")[at])))
+	at := slices.IndexFunc(strings.Split(l.text, "\n"), func(s string) bool { return strings.Contains(s, `"msg":"status"`) })
+	decode := json.NewDecoder(bytes.NewReader([]byte(strings.Split(l.text, "\n")[at])))
 	var keys []string
 	if _, err := decode.Token(); err != nil {
 		t.Fatal(err)
--- a/internal/gateway/platform/invariants_test.go
+++ b/internal/gateway/platform/invariants_test.go
@@ -10,41 +10,41 @@
 	"lupinpond/internal/testbed/mutationtest"
 )
 
-// oneBorn is a line of the list of a worker that has started late.
-func oneBorn(name, addr, health, born string) string {
-	return strings.Replace(host(name, addr, health), `"born_ms":0`, `"born_ms":`+born, 1)
+// hostStartedAt is a line of the list of a worker that has started late.
+func hostStartedAt(name, addr, health, born string) string {
+	return strings.Replace(hostJSON(name, addr, health), `"born_ms":0`, `"born_ms":`+born, 1)
 }
 
-// scenes are crossings in which a guard of the front end on the platform keeps an invariant.
-var scenes = map[string]func(t *testing.T) *rig{
-	"DrainedWhileConnecting": func(t *testing.T) *rig {
-		slow, r := startBehindCrowd(t)
+// races are crossings in which a guard of the front end on the platform keeps an invariant.
+var races = map[string]func(t *testing.T) *harness{
+	"DrainedWhileConnecting": func(t *testing.T) *harness {
+		slow, r := startWithCongestedWorker(t)
 		c := r.dial()
 		c.dispatch("a", fields(id(1))...)
 		time.Sleep(50 * time.Millisecond) // the first try to connect finds no room
-		r.journal <- changes(3, false, host("slow", slow.addr, "draining"))
+		r.batches <- batchJSON(3, false, hostJSON("slow", slow.addr, "draining"))
 		syscall.Close(slow.accept(t))
 		syscall.Close(slow.accept(t))
 		c.answer()
 		return r
 	},
-	"NextLife": func(t *testing.T) *rig {
+	"NextLife": func(t *testing.T) *harness {
 		next := newWorker(t)
 		r := start(t)
 		c := r.dial()
 		c.dispatch("a", fields(id(1))...)
-		c.wants("handled", "done a") // there is a warm replica
-		waited(t, r)
-		r.front.Pause(500 * time.Millisecond)
+		c.expect("handled", "done a") // there is a warm replica
+		awaitPoll(t, r)
+		r.gateway.Pause(500 * time.Millisecond)
 		c.dispatch("b", fields(id(2))...)
 		time.Sleep(100 * time.Millisecond)
-		r.journal <- changes(2, false, oneBorn("w", next.Addr().String(), "up", "1"))
+		r.batches <- batchJSON(2, false, hostStartedAt("w", next.Addr().String(), "up", "1"))
 		c.answer()
 		return r
 	},
-	"IdleUnderACall": func(t *testing.T) *rig {
+	"IdleUnderACall": func(t *testing.T) *harness {
 		r := start(t, `"conn_idle":15`, `"conn_idle":0.2`)
-		r.worker.say(func(_, _, body string) []string {
+		r.worker.respondWith(func(_, _, body string) []string {
 			time.Sleep(500 * time.Millisecond)
 			return []string{"ok", "how=ready", body}
 		})
@@ -57,10 +57,10 @@
 
 // No crossing violates an invariant.
 func TestInvariantsHold(t *testing.T) {
-	for name, play := range scenes {
+	for name, play := range races {
 		t.Run(name, func(t *testing.T) {
 			r := play(t)
-			if counts := r.front.Monitor().Counts(); len(counts) > 0 {
+			if counts := r.gateway.Monitor().Counts(); len(counts) > 0 {
 				t.Errorf("violated: %v", counts)
 			}
 		})
@@ -68,16 +68,16 @@
 }
 
 // With its guard taken out, each invariant is seen to be violated.
-func TestInvariantsCountWithoutTheirGuards(t *testing.T) {
+func TestInvariantsAreViolatedWithoutGuards(t *testing.T) {
 	for _, u := range []struct {
 		scene, file, text, instead string
 		kind                       invariant.Kind
 	}{
-		{"DrainedWhileConnecting", "workers.go", "b.stopped.CompareAndSwap(0, int64(now))\n\tb.Stop()", "b.stopped.CompareAndSwap(0, int64(now))",
+		{"DrainedWhileConnecting", "workers.go", "b.stoppedAt.CompareAndSwap(0, int64(now))\n\tb.Stop()", "b.stoppedAt.CompareAndSwap(0, int64(now))",
 			invariant.AttemptToDrainedWorker},
-		{"NextLife", "workers.go", "b := w.find(worker)\n\tif b == nil {\n\t\tdone(scheduler.Outcome{", "b := w.listed[worker]\n\tif b == nil {\n\t\tdone(scheduler.Outcome{",
+		{"NextLife", "workers.go", "b := w.lookup(worker)\n\tif b == nil {\n\t\tdone(scheduler.Outcome{", "b := w.listed[worker]\n\tif b == nil {\n\t\tdone(scheduler.Outcome{",
 			invariant.AttemptToOtherIncarnation},
-		{"IdleUnderACall", "../thrift/conn.go", "return len(c.calls) == 0 && len(c.out) == 0 && !c.writing", "return len(c.out) == 0 && !c.writing",
+		{"IdleUnderACall", "../thrift/conn.go", "return len(c.calls) == 0 && len(c.outbound) == 0 && !c.writing", "return len(c.outbound) == 0 && !c.writing",
 			invariant.ClosedUnanswered},
 	} {
 		t.Run(u.kind.String(), func(t *testing.T) {
--- a/internal/gateway/platform/lives_test.go
+++ b/internal/gateway/platform/lives_test.go
@@ -12,32 +12,32 @@
 
 // What the core decides is for the life of a worker that it has heard of. The next life at the same name is found only once the
 // core has heard of it, and then the one before is not.
-func TestNextLifeIsFoundOnceTheCoreHasHeard(t *testing.T) {
-	w := &workers{pool: resp.NewPool(context.Background(), resp.Limits{Streams: 1}), listed: map[string]*backend{},
-		adopted: map[string]*backend{}, monitor: invariant.NewMonitor(slog.New(slog.DiscardHandler))}
+func TestNextIncarnationIsFoundOnceApplied(t *testing.T) {
+	w := &workerTransport{pool: resp.NewPool(context.Background(), resp.Limits{MaxCallsPerConn: 1}), listed: map[string]*backend{},
+		applied: map[string]*backend{}, monitor: invariant.NewMonitor(slog.New(slog.DiscardHandler))}
 	list := func(state string, born int64) discovery.Event {
-		return discovery.Event{List: &discovery.List{Workers: []discovery.Worker{{Name: "w", Addr: "127.0.0.1:1", State: state, Born: born}}}}
+		return discovery.Event{Update: &discovery.Update{Endpoints: []discovery.Endpoint{{Name: "w", Addr: "127.0.0.1:1", State: state, StartedUnixMilli: born}}}}
 	}
-	w.news(list(discovery.Up, 1))()
-	first := w.find("w")
+	w.update(list(discovery.Up, 1))()
+	first := w.lookup("w")
 	if first == nil {
 		t.Fatal("the first life is not found")
 	}
-	adopt := w.news(list(discovery.Up, 2))
-	if w.find("w") != first || first.stopped.Load() == 0 {
+	adopt := w.update(list(discovery.Up, 2))
+	if w.lookup("w") != first || first.stoppedAt.Load() == 0 {
 		t.Error("the next life is found before the core has heard of it, or the one before may still get something new")
 	}
 	adopt()
-	second := w.find("w")
-	if second == first || second.stopped.Load() != 0 {
+	second := w.lookup("w")
+	if second == first || second.stoppedAt.Load() != 0 {
 		t.Error("the next life is not found once the core has heard of it")
 	}
-	adopt = w.news(list(discovery.Removed, 2))
-	if w.find("w") != second || second.stopped.Load() == 0 {
+	adopt = w.update(list(discovery.Removed, 2))
+	if w.lookup("w") != second || second.stoppedAt.Load() == 0 {
 		t.Error("a worker that is gone may still get something new")
 	}
 	adopt()
-	if w.find("w") != nil {
+	if w.lookup("w") != nil {
 		t.Error("a worker that is gone is found")
 	}
 }
--- a/internal/gateway/platform/metrics_test.go
+++ b/internal/gateway/platform/metrics_test.go
@@ -33,15 +33,15 @@
 	if err := os.WriteFile(path, []byte(strings.Replace(r.config, `"listen":`, `"listen":"`+r.addr+`","was":`, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	l, ended := &logs{kick: make(chan struct{})}, make(chan error, 1)
+	l, ended := &logBuffer{changed: make(chan struct{})}, make(chan error, 1)
 	go func() {
-		ended <- platform.Run(path, slog.New(slog.NewTextHandler(l, nil)), platform.Options{Metrics: metrics})
+		ended <- platform.Run(path, slog.New(slog.NewTextHandler(l, nil)), platform.Options{MetricsAddr: metrics})
 	}()
 	l.wait("metrics are served", 1)
 	l.wait("front end listens", 1)
 	c := r.dial()
 	c.dispatch("a", fields(id(1))...)
-	c.wants("handled", "done a")
+	c.expect("handled", "done a")
 	client := &http.Client{Timeout: 20 * time.Second}
 	defer client.CloseIdleConnections()
 	response, err := client.Get("http://" + metrics + "/metrics")
--- a/internal/gateway/platform/platform_test.go
+++ b/internal/gateway/platform/platform_test.go
@@ -25,22 +25,22 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// worker is a worker whose answers a test words.
-type worker struct {
+// fakeWorker is a worker whose answers a test words.
+type fakeWorker struct {
 	net.Listener
-	mu   sync.Mutex
-	says func(id, fields, body string) []string // words after the id; none: no answer
-	saw  chan []string
-	done sync.WaitGroup
+	mu       sync.Mutex
+	respond  func(id, fields, body string) []string // words after the id; none: no answer
+	received chan []string
+	done     sync.WaitGroup
 }
 
-func newWorker(t *testing.T) *worker {
+func newWorker(t *testing.T) *fakeWorker {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &worker{Listener: l, saw: make(chan []string, 1000)}
-	w.say(func(_, _, body string) []string {
+	w := &fakeWorker{Listener: l, received: make(chan []string, 1000)}
+	w.respondWith(func(_, _, body string) []string {
 		return []string{"ok", "how=ready,stats=busy_reqs:1;pending:0", "done " + body}
 	})
 	w.done.Add(1)
@@ -62,22 +62,22 @@
 	return w
 }
 
-func (w *worker) say(f func(id, fields, body string) []string) {
+func (w *fakeWorker) respondWith(f func(id, fields, body string) []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.says = f
+	w.respond = f
 }
 
-func (w *worker) serve(conn net.Conn) {
+func (w *fakeWorker) serve(conn net.Conn) {
 	defer w.done.Done()
 	defer conn.Close()
 	_ = resp.ReadCommands(conn, 1<<20, func(texts []string, _ int) error { // until the front end ends it
-		w.saw <- texts
+		w.received <- texts
 		var answer []string
 		switch texts[0] {
 		case "FN":
 			w.mu.Lock()
-			says := w.says
+			says := w.respond
 			w.mu.Unlock()
 			answer = says(texts[1], texts[2], texts[3])
 		case "SPAWN":
@@ -88,17 +88,17 @@
 		if answer == nil {
 			return nil
 		}
-		_, err := conn.Write(resp.Append(nil, append(texts[1:2:2], answer...)...))
+		_, err := conn.Write(resp.AppendArray(nil, append(texts[1:2:2], answer...)...))
 		return err
 	})
 }
 
 // next is the next request of one sort that the worker saw.
-func (w *worker) next(t *testing.T, word string) []string {
+func (w *fakeWorker) next(t *testing.T, word string) []string {
 	t.Helper()
 	for {
 		select {
-		case got := <-w.saw:
+		case got := <-w.received:
 			if got[0] == word {
 				return got
 			}
@@ -110,26 +110,26 @@
 
 const key = "7f3a9c21e0b4d655"
 
-// rig is a front end with one worker.
-type rig struct {
-	t       *testing.T
-	config  string
-	worker  *worker
-	addr    string
-	front   *platform.Front
-	journal chan string // its answers
-	waits   chan string // how long it may wait, of each question
-	stop    context.CancelFunc
-	ended   chan error
+// harness is a front end with one worker.
+type harness struct {
+	t         *testing.T
+	config    string
+	worker    *fakeWorker
+	addr      string
+	gateway   *platform.Gateway
+	batches   chan string // its answers
+	pollWaits chan string // how long it may wait, of each question
+	stop      context.CancelFunc
+	ended     chan error
 }
 
 // start starts a front end; changes are of its configuration, a text and what stands in its place.
-func start(t *testing.T, changes ...string) *rig {
-	r := &rig{t: t, worker: newWorker(t), journal: make(chan string, 10), waits: make(chan string, 1000), ended: make(chan error, 1)}
+func start(t *testing.T, changes ...string) *harness {
+	r := &harness{t: t, worker: newWorker(t), batches: make(chan string, 10), pollWaits: make(chan string, 1000), ended: make(chan error, 1)}
 	journal := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		r.waits <- q.URL.Query().Get("max_wait")
+		r.pollWaits <- q.URL.Query().Get("max_wait")
 		select {
-		case text := <-r.journal:
+		case text := <-r.batches:
 			fmt.Fprint(w, text)
 		case <-q.Context().Done():
 		}
@@ -149,16 +149,16 @@
 		"retry_after":true,"max_retry_after":2},"report":{"source":"inline","fields":["busy_reqs","pending"]},
 		"rules":{"stop_sending_within":0.5},"orgs":[{"name":"acme","quota_per_s":100}],
 		"request_classes":[{"name":"call","effect":"pure","aim":1,"give_up":3},{"name":"pay","effect":"side_effect","aim":1,"give_up":3}]}}`,
-		r.addr, journal.Listener.Addr(), listed(1, "up", r.worker.Addr().String()))
+		r.addr, journal.Listener.Addr(), eventJSON(1, "up", r.worker.Addr().String()))
 	r.config = strings.NewReplacer(changes...).Replace(r.config)
 	c, err := platform.Parse([]byte(r.config))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.front = platform.New(c, listener, slog.New(slog.DiscardHandler), nil)
+	r.gateway = platform.New(c, listener, slog.New(slog.DiscardHandler), nil)
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop = stop
-	go func() { r.ended <- r.front.Run(ctx) }()
+	go func() { r.ended <- r.gateway.Run(ctx) }()
 	t.Cleanup(func() {
 		stop()
 		if err := <-r.ended; err != nil {
@@ -168,7 +168,7 @@
 	return r
 }
 
-func listed(n int, health, addr string) string {
+func eventJSON(n int, health, addr string) string {
 	return fmt.Sprintf(`{"pos":%d,"hosts":{"seq":1,"whole":%v,"hosts":[{"host":"w","dial":%q,"site":"z","class":"k","block":0,`+
 		`"health":%q,"share":4,"born_ms":0}]}}`, n, n == 1, addr, health)
 }
@@ -180,7 +180,7 @@
 	seq int32
 }
 
-func (r *rig) dial() *client {
+func (r *harness) dial() *client {
 	conn, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		r.t.Fatal(err)
@@ -213,7 +213,7 @@
 	c.t.Helper()
 	c.seq++
 	w := thrift.NewWriter("dispatch", thrift.Call, c.seq)
-	w.Texts(1, pairs...)
+	w.StringMap(1, pairs...)
 	w.Binary(2, []byte(body))
 	c.send(w.Frame())
 }
@@ -238,8 +238,8 @@
 	if err != nil || perr != nil {
 		c.t.Fatal(err, perr)
 	}
-	if m.Kind == thrift.Exception {
-		return m.Seq, "exception", ""
+	if m.Type == thrift.Exception {
+		return m.SeqID, "exception", ""
 	}
 	// the result is a struct of one field: its type, number, and the struct in it
 	inner, err := thrift.ReadArgs(m.Args[3 : len(m.Args)-1])
@@ -249,16 +249,16 @@
 	switch m.Args[2] {
 	case 0:
 		if !inner.Bools[3] {
-			return m.Seq, "not good", ""
+			return m.SeqID, "not good", ""
 		}
-		return m.Seq, "handled", string(inner.Bins[1])
+		return m.SeqID, "handled", string(inner.Binaries[1])
 	case 1:
-		return m.Seq, "throttled", inner.Maps[1]["after"]
+		return m.SeqID, "throttled", inner.StringMaps[1]["after"]
 	}
-	return m.Seq, "broken", ""
+	return m.SeqID, "broken", ""
 }
 
-func (c *client) wants(what, text string) {
+func (c *client) expect(what, text string) {
 	c.t.Helper()
 	if seq, got, body := c.answer(); got != what || text != "" && body != text {
 		c.t.Errorf("request %d is %s %q, want %s %q", seq, got, body, what, text)
@@ -268,7 +268,7 @@
 func id(n int) string { return fmt.Sprintf("%016x", n) }
 
 // The worker's word decides: handled with its body unchanged, deferred with a time to come back, dead-lettered.
-func TestEndings(t *testing.T) {
+func TestOutcomes(t *testing.T) {
 	r := start(t)
 	c := r.dial()
 	body := "\x00any\r\nbytes"
@@ -277,16 +277,16 @@
 	if got[1] != id(1) || got[3] != body || !strings.HasPrefix(got[2], "class=call,key="+key+",wait=2") {
 		t.Errorf("%q", got)
 	}
-	c.wants("handled", "done "+body)
+	c.expect("handled", "done "+body)
 	w := thrift.NewWriter("alive", thrift.Call, 50)
 	w.Bool(1, false)
 	c.send(w.Frame())
-	c.wants("handled", "")
-	r.worker.say(func(string, string, string) []string { return []string{"error", "-", ""} })
+	c.expect("handled", "")
+	r.worker.respondWith(func(string, string, string) []string { return []string{"error", "-", ""} })
 	c.seq = 50
 	c.dispatch("", fields(id(2), "class", "pay")...)
-	c.wants("broken", "")
-	r.worker.say(func(string, string, string) []string { return nil })
+	c.expect("broken", "")
+	r.worker.respondWith(func(string, string, string) []string { return nil })
 	c.dispatch("", fields(id(3), "wait", "200")...)
 	_, what, after := c.answer()
 	if what != "throttled" || after == "" {
@@ -295,7 +295,7 @@
 }
 
 // What can't be passed on is answered with an exception and never comes to a worker, nor does an id that came before.
-func TestBadRequests(t *testing.T) {
+func TestInvalidRequests(t *testing.T) {
 	r := start(t)
 	c := r.dial()
 	for _, bad := range [][]string{{"class", "none"}, {"class", ""}, {"tenant", "other"}, {"tenant", ""}, {"id", "short"}, {"id", ""},
@@ -308,7 +308,7 @@
 		}
 	}
 	c.dispatch(strings.Repeat("x", 16<<10+1), fields(id(8))...)
-	c.wants("exception", "")
+	c.expect("exception", "")
 	c.dispatch("a", fields(id(9))...)
 	c.dispatch("b", fields(id(9))...)
 	got := map[string]int{}
@@ -319,17 +319,17 @@
 	if got["handled"] != 1 || got["exception"] != 1 {
 		t.Error("two requests of one id:", got)
 	}
-	for len(r.worker.saw) > 0 {
-		if w := <-r.worker.saw; w[0] == "FN" && (w[1] != id(9) || w[3] != "a") {
+	for len(r.worker.received) > 0 {
+		if w := <-r.worker.received; w[0] == "FN" && (w[1] != id(9) || w[3] != "a") {
 			t.Errorf("came to the worker: %q", w)
 		}
 	}
 }
 
 // A request that is taken back is given up at its worker, and no answer follows.
-func TestTakenBack(t *testing.T) {
+func TestCancelledRequest(t *testing.T) {
 	r := start(t)
-	r.worker.say(func(_, _, body string) []string {
+	r.worker.respondWith(func(_, _, body string) []string {
 		if body == "hang" {
 			return nil
 		}
@@ -354,7 +354,7 @@
 func TestDrain(t *testing.T) {
 	r := start(t)
 	release := make(chan struct{})
-	r.worker.say(func(_, _, body string) []string {
+	r.worker.respondWith(func(_, _, body string) []string {
 		<-release
 		return []string{"ok", "how=ready", body}
 	})
@@ -365,8 +365,8 @@
 	other := r.dial()
 	other.dispatch("after", fields(id(2))...)
 	close(release)
-	c.wants("handled", "before")
-	other.wants("handled", "after")
+	c.expect("handled", "before")
+	other.expect("handled", "after")
 	if _, err := io.Copy(io.Discard, other); err != nil {
 		t.Error("not ended:", err)
 	}
@@ -374,9 +374,9 @@
 
 // Told to end, a front end answers what a worker would have answered too late for it: unanswered it would be killed. An
 // event that may be tried again is deferred, one that may not is dead-lettered.
-func TestDrainAnswersWhatIsOut(t *testing.T) {
+func TestDrainAnswersInFlightRequests(t *testing.T) {
 	r := start(t, `"give_up":3`, `"give_up":100`)
-	r.worker.say(func(string, string, string) []string { return nil })
+	r.worker.respondWith(func(string, string, string) []string { return nil })
 	c := r.dial()
 	c.dispatch("", fields(id(1), "wait", "90000")...)
 	c.dispatch("", fields(id(2), "wait", "90000", "class", "pay")...)
@@ -397,14 +397,14 @@
 }
 
 // A drained worker gets nothing new; news of a moved journal is heard.
-func TestJournal(t *testing.T) {
+func TestDiscoveryAddressChange(t *testing.T) {
 	r := start(t)
 	c := r.dial()
 	c.dispatch("a", fields(id(1))...)
-	c.wants("handled", "done a")
+	c.expect("handled", "done a")
 	moved := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Query().Get("tail") == "1" {
-			fmt.Fprintf(w, `{"pos":2,"entries":[%s]}`, listed(2, "draining", r.worker.Addr().String()))
+			fmt.Fprintf(w, `{"pos":2,"entries":[%s]}`, eventJSON(2, "draining", r.worker.Addr().String()))
 			return
 		}
 		<-q.Context().Done()
@@ -423,7 +423,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.front.Reload(config)
+	r.gateway.Reload(config)
 	for n := 2; ; n++ { // until the news is heard
 		c.dispatch("b", fields(id(n), "wait", "300")...)
 		if _, what, _ := c.answer(); what == "throttled" {
@@ -436,7 +436,7 @@
 func TestOpenRequests(t *testing.T) {
 	r := start(t, `"max_streams":32`, `"max_streams":2`)
 	release := make(chan struct{})
-	r.worker.say(func(_, _, body string) []string {
+	r.worker.respondWith(func(_, _, body string) []string {
 		<-release
 		return []string{"ok", "how=ready", body}
 	})
@@ -454,15 +454,15 @@
 
 // The mark of a keyed event goes to the worker as it came, also with another launch; one that has none, or one that would
 // end the worker's field, is never sent.
-func TestKeyed(t *testing.T) {
+func TestIdempotencyKey(t *testing.T) {
 	r := start(t, `"effect":"side_effect"`, `"effect":"token","dedup_scope":"all","window":5`)
 	c := r.dial()
 	for i, bad := range []string{"", "a,b", "a=b", "a\r\nb", strings.Repeat("x", 1000)} {
 		c.dispatch("", fields(id(i), "class", "pay", "once", bad)...)
-		c.wants("exception", "")
+		c.expect("exception", "")
 	}
 	launches := 0
-	r.worker.say(func(_, _, body string) []string {
+	r.worker.respondWith(func(_, _, body string) []string {
 		if launches++; launches == 1 {
 			return []string{"error", "-", ""}
 		}
@@ -474,21 +474,21 @@
 			t.Errorf("%q", got)
 		}
 	}
-	c.wants("handled", "a")
+	c.expect("handled", "a")
 	c.dispatch("b", fields(id(51), "once", "of no use")...) // of a type that may run again
 	if got := r.worker.next(t, "FN"); strings.Contains(got[2], "once") {
 		t.Errorf("%q", got)
 	}
-	c.wants("handled", "b")
+	c.expect("handled", "b")
 }
 
-// host is a line of the list.
-func host(name, addr, health string) string {
+// hostJSON is a line of the list.
+func hostJSON(name, addr, health string) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"z","class":"k","block":0,"health":%q,"share":4,"born_ms":0}`, name, addr, health)
 }
 
-// changes is an answer of the journal with one event a list; the first has a number.
-func changes(first int, whole bool, lists ...string) string {
+// batchJSON is an answer of the journal with one event a list; the first has a number.
+func batchJSON(first int, whole bool, lists ...string) string {
 	var events []string
 	for i, list := range lists {
 		events = append(events, fmt.Sprintf(`{"pos":%d,"hosts":{"whole":%v,"hosts":[%s]}}`, first+i, whole, list))
@@ -498,11 +498,11 @@
 
 // A worker that drains and goes in one answer, another one at its address, and then a whole list without that one: what is
 // out at each is still answered, and new events go where the list says.
-func TestListCrossings(t *testing.T) {
+func TestRequestsDuringEndpointChanges(t *testing.T) {
 	third := newWorker(t) // ends after the front end
 	r := start(t)
 	release := make(chan struct{})
-	r.worker.say(func(_, _, body string) []string {
+	r.worker.respondWith(func(_, _, body string) []string {
 		if body == "out" {
 			<-release
 		}
@@ -512,7 +512,7 @@
 	c := r.dial()
 	c.dispatch("out", fields(id(1))...)
 	r.worker.next(t, "FN")
-	r.journal <- changes(2, false, host("w", addr, "draining"), host("w", addr, "removed"), host("again", addr, "up"))
+	r.batches <- batchJSON(2, false, hostJSON("w", addr, "draining"), hostJSON("w", addr, "removed"), hostJSON("again", addr, "up"))
 	n := 2
 	handled := func() { // until the news is heard
 		for ; ; n++ {
@@ -527,24 +527,24 @@
 		}
 	}
 	handled()
-	r.journal <- changes(5, true, host("third", third.Addr().String(), "up"))
-	for len(third.saw) == 0 {
+	r.batches <- batchJSON(5, true, hostJSON("third", third.Addr().String(), "up"))
+	for len(third.received) == 0 {
 		handled()
 	}
 	close(release)
-	c.wants("handled", "out")
+	c.expect("handled", "out")
 }
 
 // Whatever has come and gone, workers, clients and functions, leaves no goroutine and no connection behind.
-func TestComesBack(t *testing.T) {
+func TestNoLeaks(t *testing.T) {
 	r := start(t)
 	c := r.dial()
 	c.dispatch("a", fields(id(1<<20))...)
-	c.wants("handled", "")
+	c.expect("handled", "")
 	before, name, addr := runtime.NumGoroutine(), "w", r.worker.Addr().String()
 	for n := range 100 {
 		next := fmt.Sprint("w", n)
-		r.journal <- changes(2+2*n, false, host(name, addr, "removed"), host(next, addr, "up"))
+		r.batches <- batchJSON(2+2*n, false, hostJSON(name, addr, "removed"), hostJSON(next, addr, "up"))
 		name = next
 		other := r.dial()
 		other.dispatch("a", fields(id(n), "key", id(n), "wait", "1000")...)
@@ -564,16 +564,16 @@
 
 // A silent journal is noticed before its news counts as told, two seconds after the wait that was asked for, which is never
 // longer than the platform allows and follows the drain grace.
-func TestJournalWait(t *testing.T) {
+func TestPollWait(t *testing.T) {
 	for grace, want := range map[string]string{"0.5": "1000", "1": "2000", "0": "250", "10": "5000"} {
 		r := start(t, `"stop_sending_within":0.5`, `"stop_sending_within":`+grace)
-		if got := <-r.waits; got != want {
+		if got := <-r.pollWaits; got != want {
 			t.Errorf("with a grace of %s s the journal may wait %s ms instead of %s", grace, got, want)
 		}
 	}
 }
 
-func TestBadConfig(t *testing.T) {
+func TestInvalidConfig(t *testing.T) {
 	r := start(t)
 	for _, change := range [][2]string{{`"seed":"8c1f`, `"seed":"xx1f`}, {`"sockets":256`, `"sockets":2`}, {`"cores":1.0`, `"cores":0`},
 		{`"listen":"127`, `"listen":127,"x":"127`}, {`"pos":1,"hosts"`, `"pos":-1,"hosts"`}, {`"request_classes"`, `"nothing"`}, {"{", ""}} {
--- a/internal/gateway/platform/run.go
+++ b/internal/gateway/platform/run.go
@@ -19,16 +19,16 @@
 
 // Times in which what another process has not finished yet is tried again.
 const (
-	tryPause     = 50 * time.Millisecond
-	startWithin  = 2 * time.Second  // a configuration that is being written, at the start
-	listenWithin = 8 * time.Second  // an address that the process before has not let go yet
-	reloadWithin = 10 * time.Second // a configuration that is being written, after SIGHUP
+	retryPause    = 50 * time.Millisecond
+	startTimeout  = 2 * time.Second  // a configuration that is being written, at the start
+	listenTimeout = 8 * time.Second  // an address that the process before has not let go yet
+	reloadTimeout = 10 * time.Second // a configuration that is being written, after SIGHUP
 )
 
 // Options are what a front end is run with beside its configuration.
 type Options struct {
-	Metrics string       // address where the state is served to Prometheus; empty: nowhere
-	Dropped func() int64 // log lines that found no reader; may be nil
+	MetricsAddr     string       // address where the state is served to Prometheus; empty: nowhere
+	DroppedLogLines func() int64 // log lines that found no reader; may be nil
 }
 
 // Run runs a front end by a configuration file until SIGTERM. At SIGHUP it reads the file again, at SIGUSR1 it logs its state.
@@ -38,7 +38,7 @@
 	defer signal.Stop(signals)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	c, err := readAtStart(ctx, path)
+	c, err := readInitialConfig(ctx, path)
 	if err != nil {
 		return err
 	}
@@ -49,21 +49,21 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	f := New(c, listener, log, nil)
-	f.dropped = o.Dropped
-	if o.Metrics != "" {
+	f.droppedLogLines = o.DroppedLogLines
+	if o.MetricsAddr != "" {
 		go func() {
-			if err := f.serveMetrics(f.hard, o.Metrics); err != nil {
+			if err := f.serveMetrics(f.workCtx, o.MetricsAddr); err != nil {
 				f.log.Error("metrics are not served", "err", err)
 			}
 		}()
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- f.Run(ctx) }()
-	return f.follow(path, signals, ended)
+	return f.handleSignals(path, signals, ended)
 }
 
-// follow does what signals ask for until the front end has ended.
-func (f *Front) follow(path string, signals <-chan os.Signal, ended <-chan error) error {
+// handleSignals does what signals ask for until the front end has ended.
+func (f *Gateway) handleSignals(path string, signals <-chan os.Signal, ended <-chan error) error {
 	var again <-chan time.Time // a configuration that could not be read is to be read again
 	var until time.Time
 	for {
@@ -76,17 +76,17 @@
 				f.logStatus(slog.LevelWarn) // asked for: it is logged at the usual level
 				continue
 			}
-			until = time.Now().Add(reloadWithin)
-			again = f.reread(path, true, until)
+			until = time.Now().Add(reloadTimeout)
+			again = f.reloadFile(path, true, until)
 		case <-again:
-			again = f.reread(path, false, until)
+			again = f.reloadFile(path, false, until)
 		}
 	}
 }
 
-// reread reads the configuration again. Where it can't be read the front end goes on with what it has, and reads it once more after
+// reloadFile reads the configuration again. Where it can't be read the front end goes on with what it has, and reads it once more after
 // a pause, as it may be being written: the result tells when, nil: not any more.
-func (f *Front) reread(path string, first bool, until time.Time) <-chan time.Time {
+func (f *Gateway) reloadFile(path string, first bool, until time.Time) <-chan time.Time {
 	c, err := Read(path)
 	if err == nil {
 		f.Reload(c)
@@ -99,20 +99,20 @@
 		f.log.Error("the new configuration is given up", "err", err)
 		return nil
 	}
-	return time.After(tryPause)
+	return time.After(retryPause)
 }
 
-// readAtStart reads the configuration, which may be being written.
-func readAtStart(ctx context.Context, path string) (c Config, err error) {
-	err = retry(ctx, startWithin, unfinished, func() (err error) {
+// readInitialConfig reads the configuration, which may be being written.
+func readInitialConfig(ctx context.Context, path string) (c Config, err error) {
+	err = retry(ctx, startTimeout, isIncomplete, func() (err error) {
 		c, err = Read(path)
 		return err
 	})
 	return c, err
 }
 
-// unfinished tells whether a configuration may be one that is being written, or could not be read for now.
-func unfinished(err error) bool {
+// isIncomplete tells whether a configuration may be one that is being written, or could not be read for now.
+func isIncomplete(err error) bool {
 	var syntax *json.SyntaxError
 	var system syscall.Errno
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &syntax) || errors.As(err, &system)
@@ -120,15 +120,15 @@
 
 // listen listens, also at an address that a process before this one has not let go yet, or when the system is short of something.
 func listen(ctx context.Context, addr string) (listener net.Listener, err error) {
-	err = retry(ctx, listenWithin, passing, func() (err error) {
+	err = retry(ctx, listenTimeout, isTemporary, func() (err error) {
 		listener, err = net.Listen("tcp", addr)
 		return err
 	})
 	return listener, err
 }
 
-// passing tells whether the reason why an address can't be listened at may pass.
-func passing(err error) bool {
+// isTemporary tells whether the reason why an address can't be listened at may pass.
+func isTemporary(err error) bool {
 	for _, errno := range []syscall.Errno{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, errno) {
 			return true
@@ -148,7 +148,7 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(tryPause):
+		case <-time.After(retryPause):
 		}
 	}
 }
--- a/internal/gateway/platform/run_test.go
+++ b/internal/gateway/platform/run_test.go
@@ -14,27 +14,27 @@
 	"lupinpond/internal/gateway/platform"
 )
 
-// logs tells a test the messages that are logged.
-type logs struct {
-	mu   sync.Mutex
-	have string
-	kick chan struct{}
+// logBuffer tells a test the messages that are logged.
+type logBuffer struct {
+	mu      sync.Mutex
+	text    string
+	changed chan struct{}
 }
 
-func (l *logs) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.have += string(b)
-	close(l.kick)
-	l.kick = make(chan struct{})
+	l.text += string(b)
+	close(l.changed)
+	l.changed = make(chan struct{})
 	return len(b), nil
 }
 
 // wait waits until a text has been logged so often.
-func (l *logs) wait(text string, times int) {
+func (l *logBuffer) wait(text string, times int) {
 	for {
 		l.mu.Lock()
-		n, kick := strings.Count(l.have, text), l.kick
+		n, kick := strings.Count(l.text, text), l.changed
 		l.mu.Unlock()
 		if n >= times {
 			return
@@ -43,8 +43,8 @@
 	}
 }
 
-// program runs the program of a front end by a configuration file.
-func program(t *testing.T, r *rig, config string) (path string, l *logs, ended chan error) {
+// startProgram runs the program of a front end by a configuration file.
+func startProgram(t *testing.T, r *harness, config string) (path string, l *logBuffer, ended chan error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 	if err := os.WriteFile(path, []byte(object), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	l, ended = &logs{kick: make(chan struct{})}, make(chan error, 1)
+	l, ended = &logBuffer{changed: make(chan struct{})}, make(chan error, 1)
 	go func() { ended <- platform.Run(path, slog.New(slog.NewTextHandler(l, nil)), platform.Options{}) }()
 	return path, l, ended
 }
@@ -71,11 +71,11 @@
 // SIGTERM changes nothing; all ends without an error.
 func TestSignals(t *testing.T) {
 	r := start(t)
-	path, l, ended := program(t, r, r.config)
+	path, l, ended := startProgram(t, r, r.config)
 	l.wait("front end listens", 1)
 	c := r.dial()
 	c.dispatch("a", fields(id(1))...)
-	c.wants("handled", "done a")
+	c.expect("handled", "done a")
 	good, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -89,7 +89,7 @@
 		bad++
 		l.wait("the new configuration is not taken", bad)
 		c.dispatch("b", fields(id(1+bad))...)
-		c.wants("handled", "done b")
+		c.expect("handled", "done b")
 	}
 	if err := os.WriteFile(path, good, 0o600); err != nil {
 		t.Fatal(err)
@@ -97,7 +97,7 @@
 	signal(t, syscall.SIGHUP)
 	l.wait("msg=\"new configuration\"", 1)
 	release := make(chan struct{})
-	r.worker.say(func(_, _, body string) []string {
+	r.worker.respondWith(func(_, _, body string) []string {
 		<-release
 		return []string{"ok", "how=ready", body}
 	})
@@ -109,19 +109,19 @@
 	l.wait("msg=\"new configuration\"", 2)
 	signal(t, syscall.SIGTERM)
 	close(release)
-	c.wants("handled", "c")
+	c.expect("handled", "c")
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 }
 
 // A configuration that can't be ends the start with an error that names what is wrong.
-func TestBadStart(t *testing.T) {
+func TestStartWithInvalidConfig(t *testing.T) {
 	r := start(t)
 	for change, names := range map[string]string{`"seed":"8c1f`: "seed", `"cores":1.0`: "cores", `"sockets":256`: "sockets",
 		`"memory_mb":64`: "memory_mb", `"journal":"127`: "journal", `"request_classes":[`: "request_classes"} {
 		name, _, _ := strings.Cut(change, ":")
-		_, _, ended := program(t, r, strings.Replace(r.config, change, name+`:"x","was":`+strings.TrimPrefix(change, name+":"), 1))
+		_, _, ended := startProgram(t, r, strings.Replace(r.config, change, name+`:"x","was":`+strings.TrimPrefix(change, name+":"), 1))
 		if err := <-ended; err == nil || !strings.Contains(err.Error(), names) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("without %s: %v", names, err)
 		}
@@ -133,7 +133,7 @@
 
 // A configuration that is being written at SIGHUP is taken once it is whole, without another signal, and one that is being written
 // at the start too; an address that another process has not let go yet is taken once it has.
-func TestConfigurationBeingWritten(t *testing.T) {
+func TestIncompleteConfigIsRetried(t *testing.T) {
 	r := start(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -144,7 +144,7 @@
 	if err := os.WriteFile(path, object[:len(object)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	l, ended := &logs{kick: make(chan struct{})}, make(chan error, 1)
+	l, ended := &logBuffer{changed: make(chan struct{})}, make(chan error, 1)
 	go func() { ended <- platform.Run(path, slog.New(slog.NewTextHandler(l, nil)), platform.Options{}) }()
 	time.Sleep(100 * time.Millisecond)
 	if err := os.WriteFile(path, object, 0o600); err != nil {
--- a/internal/gateway/resp/codec.go
+++ b/internal/gateway/resp/codec.go
@@ -14,12 +14,12 @@
 var ErrMalformed = errors.New("resp: malformed")
 
 const (
-	mostWords  = 8  // of an array
-	mostDigits = 10 // of a length
+	maxElements     = 8  // of an array
+	maxLengthDigits = 10 // of a length
 )
 
-// Append appends an array of bulk strings.
-func Append(b []byte, words ...string) []byte {
+// AppendArray appends an array of bulk strings.
+func AppendArray(b []byte, words ...string) []byte {
 	b = append(b, '*')
 	b = strconv.AppendInt(b, int64(len(words)), 10)
 	for _, w := range words {
@@ -31,10 +31,10 @@
 	return append(b, "\r\n"...)
 }
 
-// Parse reads one array from the beginning of b and tells how many bytes it took; 0: more must come. Words are of b's own
+// ParseArray reads one array from the beginning of b and tells how many bytes it took; 0: more must come. Words are of b's own
 // bytes. No word may be longer than most.
-func Parse(b []byte, most int) (words [][]byte, taken int, err error) {
-	n, at, err := length(b, 0, '*', mostWords)
+func ParseArray(b []byte, most int) (words [][]byte, taken int, err error) {
+	n, at, err := parseLength(b, 0, '*', maxElements)
 	if err != nil || at == 0 {
 		return nil, 0, err
 	}
@@ -43,7 +43,7 @@
 	}
 	words = make([][]byte, 0, n)
 	for range n {
-		size, from, err := length(b, at, '$', most)
+		size, from, err := parseLength(b, at, '$', most)
 		if err != nil || from == 0 {
 			return nil, 0, err
 		}
@@ -62,8 +62,8 @@
 	return words, at, nil
 }
 
-// length reads a line of a mark and a number at a place and tells where the next line begins; 0: more must come.
-func length(b []byte, at int, mark byte, most int) (n, next int, err error) {
+// parseLength reads a line of a mark and a number at a place and tells where the next line begins; 0: more must come.
+func parseLength(b []byte, at int, mark byte, most int) (n, next int, err error) {
 	line := b[at:]
 	if len(line) > 0 && line[0] != mark {
 		return 0, 0, fmt.Errorf("%w: %q where %q belongs", ErrMalformed, line[0], mark)
@@ -75,7 +75,7 @@
 	}
 	for i, d := range digits {
 		last := i == len(digits)-1 && d == '\r'
-		if i > mostDigits+1 || i > 0 && (d < '0' || d > '9') && !last {
+		if i > maxLengthDigits+1 || i > 0 && (d < '0' || d > '9') && !last {
 			return 0, 0, fmt.Errorf("%w: no length", ErrMalformed)
 		}
 	}
@@ -92,8 +92,8 @@
 	return n, at + end + 1, nil
 }
 
-// Pairs reads a list of name=value pairs, as commands and answers have them; a dash is none.
-func Pairs(text string) map[string]string {
+// ParsePairs reads a list of name=value pairs, as commands and answers have them; a dash is none.
+func ParsePairs(text string) map[string]string {
 	m := map[string]string{}
 	for part := range strings.SplitSeq(text, ",") {
 		if name, value, found := strings.Cut(part, "="); found {
--- a/internal/gateway/resp/commands.go
+++ b/internal/gateway/resp/commands.go
@@ -2,14 +2,14 @@
 
 import "io"
 
-// readBytes is what is read at a time.
-const readBytes = 4096
+// readChunkBytes is what is read at a time.
+const readChunkBytes = 4096
 
 // ReadCommands reads arrays, as a worker gets them, and has take called with the words of each and the bytes that it took, until
 // the connection ends, something malformed or a word longer than most comes, or take returns an error. The error is the reason.
 func ReadCommands(from io.Reader, most int, take func(words []string, size int) error) error {
 	var have []byte
-	part := make([]byte, readBytes)
+	part := make([]byte, readChunkBytes)
 	for {
 		n, err := from.Read(part)
 		if err != nil {
@@ -17,7 +17,7 @@
 		}
 		have = append(have, part[:n]...)
 		for {
-			words, taken, err := Parse(have, most)
+			words, taken, err := ParseArray(have, most)
 			if err != nil {
 				return err
 			}
--- a/internal/gateway/resp/commands_test.go
+++ b/internal/gateway/resp/commands_test.go
@@ -13,7 +13,7 @@
 
 // Commands come whole, however their bytes come, and reading ends with what can't be read or with the reader's own error.
 func TestReadCommands(t *testing.T) {
-	frames := resp.Append(resp.Append(nil, "FN", "1", "-", "a\r\nb"), "KILL", "1")
+	frames := resp.AppendArray(resp.AppendArray(nil, "FN", "1", "-", "a\r\nb"), "KILL", "1")
 	var got [][]string
 	size := 0
 	err := resp.ReadCommands(iotest.OneByteReader(strings.NewReader(string(frames))), 16, func(words []string, taken int) error {
@@ -24,7 +24,7 @@
 		!slices.Equal(got[1], []string{"KILL", "1"}) || size != len(frames) {
 		t.Errorf("%q, %d of %d bytes, %v", got, size, len(frames), err)
 	}
-	for _, bad := range []string{"hello\r\n", string(resp.Append(nil, strings.Repeat("x", 17)))} {
+	for _, bad := range []string{"hello\r\n", string(resp.AppendArray(nil, strings.Repeat("x", 17)))} {
 		if err := resp.ReadCommands(strings.NewReader(bad), 16, func([]string, int) error { return nil }); !errors.Is(err, resp.ErrMalformed) {
 			t.Errorf("%q: %v", bad, err)
 		}
--- a/internal/gateway/resp/export_test.go
+++ b/internal/gateway/resp/export_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Hold has connections come up only once open is closed.
-func (p *Pool) Hold(open chan struct{}) {
+// BlockDials has connections come up only once open is closed.
+func (p *Pool) BlockDials(open chan struct{}) {
 	dial := p.dial
 	p.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		<-open
@@ -15,16 +15,16 @@
 	}
 }
 
-// Quiet has the worker last heard from so long ago.
-func (w *Worker) Quiet(ago time.Duration) {
+// SetSilentFor has the worker last heard from so long ago.
+func (w *Worker) SetSilentFor(ago time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.heard = time.Now().Add(-ago)
+	w.lastReceived = time.Now().Add(-ago)
 }
 
-// Settled returns when the pool has no more than so many connections.
-func (p *Pool) Settled(most int64) {
-	for p.open.Load() > most {
+// AwaitOpenConns returns when the pool has no more than so many connections.
+func (p *Pool) AwaitOpenConns(most int64) {
+	for p.openConns.Load() > most {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/gateway/resp/golden_test.go
+++ b/internal/gateway/resp/golden_test.go
@@ -31,7 +31,7 @@
 func TestGoldenCommands(t *testing.T) {
 	var stream strings.Builder
 	for _, c := range goldenCommands {
-		if got := string(resp.Append(nil, c.words...)); got != c.wire {
+		if got := string(resp.AppendArray(nil, c.words...)); got != c.wire {
 			t.Errorf("%q:\n got %q\nwant %q", c.words, got, c.wire)
 		}
 		stream.WriteString(c.wire)
@@ -62,9 +62,9 @@
 	defer pool.Wait()
 	defer stop()
 	request, kill := goldenCommands[0], goldenCommands[2]
-	done := make(chan resp.Answer, 1)
-	call := pool.Worker(listener.Addr().String()).Call(request.words[1], resp.Fixed([]byte(request.wire)), true,
-		func(a resp.Answer) { done <- a })
+	done := make(chan resp.Result, 1)
+	call := pool.Worker(listener.Addr().String()).Call(request.words[1], resp.FixedMessage([]byte(request.wire)), true,
+		func(a resp.Result) { done <- a })
 	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -77,13 +77,13 @@
 	if _, err := io.ReadFull(conn, got); err != nil || string(got) != request.wire {
 		t.Fatalf(" got %q, %v\nwant %q", got, err, request.wire)
 	}
-	call.Recall([]byte(kill.wire))
+	call.Cancel([]byte(kill.wire))
 	rest, err := io.ReadAll(conn) // a connection with a recalled call closes after the cancellation
 	if err != nil || string(rest) != kill.wire {
 		t.Errorf(" got %q, %v\nwant %q", rest, err, kill.wire)
 	}
-	if a := <-done; a.Fate != resp.GivenUp {
-		t.Errorf("got fate %v, want %v", a.Fate, resp.GivenUp)
+	if a := <-done; a.Outcome != resp.Cancelled {
+		t.Errorf("got fate %v, want %v", a.Outcome, resp.Cancelled)
 	}
 }
 
@@ -101,7 +101,7 @@
 		{"*3\r\n$2\r\nt2\r\n$3\r\nyes\r\n$15\r\nstats=pending:3\r\n", `["t2" "yes" "stats=pending:3"]`, "map[stats:pending:3]"},
 		{"*2\r\n$2\r\nt2\r\n$2\r\nno\r\n", `["t2" "no"]`, ""},
 	} {
-		words, taken, err := resp.Parse([]byte(c.wire), 64)
+		words, taken, err := resp.ParseArray([]byte(c.wire), 64)
 		if c.words == "" { // a length that does not match its word
 			if !errors.Is(err, resp.ErrMalformed) {
 				t.Errorf("%q:\n got %q, %v\nwant %v", c.wire, words, err, resp.ErrMalformed)
@@ -113,7 +113,7 @@
 			continue
 		}
 		if len(words) > 2 {
-			if got := fmt.Sprint(resp.Pairs(string(words[2]))); got != c.pairs {
+			if got := fmt.Sprint(resp.ParsePairs(string(words[2]))); got != c.pairs {
 				t.Errorf("%q:\n got %s\nwant %s", words[2], got, c.pairs)
 			}
 		}
--- a/internal/gateway/settings/front.go
+++ b/internal/gateway/settings/front.go
@@ -8,16 +8,16 @@
 	"lupinpond/scheduler"
 )
 
-// Front is what a core is started with.
-func (p Paths) Front(seed uint64) core.Settings {
+// Core is what a core is started with.
+func (p Values) Core(seed uint64) core.Settings {
 	f := core.Settings{Seed: seed, Index: int(p.Number("index", 0)), Gateways: int(p.Number("instances", 1)),
-		MinTickInterval: p.Time("quantum", 0)}
+		MinTickInterval: p.Duration("quantum", 0)}
 	for i := range int(p.Number("request_classes.count", 0)) {
 		at := "request_classes." + strconv.Itoa(i) + "."
-		age := p.Time(at+"give_up", 0)
-		f.Types = append(f.Types, scheduler.RequestType{Name: p[at+"name"], Effect: effect(p[at+"effect"]),
-			DedupScope: group(p[at+"dedup_scope"]), DedupWindow: p.Time(at+"window", 0),
-			Objective: p.Time(at+"aim", age)})
+		age := p.Duration(at+"give_up", 0)
+		f.Types = append(f.Types, scheduler.RequestType{Name: p[at+"name"], Effect: parseEffect(p[at+"effect"]),
+			DedupScope: parseGroup(p[at+"dedup_scope"]), DedupWindow: p.Duration(at+"window", 0),
+			Objective: p.Duration(at+"aim", age)})
 	}
 	for i := range int(p.Number("orgs.count", 0)) {
 		at := "orgs." + strconv.Itoa(i) + "."
@@ -31,28 +31,30 @@
 		mb, _ := strconv.ParseFloat(memory[i], 64) // what is no number is not believed
 		f.WorkerKinds = append(f.WorkerKinds, core.WorkerKind{Name: kinds[i], Memory: mb})
 	}
-	if p.Flag("policy_limits.retry_after", false) {
-		f.MaxRetryAfter = p.Time("policy_limits.max_retry_after", 0)
+	if p.Bool("policy_limits.retry_after", false) {
+		f.MaxRetryAfter = p.Duration("policy_limits.max_retry_after", 0)
 	}
 	f.MaxAttempts = int(p.Number("policy_limits.send_cap", 1))
-	f.Cancel, f.Probe = p.Flag("policy_limits.cancel", false), p.Flag("policy_limits.probing", false)
-	f.LoadPolicy = core.LoadPolicy{RequestLoads: p.Flag("family_info.orders", false),
-		LoadOnMiss: p["family_info.miss_mode"] != "miss", ReplicaIdleTimeout: p.Time("family_info.keep", 0),
-		RequestTimeout: p.Time("family_info.order_limit", 0), RateWindow: p.Time("family_info.loads_within", 0),
+	f.Cancel, f.Probe = p.Bool("policy_limits.cancel", false), p.Bool("policy_limits.probing", false)
+	f.LoadPolicy = core.LoadPolicy{RequestLoads: p.Bool("family_info.orders", false),
+		LoadOnMiss: p["family_info.miss_mode"] != "miss", ReplicaIdleTimeout: p.Duration("family_info.keep", 0),
+		RequestTimeout: p.Duration("family_info.order_limit", 0), RateWindow: p.Duration("family_info.loads_within", 0),
 		RateBurst: p.Number("family_info.loads_anyway", 0), RatePerRequest: p.Number("family_info.load_part", 0)}
 	f.SlowStart = core.SlowStart{InitialShare: p.Number("rules.cold_from", 0),
-		WarmUpTime: p.Time("rules.warm_after", 0), CrashMultiple: p.Number("rules.fall_multiple", 0),
-		CrashWindow: p.Time("rules.fall", 0)}
+		WarmUpTime: p.Duration("rules.warm_after", 0), CrashMultiple: p.Number("rules.fall_multiple", 0),
+		CrashWindow: p.Duration("rules.fall", 0)}
 	if p["registry_mode"] == "ask" {
-		f.SubscribeInterval = max(p.Time("rules.must_ask_in", 0), 1)
+		f.SubscribeInterval = max(p.Duration("rules.must_ask_in", 0), 1)
 	}
 	return f
 }
 
-// Sized tells whether the list of workers tells sizes that count.
-func (p Paths) Sized() bool { return p["weight_source"] == "nominal" || p["weight_source"] == "rough" }
+// UsesWorkerSizes tells whether the list of workers tells sizes that count.
+func (p Values) UsesWorkerSizes() bool {
+	return p["weight_source"] == "nominal" || p["weight_source"] == "rough"
+}
 
-func effect(word string) scheduler.Effect {
+func parseEffect(word string) scheduler.Effect {
 	switch word {
 	case "pure":
 		return scheduler.Idempotent
@@ -62,7 +64,7 @@
 	return scheduler.AtMostOnce
 }
 
-func group(word string) scheduler.DedupScope {
+func parseGroup(word string) scheduler.DedupScope {
 	switch word {
 	case "all":
 		return scheduler.ScopeAll
--- a/internal/gateway/settings/golden_test.go
+++ b/internal/gateway/settings/golden_test.go
@@ -35,18 +35,20 @@
 request_classes.3.effect request_classes.3.name request_classes.3.window request_classes.4.aim request_classes.4.name
 request_classes.count rules.cold_from rules.fall rules.fall_multiple rules.must_ask_in rules.warm_after weight_source`
 
-func golden(t *testing.T) settings.Paths {
+func golden(t *testing.T) settings.Values {
 	decode := json.NewDecoder(strings.NewReader(goldenObject))
 	decode.UseNumber()
 	var object map[string]any
 	if err := decode.Decode(&object); err != nil {
 		t.Fatal(err)
 	}
-	return settings.Flat(object)
+	return settings.Flatten(object)
 }
 
 // started is what a core is started with, as values without the names of their fields.
-func started(p settings.Paths) string { return fmt.Sprintf("%v sized %v", p.Front(9), p.Sized()) }
+func started(p settings.Values) string {
+	return fmt.Sprintf("%v sized %v", p.Core(9), p.UsesWorkerSizes())
+}
 
 // The object with every key gives these values.
 func TestGoldenFront(t *testing.T) {
--- a/internal/gateway/settings/paths.go
+++ b/internal/gateway/settings/paths.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// Paths holds settings by path: a list of values is one text with commas, a list of objects has its count and numbers.
-type Paths map[string]string
+// Values holds settings by path: a list of values is one text with commas, a list of objects has its count and numbers.
+type Values map[string]string
 
-// Flat makes Paths of nested JSON, as json decodes it with numbers kept as they are written.
-func Flat(object map[string]any) Paths {
-	p := Paths{}
+// Flatten makes Paths of nested JSON, as json decodes it with numbers kept as they are written.
+func Flatten(object map[string]any) Values {
+	p := Values{}
 	p.flatten("", object)
 	return p
 }
 
-func (p Paths) flatten(at string, v any) {
+func (p Values) flatten(at string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
 		for name, part := range v {
@@ -29,7 +29,7 @@
 	case []any:
 		var words []string
 		for i, part := range v {
-			if word, is := scalar(part); is {
+			if word, is := scalarText(part); is {
 				words = append(words, word)
 			} else {
 				p.flatten(at+"."+strconv.Itoa(i), part)
@@ -38,13 +38,13 @@
 		p[strings.TrimPrefix(at+".count", ".")] = strconv.Itoa(len(v))
 		p[strings.TrimPrefix(at, ".")] = strings.Join(words, ",")
 	default:
-		if word, is := scalar(v); is {
+		if word, is := scalarText(v); is {
 			p[strings.TrimPrefix(at, ".")] = word
 		}
 	}
 }
 
-func scalar(v any) (string, bool) {
+func scalarText(v any) (string, bool) {
 	switch v := v.(type) {
 	case string:
 		return v, true
@@ -57,7 +57,7 @@
 }
 
 // Number returns the number at path, or absent.
-func (p Paths) Number(path string, absent float64) float64 {
+func (p Values) Number(path string, absent float64) float64 {
 	n, err := strconv.ParseFloat(p[path], 64)
 	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
 		return absent
@@ -65,16 +65,16 @@
 	return n
 }
 
-// Time returns the time at path, or absent.
-func (p Paths) Time(path string, absent time.Duration) time.Duration {
+// Duration returns the time at path, or absent.
+func (p Values) Duration(path string, absent time.Duration) time.Duration {
 	if n := p.Number(path, -1); n >= 0 {
 		return Seconds(n)
 	}
 	return absent
 }
 
-// Flag returns the truth value at path, or absent.
-func (p Paths) Flag(path string, absent bool) bool {
+// Bool returns the truth value at path, or absent.
+func (p Values) Bool(path string, absent bool) bool {
 	switch p[path] {
 	case "true", "1":
 		return true
--- a/internal/gateway/settings/settings_test.go
+++ b/internal/gateway/settings/settings_test.go
@@ -11,7 +11,7 @@
 )
 
 // Nested JSON gives the paths that the simulator's first message has.
-func TestFlat(t *testing.T) {
+func TestFlatten(t *testing.T) {
 	decode := json.NewDecoder(strings.NewReader(`{"index":1,"instances":3,"quantum":0.001,"kinds":["fast","std"],
 		"family_info":{"machine_mb":[183936.0,187136.5],"orders":true,"miss_mode":"load","keep":4.75,"order_limit":4},
 		"policy_limits":{"send_cap":6,"retry_after":true,"max_retry_after":2.0},"weight_source":"nominal","none":null,"empty":[],
@@ -22,9 +22,9 @@
 	if err := decode.Decode(&object); err != nil {
 		t.Fatal(err)
 	}
-	p := settings.Flat(object)
-	f := p.Front(9)
-	if f.Seed != 9 || f.Index != 1 || f.Gateways != 3 || f.MinTickInterval != time.Millisecond || f.MaxAttempts != 6 || !p.Sized() {
+	p := settings.Flatten(object)
+	f := p.Core(9)
+	if f.Seed != 9 || f.Index != 1 || f.Gateways != 3 || f.MinTickInterval != time.Millisecond || f.MaxAttempts != 6 || !p.UsesWorkerSizes() {
 		t.Errorf("%+v", f)
 	}
 	if len(f.WorkerKinds) != 2 || f.WorkerKinds[1].Name != "std" || f.WorkerKinds[1].Memory != 187136.5 || f.LoadPolicy.ReplicaIdleTimeout != 4750*time.Millisecond {
--- a/internal/gateway/shape_test.go
+++ b/internal/gateway/shape_test.go
@@ -19,8 +19,8 @@
 func TestRecordingOfAnotherShape(t *testing.T) {
 	r := startHarness(t, func(f *fleetconfig.File) {
 		localfleet.OtherShape(f, "z")
-		f.Fleet.Workers.Kinds = []fleetconfig.Kind{{Name: "box", Memory: 1 << 30}}
-		f.Front.List = "http://127.0.0.1:1"
+		f.Fleet.Workers.Kinds = []fleetconfig.WorkerKind{{Name: "box", Memory: 1 << 30}}
+		f.Gateway.RegistryURL = "http://127.0.0.1:1"
 		b, err := yaml.Marshal(*f)
 		if err == nil {
 			_, err = fleetconfig.Parse("other.yaml", b)
--- a/internal/gateway/stall/stall.go
+++ b/internal/gateway/stall/stall.go
@@ -9,67 +9,67 @@
 )
 
 const (
-	tick   = 50 * time.Millisecond
-	least  = 2 * tick              // a tick later than that after the one before tells of a stall
-	Settle = 20 * time.Millisecond // within that after a stall, what came meanwhile has been read
+	tickInterval = 50 * time.Millisecond
+	minStall     = 2 * tickInterval      // a tick later than that after the one before tells of a stall
+	SettleTime   = 20 * time.Millisecond // within that after a stall, what came meanwhile has been read
 )
 
-// Watcher notices stalls while Run runs. It may be used by several goroutines.
-type Watcher struct {
-	mu      sync.Mutex
-	last    time.Time // the last tick; zero: it does not run
-	began   time.Time // of the last stall: the tick before it
-	settled time.Time // what came during it has been read by then
+// Detector notices stalls while Run runs. It may be used by several goroutines.
+type Detector struct {
+	mu           sync.Mutex
+	lastTick     time.Time // the last tick; zero: it does not run
+	stalledSince time.Time // of the last stall: the tick before it
+	settledAt    time.Time // what came during it has been read by then
 }
 
 // Run watches until ctx ends.
-func (w *Watcher) Run(ctx context.Context) error {
-	ticker := time.NewTicker(tick)
+func (w *Detector) Run(ctx context.Context) error {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	w.note(time.Now())
+	w.observe(time.Now())
 	for {
 		select {
 		case <-ctx.Done():
 			w.mu.Lock()
-			w.last = time.Time{}
+			w.lastTick = time.Time{}
 			w.mu.Unlock()
 			return nil
 		case <-ticker.C:
-			w.note(time.Now())
+			w.observe(time.Now())
 		}
 	}
 }
 
-// note notes that the process runs. The lock may not be held.
-func (w *Watcher) note(now time.Time) {
+// observe notes that the process runs. The lock may not be held.
+func (w *Detector) observe(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.noteLocked(now)
-	w.last = now
+	w.observeLocked(now)
+	w.lastTick = now
 }
 
-func (w *Watcher) noteLocked(now time.Time) {
-	if !w.last.IsZero() && now.Sub(w.last) > least {
-		w.began, w.settled = w.last, now.Add(Settle)
-		w.last = now
+func (w *Detector) observeLocked(now time.Time) {
+	if !w.lastTick.IsZero() && now.Sub(w.lastTick) > minStall {
+		w.stalledSince, w.settledAt = w.lastTick, now.Add(SettleTime)
+		w.lastTick = now
 	}
 }
 
-// Behind is how long what is read at now may have waited because the process did not run; 0 where it ran.
-func (w *Watcher) Behind(now time.Time) time.Duration {
+// Lag is how long what is read at now may have waited because the process did not run; 0 where it ran.
+func (w *Detector) Lag(now time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.noteLocked(now)
-	if now.Before(w.settled) {
-		return now.Sub(w.began)
+	w.observeLocked(now)
+	if now.Before(w.settledAt) {
+		return now.Sub(w.stalledSince)
 	}
 	return 0
 }
 
 // EndedAfter tells whether a stall has ended after a time: what was due then could not be done.
-func (w *Watcher) EndedAfter(t time.Time, now time.Time) bool {
+func (w *Detector) EndedAfter(t time.Time, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.noteLocked(now)
-	return w.settled.After(t.Add(Settle))
+	w.observeLocked(now)
+	return w.settledAt.After(t.Add(SettleTime))
 }
--- a/internal/gateway/thrift/codec.go
+++ b/internal/gateway/thrift/codec.go
@@ -9,12 +9,12 @@
 	"fmt"
 )
 
-// Kind is the kind of a message.
-type Kind byte
+// MessageType is the kind of a message.
+type MessageType byte
 
 // The kinds.
 const (
-	Call Kind = iota + 1
+	Call MessageType = iota + 1
 	Reply
 	Exception
 	Oneway
@@ -39,28 +39,28 @@
 // Codes of application exceptions.
 const (
 	UnknownMethod = 1
-	BadSequence   = 4
+	BadSequenceID = 4
 	InternalError = 6
 	ProtocolError = 7
 )
 
 const (
-	version   = 0x80010000
-	mostDepth = 16  // of values inside each other that are skipped
-	mostPairs = 256 // of a map that is kept
+	version    = 0x80010000
+	maxDepth   = 16  // of values inside each other that are skipped
+	maxEntries = 256 // of a map that is kept
 )
 
 // ErrMalformed says that bytes are no message.
 var ErrMalformed = errors.New("thrift: malformed")
 
-func malformed(what string) error { return fmt.Errorf("%w: %s", ErrMalformed, what) }
+func malformedError(what string) error { return fmt.Errorf("%w: %s", ErrMalformed, what) }
 
 // Message is the head of a message; the arguments are a struct that follows.
 type Message struct {
-	Name string
-	Kind Kind
-	Seq  int32
-	Args []byte
+	Name  string
+	Type  MessageType
+	SeqID int32
+	Args  []byte
 }
 
 // Parse reads the head of a message.
@@ -68,11 +68,11 @@
 	r := reader{b: frame}
 	head := r.u32()
 	if r.err == nil && head&0xffffff00 != version {
-		return Message{}, malformed("not of the strict version 1")
+		return Message{}, malformedError("not of the strict version 1")
 	}
-	m := Message{Kind: Kind(head), Name: string(r.bytes()), Seq: int32(r.u32())}
-	if r.err == nil && (m.Kind < Call || m.Kind > Oneway) {
-		return Message{}, malformed("an unknown kind of message")
+	m := Message{Type: MessageType(head), Name: string(r.bytes()), SeqID: int32(r.u32())}
+	if r.err == nil && (m.Type < Call || m.Type > Oneway) {
+		return Message{}, malformedError("an unknown kind of message")
 	}
 	m.Args = r.b
 	return m, r.err
@@ -80,10 +80,10 @@
 
 // Args are the arguments that are known here, by the number of their field; a field of another type is malformed.
 type Args struct {
-	Maps  map[int16]map[string]string
-	Bins  map[int16][]byte // of the frame's own bytes
-	Ints  map[int16]int32
-	Bools map[int16]bool
+	StringMaps map[int16]map[string]string
+	Binaries   map[int16][]byte // of the frame's own bytes
+	Ints       map[int16]int32
+	Bools      map[int16]bool
 }
 
 // ReadArgs reads a struct to its end; after it nothing may come. Values of other types are skipped.
@@ -95,25 +95,25 @@
 		if kind == typeStop {
 			break
 		}
-		if fields >= mostPairs {
-			return a, malformed("too many fields")
+		if fields >= maxEntries {
+			return a, malformedError("too many fields")
 		}
 		id := int16(r.u16())
 		switch kind {
 		case typeMap:
-			a.Maps[id] = r.texts()
+			a.StringMaps[id] = r.stringMap()
 		case typeString:
-			a.Bins[id] = r.bytes()
+			a.Binaries[id] = r.bytes()
 		case typeI32:
 			a.Ints[id] = int32(r.u32())
 		case typeBool:
 			a.Bools[id] = r.u8() != 0
 		default:
-			r.skip(kind, mostDepth)
+			r.skip(kind, maxDepth)
 		}
 	}
 	if r.err == nil && len(r.b) > 0 {
-		return a, malformed("bytes after the end")
+		return a, malformedError("bytes after the end")
 	}
 	return a, r.err
 }
@@ -126,7 +126,7 @@
 
 func (r *reader) take(n int) []byte {
 	if r.err == nil && (n < 0 || n > len(r.b)) {
-		r.err = malformed("a value longer than its frame")
+		r.err = malformedError("a value longer than its frame")
 	}
 	if r.err != nil {
 		return nil
@@ -159,11 +159,11 @@
 
 func (r *reader) bytes() []byte { return r.take(int(int32(r.u32()))) }
 
-// texts takes a map of texts; a name that comes twice is malformed, as it may mean either.
-func (r *reader) texts() map[string]string {
+// stringMap takes a map of texts; a name that comes twice is malformed, as it may mean either.
+func (r *reader) stringMap() map[string]string {
 	key, value, n := r.u8(), r.u8(), int32(r.u32())
-	if r.err == nil && (n < 0 || n > mostPairs || n > 0 && (key != typeString || value != typeString)) {
-		r.err = malformed("no map of texts")
+	if r.err == nil && (n < 0 || n > maxEntries || n > 0 && (key != typeString || value != typeString)) {
+		r.err = malformedError("no map of texts")
 	}
 	m := map[string]string{}
 	for range n {
@@ -173,7 +173,7 @@
 			return m
 		}
 		if _, twice := m[name]; twice {
-			r.err = malformed("a name twice in a map")
+			r.err = malformedError("a name twice in a map")
 		}
 		m[name] = text
 	}
@@ -182,7 +182,7 @@
 
 func (r *reader) skip(kind byte, depth int) {
 	if depth == 0 && r.err == nil {
-		r.err = malformed("nested too deep")
+		r.err = malformedError("nested too deep")
 	}
 	if r.err != nil {
 		return
@@ -214,7 +214,7 @@
 		}
 		n := int32(r.u32())
 		if n < 0 || int(n) > len(r.b) { // every value has a byte at least
-			r.err = malformed("a count longer than its frame")
+			r.err = malformedError("a count longer than its frame")
 		}
 		for i := int32(0); i < n && r.err == nil; i++ {
 			for _, k := range kinds {
@@ -222,7 +222,7 @@
 			}
 		}
 	default:
-		r.err = malformed("an unknown type")
+		r.err = malformedError("an unknown type")
 	}
 }
 
@@ -230,42 +230,42 @@
 type Writer struct{ b []byte }
 
 // NewWriter begins a frame.
-func NewWriter(name string, kind Kind, seq int32) *Writer {
+func NewWriter(name string, kind MessageType, seq int32) *Writer {
 	w := &Writer{b: make([]byte, 4, 128)}
-	w.u32(version | uint32(kind))
-	w.text(name)
-	w.u32(uint32(seq))
+	w.appendU32(version | uint32(kind))
+	w.appendString(name)
+	w.appendU32(uint32(seq))
 	return w
 }
 
-func (w *Writer) u32(v uint32) { w.b = binary.BigEndian.AppendUint32(w.b, v) }
+func (w *Writer) appendU32(v uint32) { w.b = binary.BigEndian.AppendUint32(w.b, v) }
 
-func (w *Writer) text(s string) {
-	w.u32(uint32(len(s)))
+func (w *Writer) appendString(s string) {
+	w.appendU32(uint32(len(s)))
 	w.b = append(w.b, s...)
 }
 
-func (w *Writer) field(kind byte, id int16) {
+func (w *Writer) appendField(kind byte, id int16) {
 	w.b = append(w.b, kind)
 	w.b = binary.BigEndian.AppendUint16(w.b, uint16(id))
 }
 
 // Struct begins a struct in a field; End ends it.
-func (w *Writer) Struct(id int16) { w.field(typeStruct, id) }
+func (w *Writer) Struct(id int16) { w.appendField(typeStruct, id) }
 
 // End ends a struct, the outermost too.
 func (w *Writer) End() { w.b = append(w.b, typeStop) }
 
 // Binary writes a field of bytes.
 func (w *Writer) Binary(id int16, v []byte) {
-	w.field(typeString, id)
-	w.u32(uint32(len(v)))
+	w.appendField(typeString, id)
+	w.appendU32(uint32(len(v)))
 	w.b = append(w.b, v...)
 }
 
 // Bool writes a flag.
 func (w *Writer) Bool(id int16, v bool) {
-	w.field(typeBool, id)
+	w.appendField(typeBool, id)
 	if v {
 		w.b = append(w.b, 1)
 	} else {
@@ -275,17 +275,17 @@
 
 // I32 writes a whole number.
 func (w *Writer) I32(id int16, v int32) {
-	w.field(typeI32, id)
-	w.u32(uint32(v))
+	w.appendField(typeI32, id)
+	w.appendU32(uint32(v))
 }
 
-// Texts writes a map of names and texts, given in turns.
-func (w *Writer) Texts(id int16, pairs ...string) {
-	w.field(typeMap, id)
+// StringMap writes a map of names and texts, given in turns.
+func (w *Writer) StringMap(id int16, pairs ...string) {
+	w.appendField(typeMap, id)
 	w.b = append(w.b, typeString, typeString)
-	w.u32(uint32(len(pairs) / 2))
+	w.appendU32(uint32(len(pairs) / 2))
 	for _, s := range pairs[:len(pairs)/2*2] {
-		w.text(s)
+		w.appendString(s)
 	}
 }
 
@@ -296,8 +296,8 @@
 	return w.b
 }
 
-// Refusal is the frame of an application exception.
-func Refusal(name string, seq int32, code int32, reason string) []byte {
+// EncodeException is the frame of an application exception.
+func EncodeException(name string, seq int32, code int32, reason string) []byte {
 	w := NewWriter(name, Exception, seq)
 	w.Binary(1, []byte(reason))
 	w.I32(2, code)
--- a/internal/gateway/thrift/drain_test.go
+++ b/internal/gateway/thrift/drain_test.go
@@ -12,15 +12,15 @@
 	"lupinpond/internal/gateway/thrift"
 )
 
-// listener holds connections back until it is opened, as a process that stands still does, and gives out conns that a
+// gatedListener holds connections back until it is opened, as a process that stands still does, and gives out conns that a
 // test changes.
-type listener struct {
+type gatedListener struct {
 	*net.TCPListener
 	opened chan struct{}
 	wrap   func(net.Conn) net.Conn
 }
 
-func (l *listener) Accept() (net.Conn, error) {
+func (l *gatedListener) Accept() (net.Conn, error) {
 	<-l.opened
 	conn, err := l.TCPListener.Accept()
 	if err == nil && l.wrap != nil {
@@ -29,29 +29,29 @@
 	return conn, err
 }
 
-// drains is a server that ends by itself; its calls come to the test.
-type drains struct {
+// drainingServer is a server that ends by itself; its calls come to the test.
+type drainingServer struct {
 	*thrift.Server
 	t        *testing.T
-	listener *listener
-	came     chan func() (*thrift.Conn, thrift.Message)
+	listener *gatedListener
+	calls    chan func() (*thrift.Conn, thrift.Message)
 	ended    chan error
 	stop     context.CancelFunc
 }
 
-func newDrains(t *testing.T, l thrift.Limits, wrap func(net.Conn) net.Conn) *drains {
+func startDrainingServer(t *testing.T, l thrift.Limits, wrap func(net.Conn) net.Conn) *drainingServer {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &drains{t: t, listener: &listener{inner.(*net.TCPListener), make(chan struct{}), wrap},
-		came: make(chan func() (*thrift.Conn, thrift.Message), 100), ended: make(chan error, 1)}
+	d := &drainingServer{t: t, listener: &gatedListener{inner.(*net.TCPListener), make(chan struct{}), wrap},
+		calls: make(chan func() (*thrift.Conn, thrift.Message), 100), ended: make(chan error, 1)}
 	d.Server = thrift.NewServer(d.listener, l, func(c *thrift.Conn, m thrift.Message) {
-		if !c.Begin(m.Seq, func() { t.Error("taken back:", m.Seq) }) {
-			t.Error("not taken:", m.Seq)
+		if !c.BeginCall(m.SeqID, func() { t.Error("taken back:", m.SeqID) }) {
+			t.Error("not taken:", m.SeqID)
 			return
 		}
-		d.came <- func() (*thrift.Conn, thrift.Message) { return c, m }
+		d.calls <- func() (*thrift.Conn, thrift.Message) { return c, m }
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	d.stop = stop
@@ -60,22 +60,22 @@
 	return d
 }
 
-// answers answers the next call that comes.
-func (d *drains) answers(text string) {
+// answerNext answers the next call that comes.
+func (d *drainingServer) answerNext(text string) {
 	d.t.Helper()
 	select {
-	case came := <-d.came:
+	case came := <-d.calls:
 		c, m := came()
-		c.Answer(m.Seq, reply(m.Seq, text))
+		c.Reply(m.SeqID, replyFrame(m.SeqID, text))
 	case <-time.After(20 * time.Second):
 		d.t.Fatal("no call came for", text)
 	}
 }
 
-// wants reads an answer and the end of the connection after it.
-func wants(t *testing.T, conn net.Conn, seq int32) {
+// expectLastReply reads an answer and the end of the connection after it.
+func expectLastReply(t *testing.T, conn net.Conn, seq int32) {
 	t.Helper()
-	if m := next(t, conn); m.Seq != seq || m.Kind != thrift.Reply {
+	if m := readReply(t, conn); m.SeqID != seq || m.Type != thrift.Reply {
 		t.Errorf("%+v instead of the answer to %d", m, seq)
 	}
 	if _, err := io.Copy(io.Discard, conn); err != nil {
@@ -84,14 +84,14 @@
 }
 
 // What is still in the listen queue when the server is told to end is accepted, read and answered.
-func TestDrainTakesTheListenQueue(t *testing.T) {
-	d := newDrains(t, limits, nil)
+func TestDrainAcceptsListenQueue(t *testing.T) {
+	d := startDrainingServer(t, limits, nil)
 	conn := dial(t, d.listener.Addr().String())
-	write(t, conn, call(1, "a"))
+	write(t, conn, callFrame(1, "a"))
 	d.Drain()
 	close(d.listener.opened)
-	d.answers("a")
-	wants(t, conn, 1)
+	d.answerNext("a")
+	expectLastReply(t, conn, 1)
 	if err := <-d.ended; err != nil {
 		t.Error(err)
 	}
@@ -99,82 +99,82 @@
 
 // A request that has come in part when the server is told to end is read to its end and answered; one that is open is
 // answered, and one that follows it on its connection.
-func TestDrainReadsWhatHasBegun(t *testing.T) {
-	d := newDrains(t, limits, nil)
+func TestDrainReadsPartialMessages(t *testing.T) {
+	d := startDrainingServer(t, limits, nil)
 	close(d.listener.opened)
 	half, open := dial(t, d.listener.Addr().String()), dial(t, d.listener.Addr().String())
-	write(t, half, call(1, "a"))
-	d.answers("a")
-	next(t, half)
-	frame := call(2, "b")
+	write(t, half, callFrame(1, "a"))
+	d.answerNext("a")
+	readReply(t, half)
+	frame := callFrame(2, "b")
 	write(t, half, frame[:9])
-	write(t, open, call(1, "c"))
-	c, m := (<-d.came)()
+	write(t, open, callFrame(1, "c"))
+	c, m := (<-d.calls)()
 	d.Drain()
-	write(t, open, call(2, "d"))
-	c.Answer(m.Seq, reply(m.Seq, "c"))
-	if m := next(t, open); m.Seq != 1 {
+	write(t, open, callFrame(2, "d"))
+	c.Reply(m.SeqID, replyFrame(m.SeqID, "c"))
+	if m := readReply(t, open); m.SeqID != 1 {
 		t.Error(m)
 	}
-	d.answers("d")
-	wants(t, open, 2)
+	d.answerNext("d")
+	expectLastReply(t, open, 2)
 	write(t, half, frame[9:])
-	d.answers("b")
-	wants(t, half, 2)
+	d.answerNext("b")
+	expectLastReply(t, half, 2)
 	if err := <-d.ended; err != nil {
 		t.Error(err)
 	}
 }
 
 // An answer that is still being written when the server is told to end comes whole.
-func TestDrainWritesToTheEnd(t *testing.T) {
+func TestDrainFinishesWrites(t *testing.T) {
 	l := limits
-	l.Frame = 32 << 20
-	d := newDrains(t, l, nil)
+	l.MaxFrameBytes = 32 << 20
+	d := startDrainingServer(t, l, nil)
 	close(d.listener.opened)
 	conn := dial(t, d.listener.Addr().String())
-	write(t, conn, call(1, "a"))
-	d.answers(string(make([]byte, l.Frame/2))) // more than the sockets take while nobody reads
+	write(t, conn, callFrame(1, "a"))
+	d.answerNext(string(make([]byte, l.MaxFrameBytes/2))) // more than the sockets take while nobody reads
 	d.Drain()
-	wants(t, conn, 1)
+	expectLastReply(t, conn, 1)
 	if err := <-d.ended; err != nil {
 		t.Error(err)
 	}
 }
 
 // A connection with nothing open ends when the server is told to end, at once.
-func TestDrainEndsWhatRests(t *testing.T) {
-	d := newDrains(t, limits, nil)
+func TestDrainClosesIdleConnections(t *testing.T) {
+	d := startDrainingServer(t, limits, nil)
 	close(d.listener.opened)
 	asked, mute := dial(t, d.listener.Addr().String()), dial(t, d.listener.Addr().String())
-	write(t, asked, call(1, "a"))
-	d.answers("a")
-	next(t, asked)
+	write(t, asked, callFrame(1, "a"))
+	d.answerNext("a")
+	readReply(t, asked)
 	d.Drain()
-	closed(t, asked)
-	closed(t, mute)
+	expectClosed(t, asked)
+	expectClosed(t, mute)
 	if err := <-d.ended; err != nil {
 		t.Error(err)
 	}
 }
 
-// late is a connection whose process stands still past the time of the second read: its time is up when it looks, though a
+// lateReader is a connection whose process stands still past the time of the second read: its time is up when it looks, though a
 // message is there.
-type late struct {
+type lateReader struct {
 	net.Conn
 	mu    sync.Mutex
 	until time.Time
 	reads int
 }
 
-func (c *late) SetReadDeadline(t time.Time) error {
+func (c *lateReader) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.until = t
 	return c.Conn.SetReadDeadline(t)
 }
 
-func (c *late) Read(b []byte) (int, error) {
+func (c *lateReader) Read(b []byte) (int, error) {
 	c.mu.Lock()
 	c.reads++
 	n, until := c.reads, c.until
@@ -187,18 +187,18 @@
 }
 
 // A request that came before a connection is closed as idle is read, however late its reader is.
-func TestIdleCloseCrossesARequest(t *testing.T) {
+func TestIdleTimeoutRacesWithRequest(t *testing.T) {
 	l := limits
-	l.Idle, l.Rest = 20*time.Millisecond, 10*time.Second
-	d := newDrains(t, l, func(conn net.Conn) net.Conn { return &late{Conn: conn} })
+	l.IdleTimeout, l.FinalRead = 20*time.Millisecond, 10*time.Second
+	d := startDrainingServer(t, l, func(conn net.Conn) net.Conn { return &lateReader{Conn: conn} })
 	close(d.listener.opened)
 	conn := dial(t, d.listener.Addr().String())
-	write(t, conn, call(1, "a"))
-	d.answers("a")
-	next(t, conn)
-	write(t, conn, call(2, "b"))
-	d.answers("b")
-	if m := next(t, conn); m.Seq != 2 {
+	write(t, conn, callFrame(1, "a"))
+	d.answerNext("a")
+	readReply(t, conn)
+	write(t, conn, callFrame(2, "b"))
+	d.answerNext("b")
+	if m := readReply(t, conn); m.SeqID != 2 {
 		t.Error(m)
 	}
 	d.stop()
@@ -209,33 +209,33 @@
 
 // A connection of which a message is being read does not give way to a new one while another rests, though that one was
 // heard of later.
-func TestGivesWayWhileItRests(t *testing.T) {
+func TestIdleConnectionIsEvictedBeforeReadingOne(t *testing.T) {
 	l := limits
-	l.Conns = 2
-	d := newDrains(t, l, nil)
+	l.MaxConns = 2
+	d := startDrainingServer(t, l, nil)
 	close(d.listener.opened)
 	reading := func(n int) {
-		for d.Reading() != n {
+		for d.ReadingConns() != n {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	half := dial(t, d.listener.Addr().String())
-	write(t, half, call(1, "a"))
-	d.answers("a")
-	next(t, half)
-	frame := call(2, "b")
+	write(t, half, callFrame(1, "a"))
+	d.answerNext("a")
+	readReply(t, half)
+	frame := callFrame(2, "b")
 	write(t, half, frame[:9])
 	reading(1)
 	rests := dial(t, d.listener.Addr().String())
-	write(t, rests, call(1, "c"))
-	d.answers("c")
-	next(t, rests)
+	write(t, rests, callFrame(1, "c"))
+	d.answerNext("c")
+	readReply(t, rests)
 	reading(1)
 	last := dial(t, d.listener.Addr().String())
-	closed(t, rests)
+	expectClosed(t, rests)
 	write(t, half, frame[9:])
-	d.answers("b")
-	if m := next(t, half); m.Seq != 2 {
+	d.answerNext("b")
+	if m := readReply(t, half); m.SeqID != 2 {
 		t.Error(m)
 	}
 	last.Close()
--- a/internal/gateway/thrift/evict_test.go
+++ b/internal/gateway/thrift/evict_test.go
@@ -13,41 +13,41 @@
 	"lupinpond/internal/gateway/thrift"
 )
 
-// heldWrites is a connection whose writes wait until they are released, as with a client that does not read.
-type heldWrites struct {
+// blockedWriter is a connection whose writes wait until they are released, as with a client that does not read.
+type blockedWriter struct {
 	net.Conn
 	release chan struct{}
 }
 
-func (c *heldWrites) Write(b []byte) (int, error) {
+func (c *blockedWriter) Write(b []byte) (int, error) {
 	<-c.release
 	return c.Conn.Write(b)
 }
 
 // A connection whose answer is not written yet does not give way to a new one: the answer would never arrive.
-func TestUnwrittenAnswerDoesNotGiveWay(t *testing.T) {
+func TestUnwrittenAnswerPreventsEviction(t *testing.T) {
 	l := limits
-	l.Conns = 1
+	l.MaxConns = 1
 	release := make(chan struct{})
 	first := true
-	d := newDrains(t, l, func(conn net.Conn) net.Conn {
+	d := startDrainingServer(t, l, func(conn net.Conn) net.Conn {
 		if first {
 			first = false
-			return &heldWrites{conn, release}
+			return &blockedWriter{conn, release}
 		}
 		return conn
 	})
 	close(d.listener.opened)
 	conn := dial(t, d.listener.Addr().String())
-	write(t, conn, call(1, "a"))
-	d.answers("a")
+	write(t, conn, callFrame(1, "a"))
+	d.answerNext("a")
 	other := dial(t, d.listener.Addr().String())
 	if err := other.SetReadDeadline(time.Now().Add(100 * time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
 	_, _ = other.Read(make([]byte, 1)) // it is either closed by now or waits for a place
 	close(release)
-	if m := next(t, conn); m.Seq != 1 {
+	if m := readReply(t, conn); m.SeqID != 1 {
 		t.Errorf("%+v instead of the answer", m)
 	}
 	d.stop()
@@ -56,48 +56,48 @@
 	}
 }
 
-// heldReads is a connection whose reader stands still at its first read until it is released, as in a process without a processor.
-type heldReads struct {
+// blockedReader is a connection whose reader stands still at its first read until it is released, as in a process without a processor.
+type blockedReader struct {
 	net.Conn
-	held    chan struct{} // closed when it stands still
+	blocked chan struct{} // closed when it stands still
 	release chan struct{}
 	reads   atomic.Int32
 }
 
-func (c *heldReads) Read(b []byte) (int, error) {
+func (c *blockedReader) Read(b []byte) (int, error) {
 	if c.reads.Add(1) == 1 {
-		close(c.held)
+		close(c.blocked)
 		<-c.release
 	}
 	return c.Conn.Read(b)
 }
 
 // SyscallConn is that of the connection itself.
-func (c *heldReads) SyscallConn() (syscall.RawConn, error) {
+func (c *blockedReader) SyscallConn() (syscall.RawConn, error) {
 	return c.Conn.(syscall.Conn).SyscallConn()
 }
 
 // A request that has come, but is not read yet when its connection is asked to give way, is read and answered.
-func TestGivesWayOnlyAfterALook(t *testing.T) {
+func TestEvictionReadsPendingRequest(t *testing.T) {
 	l := limits
-	l.Conns = 1
+	l.MaxConns = 1
 	held, release := make(chan struct{}), make(chan struct{})
 	first := true
-	d := newDrains(t, l, func(conn net.Conn) net.Conn {
+	d := startDrainingServer(t, l, func(conn net.Conn) net.Conn {
 		if first {
 			first = false
-			return &heldReads{Conn: conn, held: held, release: release}
+			return &blockedReader{Conn: conn, blocked: held, release: release}
 		}
 		return conn
 	})
 	close(d.listener.opened)
 	conn := dial(t, d.listener.Addr().String())
 	<-held
-	write(t, conn, call(1, "a"))
-	closed(t, dial(t, d.listener.Addr().String())) // the first one was asked to give way, and has not looked yet
+	write(t, conn, callFrame(1, "a"))
+	expectClosed(t, dial(t, d.listener.Addr().String())) // the first one was asked to give way, and has not looked yet
 	close(release)
-	d.answers("a")
-	if m := next(t, conn); m.Seq != 1 {
+	d.answerNext("a")
+	if m := readReply(t, conn); m.SeqID != 1 {
 		t.Errorf("%+v instead of the answer", m)
 	}
 	d.stop()
@@ -106,13 +106,13 @@
 	}
 }
 
-// scripted is a listener whose next accepts a test words: an error to fail with, or nil to accept.
-type scripted struct {
+// scriptedListener is a listener whose next accepts a test words: an error to fail with, or nil to accept.
+type scriptedListener struct {
 	net.Listener
 	next chan error
 }
 
-func (l *scripted) Accept() (net.Conn, error) {
+func (l *scriptedListener) Accept() (net.Conn, error) {
 	if err := <-l.next; err != nil {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
 	}
@@ -121,7 +121,7 @@
 
 // Errors of accept that no connection of ours is a cause of cost no client its connection; where descriptors are short, an idle
 // one gives way.
-func TestErrorsOfAccept(t *testing.T) {
+func TestAcceptErrors(t *testing.T) {
 	for _, c := range []struct {
 		err  syscall.Errno
 		left int // connections, of two
@@ -130,7 +130,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		listener := &scripted{inner, make(chan error)}
+		listener := &scriptedListener{inner, make(chan error)}
 		s := thrift.NewServer(listener, limits, func(*thrift.Conn, thrift.Message) {})
 		ctx, stop := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
@@ -155,18 +155,18 @@
 }
 
 // A client that stops in the middle of a message gets the answers to what it has asked before; then the connection ends.
-func TestHalfAMessageBesideOpenCalls(t *testing.T) {
+func TestPartialMessageBesideOpenCalls(t *testing.T) {
 	l := limits
-	l.Mute = 50 * time.Millisecond
-	d := newDrains(t, l, nil)
+	l.MessageTimeout = 50 * time.Millisecond
+	d := startDrainingServer(t, l, nil)
 	close(d.listener.opened)
 	conn := dial(t, d.listener.Addr().String())
-	write(t, conn, call(1, "a"))
-	write(t, conn, call(2, "b")[:9])
-	came, m := (<-d.came)()
-	time.Sleep(4 * l.Mute)
-	came.Answer(m.Seq, reply(m.Seq, "late"))
-	wants(t, conn, 1)
+	write(t, conn, callFrame(1, "a"))
+	write(t, conn, callFrame(2, "b")[:9])
+	came, m := (<-d.calls)()
+	time.Sleep(4 * l.MessageTimeout)
+	came.Reply(m.SeqID, replyFrame(m.SeqID, "late"))
+	expectLastReply(t, conn, 1)
 	d.stop()
 	if err := <-d.ended; err != nil {
 		t.Error(err)
@@ -175,21 +175,21 @@
 
 // A client that reads slowly loses neither its answer nor a request that comes while the answer is written: the connection does not
 // end as idle meanwhile.
-func TestIdleWaitsForASlowReader(t *testing.T) {
+func TestIdleTimeoutWaitsForSlowReader(t *testing.T) {
 	l := limits
-	l.Idle, l.Rest = 20*time.Millisecond, time.Millisecond
+	l.IdleTimeout, l.FinalRead = 20*time.Millisecond, time.Millisecond
 	release := make(chan struct{})
-	d := newDrains(t, l, func(conn net.Conn) net.Conn { return &heldWrites{conn, release} })
+	d := startDrainingServer(t, l, func(conn net.Conn) net.Conn { return &blockedWriter{conn, release} })
 	close(d.listener.opened)
 	conn := dial(t, d.listener.Addr().String())
-	write(t, conn, call(1, "a"))
-	d.answers("a")
-	time.Sleep(5 * l.Idle)
-	write(t, conn, call(2, "b"))
-	d.answers("b")
+	write(t, conn, callFrame(1, "a"))
+	d.answerNext("a")
+	time.Sleep(5 * l.IdleTimeout)
+	write(t, conn, callFrame(2, "b"))
+	d.answerNext("b")
 	close(release)
 	for seq := range int32(2) {
-		if m := next(t, conn); m.Seq != seq+1 {
+		if m := readReply(t, conn); m.SeqID != seq+1 {
 			t.Error(m)
 		}
 	}
@@ -199,19 +199,19 @@
 	}
 }
 
-// trickle is a connection that passes on a little of what is written at a time, as to a client that reads slowly.
-type trickle struct {
+// slowWriter is a connection that passes on a little of what is written at a time, as to a client that reads slowly.
+type slowWriter struct {
 	net.Conn
 	pause time.Duration
 	until time.Time
 }
 
-func (c *trickle) SetWriteDeadline(t time.Time) error {
+func (c *slowWriter) SetWriteDeadline(t time.Time) error {
 	c.until = t
 	return nil
 }
 
-func (c *trickle) Write(b []byte) (n int, err error) {
+func (c *slowWriter) Write(b []byte) (n int, err error) {
 	for n < len(b) {
 		if time.Now().After(c.until) {
 			return n, os.ErrDeadlineExceeded
@@ -226,23 +226,23 @@
 }
 
 // A client that reads slowly, but reads, gets all that it has asked for.
-func TestSlowReaderGetsItsAnswers(t *testing.T) {
+func TestSlowReaderReceivesAnswers(t *testing.T) {
 	l := limits
-	l.Write, l.Open, l.Frame = 200*time.Millisecond, 32, 16<<10
-	d := newDrains(t, l, func(conn net.Conn) net.Conn { return &trickle{Conn: conn, pause: 20 * time.Millisecond} })
+	l.WriteTimeout, l.MaxOpenCalls, l.MaxFrameBytes = 200*time.Millisecond, 32, 16<<10
+	d := startDrainingServer(t, l, func(conn net.Conn) net.Conn { return &slowWriter{Conn: conn, pause: 20 * time.Millisecond} })
 	close(d.listener.opened)
 	conn := dial(t, d.listener.Addr().String())
 	text := strings.Repeat("x", 8<<10)
 	const calls = 30 // take 0.6 s
 	for seq := range int32(calls) {
-		write(t, conn, call(seq+1, "a"))
+		write(t, conn, callFrame(seq+1, "a"))
 	}
 	for range calls {
-		d.answers(text)
+		d.answerNext(text)
 	}
 	for seq := range int32(calls) {
-		if m := next(t, conn); m.Seq != seq+1 {
-			t.Fatal(m.Seq, "instead of", seq+1)
+		if m := readReply(t, conn); m.SeqID != seq+1 {
+			t.Fatal(m.SeqID, "instead of", seq+1)
 		}
 	}
 	d.stop()
@@ -252,21 +252,21 @@
 }
 
 // A connection that comes while something is owed on all others waits for a place.
-func TestWaitsForAPlace(t *testing.T) {
+func TestNewConnectionWaitsForCapacity(t *testing.T) {
 	l := limits
-	l.Conns = 1
-	d := newDrains(t, l, nil)
+	l.MaxConns = 1
+	d := startDrainingServer(t, l, nil)
 	close(d.listener.opened)
 	conn := dial(t, d.listener.Addr().String())
-	write(t, conn, call(1, "a"))
-	came, m := (<-d.came)()
+	write(t, conn, callFrame(1, "a"))
+	came, m := (<-d.calls)()
 	other := dial(t, d.listener.Addr().String())
-	write(t, other, call(1, "b"))
+	write(t, other, callFrame(1, "b"))
 	time.Sleep(100 * time.Millisecond)
-	came.Answer(m.Seq, reply(m.Seq, "a"))
-	next(t, conn)
-	d.answers("b")
-	next(t, other)
+	came.Reply(m.SeqID, replyFrame(m.SeqID, "a"))
+	readReply(t, conn)
+	d.answerNext("b")
+	readReply(t, other)
 	d.stop()
 	if err := <-d.ended; err != nil {
 		t.Error(err)
--- a/internal/gateway/thrift/golden_test.go
+++ b/internal/gateway/thrift/golden_test.go
@@ -39,17 +39,17 @@
 // The writer gives exactly the golden bytes, for each type of value and kind of message.
 func TestGoldenFrames(t *testing.T) {
 	request := thrift.NewWriter("dispatch", thrift.Call, 7)
-	request.Texts(1, "id", "a1")
+	request.StringMap(1, "id", "a1")
 	request.Binary(2, []byte("body"))
 	result := thrift.NewWriter("dispatch", thrift.Reply, 7)
 	result.Struct(0)
 	result.Binary(1, []byte("done"))
-	result.Texts(2)
+	result.StringMap(2)
 	result.Bool(3, true)
 	result.End()
 	thrown := thrift.NewWriter("dispatch", thrift.Reply, 7)
 	thrown.Struct(1)
-	thrown.Texts(1, "after", "12")
+	thrown.StringMap(1, "after", "12")
 	thrown.End()
 	oneway := thrift.NewWriter("cancelRequest", thrift.Oneway, -2)
 	oneway.I32(1, 7)
@@ -62,7 +62,7 @@
 		{"request", request.Frame(), goldenDispatch},
 		{"result", result.Frame(), goldenResult},
 		{"exception of the service", thrown.Frame(), goldenThrown},
-		{"application exception", thrift.Refusal("dispatch", 7, thrift.BadSequence, "why"), goldenRefusal},
+		{"application exception", thrift.EncodeException("dispatch", 7, thrift.BadSequenceID, "why"), goldenRefusal},
 		{"oneway", oneway.Frame(), "\x00\x00\x00\x25" + "\x80\x01\x00\x04" + "\x00\x00\x00\x0dcancelRequest" + "\xff\xff\xff\xfe" +
 			"\x08\x00\x01\x00\x00\x00\x07" + "\x02\x00\x02\x00" + "\x00"},
 	} {
@@ -70,7 +70,7 @@
 			t.Errorf("%s:\n got %x\nwant %x", c.name, c.got, c.want)
 		}
 	}
-	codes := fmt.Sprint(thrift.UnknownMethod, thrift.BadSequence, thrift.InternalError, thrift.ProtocolError)
+	codes := fmt.Sprint(thrift.UnknownMethod, thrift.BadSequenceID, thrift.InternalError, thrift.ProtocolError)
 	if codes != "1 4 6 7" {
 		t.Errorf("codes of application exceptions: got %s, want 1 4 6 7", codes)
 	}
@@ -79,19 +79,19 @@
 // Golden requests and answers decode to these values.
 func TestGoldenDecoding(t *testing.T) {
 	m, err := thrift.Parse([]byte(goldenDispatch[4:]))
-	got := fmt.Sprintf("%s %d %d %v", m.Name, m.Kind, m.Seq, err)
+	got := fmt.Sprintf("%s %d %d %v", m.Name, m.Type, m.SeqID, err)
 	if want := "dispatch 1 7 <nil>"; got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
 	a, err := thrift.ReadArgs(m.Args)
-	got = fmt.Sprintf("%v %v %v %v %v", a.Maps, texts(a.Bins), a.Ints, a.Bools, err)
+	got = fmt.Sprintf("%v %v %v %v %v", a.StringMaps, texts(a.Binaries), a.Ints, a.Bools, err)
 	if want := `map[1:map[id:a1]] map[2:body] map[] map[] <nil>`; got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
 	// a double, a list and a struct are skipped; an i32 and a bool are kept
 	a, err = thrift.ReadArgs([]byte("\x04\x00\x09\x00\x00\x00\x00\x00\x00\x00\x00" + "\x0f\x00\x08\x08\x00\x00\x00\x01\x00\x00\x00\x05" +
 		"\x0c\x00\x07\x03\x00\x01\x05\x00" + "\x08\x00\x01\xff\xff\xff\xfe" + "\x02\x00\x03\x01" + "\x00"))
-	got = fmt.Sprintf("%v %v %v %v %v", a.Maps, texts(a.Bins), a.Ints, a.Bools, err)
+	got = fmt.Sprintf("%v %v %v %v %v", a.StringMaps, texts(a.Binaries), a.Ints, a.Bools, err)
 	if want := "map[] map[] map[1:-2] map[3:true] <nil>"; got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
@@ -106,7 +106,7 @@
 			continue
 		}
 		field, a, err := m.Result()
-		if got := fmt.Sprintf("%d %v %v %v %v", field, a.Maps, texts(a.Bins), a.Bools, err); got != want {
+		if got := fmt.Sprintf("%d %v %v %v %v", field, a.StringMaps, texts(a.Binaries), a.Bools, err); got != want {
 			t.Errorf("%x:\n got %s\nwant %s", wire, got, want)
 		}
 	}
@@ -119,10 +119,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := thrift.NewServer(listener, thrift.Limits{Frame: 1 << 10, Open: 4, Conns: 4, Mute: 20 * time.Second, Idle: 20 * time.Second,
-		Write: 20 * time.Second, Rest: time.Second}, func(c *thrift.Conn, m thrift.Message) {
-		c.Begin(m.Seq, func() {})
-		c.Answer(m.Seq, []byte(goldenResult))
+	server := thrift.NewServer(listener, thrift.Limits{MaxFrameBytes: 1 << 10, MaxOpenCalls: 4, MaxConns: 4, MessageTimeout: 20 * time.Second, IdleTimeout: 20 * time.Second,
+		WriteTimeout: 20 * time.Second, FinalRead: time.Second}, func(c *thrift.Conn, m thrift.Message) {
+		c.BeginCall(m.SeqID, func() {})
+		c.Reply(m.SeqID, []byte(goldenResult))
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
--- a/internal/gateway/thrift/message.go
+++ b/internal/gateway/thrift/message.go
@@ -13,7 +13,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n > most {
-		return Message{}, malformed("a frame of that length")
+		return Message{}, malformedError("a frame of that length")
 	}
 	frame := make([]byte, n)
 	if _, err := io.ReadFull(from, frame); err != nil {
@@ -22,15 +22,15 @@
 	return Parse(frame)
 }
 
-// resultHead is what comes before the struct in the result of a call: its type and the number of its field.
-const resultHead = 3
+// resultHeadBytes is what comes before the struct in the result of a call: its type and the number of its field.
+const resultHeadBytes = 3
 
 // Result reads the result of a call: the number of the one field that it has, and the struct in it. An exception that is no result is
 // malformed.
 func (m Message) Result() (field int, args Args, err error) {
-	if m.Kind != Reply || len(m.Args) <= resultHead {
-		return 0, Args{}, malformed("no result")
+	if m.Type != Reply || len(m.Args) <= resultHeadBytes {
+		return 0, Args{}, malformedError("no result")
 	}
-	args, err = ReadArgs(m.Args[resultHead : len(m.Args)-1])
+	args, err = ReadArgs(m.Args[resultHeadBytes : len(m.Args)-1])
 	return int(binary.BigEndian.Uint16(m.Args[1:])), args, err
 }
--- a/internal/gateway/thrift/server.go
+++ b/internal/gateway/thrift/server.go
@@ -13,27 +13,27 @@
 
 // Limits protect a server from its clients.
 type Limits struct {
-	Frame int           // bytes of a message
-	Open  int           // calls at a time on a connection
-	Conns int           // connections; past that those that ask nothing are closed, the most silent first
-	Mute  time.Duration // from the connection to its first whole message, and from a message's first byte to its last
-	Idle  time.Duration // without a call
-	Write time.Duration // for each 16 KiB that are written; a client that does not read is cut off
-	Rest  time.Duration // what has come while the process stood still is read within that, before anything ends as idle
+	MaxFrameBytes  int           // bytes of a message
+	MaxOpenCalls   int           // calls at a time on a connection
+	MaxConns       int           // connections; past that those that ask nothing are closed, the most silent first
+	MessageTimeout time.Duration // from the connection to its first whole message, and from a message's first byte to its last
+	IdleTimeout    time.Duration // without a call
+	WriteTimeout   time.Duration // for each 16 KiB that are written; a client that does not read is cut off
+	FinalRead      time.Duration // what has come while the process stood still is read within that, before anything ends as idle
 }
 
 // Server serves the connections of one listener.
 type Server struct {
-	listener net.Listener
-	limits   Limits
-	handle   func(*Conn, Message)
-	closed   func(Closed)
-	open     atomic.Int64 // calls without an answer, on all connections
-	draining atomic.Bool
+	listener  net.Listener
+	limits    Limits
+	handle    func(*Conn, Message)
+	onClose   func(CloseEvent)
+	openCalls atomic.Int64 // calls without an answer, on all connections
+	draining  atomic.Bool
 
 	mu      sync.Mutex
 	conns   map[*Conn]bool
-	workers sync.WaitGroup
+	running sync.WaitGroup
 }
 
 // NewServer makes a server; handle is called for every message of a connection in turn and must not wait.
@@ -42,16 +42,16 @@
 }
 
 // OnClose has the end of every connection told; it is called before Run, and told must not wait.
-func (s *Server) OnClose(told func(Closed)) { s.closed = told }
+func (s *Server) OnClose(told func(CloseEvent)) { s.onClose = told }
 
-func (s *Server) tell(c Closed) {
-	if s.closed != nil {
-		s.closed(c)
+func (s *Server) notifyClosed(c CloseEvent) {
+	if s.onClose != nil {
+		s.onClose(c)
 	}
 }
 
-// Open is the number of calls without an answer.
-func (s *Server) Open() int64 { return s.open.Load() }
+// OpenCalls is the number of calls without an answer.
+func (s *Server) OpenCalls() int64 { return s.openCalls.Load() }
 
 // Connections is the number of connections.
 func (s *Server) Connections() int {
@@ -68,16 +68,16 @@
 	defer s.mu.Unlock()
 	for c := range s.conns {
 		c.mu.Lock()
-		c.hasten()
+		c.wakeIdleReader()
 		c.mu.Unlock()
 	}
-	s.hasten()
+	s.shortenAccept()
 }
 
-// hasten has Accept wait no longer than Rest for one more connection.
-func (s *Server) hasten() {
+// shortenAccept has Accept wait no longer than Rest for one more connection.
+func (s *Server) shortenAccept() {
 	l, is := s.listener.(interface{ SetDeadline(time.Time) error })
-	if !is || l.SetDeadline(time.Now().Add(s.limits.Rest)) != nil {
+	if !is || l.SetDeadline(time.Now().Add(s.limits.FinalRead)) != nil {
 		s.listener.Close()
 	}
 }
@@ -86,13 +86,13 @@
 func (s *Server) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
 		s.listener.Close()
-		s.end()
+		s.closeAll()
 	})
 	defer stop()
-	defer s.workers.Wait()
+	defer s.running.Wait()
 	defer s.listener.Close()
 	looked := false // as it drains, since the last connection
-	pause := acceptPause
+	pause := minAcceptBackoff
 	for {
 		conn, err := s.listener.Accept()
 		none := s.draining.Load() && errors.Is(err, os.ErrDeadlineExceeded)
@@ -103,33 +103,33 @@
 			return nil
 		}
 		if looked = none; s.draining.Load() {
-			s.hasten()
+			s.shortenAccept()
 		}
 		switch {
 		case none: // the time was up before Accept was called, perhaps, and one has come
 		case err != nil:
-			if !errors.Is(err, syscall.EMFILE) || !s.evict() { // of the other errors a connection of ours is no cause
+			if !errors.Is(err, syscall.EMFILE) || !s.evictIdle() { // of the other errors a connection of ours is no cause
 				time.Sleep(pause)
-				pause = min(2*pause, mostAcceptPause)
+				pause = min(2*pause, maxAcceptBackoff)
 			}
 		default:
-			pause = acceptPause
-			s.serve(ctx, conn)
+			pause = minAcceptBackoff
+			s.serveConn(ctx, conn)
 		}
 	}
 }
 
 // Between two tries to accept, where the system can't.
 const (
-	acceptPause     = time.Millisecond
-	mostAcceptPause = 50 * time.Millisecond
+	minAcceptBackoff = time.Millisecond
+	maxAcceptBackoff = 50 * time.Millisecond
 )
 
-// serve serves a connection that was accepted, if there is a place for it.
-func (s *Server) serve(ctx context.Context, conn net.Conn) {
-	if !s.place(ctx) {
+// serveConn serves a connection that was accepted, if there is a place for it.
+func (s *Server) serveConn(ctx context.Context, conn net.Conn) {
+	if !s.awaitCapacity(ctx) {
 		conn.Close()
-		s.tell(Closed{Reason: NoPlace, Client: conn.RemoteAddr().String()})
+		s.notifyClosed(CloseEvent{Reason: NoCapacity, ClientAddr: conn.RemoteAddr().String()})
 		return
 	}
 	c := newConn(s, conn)
@@ -139,18 +139,18 @@
 	if ctx.Err() != nil { // it came beside the end
 		conn.Close()
 	}
-	s.workers.Add(2)
-	go c.read()
-	go c.write()
+	s.running.Add(2)
+	go c.readLoop()
+	go c.writeLoop()
 }
 
-// placeWithin is how long a new connection waits for a place, and those behind it in the listen queue.
-const placeWithin = 500 * time.Millisecond
+// capacityWait is how long a new connection waits for a place, and those behind it in the listen queue.
+const capacityWait = 500 * time.Millisecond
 
-// place waits until there is a place for one more connection; false: there is none in time. Where something is owed on all, what is
+// awaitCapacity waits until there is a place for one more connection; false: there is none in time. Where something is owed on all, what is
 // new waits rather than be closed with a request that its client may have sent.
-func (s *Server) place(ctx context.Context) bool {
-	for end := time.Now().Add(placeWithin); s.Connections() >= s.limits.Conns && !s.evict(); time.Sleep(acceptPause) {
+func (s *Server) awaitCapacity(ctx context.Context) bool {
+	for end := time.Now().Add(capacityWait); s.Connections() >= s.limits.MaxConns && !s.evictIdle(); time.Sleep(minAcceptBackoff) {
 		if ctx.Err() != nil || time.Now().After(end) {
 			return false
 		}
@@ -158,58 +158,58 @@
 	return true
 }
 
-func (s *Server) forget(c *Conn) {
+func (s *Server) remove(c *Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 }
 
-// end closes every connection at once.
-func (s *Server) end() {
+// closeAll closes every connection at once.
+func (s *Server) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
 		c.mu.Lock()
-		c.because(Stopped)
+		c.setCloseReason(ServerStopped)
 		c.mu.Unlock()
 		c.conn.Close()
 	}
 }
 
-// evictTries is how many connections are asked to give way for one place, evictWithin how long each may take.
+// maxEvictionAttempts is how many connections are asked to give way for one place, evictWithin how long each may take.
 const (
-	evictTries  = 3
-	evictWithin = 50 * time.Millisecond
+	maxEvictionAttempts = 3
+	evictionTimeout     = 50 * time.Millisecond
 )
 
-// evict has one connection give way on which nothing is owed. It ends by itself, once it has looked whether something came.
-func (s *Server) evict() bool {
-	for range evictTries {
-		victim := s.victim()
+// evictIdle has one connection give way on which nothing is owed. It ends by itself, once it has looked whether something came.
+func (s *Server) evictIdle() bool {
+	for range maxEvictionAttempts {
+		victim := s.evictionCandidate()
 		if victim == nil {
 			return false
 		}
-		if !victim.giveWay() {
+		if !victim.requestEviction() {
 			continue
 		}
 		select {
-		case <-victim.ended:
+		case <-victim.done:
 			return true
-		case <-time.After(evictWithin):
+		case <-time.After(evictionTimeout):
 		}
 	}
 	return false
 }
 
-// victim is the connection that has been silent longest and on which nothing is owed; those that never asked go first, and those
+// evictionCandidate is the connection that has been silent longest and on which nothing is owed; those that never asked go first, and those
 // of which a message has begun and does not go on last.
-func (s *Server) victim() (victim *Conn) {
+func (s *Server) evictionCandidate() (victim *Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	var heard time.Time
 	for c := range s.conns {
-		at, may := c.silentSince(now)
+		at, may := c.evictionRank(now)
 		if may && (victim == nil || at.Before(heard)) {
 			victim, heard = c, at
 		}
@@ -217,20 +217,20 @@
 	return victim
 }
 
-// silentSince ranks a connection among those that may give way; false: it may not.
-func (c *Conn) silentSince(now time.Time) (at time.Time, may bool) {
+// evictionRank ranks a connection among those that may give way; false: it may not.
+func (c *Conn) evictionRank(now time.Time) (at time.Time, may bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	limits := &c.server.limits
-	at = c.heard
-	if !c.asked {
-		at = at.Add(-limits.Idle)
+	at = c.lastActivity
+	if !c.hasRequested {
+		at = at.Add(-limits.IdleTimeout)
 	}
-	if !c.rests { // a message is being read
-		at = at.Add(2 * limits.Idle)
-		if now.Sub(c.began) < limits.Mute/2 {
+	if !c.awaitingMessage { // a message is being read
+		at = at.Add(2 * limits.IdleTimeout)
+		if now.Sub(c.messageBegan) < limits.MessageTimeout/2 {
 			return at, false
 		}
 	}
-	return at, c.idle() && !c.gone && !c.closing && !c.evicted
+	return at, c.isIdle() && !c.disconnected && !c.closing && !c.evicting
 }
--- a/internal/gateway/thrift/thrift_test.go
+++ b/internal/gateway/thrift/thrift_test.go
@@ -17,15 +17,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// call is the frame of a call with a map and a binary.
-func call(seq int32, id string) []byte {
+// callFrame is the frame of a call with a map and a binary.
+func callFrame(seq int32, id string) []byte {
 	w := thrift.NewWriter("ask", thrift.Call, seq)
-	w.Texts(1, "id", id)
+	w.StringMap(1, "id", id)
 	w.Binary(2, []byte("body"))
 	return w.Frame()
 }
 
-func reply(seq int32, text string) []byte {
+func replyFrame(seq int32, text string) []byte {
 	w := thrift.NewWriter("ask", thrift.Reply, seq)
 	w.Binary(0, []byte(text))
 	return w.Frame()
@@ -33,23 +33,23 @@
 
 // What Writer writes, Parse and ReadArgs read.
 func TestRoundTrip(t *testing.T) {
-	frame := call(7, "e")
+	frame := callFrame(7, "e")
 	if n := binary.BigEndian.Uint32(frame); int(n) != len(frame)-4 {
 		t.Errorf("length %d of %d", n, len(frame)-4)
 	}
 	m, err := thrift.Parse(frame[4:])
-	if err != nil || m.Name != "ask" || m.Seq != 7 || m.Kind != thrift.Call {
+	if err != nil || m.Name != "ask" || m.SeqID != 7 || m.Type != thrift.Call {
 		t.Fatal(m, err)
 	}
 	a, err := thrift.ReadArgs(m.Args)
-	if err != nil || a.Maps[1]["id"] != "e" || string(a.Bins[2]) != "body" {
+	if err != nil || a.StringMaps[1]["id"] != "e" || string(a.Binaries[2]) != "body" {
 		t.Error(a, err)
 	}
 }
 
 // Lengths and counts are not believed before the bytes are there; what is cut off anywhere is malformed.
 func TestMalformed(t *testing.T) {
-	frame := call(1, "e")[4:]
+	frame := callFrame(1, "e")[4:]
 	for n := range len(frame) {
 		m, err := thrift.Parse(frame[:n])
 		if err == nil {
@@ -82,8 +82,8 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(call(1, "e")[4:])
-	f.Add(thrift.Refusal("ask", 2, thrift.ProtocolError, "why")[4:])
+	f.Add(callFrame(1, "e")[4:])
+	f.Add(thrift.EncodeException("ask", 2, thrift.ProtocolError, "why")[4:])
 	f.Add([]byte("\x80\x01\x00\x01\x00\x00\x00\x00\x00\x00\x00\x01\x0d\x00\x01\x0b\x0b\x00\x00\x00\x00\x00"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := thrift.Parse(b)
@@ -97,7 +97,7 @@
 	})
 }
 
-var limits = thrift.Limits{Frame: 256, Open: 2, Conns: 3, Mute: time.Minute, Idle: time.Minute, Write: time.Minute, Rest: 30 * time.Millisecond}
+var limits = thrift.Limits{MaxFrameBytes: 256, MaxOpenCalls: 2, MaxConns: 3, MessageTimeout: time.Minute, IdleTimeout: time.Minute, WriteTimeout: time.Minute, FinalRead: 30 * time.Millisecond}
 
 // serve runs a server whose messages and calls taken back come to the test.
 func serve(t *testing.T, l thrift.Limits) (addr string, came chan func() (*thrift.Conn, thrift.Message), left chan int32, s *thrift.Server) {
@@ -107,13 +107,13 @@
 	}
 	came, left = make(chan func() (*thrift.Conn, thrift.Message), 100), make(chan int32, 100)
 	s = thrift.NewServer(listener, l, func(c *thrift.Conn, m thrift.Message) {
-		if m.Kind == thrift.Oneway {
+		if m.Type == thrift.Oneway {
 			a, _ := thrift.ReadArgs(m.Args)
-			c.Cancel(a.Ints[1])
+			c.CancelCall(a.Ints[1])
 			return
 		}
-		if !c.Begin(m.Seq, func() { left <- m.Seq }) {
-			c.Send(thrift.Refusal(m.Name, m.Seq, thrift.BadSequence, "no"))
+		if !c.BeginCall(m.SeqID, func() { left <- m.SeqID }) {
+			c.Send(thrift.EncodeException(m.Name, m.SeqID, thrift.BadSequenceID, "no"))
 			c.Close()
 			return
 		}
@@ -150,7 +150,7 @@
 	}
 }
 
-func next(t *testing.T, conn net.Conn) thrift.Message {
+func readReply(t *testing.T, conn net.Conn) thrift.Message {
 	t.Helper()
 	var head [4]byte
 	_, err := io.ReadFull(conn, head[:])
@@ -165,8 +165,8 @@
 	return m
 }
 
-// closed reads to the end; a reset is an end too.
-func closed(t *testing.T, conn net.Conn) {
+// expectClosed reads to the end; a reset is an end too.
+func expectClosed(t *testing.T, conn net.Conn) {
 	t.Helper()
 	_, err := io.Copy(io.Discard, conn)
 	if slow, is := err.(net.Error); is && slow.Timeout() {
@@ -175,30 +175,30 @@
 }
 
 // Answers come in any order; of a call taken back, and a second time, none comes.
-func TestAnswers(t *testing.T) {
+func TestReplies(t *testing.T) {
 	addr, came, left, s := serve(t, limits)
 	conn := dial(t, addr)
-	write(t, conn, call(1, "a"), call(2, "b"))
+	write(t, conn, callFrame(1, "a"), callFrame(2, "b"))
 	c, _ := (<-came)()
 	<-came
-	c.Answer(2, reply(2, "second"))
-	if m := next(t, conn); m.Seq != 2 {
-		t.Error("answer to", m.Seq)
+	c.Reply(2, replyFrame(2, "second"))
+	if m := readReply(t, conn); m.SeqID != 2 {
+		t.Error("answer to", m.SeqID)
 	}
 	w := thrift.NewWriter("cancel", thrift.Oneway, 0)
 	w.I32(1, 1)
-	write(t, conn, w.Frame(), call(3, "c"))
+	write(t, conn, w.Frame(), callFrame(3, "c"))
 	if seq := <-left; seq != 1 {
 		t.Error("taken back:", seq)
 	}
 	<-came
-	c.Answer(1, reply(1, "late"))
-	c.Answer(2, reply(2, "again"))
-	c.Answer(3, reply(3, "third"))
-	if m := next(t, conn); m.Seq != 3 || s.Open() != 0 {
-		t.Error("answer to", m.Seq, "open", s.Open())
+	c.Reply(1, replyFrame(1, "late"))
+	c.Reply(2, replyFrame(2, "again"))
+	c.Reply(3, replyFrame(3, "third"))
+	if m := readReply(t, conn); m.SeqID != 3 || s.OpenCalls() != 0 {
+		t.Error("answer to", m.SeqID, "open", s.OpenCalls())
 	}
-	write(t, conn, call(4, "d"))
+	write(t, conn, callFrame(4, "d"))
 	<-came
 	conn.Close()
 	if seq := <-left; seq != 4 {
@@ -207,13 +207,13 @@
 }
 
 // What can't be read, too much at a time, a number that is not new, and silence end the connection.
-func TestBadClients(t *testing.T) {
+func TestMisbehavingClients(t *testing.T) {
 	l := limits
-	l.Mute = 50 * time.Millisecond
+	l.MessageTimeout = 50 * time.Millisecond
 	addr, came, left, _ := serve(t, l)
 	for name, send := range map[string][]byte{
 		"silence":         nil,
-		"half a request":  call(1, "a")[:9],
+		"half a request":  callFrame(1, "a")[:9],
 		"60 MB":           {0x03, 0x93, 0x87, 0x00, 0x80},
 		"negative length": {0xff, 0xff, 0xff, 0xff},
 		"no length":       {0, 0, 0, 0},
@@ -222,18 +222,18 @@
 		t.Run(name, func(t *testing.T) {
 			conn := dial(t, addr)
 			write(t, conn, send)
-			closed(t, conn)
+			expectClosed(t, conn)
 		})
 	}
 	conn := dial(t, addr)
-	write(t, conn, call(1, "a"), call(1, "b"))
-	if m := next(t, conn); m.Kind != thrift.Exception {
+	write(t, conn, callFrame(1, "a"), callFrame(1, "b"))
+	if m := readReply(t, conn); m.Type != thrift.Exception {
 		t.Error("the second request of a number got", m)
 	}
-	closed(t, conn)
+	expectClosed(t, conn)
 	conn = dial(t, addr)
-	write(t, conn, call(1, "a"), call(2, "b"), call(3, "c"))
-	closed(t, conn)
+	write(t, conn, callFrame(1, "a"), callFrame(2, "b"), callFrame(3, "c"))
+	expectClosed(t, conn)
 	for range 3 {
 		<-came
 		<-left
@@ -241,65 +241,65 @@
 }
 
 // Connections that never asked give way to new ones; one that is served does not.
-func TestCrowd(t *testing.T) {
+func TestUnusedConnectionsAreEvicted(t *testing.T) {
 	addr, came, _, s := serve(t, limits)
 	busy := dial(t, addr)
-	write(t, busy, call(1, "a"))
+	write(t, busy, callFrame(1, "a"))
 	c, _ := (<-came)()
 	var last net.Conn
-	for range 3 * limits.Conns {
+	for range 3 * limits.MaxConns {
 		last = dial(t, addr)
 	}
-	write(t, last, call(1, "b"))
+	write(t, last, callFrame(1, "b"))
 	<-came
-	if n := s.Connections(); n > limits.Conns {
+	if n := s.Connections(); n > limits.MaxConns {
 		t.Error(n, "connections")
 	}
-	c.Answer(1, reply(1, "served"))
-	if m := next(t, busy); m.Kind != thrift.Reply {
+	c.Reply(1, replyFrame(1, "served"))
+	if m := readReply(t, busy); m.Type != thrift.Reply {
 		t.Error(m)
 	}
 }
 
 // A connection of which a message is being handled does not give way, though no call is open on it yet: what was read gets its
 // answer. The new connection is closed, and one that comes once the call has its answer is served.
-func TestDoesNotGiveWayUnderACall(t *testing.T) {
+func TestCallPreventsEviction(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := limits
-	l.Conns = 1
+	l.MaxConns = 1
 	came, handle, taken := make(chan *thrift.Conn, 2), make(chan struct{}), make(chan bool, 2)
 	s := thrift.NewServer(listener, l, func(c *thrift.Conn, m thrift.Message) {
 		came <- c
 		<-handle
-		taken <- c.Begin(m.Seq, func() {})
+		taken <- c.BeginCall(m.SeqID, func() {})
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(ctx) }()
 	conn := dial(t, listener.Addr().String())
-	write(t, conn, call(1, "a"))
+	write(t, conn, callFrame(1, "a"))
 	c := <-came
-	closed(t, dial(t, listener.Addr().String()))
+	expectClosed(t, dial(t, listener.Addr().String()))
 	close(handle)
 	if !<-taken {
 		t.Error("not taken")
 	}
-	c.Answer(1, reply(1, "served"))
-	if m := next(t, conn); m.Seq != 1 || m.Kind != thrift.Reply {
+	c.Reply(1, replyFrame(1, "served"))
+	if m := readReply(t, conn); m.SeqID != 1 || m.Type != thrift.Reply {
 		t.Error(m)
 	}
 	again := dial(t, listener.Addr().String())
-	write(t, again, call(1, "b"))
+	write(t, again, callFrame(1, "b"))
 	c = <-came
 	if !<-taken {
 		t.Error("not taken once there is a place")
 	}
-	c.Answer(1, reply(1, "served"))
-	next(t, again)
-	closed(t, conn)
+	c.Reply(1, replyFrame(1, "served"))
+	readReply(t, again)
+	expectClosed(t, conn)
 	stop()
 	if err := <-ended; err != nil {
 		t.Error(err)
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -186,8 +186,8 @@
 func (h *Adapter) handleSpawn(name string, line *simprotocol.Line) *gatewayInstance {
 	seed := line.Uint("seed", false)
 	set := line.Settings("settings")
-	in := &gatewayInstance{name: name, out: h.out, weighted: set.Sized()}
-	in.Core = core.New(set.Front(seed), in)
+	in := &gatewayInstance{name: name, out: h.out, weighted: set.UsesWorkerSizes()}
+	in.Core = core.New(set.Core(seed), in)
 	if line.Finish() == nil {
 		h.gateways[name] = in
 	}
--- a/internal/simadapter/simprotocol/read.go
+++ b/internal/simadapter/simprotocol/read.go
@@ -164,8 +164,8 @@
 }
 
 // Settings takes all values that are left as path=value pairs.
-func (l *Line) Settings(name string) settings.Paths {
-	paths := settings.Paths{}
+func (l *Line) Settings(name string) settings.Values {
+	paths := settings.Values{}
 	for _, part := range l.Rest() {
 		key, value, found := strings.Cut(part, "=")
 		if part == "" || part == "-" {
--- a/internal/testbed/checker/checker.go
+++ b/internal/testbed/checker/checker.go
@@ -68,7 +68,7 @@
 	Verdict
 	facts  Facts
 	seen   *seen
-	types  map[string]fleetconfig.EventType
+	types  map[string]fleetconfig.RequestType
 	events map[string][]*launch
 }
 
@@ -78,7 +78,7 @@
 	if err != nil {
 		return Verdict{}, err
 	}
-	j := &judge{facts: f, seen: s, types: map[string]fleetconfig.EventType{}, events: map[string][]*launch{}}
+	j := &judge{facts: f, seen: s, types: map[string]fleetconfig.RequestType{}, events: map[string][]*launch{}}
 	for _, t := range f.File.Fleet.Types {
 		j.types[t.Name] = t
 	}
@@ -109,7 +109,7 @@
 
 // answers judges rule 1: one final answer for each event, in time, and no launch after it.
 func (j *judge) answers() {
-	slack := j.facts.File.Fleet.AnswerSlack.D()
+	slack := j.facts.File.Fleet.AnswerSlack.Std()
 	final := map[string]*try{}
 	for _, t := range j.seen.tries {
 		if t.status == http.StatusOK && t.event == "" {
@@ -194,7 +194,7 @@
 			for _, earlier := range launches[:i] {
 				switch earlier.state(l.begin) {
 				case outstanding:
-					if t.Effect == "redeliverable" && j.facts.File.Fleet.Allowed.SecondCopies {
+					if t.Effect == "redeliverable" && j.facts.File.Fleet.Policy.Hedging {
 						break
 					}
 					j.breach(2, l.front.Name, l.begin, event, l.worker, "launched while launch %d is outstanding at %s",
@@ -211,19 +211,19 @@
 				j.breach(2, l.front.Name, l.begin, event, l.worker, "launched again though launch %d may have run",
 					risk.frame.Number)
 			case t.Effect == "keyed":
-				if l.begin > risk.begin+t.Window.D() {
-					j.breach(2, l.front.Name, l.begin, event, l.worker, "launched again outside its window of %v", t.Window.D())
+				if l.begin > risk.begin+t.DedupWindow.Std() {
+					j.breach(2, l.front.Name, l.begin, event, l.worker, "launched again outside its window of %v", t.DedupWindow.Std())
 				}
 				a, b := where[l.worker], where[risk.worker]
-				if t.Group == "zone" && a.Zone != b.Zone || t.Group == "cell" && (a.Zone != b.Zone || a.Cell != b.Cell) {
-					j.breach(2, l.front.Name, l.begin, event, l.worker, "launched again outside the %s of %s", t.Group, risk.worker)
+				if t.DedupScope == "zone" && a.Zone != b.Zone || t.DedupScope == "cell" && (a.Zone != b.Zone || a.Cell != b.Cell) {
+					j.breach(2, l.front.Name, l.begin, event, l.worker, "launched again outside the %s of %s", t.DedupScope, risk.worker)
 				}
 			}
 		}
 	}
 	for _, t := range j.seen.tries {
 		if t.status != http.StatusServiceUnavailable || t.notTaken || t.call.Type.Effect == "redeliverable" ||
-			t.call.Type.Effect == "keyed" && t.call.Type.Group == "all" {
+			t.call.Type.Effect == "keyed" && t.call.Type.DedupScope == "all" {
 			continue
 		}
 		for _, l := range j.events[t.event] {
@@ -248,7 +248,7 @@
 
 // drains judges rule 3: nothing new to a drained or gone worker after the grace.
 func (j *judge) drains() {
-	grace := j.facts.File.Fleet.StopSendingWithin.D()
+	grace := j.facts.File.Fleet.DrainGrace.Std()
 	type key struct{ front, worker string }
 	type change struct {
 		at  time.Duration
@@ -304,8 +304,8 @@
 // multiple of what its capacity is then, with three errors of chance. Work is what the worker said an event took; where
 // it did not say, what the function's events took on average.
 func (j *judge) cold() {
-	c := j.facts.File.Fleet.Cold
-	if c.FallMultiple <= 0 {
+	c := j.facts.File.Fleet.SlowStart
+	if c.CrashMultiple <= 0 {
 		return
 	}
 	sum, count := map[string]time.Duration{}, map[string]int{}
@@ -358,12 +358,12 @@
 	}
 	for k, f := range starts {
 		share := func(at time.Duration) float64 {
-			return min(1, c.From+(1-c.From)*float64(max(0, at-f.began))/float64(c.WarmAfter))
+			return min(1, c.InitialShare+(1-c.InitialShare)*float64(max(0, at-f.began))/float64(c.WarmUpTime))
 		}
 		from, sent, knew := 0, 0.0, 0.0
 		var window []*launch
 		for _, l := range byWorker[k.worker] {
-			if l.begin < f.began || l.begin > f.began+c.WarmAfter.D() {
+			if l.begin < f.began || l.begin > f.began+c.WarmUpTime.Std() {
 				continue
 			}
 			j.Checked[4]++
@@ -373,20 +373,20 @@
 			if sent += w; informed(l) {
 				knew += w
 			}
-			for window[from].begin <= l.begin-c.Fall.D() {
+			for window[from].begin <= l.begin-c.CrashWindow.Std() {
 				old := window[from]
 				if sent -= work(old); informed(old) {
 					knew -= work(old)
 				}
 				from++
 			}
-			budget := c.FallMultiple * share(l.begin-c.Fall.D()/2) * f.cores * float64(c.Fall)
+			budget := c.CrashMultiple * share(l.begin-c.CrashWindow.Std()/2) * f.cores * float64(c.CrashWindow)
 			mean := sent / float64(len(window)-from)
 			budget += 3 * math.Sqrt(budget*mean)
 			j.Tightest = max(j.Tightest, sent/budget)
 			if sent > budget && knew >= 2*sent/3 {
 				j.breach(4, l.front.Name, l.begin, l.frame.RequestID, k.worker,
-					"pushed over while cold: %v of work in %v, it stands %v", time.Duration(sent), c.Fall.D(), time.Duration(budget))
+					"pushed over while cold: %v of work in %v, it stands %v", time.Duration(sent), c.CrashWindow.Std(), time.Duration(budget))
 			}
 		}
 	}
@@ -397,8 +397,8 @@
 
 // rations judges rule 5: load orders in any window, the last one included, within the ration.
 func (j *judge) rations() {
-	r := j.facts.File.Fleet.Loading.Ration
-	if r.Within <= 0 {
+	r := j.facts.File.Fleet.LoadPolicy.RateLimit
+	if r.Window <= 0 {
 		return
 	}
 	events, orders := map[*Front][]time.Duration{}, map[*Front][]time.Duration{}
@@ -410,7 +410,7 @@
 	within := func(times []time.Duration, to time.Duration) int {
 		n := 0
 		for _, at := range times {
-			if at > to-r.Within.D() && at <= to {
+			if at > to-r.Window.Std() && at <= to {
 				n++
 			}
 		}
@@ -422,9 +422,9 @@
 		}
 		j.Checked[5]++
 		orders[o.front] = append(orders[o.front], o.begin)
-		n, most := within(orders[o.front], o.begin), r.Free+r.Share*float64(within(events[o.front], o.begin))
+		n, most := within(orders[o.front], o.begin), r.Burst+r.PerRequest*float64(within(events[o.front], o.begin))
 		if float64(n) > most {
-			j.breach(5, o.front.Name, o.begin, "", o.worker, "%d load orders in %v, %.1f are allowed", n, r.Within.D(), most)
+			j.breach(5, o.front.Name, o.begin, "", o.worker, "%d load orders in %v, %.1f are allowed", n, r.Window.Std(), most)
 		}
 	}
 }
--- a/internal/testbed/checker/checker_test.go
+++ b/internal/testbed/checker/checker_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Fleet.Loading.Ration = fleetconfig.Ration{Within: config.Time(time.Second), Free: 2, Share: 0.5}
+	f.Fleet.LoadPolicy.RateLimit = fleetconfig.LoadRateLimit{Window: config.Duration(time.Second), Burst: 2, PerRequest: 0.5}
 	s := &script{t: t, Facts: checker.Facts{File: f, Base: base, End: time.Minute,
 		Fronts: []checker.Front{{Name: "f0"}, {Name: "f1", Index: 1}}}}
 	for i := range s.Fronts {
@@ -177,14 +177,14 @@
 			s.answer(0, c, 5060*ms, 200, "x")
 		}},
 		{"two launches at once, allowed", nil, func(s *script) {
-			s.File.Fleet.Allowed.SecondCopies = true
+			s.File.Fleet.Policy.Hedging = true
 			c := s.request(0, 5*time.Second, "preview", "x")
 			s.launch(0, 5001*ms, "a", "preview", "pay-preview", "x")(5050*ms, workerrpc.CodeOK, ms)
 			s.launch(0, 5002*ms, "b", "preview", "pay-preview", "x")(5040*ms, workerrpc.CodeOK, ms)
 			s.answer(0, c, 5060*ms, 200, "x")
 		}},
 		{"launched after a longer grace", nil, func(s *script) {
-			s.File.Fleet.StopSendingWithin = config.Time(10 * time.Second)
+			s.File.Fleet.DrainGrace = config.Duration(10 * time.Second)
 			c := s.request(0, 1500*ms, "preview", "x")
 			s.launch(0, 1501*ms, "c", "preview", "pay-preview", "x")(1510*ms, workerrpc.CodeOK, ms)
 			s.answer(0, c, 1511*ms, 200, "x")
@@ -196,7 +196,7 @@
 			s.answer(0, c, 921*ms, 200, "x")
 		}},
 		{"keyed outside its window", []int{2}, func(s *script) {
-			s.File.Fleet.Types[1].Window = config.Time(100 * ms)
+			s.File.Fleet.Types[1].DedupWindow = config.Duration(100 * ms)
 			c := s.request(0, 900*ms, "transfer", "x")
 			s.launch(0, 901*ms, "a", "transfer", "bank-transfer", "x")(990*ms, workerrpc.CodeFailed, ms)
 			s.launch(0, 1002*ms, "b", "transfer", "bank-transfer", "x")(1020*ms, workerrpc.CodeOK, ms)
--- a/internal/testbed/discoverytest/service.go
+++ b/internal/testbed/discoverytest/service.go
@@ -30,7 +30,7 @@
 // Service is one list of workers and the HTTP interface to it.
 type Service struct {
 	mu      sync.Mutex
-	workers map[string]discovery.Worker
+	workers map[string]discovery.Endpoint
 	changes []discovery.Event // the last ones, without a gap up to the position
 	pos     int64
 	changed chan struct{} // closed at the next change
@@ -45,8 +45,8 @@
 }
 
 // New makes a service that listens at a free port of loopback.
-func New(workers []discovery.Worker) (*Service, error) {
-	s := &Service{workers: map[string]discovery.Worker{}, pos: 1, changed: make(chan struct{})}
+func New(workers []discovery.Endpoint) (*Service, error) {
+	s := &Service{workers: map[string]discovery.Endpoint{}, pos: 1, changed: make(chan struct{})}
 	for _, w := range workers {
 		s.workers[w.Name] = w
 	}
@@ -120,7 +120,7 @@
 }
 
 // Publish tells one change of some lines.
-func (s *Service) Publish(lines []discovery.Worker) (position int64, at time.Time) {
+func (s *Service) Publish(lines []discovery.Endpoint) (position int64, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, w := range lines {
@@ -129,7 +129,7 @@
 		}
 	}
 	s.pos++
-	s.changes = append(s.changes, discovery.Event{Number: s.pos, List: &discovery.List{Workers: lines}})
+	s.changes = append(s.changes, discovery.Event{Position: s.pos, Update: &discovery.Update{Endpoints: lines}})
 	if n := len(s.changes) - keptChanges; n > 0 {
 		s.changes = slices.Delete(s.changes, 0, n)
 	}
@@ -145,11 +145,11 @@
 	if s.whole != nil {
 		return s.whole, nil
 	}
-	list := &discovery.List{Whole: true}
+	list := &discovery.Update{Complete: true}
 	for _, name := range slices.Sorted(maps.Keys(s.workers)) {
-		list.Workers = append(list.Workers, s.workers[name])
+		list.Endpoints = append(list.Endpoints, s.workers[name])
 	}
-	b, err := json.Marshal(discovery.News{Last: s.pos, Events: []discovery.Event{{Number: s.pos, List: list}}})
+	b, err := json.Marshal(discovery.Batch{Position: s.pos, Events: []discovery.Event{{Position: s.pos, Update: list}}})
 	if err != nil {
 		return nil, err
 	}
@@ -172,7 +172,7 @@
 		answer, err = s.wholeAnswer()
 		return answer, nil, err
 	}
-	answer, err = json.Marshal(discovery.News{Last: s.pos, Events: s.changes[tail-oldest:]})
+	answer, err = json.Marshal(discovery.Batch{Position: s.pos, Events: s.changes[tail-oldest:]})
 	return answer, nil, err
 }
 
--- a/internal/testbed/discoverytest/service_test.go
+++ b/internal/testbed/discoverytest/service_test.go
@@ -11,12 +11,12 @@
 
 // The list service answers what came after the event that is known; who knows none, or too old a one, gets the whole list.
 func TestListServiceAnswers(t *testing.T) {
-	s, err := New([]discovery.Worker{{Name: "a", Addr: "127.0.0.1:1", State: discovery.Up}})
+	s, err := New([]discovery.Endpoint{{Name: "a", Addr: "127.0.0.1:1", State: discovery.Up}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { s.Close() })
-	ask := func(tail, wait int) discovery.News {
+	ask := func(tail, wait int) discovery.Batch {
 		t.Helper()
 		response, err := http.Get(fmt.Sprintf("http://%s/journal?tail=%d&max_wait=%d", s.Addr, tail, wait))
 		if err != nil {
@@ -33,25 +33,25 @@
 		}
 		return n
 	}
-	if n := ask(0, 0); n.Last != 1 || len(n.Events) != 1 || !n.Events[0].List.Whole || len(n.Events[0].List.Workers) != 1 {
+	if n := ask(0, 0); n.Position != 1 || len(n.Events) != 1 || !n.Events[0].Update.Complete || len(n.Events[0].Update.Endpoints) != 1 {
 		t.Errorf("%+v", n)
 	}
-	if n := ask(1, 1); n.Last != 1 || len(n.Events) != 0 {
+	if n := ask(1, 1); n.Position != 1 || len(n.Events) != 0 {
 		t.Errorf("%+v", n)
 	}
 	for i := range keptChanges + 5 {
-		s.Publish([]discovery.Worker{{Name: fmt.Sprint("b", i), Addr: "127.0.0.1:2", State: discovery.Up}})
+		s.Publish([]discovery.Endpoint{{Name: fmt.Sprint("b", i), Addr: "127.0.0.1:2", State: discovery.Up}})
 	}
 	last := int64(1 + keptChanges + 5)
-	if n := ask(int(last-2), 0); n.Last != last || len(n.Events) != 2 || n.Events[0].Number != last-1 || n.Events[0].List.Whole {
+	if n := ask(int(last-2), 0); n.Position != last || len(n.Events) != 2 || n.Events[0].Position != last-1 || n.Events[0].Update.Complete {
 		t.Errorf("%+v", n)
 	}
-	if n := ask(3, 0); len(n.Events) != 1 || !n.Events[0].List.Whole || len(n.Events[0].List.Workers) != 1+keptChanges+5 {
+	if n := ask(3, 0); len(n.Events) != 1 || !n.Events[0].Update.Complete || len(n.Events[0].Update.Endpoints) != 1+keptChanges+5 {
 		t.Errorf("%d events", len(n.Events))
 	}
-	s.Publish([]discovery.Worker{{Name: "a", State: discovery.Removed}})
-	if n := ask(0, 0); len(n.Events[0].List.Workers) != keptChanges+5 {
-		t.Errorf("%d workers", len(n.Events[0].List.Workers))
+	s.Publish([]discovery.Endpoint{{Name: "a", State: discovery.Removed}})
+	if n := ask(0, 0); len(n.Events[0].Update.Endpoints) != keptChanges+5 {
+		t.Errorf("%d workers", len(n.Events[0].Update.Endpoints))
 	}
 	response, err := http.Get(fmt.Sprintf("http://%s/journal?tail=99999&max_wait=0", s.Addr))
 	if err != nil {
--- a/internal/testbed/localfleet/localfleet.go
+++ b/internal/testbed/localfleet/localfleet.go
@@ -45,9 +45,9 @@
 	for i := range f.Functions {
 		f.Functions[i].Tenant = ""
 	}
-	f.Fleet.Loading.OnMiss, f.Fleet.Allowed.Launches = "miss", 3
+	f.Fleet.LoadPolicy.OnMiss, f.Fleet.Policy.MaxAttempts = "miss", 3
 	f.Fleet.Workers = fleetconfig.Workers{Sizes: "cores", Reports: "none"}
-	f.Fleet.Crossing, f.Front.Zone = true, zone
+	f.Fleet.CrossZoneCost, f.Gateway.Zone = true, zone
 }
 
 // Releases is the packages of a store: every function of a catalogue, as the example program payroll.
@@ -107,8 +107,8 @@
 		if err := os.WriteFile(filepath.Join(tmp, "entry"), append(b, own...), 0o755); err != nil {
 			return err
 		}
-		if _, err := manifest.Write(tmp, manifest.Manifest{Name: name, Version: version, Type: fn.Type, Kind: manifest.Process, Lanes: fn.Lanes,
-			Memory: 64 << 20, Time: config.Time(30 * time.Second), Entry: "entry"}); err != nil {
+		if _, err := manifest.Write(tmp, manifest.Manifest{Name: name, Version: version, Type: fn.Type, Kind: manifest.Process, Lanes: fn.Concurrency,
+			Memory: 64 << 20, Time: config.Duration(30 * time.Second), Entry: "entry"}); err != nil {
 			return err
 		}
 		_, err = r.store.Client.Publish(context.Background(), tmp)
--- a/internal/testbed/scale/faults.go
+++ b/internal/testbed/scale/faults.go
@@ -14,17 +14,17 @@
 func (r *run) act(ctx context.Context, row TimelineRow) error {
 	switch row.What {
 	case Drain:
-		return r.spread(ctx, row, func(worker int) error { return r.drain(ctx, row.For.D(), worker) })
+		return r.spread(ctx, row, func(worker int) error { return r.drain(ctx, row.For.Std(), worker) })
 	case Replace:
 		return r.spread(ctx, row, func(worker int) error { return r.replace([]int{worker}) })
 	case StopWorkers:
 		first := r.draw(r.plan.Workers.Count - row.Count + 1)
-		return r.stopWorkers(ctx, row.For.D(), upTo(first, row.Count, 1))
+		return r.stopWorkers(ctx, row.For.Std(), upTo(first, row.Count, 1))
 	case SilenceZone:
 		zones := r.plan.Workers.Zones
-		return r.silence(ctx, row.For.D(), upTo(row.Zone, (r.plan.Workers.Count-row.Zone+zones-1)/zones, zones))
+		return r.silence(ctx, row.For.Std(), upTo(row.Zone, (r.plan.Workers.Count-row.Zone+zones-1)/zones, zones))
 	case StopList:
-		return r.stopList(ctx, row.For.D())
+		return r.stopList(ctx, row.For.Std())
 	case RestartFronts:
 		return r.restartFronts(row.Count, false)
 	case RestartEmpty:
@@ -57,7 +57,7 @@
 	var g errgroup.Group
 	for i, worker := range workers {
 		if i > 0 && row.Over > 0 {
-			if err := httpserver.Pause(ctx, row.Over.D()/time.Duration(row.Count)); err != nil {
+			if err := httpserver.Pause(ctx, row.Over.Std()/time.Duration(row.Count)); err != nil {
 				return err
 			}
 		}
@@ -67,7 +67,7 @@
 }
 
 // publish tells one change of the list.
-func (r *run) publish(lines []discovery.Worker) error {
+func (r *run) publish(lines []discovery.Endpoint) error {
 	reply, err := r.list.pipe.ask(command{Publish: lines})
 	if err != nil {
 		return err
@@ -79,7 +79,7 @@
 }
 
 // workersDo has the processes of some workers carry out a command, and tells the lines of those that started.
-func (r *run) workersDo(workers []int, make func(mine []int) command) (lines []discovery.Worker, err error) {
+func (r *run) workersDo(workers []int, make func(mine []int) command) (lines []discovery.Endpoint, err error) {
 	perProcess := map[*process][]int{}
 	var order []*process
 	for _, worker := range workers {
@@ -109,14 +109,14 @@
 }
 
 // line is what was published of a worker last.
-func (r *run) line(worker int) discovery.Worker {
+func (r *run) line(worker int) discovery.Endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lines[worker]
 }
 
 // gone are the lines that take workers off the list.
-func (r *run) gone(workers []int) (lines []discovery.Worker) {
+func (r *run) gone(workers []int) (lines []discovery.Endpoint) {
 	for _, worker := range workers {
 		line := r.line(worker)
 		line.State = discovery.Removed
@@ -125,7 +125,7 @@
 	return lines
 }
 
-func (r *run) setLine(worker int, line discovery.Worker) {
+func (r *run) setLine(worker int, line discovery.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lines[worker] = line
@@ -134,7 +134,7 @@
 func (r *run) drain(ctx context.Context, lasts time.Duration, worker int) error {
 	line := r.line(worker)
 	line.State = discovery.Draining
-	if err := r.publish([]discovery.Worker{line}); err != nil {
+	if err := r.publish([]discovery.Endpoint{line}); err != nil {
 		return err
 	}
 	if err := httpserver.Pause(ctx, lasts); err != nil {
@@ -144,7 +144,7 @@
 		return nil
 	}
 	line.State = discovery.Up
-	return r.publish([]discovery.Worker{line})
+	return r.publish([]discovery.Endpoint{line})
 }
 
 // replace has other workers, empty and cold, take the places of some, in one change.
@@ -159,8 +159,8 @@
 }
 
 // setLines notes the lines of workers that started; processes answer in the order of their first worker.
-func (r *run) setLines(workers []int, started []discovery.Worker) {
-	byCell := map[int]discovery.Worker{}
+func (r *run) setLines(workers []int, started []discovery.Endpoint) {
+	byCell := map[int]discovery.Endpoint{}
 	for _, line := range started {
 		byCell[workerNumber(line)] = line
 	}
--- a/internal/testbed/scale/fronts.go
+++ b/internal/testbed/scale/fronts.go
@@ -63,7 +63,7 @@
 	life   int
 	last   int64 // change in force; the owner's goroutine only
 	since  int64 // when it was started, in Unix nanoseconds
-	front  *platform.Hollow
+	front  *platform.Headless
 	stop   context.CancelFunc
 	ended  sync.WaitGroup
 }
@@ -102,11 +102,11 @@
 	f.last, f.since = 0, time.Now().UnixNano()
 	c := f.pool.config
 	if empty {
-		c.Known = discovery.News{}
+		c.KnownEndpoints = discovery.Batch{}
 	}
 	c.Name = fmt.Sprintf("h%d", f.number)
-	c.Front.Index, c.Front.Seed = f.number, f.random.Uint64()
-	f.front = platform.NewHollow(c, slog.New(slog.DiscardHandler), f.inForce)
+	c.Core.Index, c.Core.Seed = f.number, f.random.Uint64()
+	f.front = platform.NewHeadless(c, slog.New(slog.DiscardHandler), f.inForce)
 	ctx, stop := context.WithCancel(f.pool.ctx)
 	f.stop = stop
 	front := f.front
@@ -147,7 +147,7 @@
 const idleLook = 100 * time.Millisecond
 
 // arrive submits requests at random times until ctx ends.
-func (f *hollowFront) arrive(ctx context.Context, front *platform.Hollow) {
+func (f *hollowFront) arrive(ctx context.Context, front *platform.Headless) {
 	next := time.Now()
 	for {
 		rate := rateOf(&f.pool.rate)
@@ -169,13 +169,13 @@
 	}
 }
 
-func (f *hollowFront) submit(front *platform.Hollow) {
+func (f *hollowFront) submit(front *platform.Headless) {
 	p := f.pool
 	p.submitted.Add(1)
 	came := time.Now()
-	front.SubmitDrawn(platform.Request{ID: fmt.Sprintf("%016x", f.random.Uint64()), Class: className, Tenant: tenantName,
-		Function: p.draw.Draw(f.random), Lanes: p.plan.Functions.Lanes, Memory: replicaMB, LoadTime: p.plan.Workers.Load.D(),
-		Wait: p.plan.FrontEnds.Wait.D()}, func(a invoke.Response) { p.answered(came, a) })
+	front.SubmitSynthetic(platform.SyntheticRequest{ID: fmt.Sprintf("%016x", f.random.Uint64()), Class: className, Tenant: tenantName,
+		Function: p.draw.Draw(f.random), Concurrency: p.plan.Functions.Lanes, Memory: replicaMB, LoadTime: p.plan.Workers.Load.Std(),
+		TimeLeft: p.plan.FrontEnds.Wait.Std()}, func(a invoke.Response) { p.answered(came, a) })
 }
 
 // answered counts a final answer.
--- a/internal/testbed/scale/gates.go
+++ b/internal/testbed/scale/gates.go
@@ -27,11 +27,11 @@
 	f, w := p.FrontEnds, p.Workers
 	fronts := f.Hollow + f.Real
 	seconds := func(d time.Duration) float64 { return d.Seconds() }
-	wait := seconds(f.Wait.D())
+	wait := seconds(f.Wait.Std())
 	return json.Marshal(map[string]any{"name": name, "listen": listen, "seed": strconv.FormatUint(p.Seed+uint64(index), 16), "journal": journal,
 		"limits": map[string]any{"cores": 1.0, "memory_mb": f.Memory >> 20, "sockets": f.Sockets}, "known": known,
 		"settings": map[string]any{"index": index, "instances": fronts, "quantum": 0.002, "weight_source": "nominal", "kinds": []string{"std"},
-			"family_info": map[string]any{"keep": seconds(w.Keep.D()), "orders": true, "miss_mode": "load", "order_limit": 4,
+			"family_info": map[string]any{"keep": seconds(w.Keep.Std()), "orders": true, "miss_mode": "load", "order_limit": 4,
 				"machine_mb": []int{64 << 10}},
 			"policy_limits": map[string]any{"cancel": true, "conn_idle": 15, "dial_timeout": 0.25, "max_streams": 32, "send_cap": 6,
 				"probing": true, "retry_after": true, "max_retry_after": 2},
@@ -172,10 +172,10 @@
 	c.sent[c.seq] = time.Now()
 	c.submitted.Add(1)
 	w := thrift.NewWriter("dispatch", thrift.Call, c.seq)
-	w.Texts(1, "class", className, "id", fmt.Sprintf("%016x", c.random.Uint64()), "wait",
-		strconv.FormatInt(c.plan.FrontEnds.Wait.D().Milliseconds(), 10), "tenant", tenantName,
+	w.StringMap(1, "class", className, "id", fmt.Sprintf("%016x", c.random.Uint64()), "wait",
+		strconv.FormatInt(c.plan.FrontEnds.Wait.Std().Milliseconds(), 10), "tenant", tenantName,
 		"key", fmt.Sprintf("%016x", c.draw.Draw(c.random)), "facts",
-		fmt.Sprintf("memory_mb:%d;lanes:%d;load_ms:%d", replicaMB, c.plan.Functions.Lanes, c.plan.Workers.Load.D().Milliseconds()))
+		fmt.Sprintf("memory_mb:%d;lanes:%d;load_ms:%d", replicaMB, c.plan.Functions.Lanes, c.plan.Workers.Load.Std().Milliseconds()))
 	w.Binary(2, nil)
 	return w.Frame()
 }
@@ -195,8 +195,8 @@
 func (c *clients) answered(m thrift.Message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	came, open := c.sent[m.Seq]
-	delete(c.sent, m.Seq)
+	came, open := c.sent[m.SeqID]
+	delete(c.sent, m.SeqID)
 	if !open {
 		return
 	}
@@ -209,7 +209,7 @@
 	case 0:
 		c.served.Add(1)
 		h := c.warm
-		if ready, err := strconv.ParseInt(string(args.Bins[1]), 10, 64); err == nil && ready > came.UnixNano() {
+		if ready, err := strconv.ParseInt(string(args.Binaries[1]), 10, 64); err == nil && ready > came.UnixNano() {
 			c.coldServed.Add(1)
 			h = c.cold
 		}
--- a/internal/testbed/scale/messages.go
+++ b/internal/testbed/scale/messages.go
@@ -22,37 +22,37 @@
 
 // command is a line from the parent to a child. The first one sets the child up; each is answered by one reply.
 type command struct {
-	Setup   *setup             `json:"setup,omitempty"`
-	Publish []discovery.Worker `json:"publish,omitempty"` // the list service: one change
-	Away    *bool              `json:"away,omitempty"`    // the list service
-	Stop    []int              `json:"stop,omitempty"`    // workers, by their numbers in the child
-	Silence []int              `json:"silence,omitempty"` // workers
-	Start   []int              `json:"start,omitempty"`   // workers that stopped or are silent, empty and cold, under new names
-	Restart int                `json:"restart,omitempty"` // front ends
-	Empty   bool               `json:"empty,omitempty"`   // with Restart: they start without a list
-	Rate    *float64           `json:"rate,omitempty"`    // of each front end
-	Report  bool               `json:"report,omitempty"`
-	Final   bool               `json:"final,omitempty"` // with Report: the lists are told too
+	Setup   *setup               `json:"setup,omitempty"`
+	Publish []discovery.Endpoint `json:"publish,omitempty"` // the list service: one change
+	Away    *bool                `json:"away,omitempty"`    // the list service
+	Stop    []int                `json:"stop,omitempty"`    // workers, by their numbers in the child
+	Silence []int                `json:"silence,omitempty"` // workers
+	Start   []int                `json:"start,omitempty"`   // workers that stopped or are silent, empty and cold, under new names
+	Restart int                  `json:"restart,omitempty"` // front ends
+	Empty   bool                 `json:"empty,omitempty"`   // with Restart: they start without a list
+	Rate    *float64             `json:"rate,omitempty"`    // of each front end
+	Report  bool                 `json:"report,omitempty"`
+	Final   bool                 `json:"final,omitempty"` // with Report: the lists are told too
 }
 
 // setup is what a child is started with.
 type setup struct {
-	Plan    Plan               `json:"plan"`
-	First   int                `json:"first"` // number of its first front end or worker
-	Count   int                `json:"count"`
-	List    []discovery.Worker `json:"list,omitempty"`    // for the list service
-	Config  json.RawMessage    `json:"config,omitempty"`  // for front ends, as the platform's file
-	Journal string             `json:"journal,omitempty"` // where the list service is
+	Plan    Plan                 `json:"plan"`
+	First   int                  `json:"first"` // number of its first front end or worker
+	Count   int                  `json:"count"`
+	List    []discovery.Endpoint `json:"list,omitempty"`    // for the list service
+	Config  json.RawMessage      `json:"config,omitempty"`  // for front ends, as the platform's file
+	Journal string               `json:"journal,omitempty"` // where the list service is
 }
 
 // reply is a line from a child to its parent.
 type reply struct {
-	Error    string             `json:"error,omitempty"`
-	Addr     string             `json:"addr,omitempty"`     // of the list service
-	Workers  []discovery.Worker `json:"workers,omitempty"`  // that were started
-	Position int64              `json:"position,omitempty"` // of the change that was published
-	At       int64              `json:"at,omitempty"`       // when, in Unix nanoseconds
-	Report   *childReport       `json:"report,omitempty"`
+	Error    string               `json:"error,omitempty"`
+	Addr     string               `json:"addr,omitempty"`     // of the list service
+	Workers  []discovery.Endpoint `json:"workers,omitempty"`  // that were started
+	Position int64                `json:"position,omitempty"` // of the change that was published
+	At       int64                `json:"at,omitempty"`       // when, in Unix nanoseconds
+	Report   *childReport         `json:"report,omitempty"`
 }
 
 // childReport is what a child has counted since its start.
--- a/internal/testbed/scale/parts_test.go
+++ b/internal/testbed/scale/parts_test.go
@@ -57,7 +57,7 @@
 		t.Error("the connection ended without a reset")
 	}
 	r, err := pool.handle(command{Start: []int{0}})
-	if err != nil || len(r.Workers) != 1 || r.Workers[0].Name == first.Name || r.Workers[0].Born == 0 || workerNumber(r.Workers[0]) != 0 {
+	if err != nil || len(r.Workers) != 1 || r.Workers[0].Name == first.Name || r.Workers[0].StartedUnixMilli == 0 || workerNumber(r.Workers[0]) != 0 {
 		t.Fatalf("%+v %v", r, err)
 	}
 	again := dialWorker(t, r.Workers[0].Addr)
@@ -86,7 +86,7 @@
 
 func (c *workerClient) send(words ...string) {
 	c.t.Helper()
-	if _, err := c.conn.Write(resp.Append(nil, words...)); err != nil {
+	if _, err := c.conn.Write(resp.AppendArray(nil, words...)); err != nil {
 		c.t.Fatal(err)
 	}
 }
@@ -95,7 +95,7 @@
 	c.t.Helper()
 	part := make([]byte, 1024)
 	for {
-		words, taken, err := resp.Parse(c.have, 1<<16)
+		words, taken, err := resp.ParseArray(c.have, 1<<16)
 		if err != nil {
 			c.t.Fatal(err)
 		}
--- a/internal/testbed/scale/plan.go
+++ b/internal/testbed/scale/plan.go
@@ -15,38 +15,38 @@
 
 // Plan is one scale run, as its YAML file says.
 type Plan struct {
-	Name      string        `yaml:"name"`
-	About     string        `yaml:"about"`
-	Seed      uint64        `yaml:"seed"`
-	Lasts     config.Time   `yaml:"lasts"`
-	Sample    config.Time   `yaml:"sample"` // how often the processes report
-	FrontEnds FrontEndPlan  `yaml:"front-ends"`
-	Workers   WorkerPlan    `yaml:"workers"`
-	Functions FunctionPlan  `yaml:"functions"`
-	Timeline  []TimelineRow `yaml:"timeline"`
+	Name      string          `yaml:"name"`
+	About     string          `yaml:"about"`
+	Seed      uint64          `yaml:"seed"`
+	Lasts     config.Duration `yaml:"lasts"`
+	Sample    config.Duration `yaml:"sample"` // how often the processes report
+	FrontEnds FrontEndPlan    `yaml:"front-ends"`
+	Workers   WorkerPlan      `yaml:"workers"`
+	Functions FunctionPlan    `yaml:"functions"`
+	Timeline  []TimelineRow   `yaml:"timeline"`
 }
 
 // FrontEndPlan is the front ends of a run.
 type FrontEndPlan struct {
-	Hollow    int         `yaml:"hollow"`
-	Processes int         `yaml:"processes"` // that the hollow ones share
-	Real      int         `yaml:"real"`      // processes of their own, as the deploy file runs them
-	Rate      float64     `yaml:"rate"`      // requests a second at each
-	Wait      config.Time `yaml:"wait"`      // of the clients
-	Memory    config.Size `yaml:"memory"`    // limit of each
-	Sockets   int         `yaml:"sockets"`   // limit of each
+	Hollow    int             `yaml:"hollow"`
+	Processes int             `yaml:"processes"` // that the hollow ones share
+	Real      int             `yaml:"real"`      // processes of their own, as the deploy file runs them
+	Rate      float64         `yaml:"rate"`      // requests a second at each
+	Wait      config.Duration `yaml:"wait"`      // of the clients
+	Memory    config.ByteSize `yaml:"memory"`    // limit of each
+	Sockets   int             `yaml:"sockets"`   // limit of each
 }
 
 // WorkerPlan is the emulated workers of a run.
 type WorkerPlan struct {
-	Count     int         `yaml:"count"`
-	Processes int         `yaml:"processes"`
-	Zones     int         `yaml:"zones"`
-	Slots     int         `yaml:"slots"`  // requests that run at a time
-	Queue     int         `yaml:"queue"`  // that may wait beside them
-	Answer    config.Time `yaml:"answer"` // mean time of a request
-	Load      config.Time `yaml:"load"`   // mean time of a load
-	Keep      config.Time `yaml:"keep"`   // an idle replica stays so long
+	Count     int             `yaml:"count"`
+	Processes int             `yaml:"processes"`
+	Zones     int             `yaml:"zones"`
+	Slots     int             `yaml:"slots"`  // requests that run at a time
+	Queue     int             `yaml:"queue"`  // that may wait beside them
+	Answer    config.Duration `yaml:"answer"` // mean time of a request
+	Load      config.Duration `yaml:"load"`   // mean time of a load
+	Keep      config.Duration `yaml:"keep"`   // an idle replica stays so long
 }
 
 // FunctionPlan is the catalogue.
@@ -60,13 +60,13 @@
 
 // TimelineRow is something that happens during a run. What it needs depends on What.
 type TimelineRow struct {
-	At    config.Time `yaml:"at"`
-	What  string      `yaml:"what"`
-	Count int         `yaml:"count"`
-	Over  config.Time `yaml:"over"` // the time over which Count is spread; 0s: at once
-	For   config.Time `yaml:"for"`
-	Zone  int         `yaml:"zone"`
-	Rate  float64     `yaml:"rate"`
+	At    config.Duration `yaml:"at"`
+	What  string          `yaml:"what"`
+	Count int             `yaml:"count"`
+	Over  config.Duration `yaml:"over"` // the time over which Count is spread; 0s: at once
+	For   config.Duration `yaml:"for"`
+	Zone  int             `yaml:"zone"`
+	Rate  float64         `yaml:"rate"`
 }
 
 // What can happen.
@@ -99,11 +99,11 @@
 // ReadPlan reads a plan. A mistake has file, line and column.
 func ReadPlan(name string, b []byte) (Plan, error) {
 	var p Plan
-	if err := config.Strict(name, b, &p); err != nil {
+	if err := config.DecodeStrict(name, b, &p); err != nil {
 		return p, err
 	}
 	if at, reason := p.mistake(); reason != "" {
-		return p, config.At(name, b, at, reason)
+		return p, config.ErrorAt(name, b, at, reason)
 	}
 	return p, nil
 }
@@ -114,9 +114,9 @@
 	switch {
 	case p.Name == "":
 		return "$.name", "a plan needs a name"
-	case p.Lasts <= 0 || p.Lasts.D() > longestRun:
+	case p.Lasts <= 0 || p.Lasts.Std() > longestRun:
 		return "$.lasts", fmt.Sprintf("more than 0s, at most %v", longestRun)
-	case p.Sample.D() < leastSample || p.Sample > p.Lasts:
+	case p.Sample.Std() < leastSample || p.Sample > p.Lasts:
 		return "$.sample", fmt.Sprintf("at least %v, and no longer than the run", leastSample)
 	case f.Hollow < 1 || f.Hollow > mostHollow:
 		return "$.front-ends.hollow", fmt.Sprintf("from 1 to %d", mostHollow)
@@ -126,7 +126,7 @@
 		return "$.front-ends.real", "from 0 to 16"
 	case f.Rate < 0 || f.Rate > mostRate:
 		return "$.front-ends.rate", fmt.Sprintf("from 0 to %g requests a second", mostRate)
-	case f.Wait <= 0 || f.Wait.D() > time.Minute:
+	case f.Wait <= 0 || f.Wait.Std() > time.Minute:
 		return "$.front-ends.wait", "more than 0s, at most a minute"
 	case f.Memory < smallestMemory:
 		return "$.front-ends.memory", "at least 32MiB"
--- a/internal/testbed/scale/run.go
+++ b/internal/testbed/scale/run.go
@@ -51,7 +51,7 @@
 	acting  sync.WaitGroup
 
 	mu         sync.Mutex
-	lines      []discovery.Worker // of each worker, as published last
+	lines      []discovery.Endpoint // of each worker, as published last
 	published  map[int64]published
 	span       string
 	applied    map[string]*hdrhistogram.Histogram
@@ -121,7 +121,7 @@
 		return err
 	}
 	r.list = list.processes[0]
-	known, err := json.Marshal(discovery.News{Last: 1, Events: []discovery.Event{{Number: 1, List: &discovery.List{Whole: true, Workers: r.lines}}}})
+	known, err := json.Marshal(discovery.Batch{Position: 1, Events: []discovery.Event{{Position: 1, Update: &discovery.Update{Complete: true, Endpoints: r.lines}}}})
 	if err != nil {
 		return err
 	}
@@ -146,8 +146,8 @@
 // started are the processes of one role.
 type started struct {
 	processes []*process
-	lines     []discovery.Worker // of workers
-	addr      string             // of the list service
+	lines     []discovery.Endpoint // of workers
+	addr      string               // of the list service
 }
 
 // startRole starts the processes of a role, which share count among them.
@@ -214,14 +214,14 @@
 		return nil, err
 	}
 	sample, begin := from, from
-	ticker := time.NewTicker(r.plan.Sample.D())
+	ticker := time.NewTicker(r.plan.Sample.Std())
 	defer ticker.Stop()
 	rows := r.plan.Timeline
-	end := time.After(r.plan.Lasts.D())
+	end := time.After(r.plan.Lasts.Std())
 	for {
 		var due <-chan time.Time
 		if len(rows) > 0 {
-			due = time.After(time.Until(start.Add(rows[0].At.D())))
+			due = time.After(time.Until(start.Add(rows[0].At.Std())))
 		}
 		over := false
 		select {
@@ -241,7 +241,7 @@
 			return spans, err
 		}
 		sample = now
-		for over || len(rows) > 0 && time.Since(start) >= rows[0].At.D() {
+		for over || len(rows) > 0 && time.Since(start) >= rows[0].At.Std() {
 			spans = append(spans, r.plan.span(r.span, begin, now))
 			begin = now
 			if over {
--- a/internal/testbed/scale/workers.go
+++ b/internal/testbed/scale/workers.go
@@ -39,7 +39,7 @@
 	number int
 	life   int // counts its starts
 	random *rand.Rand
-	line   discovery.Worker
+	line   discovery.Endpoint
 
 	mu       sync.Mutex
 	listener net.Listener // nil: stopped
@@ -90,8 +90,8 @@
 }
 
 // lines are the workers' lines of the list.
-func (p *workerPool) lines() []discovery.Worker {
-	out := make([]discovery.Worker, len(p.workers))
+func (p *workerPool) lines() []discovery.Endpoint {
+	out := make([]discovery.Endpoint, len(p.workers))
 	for i, w := range p.workers {
 		out[i] = w.line
 	}
@@ -134,8 +134,8 @@
 	defer w.mu.Unlock()
 	w.life++
 	zone := w.number % w.pool.plan.Workers.Zones
-	w.line = discovery.Worker{Name: fmt.Sprintf("s-%05d-%d", w.number, w.life), Addr: listener.Addr().String(), Zone: fmt.Sprint("zone", zone),
-		Kind: "std", Cell: w.number / 8, State: discovery.Up, Size: 1, Born: born}
+	w.line = discovery.Endpoint{Name: fmt.Sprintf("s-%05d-%d", w.number, w.life), Addr: listener.Addr().String(), Zone: fmt.Sprint("zone", zone),
+		Kind: "std", Cell: w.number / 8, State: discovery.Up, Size: 1, StartedUnixMilli: born}
 	w.listener, w.conns, w.replicas, w.jobs = listener, map[net.Conn]bool{}, map[string]*replica{}, map[string]*job{}
 	w.running, w.queue, w.silent = 0, nil, false
 	w.pool.done.Add(1)
@@ -219,7 +219,7 @@
 	case words[0] == "FN" && len(words) == 4:
 		w.pool.requests.Add(1)
 		w.pool.requestBytes.Add(size)
-		w.request(conn, words[1], resp.Pairs(words[2])["key"])
+		w.request(conn, words[1], resp.ParsePairs(words[2])["key"])
 	case words[0] == "KILL" && len(words) == 2:
 		w.pool.kills.Add(1)
 		w.pool.requestBytes.Add(size)
@@ -229,7 +229,7 @@
 	case words[0] == "SPAWN" && len(words) == 3:
 		w.pool.orders.Add(1)
 		w.pool.controlBytes.Add(size)
-		fields := resp.Pairs(words[2])
+		fields := resp.ParsePairs(words[2])
 		w.order(conn, words[1], fields["key"], fields["n"])
 	case words[0] == "TOP" && len(words) == 2:
 		w.pool.probes.Add(1)
@@ -259,12 +259,12 @@
 		how = "ready"
 	default:
 		w.pool.loads.Add(1)
-		r = &replica{ready: now.Add(w.around(w.pool.plan.Workers.Load.D()))}
+		r = &replica{ready: now.Add(w.around(w.pool.plan.Workers.Load.Std()))}
 		w.replicas[key] = r
 		w.sweep(now)
 		how = "loaded"
 	}
-	r.until = latest(now, r.ready).Add(w.pool.plan.Workers.Keep.D())
+	r.until = latest(now, r.ready).Add(w.pool.plan.Workers.Keep.Std())
 	return r, how
 }
 
@@ -338,7 +338,7 @@
 func (w *emulatedWorker) run(j *job) {
 	w.running++
 	life := w.life
-	time.AfterFunc(w.around(w.pool.plan.Workers.Answer.D()), func() {
+	time.AfterFunc(w.around(w.pool.plan.Workers.Answer.Std()), func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if w.life != life {
@@ -376,7 +376,7 @@
 
 // write writes an answer; one that can't be written ends its connection.
 func (w *emulatedWorker) write(conn net.Conn, words []string) int64 {
-	frame := resp.Append(nil, words...)
+	frame := resp.AppendArray(nil, words...)
 	if err := conn.SetWriteDeadline(time.Now().Add(writeLimit)); err != nil {
 		return 0
 	}
@@ -414,7 +414,7 @@
 }
 
 // workerNumber is the number of the worker that a line is of; its name holds it.
-func workerNumber(line discovery.Worker) int {
+func workerNumber(line discovery.Endpoint) int {
 	var number, life int
 	if _, err := fmt.Sscanf(line.Name, "s-%d-%d", &number, &life); err != nil {
 		return -1
--- a/internal/testbed/scenario/all.go
+++ b/internal/testbed/scenario/all.go
@@ -27,7 +27,7 @@
 			return nil, err
 		}
 		if want := strings.TrimSuffix(path.Base(name), ".yaml"); d.Name != want {
-			return nil, config.At(name, b, "$.name", "the day's name and its file's differ")
+			return nil, config.ErrorAt(name, b, "$.name", "the day's name and its file's differ")
 		}
 		days = append(days, d)
 	}
--- a/internal/testbed/scenario/clients.go
+++ b/internal/testbed/scenario/clients.go
@@ -198,7 +198,7 @@
 		if end != left { // one that did not wait repeats at once
 			select {
 			case <-ctx.Done():
-			case <-time.After(max(back, c.day.Clients.Pause.D())):
+			case <-time.After(max(back, c.day.Clients.Pause.Std())):
 			}
 		}
 	}
