--- a/internal/testbed/scenario/play.go
+++ b/internal/testbed/scenario/play.go
@@ -151,7 +151,7 @@
 			s.stop(l, false)
 		}
 	}()
-	s.clients = &clients{day: s.day, addrs: addrs, slack: s.o.File.Fleet.AnswerSlack.D(), idle: map[string][]*line{},
+	s.clients = &clients{day: s.day, addrs: addrs, slack: s.o.File.Fleet.AnswerSlack.Std(), idle: map[string][]*line{},
 		giveUp: map[string]time.Duration{}}
 	defer s.clients.close()
 	time.Sleep(100 * time.Millisecond) // the fronts hear of the list: the day begins with it known
@@ -167,9 +167,9 @@
 			if err := httpserver.Pause(gctx, time.Until(start.Add(a.at))); err != nil {
 				return err
 			}
-			t, _ := s.o.File.Type(a.function.Type)
+			t, _ := s.o.File.RequestType(a.function.Type)
 			g.Go(func() error {
-				s.clients.event(gctx, a, t.Target.D(), t.MaxAge.D(), t.Effect, t.Group)
+				s.clients.event(gctx, a, t.Objective.Std(), t.MaxAge.Std(), t.Effect, t.DedupScope)
 				return nil
 			})
 			if s.o.Progress != nil && i%16 == 0 {
@@ -224,7 +224,7 @@
 	usual := time.Second
 	for _, fn := range s.o.File.Functions {
 		if fn.LoadTime > 0 {
-			usual = fn.LoadTime.D()
+			usual = fn.LoadTime.Std()
 			break
 		}
 	}
@@ -332,8 +332,8 @@
 		return nil, err
 	}
 	for _, a := range arrivals {
-		t, _ := s.o.File.Type(a.function.Type)
-		inside := t.Effect == "keyed" && t.MaxAge.D() <= t.Window.D() // all of its launches are inside its window
+		t, _ := s.o.File.RequestType(a.function.Type)
+		inside := t.Effect == "keyed" && t.MaxAge.Std() <= t.DedupWindow.Std() // all of its launches are inside its window
 		if (inside || t.Effect == "at-most-once") && runs[a.name] > 1 {
 			twice = append(twice, a.name)
 		}
@@ -375,13 +375,13 @@
 	f := s.o.File
 	var functions []emulator.Function
 	for _, fn := range f.Functions {
-		functions = append(functions, emulator.Function{Name: fn.Name, Work: s.day.Work[fn.Name].D(), Load: fn.LoadTime.D(),
-			Memory: int64(fn.Memory), Lanes: fn.Lanes})
+		functions = append(functions, emulator.Function{Name: fn.Name, Work: s.day.Work[fn.Name].Std(), Load: fn.LoadTime.Std(),
+			Memory: int64(fn.Memory), Lanes: fn.Concurrency})
 	}
 	w := s.day.Workers
-	model := emulator.Model{Cores: w.Cores, Memory: int64(w.Memory), Queue: w.Queue, Keep: f.Fleet.Loading.Keep.D(),
-		LoadOnMiss: f.Fleet.Loading.OnMiss == "load", ColdFrom: f.Fleet.Cold.From, WarmAfter: f.Fleet.Cold.WarmAfter.D(),
-		Multiple: f.Fleet.Cold.FallMultiple, Fall: f.Fleet.Cold.Fall.D(), Launches: 256}
+	model := emulator.Model{Cores: w.Cores, Memory: int64(w.Memory), Queue: w.Queue, Keep: f.Fleet.LoadPolicy.ReplicaIdleTimeout.Std(),
+		LoadOnMiss: f.Fleet.LoadPolicy.OnMiss == "load", ColdFrom: f.Fleet.SlowStart.InitialShare, WarmAfter: f.Fleet.SlowStart.WarmUpTime.Std(),
+		Multiple: f.Fleet.SlowStart.CrashMultiple, Fall: f.Fleet.SlowStart.CrashWindow.Std(), Launches: 256}
 	shared := map[string]*emulator.Group{}
 	for i := range w.Count {
 		zone := fmt.Sprint("zone-", i%w.Zones)
@@ -391,7 +391,7 @@
 				continue
 			}
 			scope := t.Name
-			if t.Group != "all" {
+			if t.DedupScope != "all" {
 				scope += zone
 			}
 			if shared[scope] == nil {
@@ -404,7 +404,7 @@
 			name := fmt.Sprint("w", i)
 			worker = localfleet.NewRuntime(localfleet.RuntimeOptions{Name: name, Folder: filepath.Join(s.dir, name), Store: s.releases,
 				Effects: s.effects, Group: s.keys, Peers: s.givers, Limits: admission.Limits{Memory: 16 * 64 << 20, Running: max(1, int(2*w.Cores)),
-					Waiting: w.Queue, Loads: 2, Keep: f.Fleet.Loading.Keep.D(), OnMiss: f.Fleet.Loading.OnMiss == "load"}})
+					Waiting: w.Queue, Loads: 2, Keep: f.Fleet.LoadPolicy.ReplicaIdleTimeout.Std(), OnMiss: f.Fleet.LoadPolicy.OnMiss == "load"}})
 		}
 		addr, started, err := worker.Start("", true)
 		if err != nil {
@@ -443,7 +443,7 @@
 		})
 	}
 	file := s.o.File
-	file.Front.List = "http://" + s.list
+	file.Gateway.RegistryURL = "http://" + s.list
 	options := gateway.Options{Name: name, Index: i, GatewayCount: s.day.Fronts, Seed: s.day.Seed + uint64(i), Config: file,
 		Listener: listener, Tap: l.tap, Log: s.o.Log, CachedEndpoints: stale, OnEndpoints: func(n registry.WatchEvent) {
 			s.mu.Lock()
@@ -502,11 +502,11 @@
 
 // trouble plays one entry of the time line and undoes it.
 func (s *stage) trouble(ctx context.Context, start time.Time, t Trouble) error {
-	if err := httpserver.Pause(ctx, time.Until(start.Add(t.At.D()))); err != nil {
+	if err := httpserver.Pause(ctx, time.Until(start.Add(t.At.Std()))); err != nil {
 		return err
 	}
 	s.o.Log.Info("trouble", "day", s.day.Name, "what", t.What, "workers", t.Workers, "fronts", t.Fronts)
-	until := func() error { return httpserver.Pause(ctx, time.Until(start.Add(t.At.D()+t.For.D()))) }
+	until := func() error { return httpserver.Pause(ctx, time.Until(start.Add(t.At.Std()+t.For.Std()))) }
 	var workers []localfleet.Worker
 	for _, i := range t.Workers {
 		workers = append(workers, s.workers[i])
@@ -559,12 +559,12 @@
 		defer s.store.Slow(1)
 	case "stop-store":
 		if s.releases != nil {
-			s.releases.Store().Stop(t.For.D())
+			s.releases.Store().Stop(t.For.Std())
 		}
 		s.store.Stop(true)
 		defer s.store.Stop(false)
 	case "give-up":
-		s.clients.leave(t.Tenant, t.Patience.D())
+		s.clients.leave(t.Tenant, t.Patience.Std())
 		defer s.clients.leave(t.Tenant, 0)
 	case "release":
 		if s.releases != nil {
@@ -576,7 +576,7 @@
 			w.Release(t.Function)
 		}
 	case "late-list":
-		s.roster.SetDelay(t.For.D())
+		s.roster.SetDelay(t.For.Std())
 		defer s.roster.SetDelay(0)
 	case "empty-list":
 		s.roster.RemoveAll()
@@ -600,7 +600,7 @@
 		s.server = server
 	case "pause-front":
 		for _, i := range t.Fronts {
-			s.now[i].gate.Pause(t.For.D())
+			s.now[i].gate.Pause(t.For.Std())
 		}
 	case "kill-front":
 		for _, i := range t.Fronts {
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -15,54 +15,54 @@
 
 // Day is one rehearsed day, as its YAML file says.
 type Day struct {
-	Name     string                 `yaml:"name"`
-	About    string                 `yaml:"about"`
-	Lasts    config.Time            `yaml:"lasts"` // of the arrivals
-	Seed     uint64                 `yaml:"seed"`
-	Fronts   int                    `yaml:"fronts"`
-	Workers  Workers                `yaml:"workers"`
-	Store    int                    `yaml:"store"` // fetches at full speed
-	Work     map[string]config.Time `yaml:"work"`  // mean time on a core, by function
-	Arrivals []Arrivals             `yaml:"arrivals"`
-	Clients  Clients                `yaml:"clients"`
-	Troubles []Trouble              `yaml:"troubles"`
+	Name     string                     `yaml:"name"`
+	About    string                     `yaml:"about"`
+	Lasts    config.Duration            `yaml:"lasts"` // of the arrivals
+	Seed     uint64                     `yaml:"seed"`
+	Fronts   int                        `yaml:"fronts"`
+	Workers  Workers                    `yaml:"workers"`
+	Store    int                        `yaml:"store"` // fetches at full speed
+	Work     map[string]config.Duration `yaml:"work"`  // mean time on a core, by function
+	Arrivals []Arrivals                 `yaml:"arrivals"`
+	Clients  Clients                    `yaml:"clients"`
+	Troubles []Trouble                  `yaml:"troubles"`
 }
 
 // Workers are the day's fleet, named w0, w1 and so on.
 type Workers struct {
-	Count  int         `yaml:"count"`
-	Cores  float64     `yaml:"cores"`
-	Memory config.Size `yaml:"memory"`
-	Queue  int         `yaml:"queue"`
-	Zones  int         `yaml:"zones"`
+	Count  int             `yaml:"count"`
+	Cores  float64         `yaml:"cores"`
+	Memory config.ByteSize `yaml:"memory"`
+	Queue  int             `yaml:"queue"`
+	Zones  int             `yaml:"zones"`
 }
 
 // Arrivals are events of one function at a mean rate, drawn ahead.
 type Arrivals struct {
-	Function string      `yaml:"function"`
-	Rate     float64     `yaml:"rate"` // a second
-	From     config.Time `yaml:"from"`
-	Until    config.Time `yaml:"until"` // 0s: the day's end
-	Patience config.Time `yaml:"patience"`
+	Function string          `yaml:"function"`
+	Rate     float64         `yaml:"rate"` // a second
+	From     config.Duration `yaml:"from"`
+	Until    config.Duration `yaml:"until"` // 0s: the day's end
+	Patience config.Duration `yaml:"patience"`
 }
 
 // Clients are what clients do by themselves.
 type Clients struct {
-	Tries int         `yaml:"tries"` // most of one event
-	Pause config.Time `yaml:"pause"` // before another where no time to come back is named
+	Tries int             `yaml:"tries"` // most of one event
+	Pause config.Duration `yaml:"pause"` // before another where no time to come back is named
 }
 
 // Trouble is one entry of the time line. What it needs depends on What.
 type Trouble struct {
-	At       config.Time `yaml:"at"`
-	For      config.Time `yaml:"for"`
-	What     string      `yaml:"what"`
-	Workers  []int       `yaml:"workers"`
-	Fronts   []int       `yaml:"fronts"`
-	Tenant   string      `yaml:"tenant"`
-	Function string      `yaml:"function"`
-	Factor   float64     `yaml:"factor"`
-	Patience config.Time `yaml:"patience"`
+	At       config.Duration `yaml:"at"`
+	For      config.Duration `yaml:"for"`
+	What     string          `yaml:"what"`
+	Workers  []int           `yaml:"workers"`
+	Fronts   []int           `yaml:"fronts"`
+	Tenant   string          `yaml:"tenant"`
+	Function string          `yaml:"function"`
+	Factor   float64         `yaml:"factor"`
+	Patience config.Duration `yaml:"patience"`
 }
 
 // kinds are the troubles there are, and what each needs: workers, fronts, tenant, function, factor, patience, for.
@@ -78,11 +78,11 @@
 // Read reads a day; a mistake has file, line and column.
 func Read(name string, b []byte, f fleetconfig.File) (Day, error) {
 	var d Day
-	if err := config.Strict(name, b, &d); err != nil {
+	if err := config.DecodeStrict(name, b, &d); err != nil {
 		return d, err
 	}
 	if at, reason := d.contradiction(f); reason != "" {
-		return d, config.At(name, b, at, reason)
+		return d, config.ErrorAt(name, b, at, reason)
 	}
 	return d, nil
 }
@@ -95,7 +95,7 @@
 	switch {
 	case d.Name == "":
 		return "$.name", "a day needs a name"
-	case d.Lasts <= 0 || d.Lasts.D() > time.Hour:
+	case d.Lasts <= 0 || d.Lasts.Std() > time.Hour:
 		return "$.lasts", "more than 0s, at most an hour"
 	case d.Fronts < 1 || d.Fronts > 100:
 		return "$.fronts", "from 1 to 100 front ends"
@@ -170,9 +170,9 @@
 	var all []arrival
 	for i, a := range d.Arrivals {
 		src := rand.New(rand.NewPCG(d.Seed, uint64(i)))
-		until := a.Until.D()
+		until := a.Until.Std()
 		if until == 0 {
-			until = d.Lasts.D()
+			until = d.Lasts.Std()
 		}
 		var fn fleetconfig.Function
 		for _, x := range f.Functions {
@@ -180,18 +180,18 @@
 				fn = x
 			}
 		}
-		t, _ := f.Type(fn.Type)
-		patience := t.MaxAge.D()
+		t, _ := f.RequestType(fn.Type)
+		patience := t.MaxAge.Std()
 		if a.Patience > 0 {
-			patience = min(patience, a.Patience.D())
+			patience = min(patience, a.Patience.Std())
 		}
-		for at := a.From.D(); ; {
+		for at := a.From.Std(); ; {
 			at += time.Duration(src.ExpFloat64() / a.Rate * float64(time.Second))
 			if at >= until {
 				break
 			}
 			all = append(all, arrival{at: at, name: fmt.Sprintf("%s-%d-%d", d.Name, i, len(all)), function: fn,
-				patience: patience, front: src.IntN(d.Fronts), work: d.Work[fn.Name].D()})
+				patience: patience, front: src.IntN(d.Fronts), work: d.Work[fn.Name].Std()})
 		}
 	}
 	sort.SliceStable(all, func(i, j int) bool { return all[i].at < all[j].at })
--- a/internal/testbed/scenario/up.go
+++ b/internal/testbed/scenario/up.go
@@ -20,11 +20,11 @@
 	if fronts < 1 || workers < 1 {
 		return fmt.Errorf("at least one front end and one worker")
 	}
-	list, err := url.Parse(f.Front.List)
+	list, err := url.Parse(f.Gateway.RegistryURL)
 	if err != nil {
 		return err
 	}
-	host, text, err := net.SplitHostPort(f.Front.Listen)
+	host, text, err := net.SplitHostPort(f.Gateway.Listen)
 	if err != nil {
 		return err
 	}
@@ -32,10 +32,10 @@
 	if err != nil {
 		return err
 	}
-	day := Day{Name: "up", Seed: uint64(time.Now().UnixNano()), Fronts: fronts, Store: 8, Work: map[string]config.Time{},
+	day := Day{Name: "up", Seed: uint64(time.Now().UnixNano()), Fronts: fronts, Store: 8, Work: map[string]config.Duration{},
 		Workers: Workers{Count: workers, Cores: 2, Memory: 2 << 30, Queue: 128, Zones: 2}}
 	for _, fn := range f.Functions {
-		day.Work[fn.Name] = config.Time(20 * time.Millisecond)
+		day.Work[fn.Name] = config.Duration(20 * time.Millisecond)
 	}
 	s := &stage{day: day, o: Options{File: f, Log: log}, base: time.Now(), store: emulator.NewStore(day.Store),
 		ledger: emulator.NewLedger(), list: list.Host, bare: true, known: map[int]registry.WatchEvent{}}
--- a/internal/testbed/soak/client.go
+++ b/internal/testbed/soak/client.go
@@ -170,7 +170,7 @@
 	if r.mark != "" {
 		fields = append(fields, "once", r.mark)
 	}
-	w.Texts(1, fields...)
+	w.StringMap(1, fields...)
 	w.Binary(2, []byte(r.body))
 	c.open[c.seq], c.used = r, time.Now()
 	if again {
@@ -226,8 +226,8 @@
 			return
 		}
 		c.mu.Lock()
-		r := c.open[m.Seq]
-		delete(c.open, m.Seq)
+		r := c.open[m.SeqID]
+		delete(c.open, m.SeqID)
 		c.used = at
 		resent := r != nil && c.resent[r.id]
 		c.mu.Unlock()
@@ -273,7 +273,7 @@
 	case field == 2:
 		return failed, ""
 	}
-	return served, string(args.Bins[1])
+	return served, string(args.Binaries[1])
 }
 
 func aliveFrame() []byte {
--- a/internal/testbed/soak/front.go
+++ b/internal/testbed/soak/front.go
@@ -29,7 +29,7 @@
 	ways    []*faultproxy.Proxy
 	ledger  *ledger
 	spawn   func(cmd *exec.Cmd) error // starts a process that ends with this one
-	known   func() ([]discovery.Worker, int64)
+	known   func() ([]discovery.Endpoint, int64)
 	inject  []string // words before the program: what makes its system calls fail
 
 	mu       sync.Mutex
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -63,7 +63,7 @@
 func answerTo(id string) string { return "done " + id }
 
 // config is the file of a front end.
-func config(o Options, f *front, known []discovery.Worker, position int64) ([]byte, error) {
+func config(o Options, f *front, known []discovery.Endpoint, position int64) ([]byte, error) {
 	class := func(name, effect string) map[string]any {
 		return map[string]any{"name": name, "effect": effect, "aim": 0.5, "give_up": longest.Seconds(), "dedup_scope": "all",
 			"window": keyWindow.Seconds()}
@@ -71,7 +71,7 @@
 	return json.Marshal(map[string]any{
 		"name": f.name, "listen": f.listen, "seed": fmt.Sprintf("%x", o.Seed+uint64(f.index)+1), "journal": f.journal.Addr(),
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": sockets},
-		"known":  discovery.News{Last: position, Events: []discovery.Event{{Number: position, List: &discovery.List{Whole: true, Workers: known}}}},
+		"known":  discovery.Batch{Position: position, Events: []discovery.Event{{Position: position, Update: &discovery.Update{Complete: true, Endpoints: known}}}},
 		"settings": map[string]any{"index": f.index, "instances": o.Processes, "quantum": 0.002, "weight_source": "nominal", "kinds": []string{"std"},
 			"family_info": map[string]any{"keep": 10, "orders": true, "miss_mode": "load", "order_limit": 4, "machine_mb": []int{64 << 10},
 				"loads_within": 5, "loads_anyway": 30, "load_part": 0.5},
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -97,7 +97,7 @@
 // setUp starts workers, the list service and the front ends.
 func (r *run) setUp(ctx context.Context) error {
 	random := rand.New(rand.NewPCG(r.o.Seed, 1))
-	var lines []discovery.Worker
+	var lines []discovery.Endpoint
 	for range r.o.Workers {
 		w, err := newWorker(r.ledger, r.name(), "", len(lines)%3, time.Time{}, random.Uint64())
 		if err != nil {
@@ -163,10 +163,10 @@
 const frontNet = 33
 
 // known is the list as it stands.
-func (r *run) known() ([]discovery.Worker, int64) {
+func (r *run) known() ([]discovery.Endpoint, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var lines []discovery.Worker
+	var lines []discovery.Endpoint
 	for _, w := range r.workers {
 		lines = append(lines, w.line)
 	}
@@ -197,7 +197,7 @@
 func (r *run) tell(workers []*worker, state string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var lines []discovery.Worker
+	var lines []discovery.Endpoint
 	for _, w := range workers {
 		w.line.State = state
 		lines = append(lines, w.line)
@@ -234,10 +234,10 @@
 		return
 	}
 	if cold {
-		w.line.Born = born.Add(clockSteps[random.IntN(len(clockSteps))]).UnixMilli()
+		w.line.StartedUnixMilli = born.Add(clockSteps[random.IntN(len(clockSteps))]).UnixMilli()
 	}
 	r.workers = append(r.workers, w)
-	r.list.Publish([]discovery.Worker{w.line})
+	r.list.Publish([]discovery.Endpoint{w.line})
 }
 
 // startClients has usual clients come to every front end.
--- a/internal/testbed/soak/worker.go
+++ b/internal/testbed/soak/worker.go
@@ -42,7 +42,7 @@
 // worker is one life of an emulated worker.
 type worker struct {
 	ledger   *ledger
-	line     discovery.Worker
+	line     discovery.Endpoint
 	born     time.Time // zero: long ago
 	listener net.Listener
 	done     sync.WaitGroup
@@ -91,9 +91,9 @@
 	}
 	w := &worker{ledger: l, born: born, listener: listener, random: rand.New(rand.NewPCG(seed, seed)), conns: map[net.Conn]bool{},
 		replicas: map[string]time.Time{}, given: map[string]bool{}}
-	w.line = discovery.Worker{Name: name, Addr: listener.Addr().String(), Zone: fmt.Sprint("zone", zone), Kind: "std", State: discovery.Up, Size: 1}
+	w.line = discovery.Endpoint{Name: name, Addr: listener.Addr().String(), Zone: fmt.Sprint("zone", zone), Kind: "std", State: discovery.Up, Size: 1}
 	if !born.IsZero() {
-		w.line.Born = born.UnixMilli()
+		w.line.StartedUnixMilli = born.UnixMilli()
 	}
 	w.done.Add(1)
 	go w.accept()
@@ -219,7 +219,7 @@
 	now := time.Now()
 	switch {
 	case words[0] == "FN" && len(words) == 4:
-		fields := resp.Pairs(words[2])
+		fields := resp.ParsePairs(words[2])
 		w.mu.Lock()
 		drained := w.drained
 		w.mu.Unlock()
@@ -233,7 +233,7 @@
 		w.mu.Unlock()
 	case words[0] == "SPAWN" && len(words) == 3:
 		w.ledger.count(func(s *Sums) { s.Orders++ })
-		w.order(conn, words[1], resp.Pairs(words[2])["key"], now)
+		w.order(conn, words[1], resp.ParsePairs(words[2])["key"], now)
 	case words[0] == "TOP" && len(words) == 2:
 		w.mu.Lock()
 		w.answer(conn, words[1], "yes", "stats="+w.stats(), "")
@@ -372,7 +372,7 @@
 		w.write(j.conn, []byte("*4\r\n$16\r\nnoise\r\n$-1\r\n"))
 	case w.mood.twice:
 		w.answer(j.conn, words...)
-		time.AfterFunc(3*time.Millisecond, func() { w.write(j.conn, resp.Append(nil, words...)) })
+		time.AfterFunc(3*time.Millisecond, func() { w.write(j.conn, resp.AppendArray(nil, words...)) })
 	default:
 		w.answer(j.conn, words...)
 	}
@@ -380,7 +380,7 @@
 
 func (w *worker) answer(conn net.Conn, words ...string) {
 	if !w.mood.mute {
-		w.write(conn, resp.Append(nil, words...))
+		w.write(conn, resp.AppendArray(nil, words...))
 	}
 }
 
--- a/internal/worker/bench_test.go
+++ b/internal/worker/bench_test.go
@@ -179,7 +179,7 @@
 							b.Fatal(err)
 						}
 						if _, err := manifest.Write(to, manifest.Manifest{Name: name, Version: "1", Type: "t", Kind: kind, Lanes: 1, Memory: 64 << 20,
-							Time: config.Time(time.Second), Entry: "entry"}); err != nil {
+							Time: config.Duration(time.Second), Entry: "entry"}); err != nil {
 							b.Fatal(err)
 						}
 					}
--- a/internal/worker/runner/runner.go
+++ b/internal/worker/runner/runner.go
@@ -316,7 +316,7 @@
 
 // Call runs an event on the copy and hands out its result, once. within is what is left of its time.
 func (c *Copy) Call(body []byte, within time.Duration, done func(Result)) {
-	within = min(within, c.pkg.Time.D())
+	within = min(within, c.pkg.Time.Std())
 	c.mu.Lock()
 	c.number++
 	x := &call{id: strconv.Itoa(c.number), body: body, until: time.Now().Add(within), done: make(chan Result, 1)}
--- a/internal/worker/runner/runner_test.go
+++ b/internal/worker/runner/runner_test.go
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	p, err := manifest.Write(dir, manifest.Manifest{Name: "f", Version: "1", Type: "t", Kind: manifest.Process, Lanes: 1, Memory: 64 << 20,
-		Time: config.Time(time.Second), Entry: "entry"})
+		Time: config.Duration(time.Second), Entry: "entry"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -89,7 +89,7 @@
 				return err
 			}
 			if _, err := manifest.Write(folder, manifest.Manifest{Name: fn, Version: "1", Type: "t", Kind: kind, Lanes: 2, Memory: 96 << 20,
-				Time: config.Time(2 * time.Second), Entry: "entry"}); err != nil {
+				Time: config.Duration(2 * time.Second), Entry: "entry"}); err != nil {
 				return err
 			}
 		}
@@ -623,7 +623,7 @@
 		t.Fatal(err)
 	}
 	if _, err := manifest.Write(next, manifest.Manifest{Name: "misbehave-process", Version: "2", Type: "t", Kind: manifest.Process, Lanes: 2,
-		Memory: 96 << 20, Time: config.Time(2 * time.Second), Entry: "entry"}); err != nil {
+		Memory: 96 << 20, Time: config.Duration(2 * time.Second), Entry: "entry"}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := own.Client.Publish(t.Context(), next); err != nil {
