--- a/cmd/lpctl/main.go
+++ b/cmd/lpctl/main.go
@@ -106,7 +106,7 @@
 
 // Run sends the order.
 func (c *troubleCmd) Run(ctx context.Context, _ *slog.Logger) error {
-	body, err := json.Marshal(worker.Order{What: c.What, Tenant: c.Tenant, Factor: c.Factor, At: c.At.String(), For: c.For.String()})
+	body, err := json.Marshal(worker.FaultRequest{Fault: c.What, Tenant: c.Tenant, Factor: c.Factor, Delay: c.At.String(), Duration: c.For.String()})
 	if err != nil {
 		return err
 	}
--- a/cmd/worker/main.go
+++ b/cmd/worker/main.go
@@ -34,10 +34,10 @@
 
 type cli struct {
 	telemetry.Flags
-	Serve    serveCmd `cmd:"" default:"withargs" help:"Load packages and run events."`
-	Register regCmd   `cmd:"" help:"Keep the keys of keyed events for a group of workers."`
-	Pack     packCmd  `cmd:"" help:"Write the manifest of a package whose content stands in a folder."`
-	WasmCopy wasmCmd  `cmd:"" hidden:"" help:"Run one copy of a wasm package (started by the worker itself)."`
+	Serve    serveCmd    `cmd:"" default:"withargs" help:"Load packages and run events."`
+	Register registerCmd `cmd:"" help:"Keep the keys of keyed events for a group of workers."`
+	Pack     packCmd     `cmd:"" help:"Write the manifest of a package whose content stands in a folder."`
+	WasmCopy wasmCopyCmd `cmd:"" hidden:"" help:"Run one copy of a wasm package (started by the worker itself)."`
 }
 
 type serveCmd struct {
@@ -91,21 +91,21 @@
 	if err := os.MkdirAll(c.Folder, 0o755); err != nil {
 		return err
 	}
-	o := worker.Options{Name: c.Name, Folder: c.Folder, Refresh: c.Refresh, Self: self, Launches: 256, Overhead: 96 << 20, Answer: 12 << 20,
-		Ready: time.Minute, Grace: time.Second, Sample: 50 * time.Millisecond, Log: log,
-		MostLog: c.MostLog << 20,
-		Limits:  admission.Limits{Memory: c.Memory << 20, Running: c.Running, Waiting: c.Waiting, Loads: c.Loads, Keep: c.Keep, OnMiss: c.OnMiss}}
+	o := worker.Options{Name: c.Name, Folder: c.Folder, ReleasePollInterval: c.Refresh, Executable: self, MaxInFlight: 256, WasmOverhead: 96 << 20, MaxResponseBytes: 12 << 20,
+		StartTimeout: time.Minute, GracePeriod: time.Second, MemorySampleInterval: 50 * time.Millisecond, Log: log,
+		MaxReplicaLogBytes: c.MostLog << 20,
+		Limits:             admission.Limits{MemoryBytes: c.Memory << 20, MaxRunning: c.Running, MaxWaiting: c.Waiting, MaxLoads: c.Loads, IdleTimeout: c.Keep, LoadOnMiss: c.OnMiss}}
 	if c.Effects != "" {
-		if o.Effects, err = os.OpenFile(c.Effects, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644); err != nil {
+		if o.ReplicaLog, err = os.OpenFile(c.Effects, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644); err != nil {
 			return err
 		}
-		defer func() { err = errors.Join(err, o.Effects.Close()) }()
+		defer func() { err = errors.Join(err, o.ReplicaLog.Close()) }()
 	}
 	if len(c.Registers) > 0 {
-		if o.Group, err = idempotency.NewGroup(c.Registers, c.Lease, log); err != nil {
+		if o.IdempotencyGroup, err = idempotency.NewGroup(c.Registers, c.Lease, log); err != nil {
 			return err
 		}
-		defer o.Group.Close()
+		defer o.IdempotencyGroup.Close()
 	}
 	var peers atomic.Pointer[[]distribution.Peer]
 	peers.Store(&[]distribution.Peer{})
@@ -113,18 +113,18 @@
 	if err != nil {
 		return err
 	}
-	o.Supply, err = distribution.New(distribution.Options{Name: c.Name, Folder: c.Folder, Store: artifactstore.Client{Base: c.Store, HTTP: &http.Client{}},
+	o.Artifacts, err = distribution.New(distribution.Options{Name: c.Name, Folder: c.Folder, Store: artifactstore.Client{Base: c.Store, HTTP: &http.Client{}},
 		Cache: chunks, Peers: func() []distribution.Peer { return *peers.Load() }, Capacity: c.Network * 1e6, Part: c.Share, Slots: 2 * c.Running,
 		Patience: c.Patience, Parallel: 16, Log: log})
 	if err != nil {
 		return err
 	}
-	defer o.Supply.Close()
+	defer o.Artifacts.Close()
 	w, err := worker.New(o)
 	if err != nil {
 		return err
 	}
-	for _, cut := range w.Cut() {
+	for _, cut := range w.InterruptedLoads() {
 		log.Warn("the last life died during a load", "function", cut.Function, "version", cut.Version, "events", cut.Requests)
 	}
 	listener, err := net.Listen("tcp", c.Listen)
@@ -139,14 +139,14 @@
 	defer stop()
 	g, serving := errgroup.WithContext(serving)
 	g.Go(func() error { return w.Run(serving, listener) })
-	giver := &http.Server{Handler: o.Supply.Handler(), ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 16 << 10}
+	giver := &http.Server{Handler: o.Artifacts.Handler(), ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 16 << 10}
 	g.Go(func() error { return httpserver.Until(serving, giver, gives, 0) })
 	if c.Control != "" {
 		orders, err := net.Listen("tcp", c.Control)
 		if err != nil {
 			return err
 		}
-		control := &http.Server{Handler: w.Control(), ReadHeaderTimeout: 5 * time.Second}
+		control := &http.Server{Handler: w.ControlHandler(), ReadHeaderTimeout: 5 * time.Second}
 		g.Go(func() error { return httpserver.Until(serving, control, orders, 0) })
 	}
 	entry := registry.Entry{Name: c.Name, Addr: listener.Addr().String(), Zone: c.Zone, Cell: c.Cell, Kind: c.Kind, Cores: c.Cores, State: registry.InService,
@@ -156,10 +156,10 @@
 		if c.List == "" {
 			<-ctx.Done()
 		} else {
-			c.listed(ctx, entry, &peers, log)
+			c.maintainRegistration(ctx, entry, &peers, log)
 		}
 		w.Drain()
-		for end := time.Now().Add(c.Drain); time.Now().Before(end) && w.Holds() > 0; {
+		for end := time.Now().Add(c.Drain); time.Now().Before(end) && w.InFlight() > 0; {
 			time.Sleep(20 * time.Millisecond)
 		}
 		return nil
@@ -168,8 +168,8 @@
 	return g.Wait()
 }
 
-// listed keeps the worker on the list until ctx ends, then it is marked as draining; and learns who else gives chunks.
-func (c *serveCmd) listed(ctx context.Context, e registry.Entry, peers *atomic.Pointer[[]distribution.Peer], log *slog.Logger) {
+// maintainRegistration keeps the worker on the list until ctx ends, then it is marked as draining; and learns who else gives chunks.
+func (c *serveCmd) maintainRegistration(ctx context.Context, e registry.Entry, peers *atomic.Pointer[[]distribution.Peer], log *slog.Logger) {
 	list := registry.Client{BaseURL: c.List, HTTP: &http.Client{Timeout: c.Lease}}
 	put := func() {
 		if err := list.Register(context.WithoutCancel(ctx), e, c.Lease); err != nil { // the last one says that it drains
@@ -200,14 +200,14 @@
 	}
 }
 
-type regCmd struct {
+type registerCmd struct {
 	Listen string `default:"127.0.0.1:0" help:"Where workers ask."`
 	Folder string `required:"" type:"path" help:"Where its file stands."`
 	Most   int    `default:"1000000" help:"Keys inside their windows; beyond it nothing is granted."`
 }
 
 // Run serves until a signal.
-func (c *regCmd) Run(ctx context.Context, log *slog.Logger) (err error) {
+func (c *registerCmd) Run(ctx context.Context, log *slog.Logger) (err error) {
 	if err := config.CheckLoopback(c.Listen); err != nil {
 		return err
 	}
@@ -262,7 +262,7 @@
 	return nil
 }
 
-type wasmCmd struct {
+type wasmCopyCmd struct {
 	File   string `arg:"" type:"existingfile"`
 	Lanes  int    `default:"1"`
 	Memory int64  `required:""`
@@ -270,7 +270,7 @@
 }
 
 // Run runs a copy until it is asked to end.
-func (c *wasmCmd) Run(ctx context.Context) error {
+func (c *wasmCopyCmd) Run(ctx context.Context) error {
 	return runner.RunWasm(ctx, c.File, c.Lanes, c.Memory, c.Cache)
 }
 
--- a/function/host.go
+++ b/function/host.go
@@ -56,10 +56,10 @@
 	for range max(1, lanes) {
 		g.Go(func() error {
 			for ctx.Err() == nil {
-				more, err := one(ctx, client, base, took, h)
+				more, err := serveOne(ctx, client, base, took, h)
 				if err != nil || !more {
 					if err == nil {
-						err = errEnd // ends the other lanes
+						err = errReplicaStopping // ends the other lanes
 					}
 					return err
 				}
@@ -67,16 +67,16 @@
 			return nil
 		})
 	}
-	if err := g.Wait(); err != nil && !errors.Is(err, errEnd) && ctx.Err() == nil {
+	if err := g.Wait(); err != nil && !errors.Is(err, errReplicaStopping) && ctx.Err() == nil {
 		return err
 	}
 	return nil
 }
 
-var errEnd = errors.New("the copy ends")
+var errReplicaStopping = errors.New("the copy ends")
 
-// one takes one event and posts its result.
-func one(ctx context.Context, client *http.Client, base string, took time.Duration, h Handler) (more bool, err error) {
+// serveOne takes one event and posts its result.
+func serveOne(ctx context.Context, client *http.Client, base string, took time.Duration, h Handler) (more bool, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+"/next", nil)
 	if err != nil {
 		return false, err
--- a/internal/artifact/artifactstore/store.go
+++ b/internal/artifact/artifactstore/store.go
@@ -178,7 +178,7 @@
 		return errors.Join(fmt.Errorf("store: chunk %.12s: %w", d, err), os.Remove(tmp.Name()))
 	}
 	s.o.Fail(PointNamed)
-	return durable.SyncFolder(dir)
+	return durable.SyncDir(dir)
 }
 
 // Missing are those of the chunks that the store does not have. Those that it has are not collected within the grace.
--- a/internal/base/durable/durable.go
+++ b/internal/base/durable/durable.go
@@ -14,14 +14,14 @@
 	berrors "go.etcd.io/bbolt/errors"
 )
 
-// Meta is the bucket in which a file has its format, and whatever else its owner puts there.
-var Meta = []byte("meta")
+// MetaBucket is the bucket in which a file has its format, and whatever else its owner puts there.
+var MetaBucket = []byte("meta")
 
 // Open opens or makes a file of a format, with Meta and these buckets. A file of another format, and one that another
 // process has open, are errors.
 func Open(path string, format byte, buckets ...[]byte) (*bolt.DB, error) {
 	db, err := bolt.Open(path, 0o644, &bolt.Options{Timeout: time.Second})
-	if err != nil && !errors.Is(err, berrors.ErrTimeout) && unfinished(path) {
+	if err != nil && !errors.Is(err, berrors.ErrTimeout) && incomplete(path) {
 		if err := os.Remove(path); err != nil {
 			return nil, err
 		}
@@ -31,12 +31,12 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	err = db.Update(func(tx *bolt.Tx) error {
-		for _, name := range append(buckets, Meta) {
+		for _, name := range append(buckets, MetaBucket) {
 			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 				return err
 			}
 		}
-		meta := tx.Bucket(Meta)
+		meta := tx.Bucket(MetaBucket)
 		if v := meta.Get([]byte("format")); v != nil && !bytes.Equal(v, []byte{format}) {
 			return fmt.Errorf("format %v, this program reads %d", v, format)
 		}
@@ -48,17 +48,17 @@
 	return db, nil
 }
 
-// firstPages is how many pages a new file is made with, in one write, before anything can be kept in it.
-const firstPages = 4
+// initialPages is how many pages a new file is made with, in one write, before anything can be kept in it.
+const initialPages = 4
 
-// unfinished tells whether a file was never made whole, as when the disk was full then: nothing was ever kept in it.
-func unfinished(path string) bool {
+// incomplete tells whether a file was never made whole, as when the disk was full then: nothing was ever kept in it.
+func incomplete(path string) bool {
 	info, err := os.Stat(path)
-	return err == nil && info.Size() < firstPages*int64(os.Getpagesize())
+	return err == nil && info.Size() < initialPages*int64(os.Getpagesize())
 }
 
-// SyncFolder makes the names in a folder durable.
-func SyncFolder(folder string) error {
+// SyncDir makes the names in a folder durable.
+func SyncDir(folder string) error {
 	f, err := os.Open(folder)
 	if err != nil {
 		return err
@@ -66,8 +66,8 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// Mode is how kept values are encoded: CBOR whose times have their nanoseconds.
-var Mode = sync.OnceValue(func() cbor.EncMode {
+// EncMode is how kept values are encoded: CBOR whose times have their nanoseconds.
+var EncMode = sync.OnceValue(func() cbor.EncMode {
 	mode, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode()
 	if err != nil {
 		panic(err) // no option of it is wrong
--- a/internal/base/durable/durable_test.go
+++ b/internal/base/durable/durable_test.go
@@ -14,7 +14,7 @@
 var bucket = []byte("b")
 
 // A file that a full disk cut short while it was made holds nothing: it is made anew. One that was made whole never is.
-func TestUnfinishedFileIsMadeAnew(t *testing.T) {
+func TestIncompleteFileIsRecreated(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f.bolt")
 	db, err := durable.Open(path, 1, bucket)
 	if err != nil {
--- a/internal/base/durableclock/compat_test.go
+++ b/internal/base/durableclock/compat_test.go
@@ -24,16 +24,16 @@
 		t.Fatal(err)
 	}
 	at := time.Date(2200, 1, 1, 0, 0, 0, 123456789, time.UTC)
-	if want := 90*time.Minute + 5; got.Boot != "stored" || got.Up != want || !got.At.Equal(at) {
+	if want := 90*time.Minute + 5; got.BootID != "stored" || got.Uptime != want || !got.Time.Equal(at) {
 		t.Errorf("got %+v, want boot %q, up %v, at %v", got, "stored", want, at)
 	}
-	again, err := durable.Mode().Marshal(got)
+	again, err := durable.EncMode().Marshal(got)
 	if err != nil || !bytes.Equal(again, stored) {
 		t.Errorf("encoded again: got %x, error %v, want %x", again, err, stored)
 	}
 	now, mark := durableclock.Continue(got)
-	if !mark.At.Equal(at) {
-		t.Errorf("the clock goes on from %v, want %v", mark.At, at)
+	if !mark.Time.Equal(at) {
+		t.Errorf("the clock goes on from %v, want %v", mark.Time, at)
 	}
 	if got := now(); got.Before(at) {
 		t.Errorf("clock: got %v, want %v or later", got, at)
--- a/internal/base/durableclock/durableclock.go
+++ b/internal/base/durableclock/durableclock.go
@@ -12,35 +12,35 @@
 
 // Mark ties a moment of the clock to the machine's time since its boot. It is kept with what the clock's times are in.
 type Mark struct {
-	Boot string        `cbor:"1,keyasint,omitempty"` // which boot
-	Up   time.Duration `cbor:"2,keyasint"`           // since then, sleep included
-	At   time.Time     `cbor:"3,keyasint"`           // what the clock said
+	BootID string        `cbor:"1,keyasint,omitempty"` // which boot
+	Uptime time.Duration `cbor:"2,keyasint"`           // since then, sleep included
+	Time   time.Time     `cbor:"3,keyasint"`           // what the clock said
 }
 
 // Continue answers a clock that goes on from last, which may be the zero value, and the mark to keep. In another boot it
 // goes by the system's time, but never backwards: then a system clock that was set ahead can't be told from time that
 // has passed.
 func Continue(last Mark) (now func() time.Time, mark Mark) {
-	return from(last, machine(), time.Now())
+	return continueFrom(last, bootMark(), time.Now())
 }
 
-func from(last, m Mark, system time.Time) (func() time.Time, Mark) {
-	m.At = system.Round(0)
+func continueFrom(last, m Mark, system time.Time) (func() time.Time, Mark) {
+	m.Time = system.Round(0)
 	switch {
-	case last.Boot != "" && last.Boot == m.Boot && m.Up >= last.Up:
-		m.At = last.At.Add(m.Up - last.Up)
-	case m.At.Before(last.At):
-		m.At = last.At
+	case last.BootID != "" && last.BootID == m.BootID && m.Uptime >= last.Uptime:
+		m.Time = last.Time.Add(m.Uptime - last.Uptime)
+	case m.Time.Before(last.Time):
+		m.Time = last.Time
 	}
-	return func() time.Time { return m.At.Add(time.Since(system)) }, m
+	return func() time.Time { return m.Time.Add(time.Since(system)) }, m
 }
 
-// machine tells the boot and the time since; where the system doesn't say, every start counts as a boot.
-func machine() Mark {
+// bootMark tells the boot and the time since; where the system doesn't say, every start counts as a boot.
+func bootMark() Mark {
 	var ts unix.Timespec
 	id, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) != nil {
 		return Mark{}
 	}
-	return Mark{Boot: strings.TrimSpace(string(id)), Up: time.Duration(ts.Nano())}
+	return Mark{BootID: strings.TrimSpace(string(id)), Uptime: time.Duration(ts.Nano())}
 }
--- a/internal/base/durableclock/durableclock_test.go
+++ b/internal/base/durableclock/durableclock_test.go
@@ -8,27 +8,27 @@
 // Within one boot the clock goes on whatever the system's time does; over a boot it never goes back.
 func TestContinue(t *testing.T) {
 	at := time.Unix(1_000_000, 0)
-	last := Mark{Boot: "a", Up: time.Hour, At: at}
+	last := Mark{BootID: "a", Uptime: time.Hour, Time: at}
 	for _, c := range []struct {
 		name    string
 		machine Mark
 		system  time.Time
 		want    time.Time
 	}{
-		{"ten seconds later", Mark{Boot: "a", Up: time.Hour + 10*time.Second}, at.Add(10 * time.Second), at.Add(10 * time.Second)},
-		{"set ahead a day", Mark{Boot: "a", Up: time.Hour + 10*time.Second}, at.Add(24 * time.Hour), at.Add(10 * time.Second)},
-		{"set back a day", Mark{Boot: "a", Up: time.Hour + 10*time.Second}, at.Add(-24 * time.Hour), at.Add(10 * time.Second)},
-		{"another boot", Mark{Boot: "b", Up: time.Second}, at.Add(time.Minute), at.Add(time.Minute)},
-		{"another boot, set back", Mark{Boot: "b", Up: time.Second}, at.Add(-time.Minute), at},
+		{"ten seconds later", Mark{BootID: "a", Uptime: time.Hour + 10*time.Second}, at.Add(10 * time.Second), at.Add(10 * time.Second)},
+		{"set ahead a day", Mark{BootID: "a", Uptime: time.Hour + 10*time.Second}, at.Add(24 * time.Hour), at.Add(10 * time.Second)},
+		{"set back a day", Mark{BootID: "a", Uptime: time.Hour + 10*time.Second}, at.Add(-24 * time.Hour), at.Add(10 * time.Second)},
+		{"another boot", Mark{BootID: "b", Uptime: time.Second}, at.Add(time.Minute), at.Add(time.Minute)},
+		{"another boot, set back", Mark{BootID: "b", Uptime: time.Second}, at.Add(-time.Minute), at},
 		{"boots that are not told", Mark{}, at.Add(time.Minute), at.Add(time.Minute)},
 	} {
-		_, mark := from(last, c.machine, c.system)
-		if !mark.At.Equal(c.want) {
-			t.Errorf("%s: %v, want %v", c.name, mark.At, c.want)
+		_, mark := continueFrom(last, c.machine, c.system)
+		if !mark.Time.Equal(c.want) {
+			t.Errorf("%s: %v, want %v", c.name, mark.Time, c.want)
 		}
 	}
 	now, mark := Continue(Mark{})
-	if a, b := now(), now(); a.Before(mark.At) || b.Before(a) || mark.Boot == "" {
+	if a, b := now(), now(); a.Before(mark.Time) || b.Before(a) || mark.BootID == "" {
 		t.Error(mark, a, b)
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -89,8 +89,8 @@
 	for i := range 2 {
 		name := fmt.Sprint("w", i)
 		w := localfleet.NewRuntime(localfleet.RuntimeOptions{Name: name, Folder: filepath.Join(dir, name), Store: releases, Effects: effects,
-			Limits: admission.Limits{Memory: 16 * 64 << 20, Running: 8, Waiting: 100, Loads: 4, Keep: time.Minute,
-				OnMiss: file.Fleet.LoadPolicy.OnMiss == "load"}})
+			Limits: admission.Limits{MemoryBytes: 16 * 64 << 20, MaxRunning: 8, MaxWaiting: 100, MaxLoads: 4, IdleTimeout: time.Minute,
+				LoadOnMiss: file.Fleet.LoadPolicy.OnMiss == "load"}})
 		addr, started, err := w.Start("", true)
 		if err != nil {
 			t.Fatal(err)
@@ -171,7 +171,7 @@
 	}
 }
 
-func (r *harness) injectFaults(change func(*faultinject.Troubles)) {
+func (r *harness) injectFaults(change func(*faultinject.Faults)) {
 	for _, w := range r.workers {
 		w.Trouble(change)
 	}
@@ -199,14 +199,14 @@
 	r := startHarness(t, nil)
 	r.wantResponse("gross-salary", "1", 2*time.Second, 200, " released")
 	r.wantResponse("release-ravi", "0", 2*time.Second, 200, " released")
-	r.injectFaults(func(x *faultinject.Troubles) { x.Errors = true })
+	r.injectFaults(func(x *faultinject.Faults) { x.FailRequests = true })
 	r.wantResponse("gross-salary", "2", 2*time.Second, 502, `"may-have-run":true`)
-	r.injectFaults(func(x *faultinject.Troubles) { x.Errors, x.Refuse = false, "indus-textiles" })
+	r.injectFaults(func(x *faultinject.Faults) { x.FailRequests, x.RejectTenant = false, "indus-textiles" })
 	resp := r.wantResponse("gross-salary", "3", time.Second, 503, invoke.ProblemRejected)
 	if resp.Header.Get("Retry-After") == "" || resp.Header.Get(invoke.HeaderRetryAfterMillis) == "" {
 		t.Error("deferred without a time to come back")
 	}
-	r.injectFaults(func(x *faultinject.Troubles) { x.Refuse, x.Hang = "", true })
+	r.injectFaults(func(x *faultinject.Faults) { x.RejectTenant, x.Hang = "", true })
 	r.wantResponse("release-ravi", "4", 300*time.Millisecond, 502, `"may-have-run":true`)
 	r.wantResponse("preview", "5", 300*time.Millisecond, 503, invoke.ProblemRejected)
 	if n := r.executions("salary-release"); n != 3 { // none of the one that was told to fail
@@ -218,7 +218,7 @@
 func TestDuplicateRequestID(t *testing.T) {
 	r := startHarness(t, nil)
 	r.wantResponse("gross-salary", "0", 2*time.Second, 200, " released") // loaded
-	r.injectFaults(func(x *faultinject.Troubles) { x.Hang = true })
+	r.injectFaults(func(x *faultinject.Faults) { x.Hang = true })
 	var both sync.WaitGroup
 	both.Go(func() { r.wantResponse("gross-salary", "one", time.Second, 502, "dead-lettered") })
 	r.waitFor("the first runs", func() bool { return r.executions("salary-release") == 2 })
@@ -227,7 +227,7 @@
 	if n := r.executions("salary-release"); n != 2 {
 		t.Errorf("%d runs", n)
 	}
-	r.injectFaults(func(x *faultinject.Troubles) { x.Hang = false })
+	r.injectFaults(func(x *faultinject.Faults) { x.Hang = false })
 	r.wantResponse("gross-salary", "one", 4*time.Second, 200, " released") // no longer in hand
 }
 
@@ -235,7 +235,7 @@
 func TestClientDisconnectsWhileRunning(t *testing.T) {
 	r := startHarness(t, nil)
 	r.wantResponse("gross-salary", "0", 2*time.Second, 200, " released") // loaded
-	r.injectFaults(func(x *faultinject.Troubles) { x.Hang = true })
+	r.injectFaults(func(x *faultinject.Faults) { x.Hang = true })
 	ctx, leave := context.WithCancel(context.Background())
 	gone := make(chan error, 1)
 	go func() {
@@ -279,7 +279,7 @@
 	r.wantResponse("gross-salary", "1", 2*time.Second, 200, " released") // loaded
 	r.waitFor("known", func() bool { return r.gateway.Counts(context.Background()).Completed == 1 })
 	var all sync.WaitGroup
-	r.injectFaults(func(x *faultinject.Troubles) { x.Slow = 20 })
+	r.injectFaults(func(x *faultinject.Faults) { x.SlowFactor = 20 })
 	before := r.executions("salary-release")
 	all.Go(func() { r.wantResponse("gross-salary", "2", 900*time.Millisecond, 200, " released") })
 	r.waitFor("it runs", func() bool { return r.executions("salary-release") > before })
@@ -302,7 +302,7 @@
 // On the signal to end: what is in hand is answered, nothing new is taken, and it ends.
 func TestDrain(t *testing.T) {
 	r := startHarness(t, nil)
-	r.injectFaults(func(x *faultinject.Troubles) { x.Slow = 100 })
+	r.injectFaults(func(x *faultinject.Faults) { x.SlowFactor = 100 })
 	var all sync.WaitGroup
 	for i := range 8 {
 		all.Go(func() { r.wantResponse("tax-slab", fmt.Sprint(i), 4*time.Second, 200, " released") })
@@ -406,7 +406,7 @@
 		}
 	}
 	r.wantResponse("gross-salary", "0", 2*time.Second, 200, " released") // loaded
-	r.injectFaults(func(x *faultinject.Troubles) { x.Hang = true })
+	r.injectFaults(func(x *faultinject.Faults) { x.Hang = true })
 	var one sync.WaitGroup
 	one.Go(func() { r.wantResponse("gross-salary", "1", time.Second, 502, "dead-lettered") })
 	r.waitFor("one in hand", func() bool { return r.executions("salary-release") == 2 })
--- a/internal/testbed/emulator/worker.go
+++ b/internal/testbed/emulator/worker.go
@@ -60,7 +60,7 @@
 	end      context.CancelFunc
 	ended    chan struct{}
 	addr     string
-	troubles faultinject.Troubles
+	troubles faultinject.Faults
 	window   []arrival // work that came lately, while cold
 	falls    int
 	silencer faultinject.Silencer
@@ -168,7 +168,7 @@
 }
 
 // Trouble has the worker misbehave from now on.
-func (w *Worker) Trouble(change func(*faultinject.Troubles)) {
+func (w *Worker) Trouble(change func(*faultinject.Faults)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change(&w.troubles)
@@ -222,8 +222,8 @@
 
 func (w *Worker) report() *workerrpc.LoadReport {
 	waiting := float64(w.waiting)
-	if w.troubles.Reports > 0 {
-		waiting *= w.troubles.Reports
+	if w.troubles.ReportFactor > 0 {
+		waiting *= w.troubles.ReportFactor
 	}
 	return &workerrpc.LoadReport{QueueDepth: int(waiting), Running: w.running, MemoryBytes: w.memory,
 		CPUUtilization: min(1, float64(w.running)/w.model.Cores)}
@@ -260,11 +260,11 @@
 	case t.Hang:
 		w.ledger.ran(launch, w.name)
 		return nil
-	case t.Errors:
+	case t.FailRequests:
 		w.ledger.ran(launch, w.name)
 		reply(&workerrpc.AttemptResult{Code: workerrpc.CodeFailed, Reason: "error", Report: w.report(), CPUTime: time.Microsecond})
 		return nil
-	case t.Refuse != "" && t.Refuse == launch.Tenant, w.waiting >= w.model.Queue:
+	case t.RejectTenant != "" && t.RejectTenant == launch.Tenant, w.waiting >= w.model.Queue:
 		reply(&workerrpc.AttemptResult{Code: workerrpc.CodeOverloaded, Reason: "full", Report: w.report()})
 		return nil
 	}
@@ -409,8 +409,8 @@
 		w.ledger.ran(j.launch, w.name)
 		cores := w.model.Cores * w.share(time.Now())
 		took := time.Duration(float64(j.work) * max(1, float64(w.running)/cores))
-		if w.troubles.Slow > 0 {
-			took = time.Duration(float64(took) * w.troubles.Slow)
+		if w.troubles.SlowFactor > 0 {
+			took = time.Duration(float64(took) * w.troubles.SlowFactor)
 		}
 		j.timer = time.AfterFunc(took, func() { w.finish(s, j) })
 	}
--- a/internal/testbed/localfleet/localfleet.go
+++ b/internal/testbed/localfleet/localfleet.go
@@ -32,7 +32,7 @@
 	Start(addr string, old bool) (at string, started time.Time, err error)
 	Stop()
 	Falls() int
-	Trouble(func(*faultinject.Troubles))
+	Trouble(func(*faultinject.Faults))
 	Silence(on bool)
 	Reset()
 	Goodbye()
@@ -160,9 +160,9 @@
 		giver.Close()
 		return "", time.Time{}, err
 	}
-	w, err := worker.New(worker.Options{Name: r.o.Name, Folder: r.o.Folder, Supply: giver.Supplier, Launches: 256, Answer: 1 << 20,
-		Ready: 20 * time.Second, Grace: time.Second, Sample: 500 * time.Millisecond, Refresh: 500 * time.Millisecond, Effects: r.o.Effects,
-		Group: r.o.Group, Limits: r.o.Limits})
+	w, err := worker.New(worker.Options{Name: r.o.Name, Folder: r.o.Folder, Artifacts: giver.Supplier, MaxInFlight: 256, MaxResponseBytes: 1 << 20,
+		StartTimeout: 20 * time.Second, GracePeriod: time.Second, MemorySampleInterval: 500 * time.Millisecond, ReleasePollInterval: 500 * time.Millisecond, ReplicaLog: r.o.Effects,
+		IdempotencyGroup: r.o.Group, Limits: r.o.Limits})
 	if err != nil {
 		giver.Close()
 		return "", time.Time{}, errors.Join(err, listener.Close())
@@ -207,7 +207,7 @@
 func (r *Runtime) Falls() int { return 0 }
 
 // Trouble has it misbehave from now on.
-func (r *Runtime) Trouble(change func(*faultinject.Troubles)) { r.now().Trouble(change) }
+func (r *Runtime) Trouble(change func(*faultinject.Faults)) { r.now().UpdateFaults(change) }
 
 func (r *Runtime) now() *worker.Worker {
 	r.mu.Lock()
@@ -225,7 +225,7 @@
 func (r *Runtime) Goodbye() { r.now().Drain() }
 
 // Release is done in the store for all workers; each reads it anew.
-func (r *Runtime) Release(string) { _ = r.now().Refresh(context.Background()) } // a store that can't be read is as before
+func (r *Runtime) Release(string) { _ = r.now().RefreshReleases(context.Background()) } // a store that can't be read is as before
 
 // Effects counts what ran at the workers, from the logs that the packages write.
 func Effects(path string) (map[string]int, error) {
--- a/internal/testbed/scenario/play.go
+++ b/internal/testbed/scenario/play.go
@@ -403,8 +403,8 @@
 		if s.releases != nil {
 			name := fmt.Sprint("w", i)
 			worker = localfleet.NewRuntime(localfleet.RuntimeOptions{Name: name, Folder: filepath.Join(s.dir, name), Store: s.releases,
-				Effects: s.effects, Group: s.keys, Peers: s.givers, Limits: admission.Limits{Memory: 16 * 64 << 20, Running: max(1, int(2*w.Cores)),
-					Waiting: w.Queue, Loads: 2, Keep: f.Fleet.LoadPolicy.ReplicaIdleTimeout.Std(), OnMiss: f.Fleet.LoadPolicy.OnMiss == "load"}})
+				Effects: s.effects, Group: s.keys, Peers: s.givers, Limits: admission.Limits{MemoryBytes: 16 * 64 << 20, MaxRunning: max(1, int(2*w.Cores)),
+					MaxWaiting: w.Queue, MaxLoads: 2, IdleTimeout: f.Fleet.LoadPolicy.ReplicaIdleTimeout.Std(), LoadOnMiss: f.Fleet.LoadPolicy.OnMiss == "load"}})
 		}
 		addr, started, err := worker.Start("", true)
 		if err != nil {
@@ -513,7 +513,7 @@
 	}
 	switch t.What {
 	case "hang", "slow", "errors", "fail-loads", "false-reports", "refuse":
-		set, undo, err := faultinject.Named(t.What, t.Tenant, t.Factor)
+		set, undo, err := faultinject.ByName(t.What, t.Tenant, t.Factor)
 		if err != nil {
 			return err
 		}
--- a/internal/worker/admission/admission.go
+++ b/internal/worker/admission/admission.go
@@ -20,29 +20,29 @@
 
 // Ratios. Loads and runs are averaged over the last few.
 const (
-	averaged     = 8           // in a function's mean run and load
-	firstLoad    = time.Second // taken for a load before one was seen
-	firstRun     = 20 * time.Millisecond
-	crowdedShare = 0.5 // of the calls that may wait: beyond it tenants are held to their part
-	starveLoads  = 1.0 // usual loads that a call without any copy waits before others must give way
+	averageWindow      = 8           // in a function's mean run and load
+	initialMeanLoad    = time.Second // taken for a load before one was seen
+	initialMeanRun     = 20 * time.Millisecond
+	fairShareThreshold = 0.5 // of the calls that may wait: beyond it tenants are held to their part
+	starvationLoads    = 1.0 // usual loads that a call without any copy waits before others must give way
 )
 
 // Limits are what a worker has.
 type Limits struct {
-	Memory  int64         // bytes for all copies
-	Running int           // calls at a time
-	Waiting int           // calls that wait
-	Loads   int           // at a time
-	Keep    time.Duration // an idle copy stays so long
-	OnMiss  bool          // a call for a function without a copy has it loaded
+	MemoryBytes int64         // bytes for all copies
+	MaxRunning  int           // calls at a time
+	MaxWaiting  int           // calls that wait
+	MaxLoads    int           // at a time
+	IdleTimeout time.Duration // an idle copy stays so long
+	LoadOnMiss  bool          // a call for a function without a copy has it loaded
 }
 
 // Function is a package as admission sees it.
 type Function struct {
-	Name    string
-	Version string
-	Lanes   int   // calls that one copy runs at a time
-	Memory  int64 // reserved for a copy
+	Name        string
+	Version     string
+	Concurrency int   // calls that one copy runs at a time
+	MemoryBytes int64 // reserved for a copy
 }
 
 // Call is one launch of an event.
@@ -50,180 +50,180 @@
 	ID       uint64
 	Function string
 	Tenant   string
-	Ends     time.Duration // not begun by then, it is refused
+	Deadline time.Duration // not begun by then, it is refused
 }
 
-// Refusal says why a call is not taken, or not begun.
-type Refusal int
+// Decision says why a call is not taken, or not begun.
+type Decision int
 
 // The refusals.
 const (
-	Taken   Refusal = iota
-	Full            // too much waits, of all or of this tenant
-	Missing         // no such function, or nothing is loaded and nothing loads on a miss
-	TooBig          // its copy would not fit into an empty worker
-	Late            // it waited until its client's time was up
-	NoLoad          // its function's load failed
+	Admitted   Decision = iota
+	Full                // too much waits, of all or of this tenant
+	Missing             // no such function, or nothing is loaded and nothing loads on a miss
+	TooLarge            // its copy would not fit into an empty worker
+	Expired             // it waited until its client's time was up
+	LoadFailed          // its function's load failed
 )
 
 // Run starts a call on a copy.
-type Run struct{ Call, Copy uint64 }
+type Run struct{ CallID, ReplicaID uint64 }
 
 // Load brings up a copy.
 type Load struct {
-	Copy     uint64
-	Function Function
+	ReplicaID uint64
+	Function  Function
 }
 
-// Over is a call that was taken and is not begun.
-type Over struct {
-	Call uint64
-	Why  Refusal
+// DroppedCall is a call that was taken and is not begun.
+type DroppedCall struct {
+	CallID uint64
+	Reason Decision
 }
 
-// Steps is what is due at one moment.
-type Steps struct {
-	Runs    []Run
-	Loads   []Load
-	Unloads []uint64
-	Over    []Over
-	Next    time.Duration // how long to wait at the most; 0: until a fact comes
+// Actions is what is due at one moment.
+type Actions struct {
+	Runs      []Run
+	Loads     []Load
+	Unloads   []uint64
+	Dropped   []DroppedCall
+	WakeAfter time.Duration // how long to wait at the most; 0: until a fact comes
 }
 
 // Counts are what stands of a function.
-type Counts struct{ Loading, Warm, Busy, Held, Waiting, Asked int }
+type Counts struct{ Loading, Warm, Busy, Unused, Waiting, Requested int }
 
-type copyState int
+type replicaState int
 
 const (
-	loading copyState = iota
-	warm
-	unloading
+	replicaLoading replicaState = iota
+	replicaWarm
+	replicaUnloading
 )
 
-type held struct {
-	id      uint64
-	fn      *function
-	f       Function // of its version
-	state   copyState
-	calls   int           // that run on it
-	idle    time.Duration // since
-	began   time.Duration // of the load
-	order   bool          // loaded by an order, and no call has run on it yet
-	leaving bool          // takes nothing new
+type replica struct {
+	id            uint64
+	function      *functionState
+	release       Function // of its version
+	state         replicaState
+	running       int           // that run on it
+	idleSince     time.Duration // since
+	loadStartedAt time.Duration // of the load
+	preloaded     bool          // loaded by an order, and no call has run on it yet
+	draining      bool          // takes nothing new
 }
 
-type waiting struct {
+type queuedCall struct {
 	Call
-	came time.Duration
+	queuedAt time.Duration
 }
 
-type function struct {
+type functionState struct {
 	Function
-	queue  []waiting
-	copies []*held
-	load   time.Duration // mean
-	run    time.Duration
-	asked  int     // copies still to be loaded by orders
-	served float64 // virtual time of its runs
+	queue       []queuedCall
+	replicas    []*replica
+	meanLoad    time.Duration // mean
+	meanRun     time.Duration
+	requested   int     // copies still to be loaded by orders
+	virtualTime float64 // virtual time of its runs
 }
 
-type tenant struct {
-	served float64 // virtual time of its runs
-	wait   int
-	run    int
+type tenantState struct {
+	virtualTime float64 // virtual time of its runs
+	waiting     int
+	running     int
 }
 
-type running struct {
-	copy   *held
-	tenant string
-	began  time.Duration
+type runningCall struct {
+	replica   *replica
+	tenant    string
+	startedAt time.Duration
 }
 
-// Room is one worker's admission.
-type Room struct {
-	limits   Limits
-	fns      map[string]*function
-	copies   map[uint64]*held
-	calls    map[uint64]running // that run
-	tenants  map[string]*tenant
-	reserved int64
-	waits    int
-	loads    int
-	next     uint64
-	over     []Over
+// Controller is one worker's admission.
+type Controller struct {
+	limits        Limits
+	functions     map[string]*functionState
+	replicas      map[uint64]*replica
+	running       map[uint64]runningCall // that run
+	tenants       map[string]*tenantState
+	reservedBytes int64
+	waiting       int
+	loading       int
+	lastReplicaID uint64
+	dropped       []DroppedCall
 }
 
 // New makes an empty Room.
-func New(l Limits) *Room {
-	l.Running, l.Waiting, l.Loads = max(1, l.Running), max(1, l.Waiting), max(1, l.Loads)
-	return &Room{limits: l, fns: map[string]*function{}, copies: map[uint64]*held{}, calls: map[uint64]running{},
-		tenants: map[string]*tenant{}}
+func New(l Limits) *Controller {
+	l.MaxRunning, l.MaxWaiting, l.MaxLoads = max(1, l.MaxRunning), max(1, l.MaxWaiting), max(1, l.MaxLoads)
+	return &Controller{limits: l, functions: map[string]*functionState{}, replicas: map[uint64]*replica{}, running: map[uint64]runningCall{},
+		tenants: map[string]*tenantState{}}
 }
 
 // Publish tells of a function or a new version of one. Copies of the old version finish what they run and take nothing.
-func (r *Room) Publish(f Function) {
-	f.Lanes, f.Memory = max(1, f.Lanes), max(1, f.Memory)
-	fn := r.fns[f.Name]
+func (r *Controller) Publish(f Function) {
+	f.Concurrency, f.MemoryBytes = max(1, f.Concurrency), max(1, f.MemoryBytes)
+	fn := r.functions[f.Name]
 	if fn == nil {
-		fn = &function{load: firstLoad, run: firstRun}
-		r.fns[f.Name] = fn
+		fn = &functionState{meanLoad: initialMeanLoad, meanRun: initialMeanRun}
+		r.functions[f.Name] = fn
 	}
 	if fn.Version != f.Version {
-		for _, c := range fn.copies {
-			c.leaving = true
+		for _, c := range fn.replicas {
+			c.draining = true
 		}
 	}
 	fn.Function = f
 }
 
-// Take takes a call or refuses it.
-func (r *Room) Take(now time.Duration, c Call) Refusal {
-	fn := r.fns[c.Function]
+// Admit takes a call or refuses it.
+func (r *Controller) Admit(now time.Duration, c Call) Decision {
+	fn := r.functions[c.Function]
 	switch {
 	case fn == nil:
 		return Missing
-	case fn.Memory > r.limits.Memory:
-		return TooBig
-	case !r.limits.OnMiss && fn.standing() == 0 && fn.asked == 0:
+	case fn.MemoryBytes > r.limits.MemoryBytes:
+		return TooLarge
+	case !r.limits.LoadOnMiss && fn.activeReplicas() == 0 && fn.requested == 0:
 		return Missing
-	case r.waits >= r.limits.Waiting:
+	case r.waiting >= r.limits.MaxWaiting:
 		return Full
 	}
 	t := r.tenants[c.Tenant]
 	if t == nil {
-		t = &tenant{}
+		t = &tenantState{}
 		r.tenants[c.Tenant] = t
 	}
-	if float64(r.waits) >= crowdedShare*float64(r.limits.Waiting) { // nobody fills the queue for the others
+	if float64(r.waiting) >= fairShareThreshold*float64(r.limits.MaxWaiting) { // nobody fills the queue for the others
 		waiting := 1
 		for name, x := range r.tenants {
-			if name != c.Tenant && x.wait+x.run > 0 {
+			if name != c.Tenant && x.waiting+x.running > 0 {
 				waiting++
 			}
 		}
-		if waiting > 1 && t.wait >= max(1, r.limits.Waiting/waiting) {
+		if waiting > 1 && t.waiting >= max(1, r.limits.MaxWaiting/waiting) {
 			return Full
 		}
 	}
-	if t.wait+t.run == 0 { // one that comes back does not make up for the time that it was away
-		t.served = max(t.served, r.least())
+	if t.waiting+t.running == 0 { // one that comes back does not make up for the time that it was away
+		t.virtualTime = max(t.virtualTime, r.minTenantVirtualTime())
 	}
 	if len(fn.queue) == 0 {
-		fn.served = max(fn.served, r.leastOf(c.Tenant))
+		fn.virtualTime = max(fn.virtualTime, r.minFunctionVirtualTime(c.Tenant))
 	}
-	t.wait++
-	r.waits++
-	fn.queue = append(fn.queue, waiting{c, now})
-	return Taken
+	t.waiting++
+	r.waiting++
+	fn.queue = append(fn.queue, queuedCall{c, now})
+	return Admitted
 }
 
-// least is the least virtual time of the tenants that have anything here.
-func (r *Room) least() float64 {
+// minTenantVirtualTime is the least virtual time of the tenants that have anything here.
+func (r *Controller) minTenantVirtualTime() float64 {
 	least := math.Inf(1)
 	for _, t := range r.tenants {
-		if t.wait+t.run > 0 {
-			least = min(least, t.served)
+		if t.waiting+t.running > 0 {
+			least = min(least, t.virtualTime)
 		}
 	}
 	if math.IsInf(least, 1) {
@@ -232,12 +232,12 @@
 	return least
 }
 
-// leastOf is the least virtual time of the functions with calls of a tenant waiting.
-func (r *Room) leastOf(tenant string) float64 {
+// minFunctionVirtualTime is the least virtual time of the functions with calls of a tenant waiting.
+func (r *Controller) minFunctionVirtualTime(tenant string) float64 {
 	least := math.Inf(1)
-	for _, f := range r.fns {
+	for _, f := range r.functions {
 		if len(f.queue) > 0 && f.queue[0].Tenant == tenant {
-			least = min(least, f.served)
+			least = min(least, f.virtualTime)
 		}
 	}
 	if math.IsInf(least, 1) {
@@ -246,166 +246,166 @@
 	return least
 }
 
-// standing is the number of copies that take calls or will.
-func (f *function) standing() int {
+// activeReplicas is the number of copies that take calls or will.
+func (f *functionState) activeReplicas() int {
 	n := 0
-	for _, c := range f.copies {
-		if !c.leaving && c.state != unloading {
+	for _, c := range f.replicas {
+		if !c.draining && c.state != replicaUnloading {
 			n++
 		}
 	}
 	return n
 }
 
-// Order asks for copies of a function in all; fewer than stand lets idle ones go. It answers how many stand or are to
+// RequestReplicas asks for copies of a function in all; fewer than stand lets idle ones go. It answers how many stand or are to
 // be loaded; what finds no room when its turn comes is not loaded.
-func (r *Room) Order(_ time.Duration, name string, copies int) (int, Refusal) {
-	fn := r.fns[name]
+func (r *Controller) RequestReplicas(_ time.Duration, name string, copies int) (int, Decision) {
+	fn := r.functions[name]
 	switch {
 	case fn == nil:
 		return 0, Missing
-	case fn.Memory > r.limits.Memory:
-		return 0, TooBig
-	}
-	copies = min(max(0, copies), int(r.limits.Memory/fn.Memory))
-	have := fn.standing()
-	fn.asked = max(0, copies-have)
-	for _, c := range slices.Clone(fn.copies) { // idle ones first: a busy one goes when it is idle
-		if have > copies && c.state == warm && !c.leaving && c.calls == 0 {
-			c.leaving = true
+	case fn.MemoryBytes > r.limits.MemoryBytes:
+		return 0, TooLarge
+	}
+	copies = min(max(0, copies), int(r.limits.MemoryBytes/fn.MemoryBytes))
+	have := fn.activeReplicas()
+	fn.requested = max(0, copies-have)
+	for _, c := range slices.Clone(fn.replicas) { // idle ones first: a busy one goes when it is idle
+		if have > copies && c.state == replicaWarm && !c.draining && c.running == 0 {
+			c.draining = true
 			have--
 		}
 	}
-	return have + fn.asked, Taken
+	return have + fn.requested, Admitted
 }
 
-// Loaded tells how a load ended.
-func (r *Room) Loaded(now time.Duration, id uint64, well bool) {
-	c := r.copies[id]
-	if c == nil || c.state != loading {
+// LoadEnded tells how a load ended.
+func (r *Controller) LoadEnded(now time.Duration, id uint64, well bool) {
+	c := r.replicas[id]
+	if c == nil || c.state != replicaLoading {
 		return
 	}
-	r.loads--
+	r.loading--
 	if !well {
-		r.forget(c)
-		if c.fn.standing() == 0 { // those that waited for it are told, and come back later
-			for _, w := range c.fn.queue {
-				r.end(w, NoLoad)
+		r.removeReplica(c)
+		if c.function.activeReplicas() == 0 { // those that waited for it are told, and come back later
+			for _, w := range c.function.queue {
+				r.drop(w, LoadFailed)
 			}
-			c.fn.queue = nil
+			c.function.queue = nil
 		}
 		return
 	}
-	c.state, c.idle = warm, now
-	c.fn.load += (now - c.began - c.fn.load) / averaged
+	c.state, c.idleSince = replicaWarm, now
+	c.function.meanLoad += (now - c.loadStartedAt - c.function.meanLoad) / averageWindow
 }
 
-func (r *Room) end(w waiting, why Refusal) {
-	r.tenants[w.Tenant].wait--
-	r.waits--
-	r.over = append(r.over, Over{w.ID, why})
+func (r *Controller) drop(w queuedCall, why Decision) {
+	r.tenants[w.Tenant].waiting--
+	r.waiting--
+	r.dropped = append(r.dropped, DroppedCall{w.ID, why})
 }
 
-func (r *Room) forget(c *held) {
-	if c.state == unloading || r.copies[c.id] == nil {
+func (r *Controller) removeReplica(c *replica) {
+	if c.state == replicaUnloading || r.replicas[c.id] == nil {
 		return
 	}
-	r.reserved -= c.f.Memory
-	delete(r.copies, c.id)
-	c.fn.copies = slices.DeleteFunc(c.fn.copies, func(x *held) bool { return x == c })
+	r.reservedBytes -= c.release.MemoryBytes
+	delete(r.replicas, c.id)
+	c.function.replicas = slices.DeleteFunc(c.function.replicas, func(x *replica) bool { return x == c })
 }
 
-// Ended tells that a run is over.
-func (r *Room) Ended(now time.Duration, call uint64) {
-	x, is := r.calls[call]
+// CallEnded tells that a run is over.
+func (r *Controller) CallEnded(now time.Duration, call uint64) {
+	x, is := r.running[call]
 	if !is {
 		return
 	}
-	delete(r.calls, call)
-	r.tenants[x.tenant].run--
-	x.copy.calls--
-	x.copy.idle = now
-	x.copy.fn.run += (now - x.began - x.copy.fn.run) / averaged
+	delete(r.running, call)
+	r.tenants[x.tenant].running--
+	x.replica.running--
+	x.replica.idleSince = now
+	x.replica.function.meanRun += (now - x.startedAt - x.replica.function.meanRun) / averageWindow
 }
 
-// Dropped takes a waiting call back; false if it is not waiting, so that it runs or is over.
-func (r *Room) Dropped(name string, call uint64) bool {
-	fn := r.fns[name]
+// Withdraw takes a waiting call back; false if it is not waiting, so that it runs or is over.
+func (r *Controller) Withdraw(name string, call uint64) bool {
+	fn := r.functions[name]
 	if fn == nil {
 		return false
 	}
-	i := slices.IndexFunc(fn.queue, func(w waiting) bool { return w.ID == call })
+	i := slices.IndexFunc(fn.queue, func(w queuedCall) bool { return w.ID == call })
 	if i < 0 {
 		return false
 	}
-	r.tenants[fn.queue[i].Tenant].wait--
-	r.waits--
+	r.tenants[fn.queue[i].Tenant].waiting--
+	r.waiting--
 	fn.queue = slices.Delete(fn.queue, i, i+1)
 	return true
 }
 
-// Gone tells that a copy has ended by itself or was ended; the calls that ran on it are given back, and may have run.
-func (r *Room) Gone(now time.Duration, id uint64) []uint64 {
-	c := r.copies[id]
+// ReplicaExited tells that a copy has ended by itself or was ended; the calls that ran on it are given back, and may have run.
+func (r *Controller) ReplicaExited(now time.Duration, id uint64) []uint64 {
+	c := r.replicas[id]
 	if c == nil {
 		return nil
 	}
 	var lost []uint64
-	for call, x := range r.calls {
-		if x.copy == c {
+	for call, x := range r.running {
+		if x.replica == c {
 			lost = append(lost, call)
 		}
 	}
 	slices.Sort(lost)
 	for _, call := range lost {
-		r.Ended(now, call)
+		r.CallEnded(now, call)
 	}
-	if c.state == loading {
-		r.loads--
+	if c.state == replicaLoading {
+		r.loading--
 	}
-	if c.state == unloading {
-		r.Unloaded(id)
+	if c.state == replicaUnloading {
+		r.ReplicaUnloaded(id)
 	} else {
-		r.forget(c)
+		r.removeReplica(c)
 	}
 	return lost
 }
 
-// Unloaded tells that a copy is gone and its memory free.
-func (r *Room) Unloaded(id uint64) {
-	if c := r.copies[id]; c != nil && c.state == unloading {
-		c.state = warm
-		r.forget(c)
+// ReplicaUnloaded tells that a copy is gone and its memory free.
+func (r *Controller) ReplicaUnloaded(id uint64) {
+	if c := r.replicas[id]; c != nil && c.state == replicaUnloading {
+		c.state = replicaWarm
+		r.removeReplica(c)
 	}
 }
 
-// Reserved is the memory of all copies, those under way included.
-func (r *Room) Reserved() int64 { return r.reserved }
+// ReservedBytes is the memory of all copies, those under way included.
+func (r *Controller) ReservedBytes() int64 { return r.reservedBytes }
 
 // Waiting is the number of calls that wait, Running of those that run.
-func (r *Room) Waiting() int { return r.waits }
+func (r *Controller) Waiting() int { return r.waiting }
 
 // Running is the number of calls that run.
-func (r *Room) Running() int { return len(r.calls) }
+func (r *Controller) Running() int { return len(r.running) }
 
-// Of tells what stands of a function.
-func (r *Room) Of(name string) Counts {
+// Counts tells what stands of a function.
+func (r *Controller) Counts(name string) Counts {
 	var n Counts
-	if fn := r.fns[name]; fn != nil {
-		n.Waiting, n.Asked = len(fn.queue), fn.asked
-		for _, c := range fn.copies {
+	if fn := r.functions[name]; fn != nil {
+		n.Waiting, n.Requested = len(fn.queue), fn.requested
+		for _, c := range fn.replicas {
 			switch {
-			case c.state == loading:
+			case c.state == replicaLoading:
 				n.Loading++
-			case c.state == warm:
-				if !c.leaving { // one that takes nothing new serves nobody who comes
+			case c.state == replicaWarm:
+				if !c.draining { // one that takes nothing new serves nobody who comes
 					n.Warm++
 				}
-				if c.calls > 0 {
+				if c.running > 0 {
 					n.Busy++
 				}
-				if c.order {
-					n.Held++
+				if c.preloaded {
+					n.Unused++
 				}
 			}
 		}
@@ -413,61 +413,61 @@
 	return n
 }
 
-// Due answers what is due now.
-func (r *Room) Due(now time.Duration) Steps {
-	var st Steps
+// Advance answers what is due now.
+func (r *Controller) Advance(now time.Duration) Actions {
+	var st Actions
 	wake := time.Duration(math.MaxInt64)
-	names := slices.Sorted(maps.Keys(r.fns))
+	names := slices.Sorted(maps.Keys(r.functions))
 	for _, name := range names {
-		fn := r.fns[name]
-		fn.queue = slices.DeleteFunc(fn.queue, func(w waiting) bool {
-			if now >= w.Ends {
-				r.end(w, Late)
+		fn := r.functions[name]
+		fn.queue = slices.DeleteFunc(fn.queue, func(w queuedCall) bool {
+			if now >= w.Deadline {
+				r.drop(w, Expired)
 				return true
 			}
-			wake = min(wake, w.Ends)
+			wake = min(wake, w.Deadline)
 			return false
 		})
 	}
-	r.serve(now, names, &st)
+	r.dispatch(now, names, &st)
 	for _, name := range names { // what is idle too long, old or has to give way
-		for _, c := range slices.Clone(r.fns[name].copies) {
-			if c.state != warm || c.calls > 0 {
+		for _, c := range slices.Clone(r.functions[name].replicas) {
+			if c.state != replicaWarm || c.running > 0 {
 				continue
 			}
-			if c.leaving || now >= c.idle+r.limits.Keep {
+			if c.draining || now >= c.idleSince+r.limits.IdleTimeout {
 				r.unload(c, &st)
 			} else {
-				wake = min(wake, c.idle+r.limits.Keep)
+				wake = min(wake, c.idleSince+r.limits.IdleTimeout)
 			}
 		}
 	}
 	wake = min(wake, r.provision(now, names, &st))
-	st.Over, r.over = r.over, nil
+	st.Dropped, r.dropped = r.dropped, nil
 	if wake < math.MaxInt64 {
-		st.Next = max(1, wake-now)
+		st.WakeAfter = max(1, wake-now)
 	}
 	return st
 }
 
-// serve starts what waits on free lanes: the tenant that had least, of its functions the one that had least, oldest first.
-func (r *Room) serve(now time.Duration, names []string, st *Steps) {
-	for len(r.calls) < r.limits.Running {
-		var best *function
-		var at *held
-		var who *tenant
+// dispatch starts what waits on free lanes: the tenant that had least, of its functions the one that had least, oldest first.
+func (r *Controller) dispatch(now time.Duration, names []string, st *Actions) {
+	for len(r.running) < r.limits.MaxRunning {
+		var best *functionState
+		var at *replica
+		var who *tenantState
 		for _, name := range names {
-			fn := r.fns[name]
+			fn := r.functions[name]
 			if len(fn.queue) == 0 {
 				continue
 			}
-			c := fn.free()
+			c := fn.freeReplica()
 			if c == nil {
 				continue
 			}
 			t := r.tenants[fn.queue[0].Tenant]
-			if best == nil || cmp.Or(cmp.Compare(t.served, who.served), cmp.Compare(fn.served, best.served),
-				cmp.Compare(fn.queue[0].came, best.queue[0].came)) < 0 {
+			if best == nil || cmp.Or(cmp.Compare(t.virtualTime, who.virtualTime), cmp.Compare(fn.virtualTime, best.virtualTime),
+				cmp.Compare(fn.queue[0].queuedAt, best.queue[0].queuedAt)) < 0 {
 				best, at, who = fn, c, t
 			}
 		}
@@ -476,83 +476,85 @@
 		}
 		w := best.queue[0]
 		best.queue = best.queue[1:]
-		cost := float64(max(best.run, 1))
-		who.served += cost
-		best.served += cost
-		who.wait--
-		who.run++
-		r.waits--
-		at.calls++
-		at.order = false
-		r.calls[w.ID] = running{at, w.Tenant, now}
+		cost := float64(max(best.meanRun, 1))
+		who.virtualTime += cost
+		best.virtualTime += cost
+		who.waiting--
+		who.running++
+		r.waiting--
+		at.running++
+		at.preloaded = false
+		r.running[w.ID] = runningCall{at, w.Tenant, now}
 		st.Runs = append(st.Runs, Run{w.ID, at.id})
 	}
 }
 
-// free is the fullest copy with a free lane: the others starve and go.
-func (f *function) free() (best *held) {
-	for _, c := range f.copies {
-		if c.state == warm && !c.leaving && c.calls < c.f.Lanes && (best == nil || c.calls > best.calls) {
+// freeReplica is the fullest copy with a free lane: the others starve and go.
+func (f *functionState) freeReplica() (best *replica) {
+	for _, c := range f.replicas {
+		if c.state == replicaWarm && !c.draining && c.running < c.release.Concurrency && (best == nil || c.running > best.running) {
 			best = c
 		}
 	}
 	return best
 }
 
-func (r *Room) unload(c *held, st *Steps) {
-	c.state = unloading
+func (r *Controller) unload(c *replica, st *Actions) {
+	c.state = replicaUnloading
 	st.Unloads = append(st.Unloads, c.id)
 }
 
 // provision decides on loads: the function whose first call has waited longest first, orders after them.
-func (r *Room) provision(now time.Duration, names []string, st *Steps) time.Duration {
+func (r *Controller) provision(now time.Duration, names []string, st *Actions) time.Duration {
 	wake := time.Duration(math.MaxInt64)
-	short := slices.DeleteFunc(slices.Clone(names), func(n string) bool { return len(r.fns[n].queue) == 0 })
-	slices.SortStableFunc(short, func(a, b string) int { return cmp.Compare(r.fns[a].queue[0].came, r.fns[b].queue[0].came) })
+	short := slices.DeleteFunc(slices.Clone(names), func(n string) bool { return len(r.functions[n].queue) == 0 })
+	slices.SortStableFunc(short, func(a, b string) int {
+		return cmp.Compare(r.functions[a].queue[0].queuedAt, r.functions[b].queue[0].queuedAt)
+	})
 	for _, name := range short {
-		fn := r.fns[name]
-		for r.loads < r.limits.Loads && fn.wants(r) {
-			if room, _ := r.fit(fn, false, st); !room {
+		fn := r.functions[name]
+		for r.loading < r.limits.MaxLoads && fn.needsReplica(r) {
+			if room, _ := r.makeSpace(fn, false, st); !room {
 				break
 			}
-			r.load(fn, false, now, st)
+			r.startLoad(fn, false, now, st)
 		}
-		if fn.standing() > 0 || r.loads >= r.limits.Loads {
+		if fn.activeReplicas() > 0 || r.loading >= r.limits.MaxLoads {
 			continue
 		}
 		// without any copy and without room: others give way, at the latest after the time that a load takes
-		starved := fn.queue[0].came + time.Duration(starveLoads*float64(fn.load))
+		starved := fn.queue[0].queuedAt + time.Duration(starvationLoads*float64(fn.meanLoad))
 		if now < starved {
 			wake = min(wake, starved)
 		} else {
-			r.yield(fn)
+			r.drainFor(fn)
 		}
 	}
 	for _, name := range names {
-		fn := r.fns[name]
-		for fn.asked > 0 && r.loads < r.limits.Loads {
-			if room, coming := r.fit(fn, true, st); !room {
+		fn := r.functions[name]
+		for fn.requested > 0 && r.loading < r.limits.MaxLoads {
+			if room, coming := r.makeSpace(fn, true, st); !room {
 				if !coming {
-					fn.asked = 0 // what others use is not waited for
+					fn.requested = 0 // what others use is not waited for
 				}
 				break
 			}
-			fn.asked--
-			r.load(fn, true, now, st)
+			fn.requested--
+			r.startLoad(fn, true, now, st)
 		}
 	}
 	return wake
 }
 
-// wants tells whether another copy would serve what waits sooner than those that stand.
-func (f *function) wants(r *Room) bool {
+// needsReplica tells whether another copy would serve what waits sooner than those that stand.
+func (f *functionState) needsReplica(r *Controller) bool {
 	under, have := 0, 0
-	for _, c := range f.copies {
+	for _, c := range f.replicas {
 		switch {
-		case c.leaving:
-		case c.state == loading:
+		case c.draining:
+		case c.state == replicaLoading:
 			under++
-		case c.state == warm:
+		case c.state == replicaWarm:
 			have++
 		}
 	}
@@ -560,55 +562,55 @@
 	switch {
 	case have+under == 0:
 		return true
-	case queued <= under*f.Lanes, f.free() != nil, len(r.calls) >= r.limits.Running:
+	case queued <= under*f.Concurrency, f.freeReplica() != nil, len(r.running) >= r.limits.MaxRunning:
 		return false
 	case have == 0:
 		return true
 	}
-	wait := time.Duration(float64(queued) / float64(have*f.Lanes) * float64(f.run))
-	return wait > f.load
+	wait := time.Duration(float64(queued) / float64(have*f.Concurrency) * float64(f.meanRun))
+	return wait > f.meanLoad
 }
 
-func (r *Room) load(fn *function, order bool, now time.Duration, st *Steps) {
-	r.next++
-	c := &held{id: r.next, fn: fn, f: fn.Function, began: now, order: order}
-	r.copies[c.id] = c
-	fn.copies = append(fn.copies, c)
-	r.reserved += c.f.Memory
-	r.loads++
+func (r *Controller) startLoad(fn *functionState, order bool, now time.Duration, st *Actions) {
+	r.lastReplicaID++
+	c := &replica{id: r.lastReplicaID, function: fn, release: fn.Function, loadStartedAt: now, preloaded: order}
+	r.replicas[c.id] = c
+	fn.replicas = append(fn.replicas, c)
+	r.reservedBytes += c.release.MemoryBytes
+	r.loading++
 	st.Loads = append(st.Loads, Load{c.id, fn.Function})
 }
 
-// fit finds room for one more copy, or has idle copies go for it: those held by an order that no call has used, the
+// makeSpace finds room for one more copy, or has idle copies go for it: those held by an order that no call has used, the
 // oldest first, then the longest idle. An order displaces nothing that calls have used within its keep time. Room that
 // is on its way is room later: nothing more goes for it.
-func (r *Room) fit(fn *function, order bool, st *Steps) (room, coming bool) {
-	if r.reserved+fn.Memory <= r.limits.Memory {
+func (r *Controller) makeSpace(fn *functionState, order bool, st *Actions) (room, coming bool) {
+	if r.reservedBytes+fn.MemoryBytes <= r.limits.MemoryBytes {
 		return true, false
 	}
 	freed := int64(0)
-	var idle []*held
-	for _, c := range r.copies {
+	var idle []*replica
+	for _, c := range r.replicas {
 		switch {
-		case c.state == unloading:
-			freed += c.f.Memory
-		case c.state == warm && c.calls == 0 && c.fn != fn && (c.order || !order) && len(c.fn.queue) == 0:
+		case c.state == replicaUnloading:
+			freed += c.release.MemoryBytes
+		case c.state == replicaWarm && c.running == 0 && c.function != fn && (c.preloaded || !order) && len(c.function.queue) == 0:
 			idle = append(idle, c)
 		}
 	}
-	slices.SortFunc(idle, func(a, b *held) int {
-		if a.order != b.order {
-			if a.order {
+	slices.SortFunc(idle, func(a, b *replica) int {
+		if a.preloaded != b.preloaded {
+			if a.preloaded {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(a.idle, b.idle), cmp.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(a.idleSince, b.idleSince), cmp.Compare(a.id, b.id))
 	})
-	need := r.reserved + fn.Memory - r.limits.Memory - freed
+	need := r.reservedBytes + fn.MemoryBytes - r.limits.MemoryBytes - freed
 	possible := int64(0)
 	for _, c := range idle {
-		possible += c.f.Memory
+		possible += c.release.MemoryBytes
 	}
 	if possible < need {
 		return false, false // what would not be enough stays
@@ -617,29 +619,29 @@
 		if need <= 0 {
 			break
 		}
-		need -= c.f.Memory
+		need -= c.release.MemoryBytes
 		r.unload(c, st)
 	}
 	return false, true
 }
 
-// yield has busy copies take nothing new until there will be room: one at a time from the function that holds most.
-func (r *Room) yield(fn *function) {
+// drainFor has busy copies take nothing new until there will be room: one at a time from the function that holds most.
+func (r *Controller) drainFor(fn *functionState) {
 	coming := int64(0)
-	for _, c := range r.copies {
-		if c.leaving || c.state == unloading {
-			coming += c.f.Memory
+	for _, c := range r.replicas {
+		if c.draining || c.state == replicaUnloading {
+			coming += c.release.MemoryBytes
 		}
 	}
-	for r.reserved+fn.Memory-coming > r.limits.Memory {
-		var most *function
+	for r.reservedBytes+fn.MemoryBytes-coming > r.limits.MemoryBytes {
+		var most *functionState
 		size := int64(0)
-		for _, name := range slices.Sorted(maps.Keys(r.fns)) {
-			f := r.fns[name]
+		for _, name := range slices.Sorted(maps.Keys(r.functions)) {
+			f := r.functions[name]
 			holds := int64(0)
-			for _, c := range f.copies {
-				if c.state == warm && !c.leaving {
-					holds += c.f.Memory
+			for _, c := range f.replicas {
+				if c.state == replicaWarm && !c.draining {
+					holds += c.release.MemoryBytes
 				}
 			}
 			if f != fn && holds > size {
@@ -649,13 +651,13 @@
 		if most == nil {
 			return // all else is loading: it will be warm, then give way
 		}
-		var c *held
-		for _, x := range most.copies {
-			if x.state == warm && !x.leaving && (c == nil || x.calls < c.calls) {
+		var c *replica
+		for _, x := range most.replicas {
+			if x.state == replicaWarm && !x.draining && (c == nil || x.running < c.running) {
 				c = x
 			}
 		}
-		c.leaving = true
-		coming += c.f.Memory
+		c.draining = true
+		coming += c.release.MemoryBytes
 	}
 }
--- a/internal/worker/bench_test.go
+++ b/internal/worker/bench_test.go
@@ -19,10 +19,10 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// bench starts a worker and a link to it.
-func bench(b *testing.B, base string) (*worker.Worker, func(function, body string) *workerrpc.AttemptResult, func()) {
+// startBenchmarkWorker starts a worker and a link to it.
+func startBenchmarkWorker(b *testing.B, base string) (*worker.Worker, func(function, body string) *workerrpc.AttemptResult, func()) {
 	o, done := options(b.TempDir(), base)
-	o.Limits.Memory = 1 << 40
+	o.Limits.MemoryBytes = 1 << 40
 	w, err := worker.New(o)
 	if err != nil {
 		b.Fatal(err)
@@ -32,7 +32,7 @@
 		b.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	p := connect(ctx, listener.Addr().String())
+	p := newPeer(ctx, listener.Addr().String())
 	ended := make(chan error, 2)
 	go func() { ended <- w.Run(ctx, listener) }()
 	go func() { ended <- p.Run(ctx) }()
@@ -65,7 +65,7 @@
 	})
 	for _, kind := range []string{manifest.Process, manifest.Wasm} {
 		b.Run(kind, func(b *testing.B) {
-			_, call, end := bench(b, base)
+			_, call, end := startBenchmarkWorker(b, storeURL)
 			defer end()
 			call("preview-"+kind, `{"features":[1,2,3]}`)
 			b.ResetTimer()
@@ -78,11 +78,11 @@
 	}
 }
 
-// BenchmarkMany is events a second of warm copies with 16 in hand at a time, of both kinds.
-func BenchmarkMany(b *testing.B) {
+// BenchmarkConcurrentCalls is events a second of warm copies with 16 in hand at a time, of both kinds.
+func BenchmarkConcurrentCalls(b *testing.B) {
 	for _, kind := range []string{manifest.Process, manifest.Wasm} {
 		b.Run(kind, func(b *testing.B) {
-			_, call, end := bench(b, base)
+			_, call, end := startBenchmarkWorker(b, storeURL)
 			defer end()
 			call("preview-"+kind, `{"features":[1,2,3]}`)
 			b.SetParallelism(max(1, 16/runtime.GOMAXPROCS(0)))
@@ -103,11 +103,11 @@
 func BenchmarkColdLoad(b *testing.B) {
 	for _, kind := range []string{manifest.Process, manifest.Wasm} {
 		b.Run(kind, func(b *testing.B) {
-			var sum worker.Loading
+			var sum worker.LoadTimings
 			for range b.N {
-				w, call, end := bench(b, base)
+				w, call, end := startBenchmarkWorker(b, storeURL)
 				call("preview-"+kind, `{"features":[1,2,3]}`)
-				l := w.Loads()[0]
+				l := w.LoadTimings()[0]
 				sum.Fetch, sum.Verify, sum.Start = sum.Fetch+l.Fetch, sum.Verify+l.Verify, sum.Start+l.Start
 				sum.Compile += l.Compile
 				end()
@@ -120,11 +120,11 @@
 	}
 }
 
-// BenchmarkNeighbour is the p99 of a well-behaved function while another one spins, allocates, exits and floods without
+// BenchmarkNoisyNeighbour is the p99 of a well-behaved function while another one spins, allocates, exits and floods without
 // end, over that without it. Run it with -benchtime 1x.
-func BenchmarkNeighbour(b *testing.B) {
+func BenchmarkNoisyNeighbour(b *testing.B) {
 	for range b.N {
-		_, call, end := bench(b, base)
+		_, call, end := startBenchmarkWorker(b, storeURL)
 		call("preview-process", `{"features":[1,2,3]}`)
 		p99 := func() time.Duration {
 			var took []time.Duration
@@ -162,15 +162,15 @@
 	}
 }
 
-// BenchmarkIdleCopies is the memory of 1, 10 and 100 idle copies, by the worker's own report.
-func BenchmarkIdleCopies(b *testing.B) {
+// BenchmarkIdleReplicas is the memory of 1, 10 and 100 idle copies, by the worker's own report.
+func BenchmarkIdleReplicas(b *testing.B) {
 	for _, kind := range []string{manifest.Process, manifest.Wasm} {
 		for _, n := range []int{1, 10, 100} {
 			b.Run(fmt.Sprint(kind, "-", n), func(b *testing.B) {
 				for range b.N {
 					many := b.TempDir()
 					for i := range n {
-						from, name := filepath.Join(store, "preview-"+kind, "1"), fmt.Sprint("f", i)
+						from, name := filepath.Join(packagesDir, "preview-"+kind, "1"), fmt.Sprint("f", i)
 						to := filepath.Join(many, name, "1")
 						if err := os.CopyFS(to, os.DirFS(from)); err != nil {
 							b.Fatal(err)
@@ -190,7 +190,7 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					w, call, end := bench(b, own.Client.Base)
+					w, call, end := startBenchmarkWorker(b, own.Client.Base)
 					time.Sleep(50 * time.Millisecond)
 					before := w.LoadReport().MemoryBytes
 					at := time.Now()
--- a/internal/worker/compat_test.go
+++ b/internal/worker/compat_test.go
@@ -35,12 +35,12 @@
 		if err != nil {
 			t.Fatalf("life %d: got error %v, want none", life, err)
 		}
-		if !reflect.DeepEqual(j.cut, cut) {
-			t.Errorf("life %d: interrupted loads: got %+v, want %+v", life, j.cut, cut)
+		if !reflect.DeepEqual(j.interruptedLoads, cut) {
+			t.Errorf("life %d: interrupted loads: got %+v, want %+v", life, j.interruptedLoads, cut)
 		}
 		cut = nil // they are reported to one life only
-		if want := 1500 * time.Millisecond; j.warmUp != want {
-			t.Errorf("life %d: warm-up: got %v, want %v", life, j.warmUp, want)
+		if want := 1500 * time.Millisecond; j.warmUpDuration != want {
+			t.Errorf("life %d: warm-up: got %v, want %v", life, j.warmUpDuration, want)
 		}
 		if got := j.now(); got.Before(last) || got.After(storedAt.AddDate(0, 11, 0)) {
 			t.Errorf("life %d: clock: got %v, want a time from %v on, within the windows", life, got, last)
@@ -49,11 +49,11 @@
 		}
 		for _, c := range []struct {
 			name    string
-			verdict idempotency.Verdict
+			verdict idempotency.Decision
 			body    string
 		}{
-			{"completed", idempotency.Handled, "the stored answer"},
-			{"accepted", idempotency.Repeat, ""},
+			{"completed", idempotency.DecisionCompleted, "the stored answer"},
+			{"accepted", idempotency.DecisionDuplicate, ""},
 		} {
 			_, verdict, body := j.Claim(context.Background(), c.name, time.Hour)
 			if verdict != c.verdict || string(body) != c.body {
@@ -62,8 +62,8 @@
 		}
 		if life == 2 { // claimed last: they are new keys from here on
 			for _, name := range []string{"released", "expired", "unknown"} {
-				if _, got, _ := j.Claim(context.Background(), name, time.Hour); got != idempotency.Run {
-					t.Errorf("key %q: got verdict %d, want %d", name, got, idempotency.Run)
+				if _, got, _ := j.Claim(context.Background(), name, time.Hour); got != idempotency.DecisionExecute {
+					t.Errorf("key %q: got verdict %d, want %d", name, got, idempotency.DecisionExecute)
 				}
 			}
 		}
--- a/internal/worker/export_test.go
+++ b/internal/worker/export_test.go
@@ -13,8 +13,8 @@
 	"lupinpond/internal/base/durable"
 )
 
-// Shift rewrites a journal as if the system's clock had been off by so much all through the life that wrote it.
-func Shift(t *testing.T, path string, by time.Duration) {
+// ShiftJournalClock rewrites a journal as if the system's clock had been off by so much all through the life that wrote it.
+func ShiftJournalClock(t *testing.T, path string, by time.Duration) {
 	in, err := os.Open(path)
 	if err != nil {
 		t.Fatal(err)
@@ -24,19 +24,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dec, enc := cbor.NewDecoder(bufio.NewReader(in)), durable.Mode().NewEncoder(out)
+	dec, enc := cbor.NewDecoder(bufio.NewReader(in)), durable.EncMode().NewEncoder(out)
 	for {
-		var x note
+		var x journalRecord
 		if err := dec.Decode(&x); errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
 			t.Fatal(err)
 		}
-		if !x.Until.IsZero() {
-			x.Until = x.Until.Add(by)
+		if !x.ExpiresAt.IsZero() {
+			x.ExpiresAt = x.ExpiresAt.Add(by)
 		}
-		if x.Mark != nil {
-			x.Mark.At = x.Mark.At.Add(by)
+		if x.ClockMark != nil {
+			x.ClockMark.Time = x.ClockMark.Time.Add(by)
 		}
 		if err := enc.Encode(x); err != nil {
 			t.Fatal(err)
--- a/internal/worker/faultinject/silence.go
+++ b/internal/worker/faultinject/silence.go
@@ -30,7 +30,7 @@
 
 type listener struct {
 	net.Listener
-	s *Silencer
+	silencer *Silencer
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -38,26 +38,26 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: c, s: l.s, gone: make(chan struct{})}, nil
+	return &conn{Conn: c, silencer: l.silencer, closed: make(chan struct{})}, nil
 }
 
 type conn struct {
 	net.Conn
-	s    *Silencer
-	once sync.Once
-	gone chan struct{}
+	silencer *Silencer
+	once     sync.Once
+	closed   chan struct{}
 }
 
 func (c *conn) wait() {
-	c.s.mu.Lock()
-	ended := c.s.ended
-	c.s.mu.Unlock()
+	c.silencer.mu.Lock()
+	ended := c.silencer.ended
+	c.silencer.mu.Unlock()
 	if ended == nil {
 		return
 	}
 	select {
 	case <-ended:
-	case <-c.gone:
+	case <-c.closed:
 	}
 }
 
@@ -73,6 +73,6 @@
 }
 
 func (c *conn) Close() error {
-	c.once.Do(func() { close(c.gone) })
+	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
--- a/internal/worker/faultinject/troubles.go
+++ b/internal/worker/faultinject/troubles.go
@@ -2,34 +2,34 @@
 
 import "fmt"
 
-// Troubles are how a worker misbehaves when told. The zero value does not.
-type Troubles struct {
-	Hang      bool    // takes events and never answers
-	Slow      float64 // answers so many times later; 0: as usual
-	Refuse    string  // turns this tenant away as full
-	Errors    bool    // answers errors at once
-	FailLoads bool
-	Reports   float64 // multiplies what it reports as waiting; 0: the truth
+// Faults are how a worker misbehaves when told. The zero value does not.
+type Faults struct {
+	Hang         bool    // takes events and never answers
+	SlowFactor   float64 // answers so many times later; 0: as usual
+	RejectTenant string  // turns this tenant away as full
+	FailRequests bool    // answers errors at once
+	FailLoads    bool
+	ReportFactor float64 // multiplies what it reports as waiting; 0: the truth
 }
 
-// Named gives what sets and undoes the trouble of a name: hang, slow (factor), refuse (tenant), errors, fail-loads,
+// ByName gives what sets and undoes the trouble of a name: hang, slow (factor), refuse (tenant), errors, fail-loads,
 // false-reports (factor), or silence, which changes nothing here. A factor or tenant that is missing, or that the trouble has no use for, is an error.
-func Named(what, tenant string, factor float64) (set, undo func(*Troubles), err error) {
+func ByName(what, tenant string, factor float64) (set, undo func(*Faults), err error) {
 	switch what {
 	case "hang":
-		set, undo = func(t *Troubles) { t.Hang = true }, func(t *Troubles) { t.Hang = false }
+		set, undo = func(t *Faults) { t.Hang = true }, func(t *Faults) { t.Hang = false }
 	case "slow":
-		set, undo = func(t *Troubles) { t.Slow = factor }, func(t *Troubles) { t.Slow = 0 }
+		set, undo = func(t *Faults) { t.SlowFactor = factor }, func(t *Faults) { t.SlowFactor = 0 }
 	case "refuse":
-		set, undo = func(t *Troubles) { t.Refuse = tenant }, func(t *Troubles) { t.Refuse = "" }
+		set, undo = func(t *Faults) { t.RejectTenant = tenant }, func(t *Faults) { t.RejectTenant = "" }
 	case "errors":
-		set, undo = func(t *Troubles) { t.Errors = true }, func(t *Troubles) { t.Errors = false }
+		set, undo = func(t *Faults) { t.FailRequests = true }, func(t *Faults) { t.FailRequests = false }
 	case "fail-loads":
-		set, undo = func(t *Troubles) { t.FailLoads = true }, func(t *Troubles) { t.FailLoads = false }
+		set, undo = func(t *Faults) { t.FailLoads = true }, func(t *Faults) { t.FailLoads = false }
 	case "false-reports":
-		set, undo = func(t *Troubles) { t.Reports = factor }, func(t *Troubles) { t.Reports = 0 }
+		set, undo = func(t *Faults) { t.ReportFactor = factor }, func(t *Faults) { t.ReportFactor = 0 }
 	case "silence": // of the connections: Silencer
-		set, undo = func(*Troubles) {}, func(*Troubles) {}
+		set, undo = func(*Faults) {}, func(*Faults) {}
 	default:
 		return nil, nil, fmt.Errorf("what %q is not hang, silence, slow, refuse, errors, fail-loads or false-reports", what)
 	}
--- a/internal/worker/idempotency/compat_test.go
+++ b/internal/worker/idempotency/compat_test.go
@@ -23,16 +23,16 @@
 	}
 	type claim struct {
 		key, claim string
-		said       idempotency.Said
+		said       idempotency.Vote
 		holder     string
 		body       string
 	}
 	check := func(r *idempotency.Register, c claim) {
 		t.Helper()
 		said, have, err := r.Claim(c.key, c.claim, time.Hour)
-		if err != nil || said != c.said || have.Claim != c.holder || string(have.Body) != c.body {
+		if err != nil || said != c.said || have.Claim != c.holder || string(have.Response) != c.body {
 			t.Errorf("claim %q of key %q: got %d, holder %q, answer %q, error %v; want %d, holder %q, answer %q",
-				c.claim, c.key, said, have.Claim, have.Body, err, c.said, c.holder, c.body)
+				c.claim, c.key, said, have.Claim, have.Response, err, c.said, c.holder, c.body)
 		}
 	}
 	for life := 1; life <= 2; life++ {
@@ -40,17 +40,17 @@
 		if err != nil {
 			t.Fatalf("life %d: got error %v, want none", life, err)
 		}
-		check(r, claim{"held", "second", idempotency.Held, "first", ""})
-		check(r, claim{"held", "first", idempotency.Granted, "first", ""}) // asked again
-		check(r, claim{"settled", "second", idempotency.Done, "first", "the stored answer"})
+		check(r, claim{"held", "second", idempotency.VoteClaimed, "first", ""})
+		check(r, claim{"held", "first", idempotency.VoteGranted, "first", ""}) // asked again
+		check(r, claim{"settled", "second", idempotency.VoteCompleted, "first", "the stored answer"})
 		_, have, err := r.Claim("held", "second", time.Hour)
 		if from, to := time.Date(2200, 12, 1, 0, 0, 0, 0, time.UTC), time.Date(2201, 2, 1, 0, 0, 0, 0, time.UTC); err != nil ||
-			have.Until.Before(from) || have.Until.After(to) {
-			t.Errorf("end of the window of key %q: got %v, error %v, want between %v and %v", "held", have.Until, err, from, to)
+			have.ExpiresAt.Before(from) || have.ExpiresAt.After(to) {
+			t.Errorf("end of the window of key %q: got %v, error %v, want between %v and %v", "held", have.ExpiresAt, err, from, to)
 		}
 		if life == 2 {
 			// The stored number of keys counts: the register is full until the expired key is swept away.
-			check(r, claim{"released", "second", idempotency.Granted, "second", ""})
+			check(r, claim{"released", "second", idempotency.VoteGranted, "second", ""})
 			if said, _, err := r.Claim("unknown", "second", time.Hour); !errors.Is(err, idempotency.ErrFull) {
 				t.Errorf("claim beyond the limit: got %d, error %v, want error %v", said, err, idempotency.ErrFull)
 			}
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	defer r.Close()
-	check(r, claim{"expired", "second", idempotency.Granted, "second", ""})
-	check(r, claim{"released", "third", idempotency.Held, "second", ""})
-	check(r, claim{"settled", "third", idempotency.Done, "first", "the stored answer"})
+	check(r, claim{"expired", "second", idempotency.VoteGranted, "second", ""})
+	check(r, claim{"released", "third", idempotency.VoteClaimed, "second", ""})
+	check(r, claim{"settled", "third", idempotency.VoteCompleted, "first", "the stored answer"})
 }
--- a/internal/worker/idempotency/golden_test.go
+++ b/internal/worker/idempotency/golden_test.go
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	h := r.Handler()
-	long := base64.StdEncoding.EncodeToString(make([]byte, idempotency.MostBody+1))
+	long := base64.StdEncoding.EncodeToString(make([]byte, idempotency.MaxStoredResponse+1))
 	for i, x := range []struct{ path, body, want string }{
 		{"/v1/claim", `{"key":"k-1","claim":"c-1","window-ms":86400000}`, said + `{"said":"granted","holder":"c-1"}` + "\n"},
 		{"/v1/claim", `{"key":"k-1","claim":"c-1","window-ms":1}`, said + `{"said":"granted","holder":"c-1"}` + "\n"},
@@ -131,22 +131,22 @@
 	gives := `POST /v1/release ` + "\n" + `{"key":"k-1","claim":"CLAIM"}`
 	for _, x := range []struct {
 		answer  string
-		verdict idempotency.Verdict
+		verdict idempotency.Decision
 		body    string
 		after   func(g *idempotency.Group, claim string)
 		want    []string
 	}{
-		{`{"said":"granted","holder":"c-1"}`, idempotency.Run, "", func(g *idempotency.Group, claim string) { g.Handled("k-1", claim, []byte{0, 1, 255}) },
+		{`{"said":"granted","holder":"c-1"}`, idempotency.DecisionExecute, "", func(g *idempotency.Group, claim string) { g.Complete("k-1", claim, []byte{0, 1, 255}) },
 			[]string{claims, `POST /v1/handled ` + "\n" + `{"key":"k-1","claim":"CLAIM","body":"AAH/"}`}},
-		{`{"said":"granted","holder":"c-1"}`, idempotency.Run, "", func(g *idempotency.Group, claim string) {
-			g.Handled("k-1", claim, make([]byte, idempotency.MostBody+1))
+		{`{"said":"granted","holder":"c-1"}`, idempotency.DecisionExecute, "", func(g *idempotency.Group, claim string) {
+			g.Complete("k-1", claim, make([]byte, idempotency.MaxStoredResponse+1))
 		}, []string{claims, `POST /v1/handled ` + "\n" + `{"key":"k-1","claim":"CLAIM"}`}},
-		{`{"said":"granted","holder":"c-1"}`, idempotency.Run, "", func(g *idempotency.Group, claim string) { g.Release("k-1", claim) },
+		{`{"said":"granted","holder":"c-1"}`, idempotency.DecisionExecute, "", func(g *idempotency.Group, claim string) { g.Release("k-1", claim) },
 			[]string{claims, gives}},
-		{`{"said":"held","holder":"c-2"}`, idempotency.Repeat, "", nil, []string{claims}},
-		{`{"said":"done","holder":"c-2","body":"AAH/"}`, idempotency.Handled, "\x00\x01\xff", nil, []string{claims}},
-		{`{"said":"other"}`, idempotency.Unknown, "", nil, []string{claims, gives}},
-		{`x`, idempotency.Unknown, "", nil, []string{claims, gives}},
+		{`{"said":"held","holder":"c-2"}`, idempotency.DecisionDuplicate, "", nil, []string{claims}},
+		{`{"said":"done","holder":"c-2","body":"AAH/"}`, idempotency.DecisionCompleted, "\x00\x01\xff", nil, []string{claims}},
+		{`{"said":"other"}`, idempotency.DecisionUnknown, "", nil, []string{claims, gives}},
+		{`x`, idempotency.DecisionUnknown, "", nil, []string{claims, gives}},
 	} {
 		reg := &recorder{answer: x.answer}
 		s := httptest.NewServer(reg)
--- a/internal/worker/idempotency/idempotency.go
+++ b/internal/worker/idempotency/idempotency.go
@@ -8,95 +8,95 @@
 
 import "time"
 
-// Said is what one register says to a claim.
-type Said int
+// Vote is what one register says to a claim.
+type Vote int
 
 // What a register says.
 const (
-	Unheard Said = iota // nothing yet
-	Granted             // the key is this claim's
-	Held                // another claim has it: its event may have run
-	Done                // another claim has it and its event was handled
-	Failed              // no answer, or an error: it may have granted
+	VotePending   Vote = iota // nothing yet
+	VoteGranted               // the key is this claim's
+	VoteClaimed               // another claim has it: its event may have run
+	VoteCompleted             // another claim has it and its event was handled
+	VoteFailed                // no answer, or an error: it may have granted
 )
 
-// Verdict is what a worker makes of what it has heard.
-type Verdict int
+// Decision is what a worker makes of what it has heard.
+type Decision int
 
 // The verdicts.
 const (
-	Undecided Verdict = iota
-	Run               // it is this claim's
-	Repeat            // of one that may have run
-	Handled           // repeat of one that was handled
-	Unknown           // too few registers answered: the event is not run
+	DecisionPending   Decision = iota
+	DecisionExecute            // it is this claim's
+	DecisionDuplicate          // of one that may have run
+	DecisionCompleted          // repeat of one that was handled
+	DecisionUnknown            // too few registers answered: the event is not run
 )
 
 // Entry is what a register keeps of a key.
 type Entry struct {
-	Claim   string    `cbor:"1,keyasint"`
-	Until   time.Time `cbor:"2,keyasint"` // the end of its window
-	Handled bool      `cbor:"3,keyasint,omitempty"`
-	Body    []byte    `cbor:"4,keyasint,omitempty"` // the answer of the event that was handled, if it is short enough to be kept
+	Claim     string    `cbor:"1,keyasint"`
+	ExpiresAt time.Time `cbor:"2,keyasint"` // the end of its window
+	Completed bool      `cbor:"3,keyasint,omitempty"`
+	Response  []byte    `cbor:"4,keyasint,omitempty"` // the answer of the event that was handled, if it is short enough to be kept
 }
 
-// MostBody is how many bytes of an answer are kept for repeats; of a longer one they are told only that it was handled.
-const MostBody = 64 << 10
+// MaxStoredResponse is how many bytes of an answer are kept for repeats; of a longer one they are told only that it was handled.
+const MaxStoredResponse = 64 << 10
 
-// Ask decides on a claim at one register, which has the entry have if known. It answers the entry that stands then; changed says
+// EvaluateClaim decides on a claim at one register, which has the entry have if known. It answers the entry that stands then; changed says
 // that it has to be written down before the answer is given.
-func Ask(now time.Time, have Entry, known bool, claim string, window time.Duration) (keep Entry, changed bool, said Said) {
+func EvaluateClaim(now time.Time, have Entry, known bool, claim string, window time.Duration) (keep Entry, changed bool, said Vote) {
 	switch {
-	case !known || !now.Before(have.Until):
-		return Entry{Claim: claim, Until: now.Add(window)}, true, Granted
+	case !known || !now.Before(have.ExpiresAt):
+		return Entry{Claim: claim, ExpiresAt: now.Add(window)}, true, VoteGranted
 	case have.Claim == claim: // asked again: the answer before was lost
-		return have, false, Granted
-	case have.Handled:
-		return have, false, Done
+		return have, false, VoteGranted
+	case have.Completed:
+		return have, false, VoteCompleted
 	default:
-		return have, false, Held
+		return have, false, VoteClaimed
 	}
 }
 
 // Tally is what a worker has heard of one claim. The zero value is not ready; use NewTally.
 type Tally struct {
-	said   []Said
-	holder []string
+	votes  []Vote
+	owners []string
 }
 
 // NewTally begins a claim at so many registers.
 func NewTally(registers int) *Tally {
-	return &Tally{said: make([]Said, registers), holder: make([]string, registers)}
+	return &Tally{votes: make([]Vote, registers), owners: make([]string, registers)}
 }
 
-// Hear notes what a register said, and who holds the key there if another claim does, and answers what follows from all
+// Record notes what a register said, and who holds the key there if another claim does, and answers what follows from all
 // that was heard.
-func (t *Tally) Hear(register int, said Said, holder string) Verdict {
-	t.said[register], t.holder[register] = said, holder
+func (t *Tally) Record(register int, said Vote, holder string) Decision {
+	t.votes[register], t.owners[register] = said, holder
 	granted, unheard := 0, 0
 	others := map[string]int{}
-	for i, s := range t.said {
+	for i, s := range t.votes {
 		switch s {
-		case Granted:
+		case VoteGranted:
 			granted++
-		case Unheard:
+		case VotePending:
 			unheard++
-		case Done:
-			return Handled // only a claim with more than half was run and handled
-		case Held:
-			others[t.holder[i]]++
+		case VoteCompleted:
+			return DecisionCompleted // only a claim with more than half was run and handled
+		case VoteClaimed:
+			others[t.owners[i]]++
 		}
 	}
 	for _, n := range others {
-		if 2*n > len(t.said) {
-			return Repeat
+		if 2*n > len(t.votes) {
+			return DecisionDuplicate
 		}
 	}
 	switch {
-	case 2*granted > len(t.said):
-		return Run
+	case 2*granted > len(t.votes):
+		return DecisionExecute
 	case unheard > 0:
-		return Undecided
+		return DecisionPending
 	}
-	return Unknown // split, or too few answered: nobody is known to have it
+	return DecisionUnknown // split, or too few answered: nobody is known to have it
 }
--- a/internal/worker/idempotency/idempotency_test.go
+++ b/internal/worker/idempotency/idempotency_test.go
@@ -23,49 +23,49 @@
 
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("LP_TEST_REGISTER"); dir != "" {
-		claims(dir)
+		claimUntilKilled(dir)
 	}
 	goleak.VerifyTestMain(m)
 }
 
-// fate is what happens to one message and its answer at one register.
-type fate int
+// delivery is what happens to one message and its answer at one register.
+type delivery int
 
 const (
-	arrives fate = iota
-	lost
+	delivered delivery = iota
+	requestLost
 	answerLost
 )
 
 // Two workers claim one key at three registers, in every order at each of them and with every message or answer lost;
 // never do both run it, and where nothing is lost one does.
-func TestEveryOrderAndLoss(t *testing.T) {
+func TestConcurrentClaimsEveryOrderAndLoss(t *testing.T) {
 	now := time.Unix(1000, 0)
 	const registers = 3
 	runs := map[string]int{}
-	hear := func(t *idempotency.Tally, i int, s idempotency.Said, h string, v idempotency.Verdict) idempotency.Verdict {
-		if v == idempotency.Undecided {
-			return t.Hear(i, s, h)
+	hear := func(t *idempotency.Tally, i int, s idempotency.Vote, h string, v idempotency.Decision) idempotency.Decision {
+		if v == idempotency.DecisionPending {
+			return t.Record(i, s, h)
 		}
 		return v
 	}
 	type outcome struct {
-		said   [2]idempotency.Said
+		said   [2]idempotency.Vote
 		holder [2]string
 	}
-	at := func(first int, f [2]fate) outcome {
-		o := outcome{said: [2]idempotency.Said{idempotency.Failed, idempotency.Failed}}
+	at := func(first int, f [2]delivery) outcome {
+		o := outcome{said: [2]idempotency.Vote{idempotency.VoteFailed, idempotency.VoteFailed}}
 		var e idempotency.Entry
 		known := false
 		for _, who := range []int{first, 1 - first} {
-			if f[who] == lost {
+			if f[who] == requestLost {
 				continue
 			}
-			keep, changed, said := idempotency.Ask(now, e, known, fmt.Sprint(who), time.Second)
+			keep, changed, said := idempotency.EvaluateClaim(now, e, known, fmt.Sprint(who), time.Second)
 			if changed {
 				e, known = keep, true
 			}
-			if f[who] == arrives {
+			if f[who] == delivered {
 				o.said[who], o.holder[who] = said, keep.Claim
 			}
 		}
@@ -76,7 +76,7 @@
 		for first := range 2 {
 			for a := range 3 {
 				for b := range 3 {
-					outcomes[i] = append(outcomes[i], at(first, [2]fate{fate(a), fate(b)}))
+					outcomes[i] = append(outcomes[i], at(first, [2]delivery{delivery(a), delivery(b)}))
 				}
 			}
 		}
@@ -85,22 +85,22 @@
 	for _, x := range outcomes[0] {
 		for _, y := range outcomes[1] {
 			for _, z := range outcomes[2] {
-				var v [2]idempotency.Verdict
+				var v [2]idempotency.Decision
 				lossless := true
 				for who := range 2 {
 					tally := idempotency.NewTally(registers)
 					for i, o := range []outcome{x, y, z} {
 						v[who] = hear(tally, i, o.said[who], o.holder[who], v[who])
-						lossless = lossless && o.said[who] != idempotency.Failed
+						lossless = lossless && o.said[who] != idempotency.VoteFailed
 					}
-					if v[who] == idempotency.Undecided {
+					if v[who] == idempotency.DecisionPending {
 						t.Fatal("no verdict though all was heard: ", x, y, z)
 					}
 				}
-				if v[0] == idempotency.Run && v[1] == idempotency.Run {
+				if v[0] == idempotency.DecisionExecute && v[1] == idempotency.DecisionExecute {
 					t.Fatal("both run: ", x, y, z)
 				}
-				if lossless && v[0] != idempotency.Run && v[1] != idempotency.Run {
+				if lossless && v[0] != idempotency.DecisionExecute && v[1] != idempotency.DecisionExecute {
 					t.Fatal("nobody runs though nothing was lost: ", x, y, z)
 				}
 				total++
@@ -114,46 +114,46 @@
 }
 
 // A key whose claim was given back before it ran can be had by the next; one that was handled is a repeat of that.
-func TestGivenBackAndHandled(t *testing.T) {
-	g, registers := group(t, 3)
+func TestReleasedAndCompletedClaims(t *testing.T) {
+	g, registers := newGroup(t, 3)
 	ctx := context.Background()
 	a, v, _ := g.Claim(ctx, "k", time.Minute)
-	want(t, v, idempotency.Run)
+	expectDecision(t, v, idempotency.DecisionExecute)
 	_, v, _ = g.Claim(ctx, "k", time.Minute)
-	want(t, v, idempotency.Repeat)
+	expectDecision(t, v, idempotency.DecisionDuplicate)
 	g.Release("k", a)
 	g.Close()
 	b, v, _ := g.Claim(ctx, "k", time.Minute)
-	want(t, v, idempotency.Run)
-	g.Handled("k", b, []byte("its answer"))
+	expectDecision(t, v, idempotency.DecisionExecute)
+	g.Complete("k", b, []byte("its answer"))
 	g.Release("k", a) // late: of another claim
 	g.Close()
 	_, v, body := g.Claim(ctx, "k", time.Minute)
-	want(t, v, idempotency.Handled)
+	expectDecision(t, v, idempotency.DecisionCompleted)
 	if string(body) != "its answer" {
 		t.Errorf("a repeat got %q", body)
 	}
 	registers[0].down.Store(true) // one of three is away: nothing changes
 	_, v, _ = g.Claim(ctx, "k", time.Minute)
-	want(t, v, idempotency.Handled)
+	expectDecision(t, v, idempotency.DecisionCompleted)
 	c, v, _ := g.Claim(ctx, "other", time.Minute)
-	want(t, v, idempotency.Run)
+	expectDecision(t, v, idempotency.DecisionExecute)
 	registers[1].down.Store(true) // two are: nothing is run that is not known to be the first
 	_, v, _ = g.Claim(ctx, "third", time.Minute)
-	want(t, v, idempotency.Unknown)
-	g.Handled("other", c, make([]byte, idempotency.MostBody+1))
+	expectDecision(t, v, idempotency.DecisionUnknown)
+	g.Complete("other", c, make([]byte, idempotency.MaxStoredResponse+1))
 	g.Close()
 	registers[0].down.Store(false)
 	registers[1].down.Store(false)
 	_, v, _ = g.Claim(ctx, "other", time.Minute) // register 2 knows
-	want(t, v, idempotency.Handled)
+	expectDecision(t, v, idempotency.DecisionCompleted)
 	_, v, _ = g.Claim(ctx, "third", time.Minute) // was given back where it had been granted
-	want(t, v, idempotency.Run)
+	expectDecision(t, v, idempotency.DecisionExecute)
 	short, v, _ := g.Claim(ctx, "short", time.Millisecond)
-	want(t, v, idempotency.Run)
+	expectDecision(t, v, idempotency.DecisionExecute)
 	for end := time.Now().Add(10 * time.Second); ; {
 		again, v, _ := g.Claim(ctx, "short", time.Millisecond)
-		if v == idempotency.Run && again != short {
+		if v == idempotency.DecisionExecute && again != short {
 			break
 		}
 		if time.Now().After(end) {
@@ -164,13 +164,13 @@
 
 // Fifty workers claim each of twenty keys at the same time, one register answering errors now and then: each key is
 // granted to one at most.
-func TestManyClaimsAtOnce(t *testing.T) {
-	g, registers := group(t, 3)
+func TestConcurrentClaimsRunOnce(t *testing.T) {
+	g, registers := newGroup(t, 3)
 	var count atomic.Int64
-	registers[1].every = &count
+	registers[1].requests = &count
 	var ran [20]atomic.Int64
 	claim := func(k int) {
-		if _, v, _ := g.Claim(context.Background(), fmt.Sprint("k", k), time.Minute); v == idempotency.Run {
+		if _, v, _ := g.Claim(context.Background(), fmt.Sprint("k", k), time.Minute); v == idempotency.DecisionExecute {
 			ran[k].Add(1)
 		}
 	}
@@ -193,7 +193,7 @@
 }
 
 // A register that is killed at any moment knows every claim that it granted.
-func TestKilledRegister(t *testing.T) {
+func TestRegisterSurvivesKill(t *testing.T) {
 	dir := t.TempDir()
 	granted := 0
 	for round := range 5 {
@@ -236,7 +236,7 @@
 			}
 			key := strings.TrimSpace(line)
 			said, have, err := r.Claim(key, "another", time.Hour)
-			if said != idempotency.Held || have.Claim != "first" || err != nil {
+			if said != idempotency.VoteClaimed || have.Claim != "first" || err != nil {
 				t.Errorf("%s: %v by %q, %v", key, said, have.Claim, err)
 			}
 			granted++
@@ -250,7 +250,7 @@
 	}
 }
 
-func claims(dir string) {
+func claimUntilKilled(dir string) {
 	r, err := idempotency.Open(dir, 1<<20)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -258,14 +258,14 @@
 	}
 	for i := 0; ; i++ {
 		key := fmt.Sprint("k", os.Getenv("LP_TEST_ROUND"), "-", i)
-		if said, _, err := r.Claim(key, "first", time.Hour); said == idempotency.Granted && err == nil {
+		if said, _, err := r.Claim(key, "first", time.Hour); said == idempotency.VoteGranted && err == nil {
 			fmt.Println(key)
 		}
 	}
 }
 
 // A register that is full of keys inside their windows grants no other, and does once windows are over.
-func TestFullRegister(t *testing.T) {
+func TestRegisterFull(t *testing.T) {
 	r, err := idempotency.Open(t.TempDir(), 2)
 	if err != nil {
 		t.Fatal(err)
@@ -300,7 +300,7 @@
 	}
 }
 
-func FuzzMessage(f *testing.F) {
+func FuzzRegisterHTTP(f *testing.F) {
 	f.Add("claim", `{"key":"k","claim":"c","window-ms":10}`)
 	f.Add("claim", `{"key":"k","claim":"c","window-ms":9223372036854775807}`)
 	f.Add("release", `{"key":"","claim":"c"}{}`)
@@ -325,29 +325,29 @@
 	})
 }
 
-type standing struct {
-	down  atomic.Bool
-	every *atomic.Int64 // every third request fails
-	h     http.Handler
+type flakyRegister struct {
+	down     atomic.Bool
+	requests *atomic.Int64 // every third request fails
+	handler  http.Handler
 }
 
-func (s *standing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if s.down.Load() || s.every != nil && s.every.Add(1)%3 == 0 {
+func (s *flakyRegister) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if s.down.Load() || s.requests != nil && s.requests.Add(1)%3 == 0 {
 		http.Error(w, "away", http.StatusServiceUnavailable)
 		return
 	}
-	s.h.ServeHTTP(w, r)
+	s.handler.ServeHTTP(w, r)
 }
 
-func group(t *testing.T, n int) (*idempotency.Group, []*standing) {
+func newGroup(t *testing.T, n int) (*idempotency.Group, []*flakyRegister) {
 	var at []string
-	var all []*standing
+	var all []*flakyRegister
 	for range n {
 		r, err := idempotency.Open(t.TempDir(), 10000)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &standing{h: r.Handler()}
+		s := &flakyRegister{handler: r.Handler()}
 		server := httptest.NewServer(s)
 		t.Cleanup(func() {
 			server.Close()
@@ -363,7 +363,7 @@
 	return g, all
 }
 
-func want(t *testing.T, got, want idempotency.Verdict) {
+func expectDecision(t *testing.T, got, want idempotency.Decision) {
 	t.Helper()
 	if got != want {
 		t.Fatalf("verdict %d, want %d", got, want)
--- a/internal/worker/idempotency/store.go
+++ b/internal/worker/idempotency/store.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	format    = 1
-	maxKey    = 2048 // bytes
-	maxClaim  = 64
-	maxWindow = 24 * time.Hour
-	maxBody   = 96 << 10 // a message with an answer that is kept
-	sweepMost = 1000     // entries in one transaction
+	formatVersion   = 1
+	maxKeyBytes     = 2048 // bytes
+	maxClaimBytes   = 64
+	maxWindow       = 24 * time.Hour
+	maxMessageBytes = 96 << 10 // a message with an answer that is kept
+	maxSweptEntries = 1000     // entries in one transaction
 )
 
 var (
-	bucketKeys = []byte("keys") // Entry by key
-	bucketEnds = []byte("ends") // end of the window, then the key
+	entriesBucket  = []byte("keys") // Entry by key
+	expiriesBucket = []byte("ends") // end of the window, then the key
 )
 
 // ErrFull says that a register has as many keys inside their windows as it may keep.
@@ -37,38 +37,38 @@
 
 // Register is one register: entries that survive the process and the machine, and the HTTP interface to them.
 type Register struct {
-	db   *bolt.DB
-	most int
-	now  func() time.Time // goes on over restarts, whatever happens to the system's time
+	db      *bolt.DB
+	maxKeys int
+	now     func() time.Time // goes on over restarts, whatever happens to the system's time
 }
 
-// message is the body of every request to a register.
-type message struct {
-	Key    string `json:"key"`
-	Claim  string `json:"claim"`
-	Window int64  `json:"window-ms,omitempty"`
-	Body   []byte `json:"body,omitempty"` // of the answer, when it was handled
+// claimMessage is the body of every request to a register.
+type claimMessage struct {
+	Key      string `json:"key"`
+	Claim    string `json:"claim"`
+	WindowMS int64  `json:"window-ms,omitempty"`
+	Response []byte `json:"body,omitempty"` // of the answer, when it was handled
 }
 
-// answer is the body of the answer to a claim.
-type answer struct {
-	Said   string `json:"said"` // granted, held, done
-	Holder string `json:"holder,omitempty"`
-	Body   []byte `json:"body,omitempty"`
+// claimAnswer is the body of the answer to a claim.
+type claimAnswer struct {
+	Vote     string `json:"said"` // granted, held, done
+	Owner    string `json:"holder,omitempty"`
+	Response []byte `json:"body,omitempty"`
 }
 
 // Open opens or makes a register's file in a folder. Another process that has it open is an error. It keeps at most most
 // keys; while as many are inside their windows it grants nothing.
 func Open(folder string, most int) (*Register, error) {
 	path := filepath.Join(folder, "register.bolt")
-	db, err := durable.Open(path, format, bucketKeys, bucketEnds)
+	db, err := durable.Open(path, formatVersion, entriesBucket, expiriesBucket)
 	if err != nil {
 		return nil, fmt.Errorf("register: %w", err)
 	}
 	db.MaxBatchDelay = time.Millisecond // claims that come together are synced together
-	r := &Register{db: db, most: most}
+	r := &Register{db: db, maxKeys: most}
 	err = db.Update(func(tx *bolt.Tx) error {
-		meta := tx.Bucket(durable.Meta)
+		meta := tx.Bucket(durable.MetaBucket)
 		var last durableclock.Mark
 		if v := meta.Get([]byte("mark")); v != nil {
 			if err := cbor.Unmarshal(v, &last); err != nil {
@@ -77,7 +77,7 @@
 		}
 		now, mark := durableclock.Continue(last)
 		r.now = now
-		v, err := durable.Mode().Marshal(mark)
+		v, err := durable.EncMode().Marshal(mark)
 		if err != nil {
 			return err
 		}
@@ -93,72 +93,72 @@
 func (r *Register) Close() error { return r.db.Close() }
 
 // Claim claims a key; the answer, and the entry that stands now, are durable.
-func (r *Register) Claim(key, claim string, window time.Duration) (said Said, have Entry, err error) {
+func (r *Register) Claim(key, claim string, window time.Duration) (said Vote, have Entry, err error) {
 	err = r.db.Batch(func(tx *bolt.Tx) error {
 		now := r.now()
-		old, known, err := get(tx, key)
+		old, known, err := getEntry(tx, key)
 		if err != nil {
 			return err
 		}
-		keep, changed, s := Ask(now, old, known, claim, window)
+		keep, changed, s := EvaluateClaim(now, old, known, claim, window)
 		said, have = s, keep
 		if !changed {
 			return nil
 		}
-		if !known && count(tx, 0) >= r.most {
-			if n, err := sweep(tx, now); err != nil {
+		if !known && addToKeyCount(tx, 0) >= r.maxKeys {
+			if n, err := sweepExpired(tx, now); err != nil {
 				return err
 			} else if n == 0 {
 				return ErrFull
 			}
 		}
-		return put(tx, key, old, known, keep)
+		return putEntry(tx, key, old, known, keep)
 	})
 	return said, have, err
 }
 
-// Handled notes that the event of a claim was handled, with its answer; of another claim it changes nothing.
-func (r *Register) Handled(key, claim string, body []byte) error {
+// Complete notes that the event of a claim was handled, with its answer; of another claim it changes nothing.
+func (r *Register) Complete(key, claim string, body []byte) error {
 	return r.db.Batch(func(tx *bolt.Tx) error {
-		have, known, err := get(tx, key)
-		if err != nil || !known || have.Claim != claim || have.Handled {
+		have, known, err := getEntry(tx, key)
+		if err != nil || !known || have.Claim != claim || have.Completed {
 			return err
 		}
 		keep := have
-		keep.Handled = true
-		if len(body) <= MostBody {
-			keep.Body = body
+		keep.Completed = true
+		if len(body) <= MaxStoredResponse {
+			keep.Response = body
 		}
-		return put(tx, key, have, known, keep)
+		return putEntry(tx, key, have, known, keep)
 	})
 }
 
 // Release gives a key back whose event was not run; of another claim it changes nothing.
 func (r *Register) Release(key, claim string) error {
 	return r.db.Batch(func(tx *bolt.Tx) error {
-		have, known, err := get(tx, key)
-		if err != nil || !known || have.Claim != claim || have.Handled {
+		have, known, err := getEntry(tx, key)
+		if err != nil || !known || have.Claim != claim || have.Completed {
 			return err
 		}
-		if err := tx.Bucket(bucketEnds).Delete(end(have, key)); err != nil {
+		if err := tx.Bucket(expiriesBucket).Delete(expiryKey(have, key)); err != nil {
 			return err
 		}
-		count(tx, -1)
-		return tx.Bucket(bucketKeys).Delete([]byte(key))
+		addToKeyCount(tx, -1)
+		return tx.Bucket(entriesBucket).Delete([]byte(key))
 	})
 }
 
 // Sweep forgets keys whose windows are over and answers how many.
 func (r *Register) Sweep() (n int, err error) {
 	err = r.db.Batch(func(tx *bolt.Tx) error {
-		n, err = sweep(tx, r.now())
+		n, err = sweepExpired(tx, r.now())
 		return err
 	})
 	return n, err
 }
 
-func get(tx *bolt.Tx, key string) (e Entry, known bool, err error) {
-	v := tx.Bucket(bucketKeys).Get([]byte(key))
+func getEntry(tx *bolt.Tx, key string) (e Entry, known bool, err error) {
+	v := tx.Bucket(entriesBucket).Get([]byte(key))
 	if v == nil {
 		return e, false, nil
 	}
@@ -168,42 +168,42 @@
 	return e, true, nil
 }
 
-func put(tx *bolt.Tx, key string, have Entry, known bool, keep Entry) error {
-	v, err := durable.Mode().Marshal(keep)
+func putEntry(tx *bolt.Tx, key string, have Entry, known bool, keep Entry) error {
+	v, err := durable.EncMode().Marshal(keep)
 	if err != nil {
 		return err
 	}
-	ends := tx.Bucket(bucketEnds)
+	ends := tx.Bucket(expiriesBucket)
 	if !known {
-		count(tx, 1)
+		addToKeyCount(tx, 1)
 	} else {
-		if err := ends.Delete(end(have, key)); err != nil {
+		if err := ends.Delete(expiryKey(have, key)); err != nil {
 			return err
 		}
 	}
-	if err := ends.Put(end(keep, key), nil); err != nil {
+	if err := ends.Put(expiryKey(keep, key), nil); err != nil {
 		return err
 	}
-	return tx.Bucket(bucketKeys).Put([]byte(key), v)
+	return tx.Bucket(entriesBucket).Put([]byte(key), v)
 }
 
-// count is the number of keys, changed by so many; bbolt would walk all of them to tell.
-func count(tx *bolt.Tx, by int) int {
-	n := int(tx.Bucket(durable.Meta).Sequence()) + by
+// addToKeyCount is the number of keys, changed by so many; bbolt would walk all of them to tell.
+func addToKeyCount(tx *bolt.Tx, by int) int {
+	n := int(tx.Bucket(durable.MetaBucket).Sequence()) + by
 	if by != 0 {
-		_ = tx.Bucket(durable.Meta).SetSequence(uint64(n)) // fails only where the transaction can't be written
+		_ = tx.Bucket(durable.MetaBucket).SetSequence(uint64(n)) // fails only where the transaction can't be written
 	}
 	return n
 }
 
-func end(e Entry, key string) []byte {
-	return append(binary.BigEndian.AppendUint64(nil, uint64(e.Until.UnixNano())), key...)
+func expiryKey(e Entry, key string) []byte {
+	return append(binary.BigEndian.AppendUint64(nil, uint64(e.ExpiresAt.UnixNano())), key...)
 }
 
-func sweep(tx *bolt.Tx, now time.Time) (n int, err error) {
-	ends, all := tx.Bucket(bucketEnds), tx.Bucket(bucketKeys)
+func sweepExpired(tx *bolt.Tx, now time.Time) (n int, err error) {
+	ends, all := tx.Bucket(expiriesBucket), tx.Bucket(entriesBucket)
 	c := ends.Cursor()
-	for k, _ := c.First(); k != nil && n < sweepMost && int64(binary.BigEndian.Uint64(k)) <= now.UnixNano(); k, _ = c.First() {
+	for k, _ := c.First(); k != nil && n < maxSweptEntries && int64(binary.BigEndian.Uint64(k)) <= now.UnixNano(); k, _ = c.First() {
 		key := bytes.Clone(k[8:])
 		if err := c.Delete(); err != nil {
 			return n, err
@@ -213,16 +213,16 @@
 		}
 		n++
 	}
-	count(tx, -n)
+	addToKeyCount(tx, -n)
 	return n, nil
 }
 
 // Handler is the HTTP interface: POST /v1/claim, /v1/handled and /v1/release with {"key", "claim", "window-ms"}.
 func (r *Register) Handler() http.Handler {
 	mux := http.NewServeMux()
-	with := func(f func(w http.ResponseWriter, m message)) http.HandlerFunc {
+	with := func(f func(w http.ResponseWriter, m claimMessage)) http.HandlerFunc {
 		return func(w http.ResponseWriter, req *http.Request) {
-			m, err := read(http.MaxBytesReader(w, req.Body, maxBody))
+			m, err := decodeMessage(http.MaxBytesReader(w, req.Body, maxMessageBytes))
 			if err != nil {
 				http.Error(w, err.Error(), http.StatusBadRequest)
 				return
@@ -237,10 +237,10 @@
 		}
 		w.WriteHeader(http.StatusNoContent)
 	}
-	mux.HandleFunc("POST /v1/claim", with(func(w http.ResponseWriter, m message) {
-		window := time.Duration(m.Window) * time.Millisecond
-		if m.Window < 1 || m.Window > int64(maxWindow/time.Millisecond) {
-			http.Error(w, fmt.Sprintf("window-ms %d is not between 1 and %d", m.Window, maxWindow/time.Millisecond), http.StatusBadRequest)
+	mux.HandleFunc("POST /v1/claim", with(func(w http.ResponseWriter, m claimMessage) {
+		window := time.Duration(m.WindowMS) * time.Millisecond
+		if m.WindowMS < 1 || m.WindowMS > int64(maxWindow/time.Millisecond) {
+			http.Error(w, fmt.Sprintf("window-ms %d is not between 1 and %d", m.WindowMS, maxWindow/time.Millisecond), http.StatusBadRequest)
 			return
 		}
 		said, have, err := r.Claim(m.Key, m.Claim, window)
@@ -251,18 +251,18 @@
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 		default:
 			w.Header().Set("Content-Type", "application/json")
-			_ = json.NewEncoder(w).Encode(answer{names[said], have.Claim, have.Body}) // a worker that is gone does not run it
+			_ = json.NewEncoder(w).Encode(claimAnswer{voteNames[said], have.Claim, have.Response}) // a worker that is gone does not run it
 		}
 	}))
-	mux.HandleFunc("POST /v1/handled", with(func(w http.ResponseWriter, m message) { ended(w, r.Handled(m.Key, m.Claim, m.Body)) }))
-	mux.HandleFunc("POST /v1/release", with(func(w http.ResponseWriter, m message) { ended(w, r.Release(m.Key, m.Claim)) }))
+	mux.HandleFunc("POST /v1/handled", with(func(w http.ResponseWriter, m claimMessage) { ended(w, r.Complete(m.Key, m.Claim, m.Response)) }))
+	mux.HandleFunc("POST /v1/release", with(func(w http.ResponseWriter, m claimMessage) { ended(w, r.Release(m.Key, m.Claim)) }))
 	return mux
 }
 
-var names = map[Said]string{Granted: "granted", Held: "held", Done: "done"}
+var voteNames = map[Vote]string{VoteGranted: "granted", VoteClaimed: "held", VoteCompleted: "done"}
 
-// read reads a request's body.
-func read(in io.Reader) (m message, err error) {
+// decodeMessage reads a request's body.
+func decodeMessage(in io.Reader) (m claimMessage, err error) {
 	dec := json.NewDecoder(in)
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&m); err != nil {
@@ -271,10 +271,10 @@
 	switch {
 	case dec.More():
 		return m, errors.New("body: more than one value")
-	case m.Key == "" || len(m.Key) > maxKey:
-		return m, fmt.Errorf("key of %d bytes, 1 to %d are taken", len(m.Key), maxKey)
-	case m.Claim == "" || len(m.Claim) > maxClaim:
-		return m, fmt.Errorf("claim of %d bytes, 1 to %d are taken", len(m.Claim), maxClaim)
+	case m.Key == "" || len(m.Key) > maxKeyBytes:
+		return m, fmt.Errorf("key of %d bytes, 1 to %d are taken", len(m.Key), maxKeyBytes)
+	case m.Claim == "" || len(m.Claim) > maxClaimBytes:
+		return m, fmt.Errorf("claim of %d bytes, 1 to %d are taken", len(m.Claim), maxClaimBytes)
 	}
 	return m, nil
 }
--- a/internal/worker/journal_fault_test.go
+++ b/internal/worker/journal_fault_test.go
@@ -36,17 +36,17 @@
 
 // A record that a full disk cuts short leaves no trace once there is room again: the next life reads every later record,
 // and a keyed request that ran does not run a second time.
-func TestRecordCutShortByAFullDisk(t *testing.T) {
+func TestRecordTruncatedByFullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "journal")
 	j, err := openJournal(path, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	claim := func(j *journal, name string) idempotency.Verdict {
+	claim := func(j *journal, name string) idempotency.Decision {
 		_, v, _ := j.Claim(context.Background(), name, time.Hour)
 		return v
 	}
-	if v := claim(j, "before"); v != idempotency.Run {
+	if v := claim(j, "before"); v != idempotency.DecisionExecute {
 		t.Fatal(v)
 	}
 	is, err := os.Stat(path)
@@ -55,11 +55,11 @@
 	}
 	cut := strings.Repeat("k", 500)
 	withFileSizeLimit(t, is.Size()+40, func() {
-		if v := claim(j, cut); v != idempotency.Unknown {
+		if v := claim(j, cut); v != idempotency.DecisionUnknown {
 			t.Error("a claim that is not written down:", v)
 		}
 	})
-	if v := claim(j, "after"); v != idempotency.Run {
+	if v := claim(j, "after"); v != idempotency.DecisionExecute {
 		t.Fatal(v)
 	}
 	if err := j.close(); err != nil {
@@ -71,24 +71,24 @@
 	}
 	defer next.close()
 	for _, name := range []string{"before", "after"} {
-		if v := claim(next, name); v != idempotency.Repeat {
+		if v := claim(next, name); v != idempotency.DecisionDuplicate {
 			t.Errorf("the request of key %q may run a second time: verdict %v", name, v)
 		}
 	}
-	if v := claim(next, cut); v != idempotency.Run {
+	if v := claim(next, cut); v != idempotency.DecisionExecute {
 		t.Error("a claim that was never granted counts:", v)
 	}
 }
 
 // Zeros at the end, as a machine that fails may leave them behind what was synced, hide nothing before them; anything else
 // that can't be read is an error.
-func TestJournalThatEndsInZeros(t *testing.T) {
+func TestJournalEndingInZeros(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "journal")
 	j, err := openJournal(path, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, v, _ := j.Claim(context.Background(), "k", time.Hour); v != idempotency.Run {
+	if _, v, _ := j.Claim(context.Background(), "k", time.Hour); v != idempotency.DecisionExecute {
 		t.Fatal(v)
 	}
 	if err := j.close(); err != nil {
@@ -105,7 +105,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, v, _ := next.Claim(context.Background(), "k", time.Hour); v != idempotency.Repeat {
+	if _, v, _ := next.Claim(context.Background(), "k", time.Hour); v != idempotency.DecisionDuplicate {
 		t.Error("the request may run a second time:", v)
 	}
 	if err := next.close(); err != nil {
--- a/internal/worker/recordlog.go
+++ b/internal/worker/recordlog.go
@@ -25,7 +25,7 @@
 	if err := l.repair(); err != nil {
 		return err
 	}
-	b, err := durable.Mode().Marshal(record)
+	b, err := durable.EncMode().Marshal(record)
 	if err != nil {
 		return err
 	}
@@ -55,8 +55,8 @@
 
 // recordReader reads the records of a recordLog in turn.
 type recordReader struct {
-	file   *os.File
-	decode *cbor.Decoder
+	file    *os.File
+	decoder *cbor.Decoder
 }
 
 func newRecordReader(file *os.File) *recordReader {
@@ -65,8 +65,8 @@
 
 // next reads one record. io.EOF: there is none any more, or the last one is torn.
 func (r *recordReader) next(into any) error {
-	begin := int64(r.decode.NumBytesRead())
-	err := r.decode.Decode(into)
+	begin := int64(r.decoder.NumBytesRead())
+	err := r.decoder.Decode(into)
 	if errors.Is(err, io.ErrUnexpectedEOF) {
 		return io.EOF
 	}
--- a/internal/worker/runner/runner.go
+++ b/internal/worker/runner/runner.go
@@ -27,77 +27,77 @@
 
 // Environment that a child finds, and headers of the runtime interface.
 const (
-	EnvRuntime       = "LUPINPOND_RUNTIME" // base address of the runtime interface for this copy
-	HeaderInvocation = "Lupin-Invocation"  // id of an event for the response
-	HeaderLeft       = "Lupin-Left-Ms"     // what is left of its time
-	HeaderCompiled   = "Lupin-Compiled-Us" // of a question: how long the copy compiled its code
+	EnvRuntime        = "LUPINPOND_RUNTIME" // base address of the runtime interface for this copy
+	HeaderInvocation  = "Lupin-Invocation"  // id of an event for the response
+	HeaderTimeLeft    = "Lupin-Left-Ms"     // what is left of its time
+	HeaderCompileTime = "Lupin-Compiled-Us" // of a question: how long the copy compiled its code
 )
 
 // Options of a Host.
 type Options struct {
-	Self     string        // program that runs wasm packages: this one
-	Cache    string        // folder for compiled wasm; a fresh worker has an empty one
-	Ready    time.Duration // a copy that has not asked for its first event by then has failed
-	Grace    time.Duration // between asking a child to end and ending it
-	Answer   int64         // most bytes of a response
-	Overhead int64         // of a wasm copy beside its own memory
-	Log      *slog.Logger
-	Effects  io.Writer // gets what copies write as their log, a line at a time; nil: nowhere
+	Executable       string        // program that runs wasm packages: this one
+	CompilationCache string        // folder for compiled wasm; a fresh worker has an empty one
+	StartTimeout     time.Duration // a copy that has not asked for its first event by then has failed
+	GracePeriod      time.Duration // between asking a child to end and ending it
+	MaxResponseBytes int64         // most bytes of a response
+	WasmOverhead     int64         // of a wasm copy beside its own memory
+	Log              *slog.Logger
+	ReplicaLog       io.Writer // gets what copies write as their log, a line at a time; nil: nowhere
 }
 
 // Host serves the runtime interface to its copies.
 type Host struct {
-	o        Options
+	options  Options
 	listener net.Listener
 	server   *http.Server
 	mu       sync.Mutex
-	copies   map[string]*Copy // by token
+	replicas map[string]*Replica // by token
 }
 
 // Errors of calls. Each may have run, but for ErrNotBegun.
 var (
-	ErrFailed   = errors.New("the function failed")
-	ErrGone     = errors.New("the copy ended while the event ran")
-	ErrTime     = errors.New("the event ran longer than its package may")
-	ErrMemory   = errors.New("the copy held more memory than its package may")
-	ErrAnswer   = errors.New("the response is longer than a response may be")
-	ErrNotBegun = errors.New("the copy had not taken the event")
+	ErrFunctionFailed   = errors.New("the function failed")
+	ErrReplicaExited    = errors.New("the copy ended while the event ran")
+	ErrTimeLimit        = errors.New("the event ran longer than its package may")
+	ErrMemoryLimit      = errors.New("the copy held more memory than its package may")
+	ErrResponseTooLarge = errors.New("the response is longer than a response may be")
+	ErrNotStarted       = errors.New("the copy had not taken the event")
 )
 
 // Result is how a call ended.
 type Result struct {
-	Body []byte
-	Took time.Duration
-	Err  error
+	Body     []byte
+	Duration time.Duration
+	Err      error
 }
 
-// Copy is one loaded copy.
-type Copy struct {
-	host   *Host
-	pkg    manifest.Package
-	token  string
-	cmd    *exec.Cmd
-	ready  chan struct{}
-	once   sync.Once
-	next   chan *call
-	dead   chan struct{}
-	mu     sync.Mutex
-	calls  map[string]*call
-	why    error // it was ended for
-	ending bool  // it takes no event any more
-	number int
-
-	compiled time.Duration // told by the child before it is ready
+// Replica is one loaded copy.
+type Replica struct {
+	host       *Host
+	pkg        manifest.Package
+	token      string
+	cmd        *exec.Cmd
+	ready      chan struct{}
+	readyOnce  sync.Once
+	pending    chan *call
+	exited     chan struct{}
+	mu         sync.Mutex
+	calls      map[string]*call
+	stopCause  error // it was ended for
+	stopping   bool  // it takes no event any more
+	lastCallID int
+
+	compileTime time.Duration // told by the child before it is ready
 }
 
 type call struct {
-	id    string
-	body  []byte
-	until time.Time
-	taken time.Time
-	timer *time.Timer
-	done  chan Result // holds one
-	over  bool
+	id        string
+	body      []byte
+	deadline  time.Time
+	startedAt time.Time
+	timer     *time.Timer
+	done      chan Result // holds one
+	finished  bool
 }
 
 // NewHost serves the runtime interface on a loopback port.
@@ -109,11 +109,11 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	h := &Host{o: o, listener: listener, copies: map[string]*Copy{}}
+	h := &Host{options: o, listener: listener, replicas: map[string]*Replica{}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/{token}/next", h.with(h.nextEvent))
-	mux.HandleFunc("POST /v1/{token}/invocations/{id}/response", h.with(h.response))
-	mux.HandleFunc("POST /v1/{token}/invocations/{id}/error", h.with(h.failure))
+	mux.HandleFunc("GET /v1/{token}/next", h.withReplica(h.handleNext))
+	mux.HandleFunc("POST /v1/{token}/invocations/{id}/response", h.withReplica(h.handleResponse))
+	mux.HandleFunc("POST /v1/{token}/invocations/{id}/error", h.withReplica(h.handleError))
 	h.server = &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second, MaxHeaderBytes: 16 << 10,
 		ErrorLog: slog.NewLogLogger(o.Log.Handler(), slog.LevelDebug)}
 	go func() { _ = h.server.Serve(listener) }() // ends with Close
@@ -126,24 +126,24 @@
 // Close ends all copies and the interface.
 func (h *Host) Close() error {
 	h.mu.Lock()
-	var all []*Copy
-	for _, c := range h.copies {
+	var all []*Replica
+	for _, c := range h.replicas {
 		all = append(all, c)
 	}
 	h.mu.Unlock()
 	for _, c := range all {
-		c.End(nil)
+		c.Stop(nil)
 	}
 	for _, c := range all {
-		<-c.dead
+		<-c.exited
 	}
 	return h.server.Close()
 }
 
-func (h *Host) with(f func(http.ResponseWriter, *http.Request, *Copy)) http.HandlerFunc {
+func (h *Host) withReplica(f func(http.ResponseWriter, *http.Request, *Replica)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		h.mu.Lock()
-		c := h.copies[r.PathValue("token")]
+		c := h.replicas[r.PathValue("token")]
 		h.mu.Unlock()
 		if c == nil {
 			http.Error(w, "this copy is not known", http.StatusGone)
@@ -153,36 +153,36 @@
 	}
 }
 
-func (h *Host) nextEvent(w http.ResponseWriter, r *http.Request, c *Copy) {
-	c.once.Do(func() {
-		if us, err := strconv.ParseInt(r.Header.Get(HeaderCompiled), 10, 64); err == nil && us > 0 {
-			c.compiled = time.Duration(min(us, int64(h.o.Ready/time.Microsecond))) * time.Microsecond
+func (h *Host) handleNext(w http.ResponseWriter, r *http.Request, c *Replica) {
+	c.readyOnce.Do(func() {
+		if us, err := strconv.ParseInt(r.Header.Get(HeaderCompileTime), 10, 64); err == nil && us > 0 {
+			c.compileTime = time.Duration(min(us, int64(h.options.StartTimeout/time.Microsecond))) * time.Microsecond
 		}
 		close(c.ready)
 	})
 	select {
 	case <-r.Context().Done():
-	case <-c.dead:
+	case <-c.exited:
 		http.Error(w, "this copy ends", http.StatusGone)
-	case x := <-c.next:
-		if !c.take(x) {
-			c.finish(x.id, Result{Err: ErrNotBegun})
+	case x := <-c.pending:
+		if !c.markStarted(x) {
+			c.finish(x.id, Result{Err: ErrNotStarted})
 			http.Error(w, "the event is over", http.StatusConflict) // the child asks again
 			return
 		}
 		w.Header().Set(HeaderInvocation, x.id)
-		w.Header().Set(HeaderLeft, strconv.FormatInt(max(1, time.Until(x.until).Milliseconds()), 10))
+		w.Header().Set(HeaderTimeLeft, strconv.FormatInt(max(1, time.Until(x.deadline).Milliseconds()), 10))
 		_, _ = w.Write(x.body) // a child that is gone is seen by its end
 	}
 }
 
-func (h *Host) response(w http.ResponseWriter, r *http.Request, c *Copy) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, h.o.Answer))
+func (h *Host) handleResponse(w http.ResponseWriter, r *http.Request, c *Replica) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, h.options.MaxResponseBytes))
 	var long *http.MaxBytesError
 	switch {
 	case errors.As(err, &long):
-		c.finish(r.PathValue("id"), Result{Err: ErrAnswer})
-		c.End(ErrAnswer) // what goes on writing does not stop by being asked
+		c.finish(r.PathValue("id"), Result{Err: ErrResponseTooLarge})
+		c.Stop(ErrResponseTooLarge) // what goes on writing does not stop by being asked
 		return
 	case err != nil:
 		return
@@ -194,12 +194,12 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (h *Host) failure(w http.ResponseWriter, r *http.Request, c *Copy) {
+func (h *Host) handleError(w http.ResponseWriter, r *http.Request, c *Replica) {
 	reason, err := io.ReadAll(io.LimitReader(r.Body, 4096))
 	if err != nil {
 		return
 	}
-	if !c.finish(r.PathValue("id"), Result{Err: fmt.Errorf("%w: %s", ErrFailed, reason)}) {
+	if !c.finish(r.PathValue("id"), Result{Err: fmt.Errorf("%w: %s", ErrFunctionFailed, reason)}) {
 		http.Error(w, "this event is over", http.StatusNotFound)
 		return
 	}
@@ -207,14 +207,14 @@
 }
 
 // Start begins a copy and returns once it asks for its first event. ctx bounds the start only.
-func (h *Host) Start(ctx context.Context, p manifest.Package) (*Copy, error) {
-	c := &Copy{host: h, pkg: p, token: rand.Text(), ready: make(chan struct{}), next: make(chan *call), dead: make(chan struct{}),
+func (h *Host) Start(ctx context.Context, p manifest.Package) (*Replica, error) {
+	c := &Replica{host: h, pkg: p, token: rand.Text(), ready: make(chan struct{}), pending: make(chan *call), exited: make(chan struct{}),
 		calls: map[string]*call{}}
 	entry := filepath.Join(p.Folder, p.Entry)
 	switch p.Kind {
 	case manifest.Wasm:
-		c.cmd = exec.Command(h.o.Self, "wasm-copy", "--lanes", strconv.Itoa(p.Lanes), "--memory",
-			strconv.FormatInt(int64(p.Memory), 10), "--cache", h.o.Cache, entry)
+		c.cmd = exec.Command(h.options.Executable, "wasm-copy", "--lanes", strconv.Itoa(p.Lanes), "--memory",
+			strconv.FormatInt(int64(p.Memory), 10), "--cache", h.options.CompilationCache, entry)
 	default:
 		c.cmd = exec.Command(entry)
 	}
@@ -222,12 +222,12 @@
 	c.cmd.Env = []string{fmt.Sprintf("%s=http://%s/v1/%s", EnvRuntime, h.listener.Addr(), c.token), "PATH=/usr/bin:/bin",
 		"GOMAXPROCS=" + strconv.Itoa(p.Lanes+1)} // a lane that spins leaves the others theirs
 	c.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	if h.o.Effects != nil { // the child itself writes there: no line is lost with the worker
-		c.cmd.Stdout, c.cmd.Stderr = h.o.Effects, h.o.Effects
+	if h.options.ReplicaLog != nil { // the child itself writes there: no line is lost with the worker
+		c.cmd.Stdout, c.cmd.Stderr = h.options.ReplicaLog, h.options.ReplicaLog
 	}
 	c.cmd.WaitDelay = time.Second // a grandchild that holds its output open
 	h.mu.Lock()
-	h.copies[c.token] = c
+	h.replicas[c.token] = c
 	h.mu.Unlock()
 	started := make(chan error, 1)
 	go func() { // its parent is a thread: the death signal comes when that one ends, so it stays
@@ -236,73 +236,73 @@
 	if err := <-started; err != nil {
 		return nil, fmt.Errorf("start %s: %w", p.Name, err)
 	}
-	timer := time.NewTimer(h.o.Ready)
+	timer := time.NewTimer(h.options.StartTimeout)
 	defer timer.Stop()
 	var err error
 	select {
 	case <-c.ready:
 		return c, nil
-	case <-c.dead:
-		err = ErrGone
+	case <-c.exited:
+		err = ErrReplicaExited
 	case <-timer.C:
-		err = fmt.Errorf("not ready after %v", h.o.Ready)
+		err = fmt.Errorf("not ready after %v", h.options.StartTimeout)
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
-	c.End(err)
-	<-c.dead
+	c.Stop(err)
+	<-c.exited
 	return nil, fmt.Errorf("start %s: %w", p.Name, err)
 }
 
-// End has the copy end: asked first, ended after the grace. why is what its calls are told; nil: the copy is gone.
-func (c *Copy) End(why error) {
+// Stop has the copy end: asked first, ended after the grace. why is what its calls are told; nil: the copy is gone.
+func (c *Replica) Stop(why error) {
 	c.mu.Lock()
-	if c.why == nil {
-		c.why = why
+	if c.stopCause == nil {
+		c.stopCause = why
 	}
-	c.ending = true
+	c.stopping = true
 	c.mu.Unlock()
 	if c.cmd.Process == nil {
 		return
 	}
 	if why != nil { // it has misbehaved: it is not asked
-		c.kill()
+		c.terminate()
 		return
 	}
 	_ = syscall.Kill(-c.cmd.Process.Pid, syscall.SIGTERM) // it may be gone
-	time.AfterFunc(c.host.o.Grace, func() {
+	time.AfterFunc(c.host.options.GracePeriod, func() {
 		select {
-		case <-c.dead:
+		case <-c.exited:
 		default:
-			c.kill()
+			c.terminate()
 		}
 	})
 }
 
-func (c *Copy) kill() { _ = syscall.Kill(-c.cmd.Process.Pid, syscall.SIGKILL) } // it may be gone
+func (c *Replica) terminate() { _ = syscall.Kill(-c.cmd.Process.Pid, syscall.SIGKILL) } // it may be gone
 
-// Dead is closed when the copy has ended, however.
-func (c *Copy) Dead() <-chan struct{} { return c.dead }
+// Done is closed when the copy has ended, however.
+func (c *Replica) Done() <-chan struct{} { return c.exited }
 
 // Memory is what the operating system says that the copy holds: its part of shared pages included.
-func (c *Copy) Memory() (int64, error) { return Memory(c.cmd.Process.Pid) }
+func (c *Replica) Memory() (int64, error) { return ProcessMemory(c.cmd.Process.Pid) }
 
-// Compiled is how long the copy says that it compiled its code; it is known once Start has returned.
-func (c *Copy) Compiled() time.Duration { return c.compiled }
+// CompileTime is how long the copy says that it compiled its code; it is known once Start has returned.
+func (c *Replica) CompileTime() time.Duration { return c.compileTime }
 
 // Folder is where its content stands.
-func (c *Copy) Folder() string { return c.pkg.Folder }
+func (c *Replica) Folder() string { return c.pkg.Folder }
 
-// Limit is the memory that the copy may hold.
-func (c *Copy) Limit() int64 {
+// MemoryLimit is the memory that the copy may hold.
+func (c *Replica) MemoryLimit() int64 {
 	if c.pkg.Kind == manifest.Wasm {
-		return int64(c.pkg.Memory) + c.host.o.Overhead
+		return int64(c.pkg.Memory) + c.host.options.WasmOverhead
 	}
 	return int64(c.pkg.Memory)
 }
 
-// Memory is what the operating system says that a process holds.
-func Memory(pid int) (int64, error) {
+// ProcessMemory is what the operating system says that a process holds.
+func ProcessMemory(pid int) (int64, error) {
 	p, err := procfs.NewProc(pid)
 	if err != nil {
 		return 0, err
@@ -315,19 +315,19 @@
 }
 
 // Call runs an event on the copy and hands out its result, once. within is what is left of its time.
-func (c *Copy) Call(body []byte, within time.Duration, done func(Result)) {
+func (c *Replica) Call(body []byte, within time.Duration, done func(Result)) {
 	within = min(within, c.pkg.Time.Std())
 	c.mu.Lock()
-	c.number++
-	x := &call{id: strconv.Itoa(c.number), body: body, until: time.Now().Add(within), done: make(chan Result, 1)}
+	c.lastCallID++
+	x := &call{id: strconv.Itoa(c.lastCallID), body: body, deadline: time.Now().Add(within), done: make(chan Result, 1)}
 	c.calls[x.id] = x
-	x.timer = time.AfterFunc(within, func() { c.late(x) })
+	x.timer = time.AfterFunc(within, func() { c.expire(x) })
 	c.mu.Unlock()
 	go func() {
 		select {
-		case c.next <- x:
-		case <-c.dead:
-			c.finish(x.id, Result{Err: ErrNotBegun})
+		case c.pending <- x:
+		case <-c.exited:
+			c.finish(x.id, Result{Err: ErrNotStarted})
 		case r := <-x.done: // late before it was taken
 			done(r)
 			return
@@ -336,46 +336,46 @@
 	}()
 }
 
-// take marks a call as handed to the child.
-func (c *Copy) take(x *call) bool {
+// markStarted marks a call as handed to the child.
+func (c *Replica) markStarted(x *call) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if x.over || c.ending {
+	if x.finished || c.stopping {
 		return false
 	}
-	x.taken = time.Now()
+	x.startedAt = time.Now()
 	return true
 }
 
-// late ends a call that ran too long, and the copy with it: a lane that does not come back can't be had otherwise.
-func (c *Copy) late(x *call) {
+// expire ends a call that ran too long, and the copy with it: a lane that does not come back can't be had otherwise.
+func (c *Replica) expire(x *call) {
 	c.mu.Lock()
-	taken := !x.taken.IsZero()
-	over := x.over
+	taken := !x.startedAt.IsZero()
+	over := x.finished
 	c.mu.Unlock()
 	switch {
 	case over:
 	case taken:
-		c.finish(x.id, Result{Err: ErrTime})
-		c.End(ErrTime)
+		c.finish(x.id, Result{Err: ErrTimeLimit})
+		c.Stop(ErrTimeLimit)
 	default:
-		c.finish(x.id, Result{Err: ErrNotBegun})
+		c.finish(x.id, Result{Err: ErrNotStarted})
 	}
 }
 
 // finish gives a call its result; false if it had one.
-func (c *Copy) finish(id string, r Result) bool {
+func (c *Replica) finish(id string, r Result) bool {
 	c.mu.Lock()
 	x := c.calls[id]
-	if x == nil || x.over {
+	if x == nil || x.finished {
 		c.mu.Unlock()
 		return false
 	}
-	x.over = true
+	x.finished = true
 	delete(c.calls, id)
 	x.timer.Stop()
-	if !x.taken.IsZero() {
-		r.Took = time.Since(x.taken)
+	if !x.startedAt.IsZero() {
+		r.Duration = time.Since(x.startedAt)
 	}
 	c.mu.Unlock()
 	x.done <- r
@@ -383,27 +383,27 @@
 }
 
 // run waits for the child and ends what it left.
-func (c *Copy) run(started chan<- error) {
+func (c *Replica) run(started chan<- error) {
 	lockThread()
 	if err := c.cmd.Start(); err != nil {
-		c.forget()
-		close(c.dead)
+		c.unregister()
+		close(c.exited)
 		started <- err
 		return
 	}
 	started <- nil
 	err := c.cmd.Wait()
-	c.kill() // what it may have started
-	c.forget()
+	c.terminate() // what it may have started
+	c.unregister()
 	var exit *exec.ExitError
 	if err != nil && !errors.As(err, &exit) && !errors.Is(err, exec.ErrWaitDelay) && !errors.Is(err, os.ErrProcessDone) {
-		c.host.o.Log.Warn("copy", "package", c.pkg.Name, "err", err)
+		c.host.options.Log.Warn("copy", "package", c.pkg.Name, "err", err)
 	}
-	close(c.dead)
+	close(c.exited)
 	c.mu.Lock()
-	why := c.why
+	why := c.stopCause
 	if why == nil {
-		why = ErrGone
+		why = ErrReplicaExited
 	}
 	var left []*call
 	for _, x := range c.calls {
@@ -411,16 +411,16 @@
 	}
 	c.mu.Unlock()
 	for _, x := range left {
-		if x.taken.IsZero() {
-			c.finish(x.id, Result{Err: ErrNotBegun})
+		if x.startedAt.IsZero() {
+			c.finish(x.id, Result{Err: ErrNotStarted})
 		} else {
 			c.finish(x.id, Result{Err: why})
 		}
 	}
 }
 
-func (c *Copy) forget() {
+func (c *Replica) unregister() {
 	c.host.mu.Lock()
-	delete(c.host.copies, c.token)
+	delete(c.host.replicas, c.token)
 	c.host.mu.Unlock()
 }
--- a/internal/worker/runner/runner_test.go
+++ b/internal/worker/runner/runner_test.go
@@ -16,8 +16,8 @@
 	"lupinpond/internal/worker/runner"
 )
 
-func host(t testing.TB, ready time.Duration) *runner.Host {
-	h, err := runner.NewHost(runner.Options{Ready: ready, Grace: 50 * time.Millisecond, Answer: 1 << 10, Cache: t.TempDir()})
+func newHost(t testing.TB, ready time.Duration) *runner.Host {
+	h, err := runner.NewHost(runner.Options{StartTimeout: ready, GracePeriod: 50 * time.Millisecond, MaxResponseBytes: 1 << 10, CompilationCache: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 	return h
 }
 
-func script(t testing.TB, text string) manifest.Package {
+func scriptPackage(t testing.TB, text string) manifest.Package {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "entry"), []byte("#!/bin/sh\n"+text), 0o755); err != nil {
 		t.Fatal(err)
@@ -43,14 +43,14 @@
 }
 
 // A program that exits, or never asks for an event and ignores its end, is a failed load, and nothing of it is left.
-func TestCopiesThatNeverAsk(t *testing.T) {
-	if _, err := host(t, time.Minute).Start(t.Context(), script(t, "exit 3")); !errors.Is(err, runner.ErrGone) {
+func TestReplicasThatNeverBecomeReady(t *testing.T) {
+	if _, err := newHost(t, time.Minute).Start(t.Context(), scriptPackage(t, "exit 3")); !errors.Is(err, runner.ErrReplicaExited) {
 		t.Error(err)
 	}
 	began := time.Now()
 	mark := filepath.Join(t.TempDir(), "pid")
-	p := script(t, "trap '' TERM\necho $$ > "+mark+"\nwhile :; do sleep 1; done")
-	if _, err := host(t, 300*time.Millisecond).Start(t.Context(), p); err == nil || !strings.Contains(err.Error(), "not ready") {
+	p := scriptPackage(t, "trap '' TERM\necho $$ > "+mark+"\nwhile :; do sleep 1; done")
+	if _, err := newHost(t, 300*time.Millisecond).Start(t.Context(), p); err == nil || !strings.Contains(err.Error(), "not ready") {
 		t.Error(err)
 	}
 	if took := time.Since(began); took > 30*time.Second {
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := runner.Memory(atoi(string(pid))); err == nil {
+	if _, err := runner.ProcessMemory(atoi(string(pid))); err == nil {
 		t.Error("the child that ignores its end is still there")
 	}
 }
@@ -73,20 +73,20 @@
 }
 
 // A start that is given up leaves nothing.
-func TestStartGivenUp(t *testing.T) {
+func TestStartCanceled(t *testing.T) {
 	ctx, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer stop()
-	if _, err := host(t, time.Minute).Start(ctx, script(t, "while :; do sleep 1; done")); !errors.Is(err, context.DeadlineExceeded) {
+	if _, err := newHost(t, time.Minute).Start(ctx, scriptPackage(t, "while :; do sleep 1; done")); !errors.Is(err, context.DeadlineExceeded) {
 		t.Error(err)
 	}
 }
 
 // Whatever comes to the runtime interface without a copy's token is refused; nothing is answered for a copy.
-func FuzzInterface(f *testing.F) {
+func FuzzRuntimeInterface(f *testing.F) {
 	f.Add("GET", "/v1/x/next", "")
 	f.Add("POST", "/v1/x/invocations/1/response", "body")
 	f.Add("POST", "/v1//invocations/../error", "\x00")
-	h := host(f, time.Minute)
+	h := newHost(f, time.Minute)
 	f.Fuzz(func(t *testing.T, method, path, body string) {
 		req, err := http.NewRequest(method, "http://x/", strings.NewReader(body))
 		if err != nil {
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -30,99 +30,99 @@
 
 // Options are what a Worker is made from.
 type Options struct {
-	Name     string
-	Folder   string                 // its own: journal, packages, compiled code
-	Supply   *distribution.Supplier // brings packages
-	Self     string                 // this program, for wasm copies
-	Limits   admission.Limits
-	Launches int                // most outstanding on one connection
-	Overhead int64              // of a wasm copy beside its own memory
-	Answer   int64              // most bytes of a response
-	Ready    time.Duration      // a copy that is not ready by then has failed to load
-	Grace    time.Duration      // between asking a copy to end and ending it
-	Sample   time.Duration      // between two looks at the memory
-	Refresh  time.Duration      // between two questions for new releases; 0: none are asked
-	Fail     func(point string) // called at each named step of a load, for tests; may be nil
-	Effects  *os.File           // gets the log of all copies; nil: nowhere
-	MostLog  int64              // bytes: a longer Effects is moved to NAME.1 and begun anew; 0: never
-	Group    *idempotency.Group // registers of the workers that drop each other's repeats; nil: it drops its own
-	Log      *slog.Logger
+	Name                 string
+	Folder               string                 // its own: journal, packages, compiled code
+	Artifacts            *distribution.Supplier // brings packages
+	Executable           string                 // this program, for wasm copies
+	Limits               admission.Limits
+	MaxInFlight          int                // most outstanding on one connection
+	WasmOverhead         int64              // of a wasm copy beside its own memory
+	MaxResponseBytes     int64              // most bytes of a response
+	StartTimeout         time.Duration      // a copy that is not ready by then has failed to load
+	GracePeriod          time.Duration      // between asking a copy to end and ending it
+	MemorySampleInterval time.Duration      // between two looks at the memory
+	ReleasePollInterval  time.Duration      // between two questions for new releases; 0: none are asked
+	FailPoint            func(point string) // called at each named step of a load, for tests; may be nil
+	ReplicaLog           *os.File           // gets the log of all copies; nil: nowhere
+	MaxReplicaLogBytes   int64              // bytes: a longer Effects is moved to NAME.1 and begun anew; 0: never
+	IdempotencyGroup     *idempotency.Group // registers of the workers that drop each other's repeats; nil: it drops its own
+	Log                  *slog.Logger
 }
 
 // A worker has warmed up when of its last recent launches at most warmShare found no warm copy.
 const (
-	recent    = 32
-	warmShare = 1.0 / 16
+	coldStartWindow   = 32
+	warmedUpColdRatio = 1.0 / 16
 )
 
-// claimShare of what is left of a keyed event's time is waited for registers.
-const claimShare = 0.25
+// claimTimeoutShare of what is left of a keyed event's time is waited for registers.
+const claimTimeoutShare = 0.25
 
 // Steps of a load, as fail points name them.
 const (
-	PointNoted    = "noted"    // written down, nothing begun
-	PointFetched  = "fetched"  // its content is here
-	PointVerified = "verified" // and what its manifest names
-	PointStarted  = "started"  // its copy asks for events
-	PointWarm     = "warm"     // written down as ended
+	PointJournaled = "noted"    // written down, nothing begun
+	PointFetched   = "fetched"  // its content is here
+	PointVerified  = "verified" // and what its manifest names
+	PointStarted   = "started"  // its copy asks for events
+	PointCompleted = "warm"     // written down as ended
 )
 
-// Loading is how long the steps of a load took.
-type Loading struct{ Fetch, Verify, Compile, Start time.Duration }
+// LoadTimings is how long the steps of a load took.
+type LoadTimings struct{ Fetch, Verify, Compile, Start time.Duration }
 
 // Worker is one life of a worker.
 type Worker struct {
-	o        Options
-	host     *runner.Host
-	journal  *journal
-	keeper   keeper
-	started  time.Time
-	silencer faultinject.Silencer
-	server   *workerrpc.Server
-
-	mu        sync.Mutex
-	room      *admission.Room
-	next      uint64
-	calls     map[uint64]*call
-	copies    map[uint64]*loaded
-	packages  map[string]manifest.Manifest
-	orders    []*order
-	preparing map[string]bool // packages whose newest release is being fetched
-	wake      *time.Timer
-	memory    int64 // at the last look
-	draining  bool
-	troubles  faultinject.Troubles
-	loads     []Loading
-	closed    bool
-	found     [recent]bool // of the last launches: found no warm copy
-	taken     int
-	warmed    bool // told in the journal
-	work      sync.WaitGroup
+	options     Options
+	replicaHost *runner.Host
+	journal     *journal
+	claims      claimStore
+	started     time.Time
+	silencer    faultinject.Silencer
+	server      *workerrpc.Server
+
+	mu           sync.Mutex
+	admission    *admission.Controller
+	lastCallID   uint64
+	calls        map[uint64]*call
+	replicas     map[uint64]*replica
+	releases     map[string]manifest.Manifest
+	loadRequests []*loadRequest
+	prefetching  map[string]bool // packages whose newest release is being fetched
+	wakeTimer    *time.Timer
+	memoryUsage  int64 // at the last look
+	draining     bool
+	faults       faultinject.Faults
+	loadTimings  []LoadTimings
+	closed       bool
+	coldStarts   [coldStartWindow]bool // of the last launches: found no warm copy
+	admitted     int
+	warmedUp     bool // told in the journal
+	background   sync.WaitGroup
 }
 
 type call struct {
-	id     uint64
-	launch *workerrpc.Attempt
-	reply  func(*workerrpc.AttemptResult)
-	warmth workerrpc.ReplicaState
-	others int // of its function here when it came
+	id              uint64
+	attempt         *workerrpc.Attempt
+	reply           func(*workerrpc.AttemptResult)
+	replicaState    workerrpc.ReplicaState
+	concurrentCalls int // of its function here when it came
 }
 
-// keeper knows which keyed events were begun inside their windows: the worker's own journal, or registers of a group.
-type keeper interface {
-	Claim(ctx context.Context, key string, window time.Duration) (claim string, v idempotency.Verdict, body []byte)
-	Handled(key, claim string, body []byte)
+// claimStore knows which keyed events were begun inside their windows: the worker's own journal, or registers of a group.
+type claimStore interface {
+	Claim(ctx context.Context, key string, window time.Duration) (claim string, v idempotency.Decision, body []byte)
+	Complete(key, claim string, body []byte)
 	Release(key, claim string) // it was not run after all
 }
 
-type loaded struct {
-	copy *runner.Copy // nil while it loads
-	gone bool         // told to unload, or dead
+type replica struct {
+	process   *runner.Replica // nil while it loads
+	unloading bool            // told to unload, or dead
 }
 
-type order struct {
+type loadRequest struct {
 	function string
-	copies   int
+	replicas int
 	reply    func(*workerrpc.LoadResult)
 }
 
@@ -131,8 +131,8 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	if o.Fail == nil {
-		o.Fail = func(string) {}
+	if o.FailPoint == nil {
+		o.FailPoint = func(string) {}
 	}
 	for _, dir := range []string{"packages", "compiled"} {
 		// a fresh worker is really cold: nothing fetched, nothing compiled
@@ -143,97 +143,97 @@
 			return nil, fmt.Errorf("worker: %w", err)
 		}
 	}
-	w := &Worker{o: o, started: time.Now(), room: admission.New(o.Limits), calls: map[uint64]*call{}, copies: map[uint64]*loaded{},
-		packages: map[string]manifest.Manifest{}, preparing: map[string]bool{}}
-	ctx, stop := context.WithTimeout(context.Background(), o.Ready)
-	err := w.Refresh(ctx)
+	w := &Worker{options: o, started: time.Now(), admission: admission.New(o.Limits), calls: map[uint64]*call{}, replicas: map[uint64]*replica{},
+		releases: map[string]manifest.Manifest{}, prefetching: map[string]bool{}}
+	ctx, stop := context.WithTimeout(context.Background(), o.StartTimeout)
+	err := w.RefreshReleases(ctx)
 	stop()
 	if err != nil {
-		w.o.Log.Warn("the store told no releases: those of the last life are used", "err", err)
+		w.options.Log.Warn("the store told no releases: those of the last life are used", "err", err)
 	}
 	if w.journal, err = openJournal(filepath.Join(o.Folder, "journal"), o.Log); err != nil {
 		return nil, err
 	}
-	if w.keeper = w.journal; o.Group != nil {
-		w.keeper = o.Group
+	if w.claims = w.journal; o.IdempotencyGroup != nil {
+		w.claims = o.IdempotencyGroup
 	}
-	ro := runner.Options{Self: o.Self, Cache: filepath.Join(o.Folder, "compiled"), Ready: o.Ready, Grace: o.Grace, Answer: o.Answer,
-		Overhead: o.Overhead, Log: o.Log, Effects: o.Effects}
-	if w.host, err = runner.NewHost(ro); err != nil {
+	ro := runner.Options{Executable: o.Executable, CompilationCache: filepath.Join(o.Folder, "compiled"), StartTimeout: o.StartTimeout, GracePeriod: o.GracePeriod, MaxResponseBytes: o.MaxResponseBytes,
+		WasmOverhead: o.WasmOverhead, Log: o.Log, ReplicaLog: o.ReplicaLog}
+	if w.replicaHost, err = runner.NewHost(ro); err != nil {
 		return nil, errors.Join(err, w.journal.close())
 	}
-	w.server = &workerrpc.Server{Handshake: workerrpc.Handshake{Name: o.Name, Started: w.started, MaxAttempts: o.Launches, InterruptedLoads: w.journal.cut,
-		WarmUpTime: w.journal.warmUp}, Handler: w}
-	w.wake = time.AfterFunc(time.Hour, w.step)
-	o.Supply.Follow(w.Busy)
+	w.server = &workerrpc.Server{Handshake: workerrpc.Handshake{Name: o.Name, Started: w.started, MaxAttempts: o.MaxInFlight, InterruptedLoads: w.journal.interruptedLoads,
+		WarmUpTime: w.journal.warmUpDuration}, Handler: w}
+	w.wakeTimer = time.AfterFunc(time.Hour, w.onWake)
+	o.Artifacts.Follow(w.Utilization)
 	return w, nil
 }
 
-// Refresh asks for new functions and new releases. What is known stays known when the store does not answer. A release of
+// RefreshReleases asks for new functions and new releases. What is known stays known when the store does not answer. A release of
 // a function that has copies here takes their place only once all of it has been fetched: until then, and if the store stops
 // in between, the old one serves.
-func (w *Worker) Refresh(ctx context.Context) error {
-	err := w.o.Supply.Refresh(ctx)
+func (w *Worker) RefreshReleases(ctx context.Context) error {
+	err := w.options.Artifacts.Refresh(ctx)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, p := range w.o.Supply.Packages() {
-		old, known := w.packages[p.Name]
-		n := w.room.Of(p.Name)
+	for _, p := range w.options.Artifacts.Packages() {
+		old, known := w.releases[p.Name]
+		n := w.admission.Counts(p.Name)
 		switch {
-		case known && old.Version == p.Version, w.preparing[p.Name], w.closed:
+		case known && old.Version == p.Version, w.prefetching[p.Name], w.closed:
 		case known && n.Warm+n.Loading > 0:
-			w.preparing[p.Name] = true
-			w.work.Go(func() { w.prepare(p) })
+			w.prefetching[p.Name] = true
+			w.background.Go(func() { w.prefetchRelease(p) })
 		default:
-			w.replace(p)
+			w.activateRelease(p)
 		}
 	}
 	return err
 }
 
-// prepare fetches a release, then has it take the place of the old one. If it can't be fetched, the next refresh tries again.
-func (w *Worker) prepare(p manifest.Manifest) {
-	ctx, stop := context.WithTimeout(context.Background(), w.o.Ready)
+// prefetchRelease fetches a release, then has it take the place of the old one. If it can't be fetched, the next refresh tries again.
+func (w *Worker) prefetchRelease(p manifest.Manifest) {
+	ctx, stop := context.WithTimeout(context.Background(), w.options.StartTimeout)
 	defer stop()
-	err := w.o.Supply.Prepare(ctx, p.Name, p.Version)
+	err := w.options.Artifacts.Prepare(ctx, p.Name, p.Version)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.preparing, p.Name)
+	delete(w.prefetching, p.Name)
 	if err != nil {
-		w.o.Log.Warn("a new release can't be fetched: the old one serves", "package", p.Name, "version", p.Version, "err", err)
+		w.options.Log.Warn("a new release can't be fetched: the old one serves", "package", p.Name, "version", p.Version, "err", err)
 		return
 	}
-	w.replace(p)
-	w.due()
+	w.activateRelease(p)
+	w.advance()
 }
 
-// replace has a release be the one that is loaded; the lock is held. Copies of the old one finish what they run.
-func (w *Worker) replace(p manifest.Manifest) {
-	w.packages[p.Name] = p
-	w.room.Publish(admission.Function{Name: p.Name, Version: p.Version, Lanes: p.Lanes, Memory: w.reserve(p)})
-	w.work.Go(func() { // it removes files
-		if err := w.o.Supply.Forget(p.Name); err != nil {
-			w.o.Log.Warn("an old release's files are left", "package", p.Name, "err", err)
+// activateRelease has a release be the one that is loaded; the lock is held. Copies of the old one finish what they run.
+func (w *Worker) activateRelease(p manifest.Manifest) {
+	w.releases[p.Name] = p
+	w.admission.Publish(admission.Function{Name: p.Name, Version: p.Version, Concurrency: p.Lanes, MemoryBytes: w.replicaMemory(p)})
+	w.background.Go(func() { // it removes files
+		if err := w.options.Artifacts.Forget(p.Name); err != nil {
+			w.options.Log.Warn("an old release's files are left", "package", p.Name, "err", err)
 		}
 	})
 }
 
-// refresh does it every so often until ctx ends.
-func (w *Worker) refresh(ctx context.Context) error {
-	if w.o.Refresh <= 0 {
+// pollReleases does it every so often until ctx ends.
+func (w *Worker) pollReleases(ctx context.Context) error {
+	if w.options.ReleasePollInterval <= 0 {
 		return nil
 	}
-	return httpserver.Every(ctx, w.o.Refresh, func() error {
-		if err := w.Refresh(ctx); err != nil && ctx.Err() == nil {
-			w.o.Log.Warn("no new releases are known", "err", err)
+	return httpserver.Every(ctx, w.options.ReleasePollInterval, func() error {
+		if err := w.RefreshReleases(ctx); err != nil && ctx.Err() == nil {
+			w.options.Log.Warn("no new releases are known", "err", err)
 		}
 		return nil
 	})
 }
 
-func (w *Worker) reserve(p manifest.Manifest) int64 {
+func (w *Worker) replicaMemory(p manifest.Manifest) int64 {
 	if p.Kind == manifest.Wasm {
-		return int64(p.Memory) + w.o.Overhead
+		return int64(p.Memory) + w.options.WasmOverhead
 	}
 	return int64(p.Memory)
 }
@@ -242,15 +242,15 @@
 func (w *Worker) Run(ctx context.Context, listener net.Listener) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return w.server.Serve(ctx, w.silencer.Listener(listener)) })
-	g.Go(func() error { return w.sample(ctx) })
-	g.Go(func() error { return w.refresh(ctx) })
+	g.Go(func() error { return w.sampleMemory(ctx) })
+	g.Go(func() error { return w.pollReleases(ctx) })
 	err := g.Wait()
 	w.mu.Lock()
 	w.closed = true
-	w.wake.Stop()
+	w.wakeTimer.Stop()
 	w.mu.Unlock()
-	err = errors.Join(err, w.host.Close())
-	w.work.Wait()
+	err = errors.Join(err, w.replicaHost.Close())
+	w.background.Wait()
 	return errors.Join(err, w.journal.close())
 }
 
@@ -265,38 +265,38 @@
 // Reset breaks its connections; it goes on.
 func (w *Worker) Reset() { w.server.CloseConnections() }
 
-// Busy is the part of its lanes that run.
-func (w *Worker) Busy() float64 {
+// Utilization is the part of its lanes that run.
+func (w *Worker) Utilization() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return float64(w.room.Running()) / float64(w.o.Limits.Running)
+	return float64(w.admission.Running()) / float64(w.options.Limits.MaxRunning)
 }
 
-// Holds is the number of events that wait or run.
-func (w *Worker) Holds() int {
+// InFlight is the number of events that wait or run.
+func (w *Worker) InFlight() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.calls)
 }
 
-// Trouble has it misbehave from now on; Silence has it neither read nor write.
-func (w *Worker) Trouble(change func(*faultinject.Troubles)) {
+// UpdateFaults has it misbehave from now on; Silence has it neither read nor write.
+func (w *Worker) UpdateFaults(change func(*faultinject.Faults)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	change(&w.troubles)
+	change(&w.faults)
 }
 
 // Silence has it neither read nor write, with its connections left open.
 func (w *Worker) Silence(on bool) { w.silencer.Set(on) }
 
-// Cut tells the loads that the last life did not end.
-func (w *Worker) Cut() []workerrpc.InterruptedLoad { return w.journal.cut }
+// InterruptedLoads tells the loads that the last life did not end.
+func (w *Worker) InterruptedLoads() []workerrpc.InterruptedLoad { return w.journal.interruptedLoads }
 
-// Loads tells how long the steps of the loads of this life took.
-func (w *Worker) Loads() []Loading {
+// LoadTimings tells how long the steps of the loads of this life took.
+func (w *Worker) LoadTimings() []LoadTimings {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]Loading(nil), w.loads...)
+	return append([]LoadTimings(nil), w.loadTimings...)
 }
 
 func (w *Worker) now() time.Duration { return time.Since(w.started) }
@@ -309,22 +309,22 @@
 }
 
 func (w *Worker) report() *workerrpc.LoadReport {
-	waiting := float64(w.room.Waiting())
-	if w.troubles.Reports > 0 {
-		waiting *= w.troubles.Reports
+	waiting := float64(w.admission.Waiting())
+	if w.faults.ReportFactor > 0 {
+		waiting *= w.faults.ReportFactor
 	}
-	return &workerrpc.LoadReport{QueueDepth: int(waiting), Running: w.room.Running(), MemoryBytes: w.memory, ColdStartRate: w.cold(),
-		CPUUtilization: min(1, float64(w.room.Running())/float64(runtime.NumCPU()))}
+	return &workerrpc.LoadReport{QueueDepth: int(waiting), Running: w.admission.Running(), MemoryBytes: w.memoryUsage, ColdStartRate: w.coldStartRatio(),
+		CPUUtilization: min(1, float64(w.admission.Running())/float64(runtime.NumCPU()))}
 }
 
-// cold is the part of the last launches that found no warm copy.
-func (w *Worker) cold() float64 {
-	n := min(recent, w.taken)
+// coldStartRatio is the part of the last launches that found no warm copy.
+func (w *Worker) coldStartRatio() float64 {
+	n := min(coldStartWindow, w.admitted)
 	if n == 0 {
 		return 1
 	}
 	cold := 0
-	for _, x := range w.found[:n] {
+	for _, x := range w.coldStarts[:n] {
 		if x {
 			cold++
 		}
@@ -336,7 +336,7 @@
 func (w *Worker) HandleAttempt(_ string, l *workerrpc.Attempt, reply func(*workerrpc.AttemptResult)) (cancel func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.troubles.Hang {
+	if w.faults.Hang {
 		reply = func(*workerrpc.AttemptResult) {}
 	}
 	refuse := func(code workerrpc.Code, why string) func() {
@@ -346,45 +346,45 @@
 	switch {
 	case w.closed || w.draining:
 		return refuse(workerrpc.CodeNotStarted, "draining")
-	case w.troubles.Errors:
+	case w.faults.FailRequests:
 		return refuse(workerrpc.CodeFailed, "told to fail")
-	case w.troubles.Refuse != "" && w.troubles.Refuse == l.Tenant:
+	case w.faults.RejectTenant != "" && w.faults.RejectTenant == l.Tenant:
 		return refuse(workerrpc.CodeOverloaded, "full")
 	}
-	have := w.room.Of(l.Function)
-	w.next++
-	c := &call{id: w.next, launch: l, reply: reply, warmth: workerrpc.ReplicaWarm, others: have.Waiting + have.Busy}
+	have := w.admission.Counts(l.Function)
+	w.lastCallID++
+	c := &call{id: w.lastCallID, attempt: l, reply: reply, replicaState: workerrpc.ReplicaWarm, concurrentCalls: have.Waiting + have.Busy}
 	if have.Warm == 0 {
-		c.warmth = workerrpc.ReplicaLoadAwaited
+		c.replicaState = workerrpc.ReplicaLoadAwaited
 		if have.Loading == 0 {
-			c.warmth = workerrpc.ReplicaLoadStarted
+			c.replicaState = workerrpc.ReplicaLoadStarted
 		}
 	}
-	switch w.room.Take(w.now(), admission.Call{ID: c.id, Function: l.Function, Tenant: l.Tenant, Ends: w.now() + l.TimeLeft}) {
+	switch w.admission.Admit(w.now(), admission.Call{ID: c.id, Function: l.Function, Tenant: l.Tenant, Deadline: w.now() + l.TimeLeft}) {
 	case admission.Full:
 		return refuse(workerrpc.CodeOverloaded, "full")
 	case admission.Missing:
 		return refuse(workerrpc.CodeNotFound, "not here")
-	case admission.TooBig:
+	case admission.TooLarge:
 		return refuse(workerrpc.CodeNotFound, "its package needs more memory than this worker has")
 	}
 	w.calls[c.id] = c
-	w.found[w.taken%recent] = c.warmth != workerrpc.ReplicaWarm
-	w.taken++
-	if !w.warmed && w.taken >= recent && w.cold() <= warmShare {
-		w.warmed = true
+	w.coldStarts[w.admitted%coldStartWindow] = c.replicaState != workerrpc.ReplicaWarm
+	w.admitted++
+	if !w.warmedUp && w.admitted >= coldStartWindow && w.coldStartRatio() <= warmedUpColdRatio {
+		w.warmedUp = true
 		took := w.now()
-		w.o.Log.Info("warmed up", "after", took)
-		if err := w.journal.write(note{Kind: noteWarm, Took: took}, false); err != nil {
-			w.o.Log.Error("the warm-up is not noted", "err", err) // the next life tells none
+		w.options.Log.Info("warmed up", "after", took)
+		if err := w.journal.append(journalRecord{Kind: recordWarmedUp, Duration: took}, false); err != nil {
+			w.options.Log.Error("the warm-up is not noted", "err", err) // the next life tells none
 		}
 	}
-	if c.warmth != workerrpc.ReplicaWarm {
-		if err := w.journal.write(note{Kind: noteTaken, Function: l.Function, Event: l.RequestID}, false); err != nil {
-			w.o.Log.Error("an event taken for a load is not noted", "err", err) // it is told to have run if the worker dies
+	if c.replicaState != workerrpc.ReplicaWarm {
+		if err := w.journal.append(journalRecord{Kind: recordAdmitted, Function: l.Function, RequestID: l.RequestID}, false); err != nil {
+			w.options.Log.Error("an event taken for a load is not noted", "err", err) // it is told to have run if the worker dies
 		}
 	}
-	w.due()
+	w.advance()
 	return func() { w.cancel(c) }
 }
 
@@ -394,27 +394,27 @@
 	if w.calls[c.id] == nil {
 		return
 	}
-	if w.room.Dropped(c.launch.Function, c.id) {
-		w.answer(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "withdrawn before its start"})
+	if w.admission.Withdraw(c.attempt.Function, c.id) {
+		w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "withdrawn before its start"})
 		return
 	}
 	// it runs: what was begun is not stopped, but its answer is not waited for
-	w.answer(c, &workerrpc.AttemptResult{Code: workerrpc.CodeCancelled, Reason: "withdrawn"})
+	w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeCancelled, Reason: "withdrawn"})
 }
 
-// answer ends a call for its front end; the lock is held. Later results of it change nothing.
-func (w *Worker) answer(c *call, a *workerrpc.AttemptResult) {
+// respond ends a call for its front end; the lock is held. Later results of it change nothing.
+func (w *Worker) respond(c *call, a *workerrpc.AttemptResult) {
 	if w.calls[c.id] == nil {
 		return
 	}
 	delete(w.calls, c.id)
-	a.ReplicaState, a.ConcurrentRequests, a.Report = c.warmth, c.others, w.report()
+	a.ReplicaState, a.ConcurrentRequests, a.Report = c.replicaState, c.concurrentCalls, w.report()
 	if a.Code == workerrpc.CodeNotFound && a.Reason == "load failed" {
 		a.ReplicaState = workerrpc.ReplicaLoadFailed
 	}
-	if c.warmth != workerrpc.ReplicaWarm {
-		if err := w.journal.write(note{Kind: noteOver, Event: c.launch.RequestID}, false); err != nil {
-			w.o.Log.Error("an answer is not noted", "err", err)
+	if c.replicaState != workerrpc.ReplicaWarm {
+		if err := w.journal.append(journalRecord{Kind: recordAnswered, RequestID: c.attempt.RequestID}, false); err != nil {
+			w.options.Log.Error("an answer is not noted", "err", err)
 		}
 	}
 	c.reply(a)
@@ -424,303 +424,305 @@
 func (w *Worker) HandleLoadRequest(_ string, o *workerrpc.LoadRequest, reply func(*workerrpc.LoadResult)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.troubles.Hang {
+	if w.faults.Hang {
 		reply = func(*workerrpc.LoadResult) {}
 	}
 	if w.closed || w.draining {
 		reply(&workerrpc.LoadResult{Code: workerrpc.CodeNotStarted, Reason: "draining"})
 		return
 	}
-	_, refused := w.room.Order(w.now(), o.Function, o.Replicas)
-	if refused != admission.Taken {
+	_, refused := w.admission.RequestReplicas(w.now(), o.Function, o.Replicas)
+	if refused != admission.Admitted {
 		reply(&workerrpc.LoadResult{Code: workerrpc.CodeNotFound, Reason: "not here, or too big for this worker"})
 		return
 	}
-	w.orders = append(w.orders, &order{o.Function, o.Replicas, reply})
-	w.due()
+	w.loadRequests = append(w.loadRequests, &loadRequest{o.Function, o.Replicas, reply})
+	w.advance()
 }
 
-func (w *Worker) step() {
+func (w *Worker) onWake() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.due()
+	w.advance()
 }
 
-// due carries out what is due; the lock is held.
-func (w *Worker) due() {
+// advance carries out what is due; the lock is held.
+func (w *Worker) advance() {
 	if w.closed {
 		return
 	}
-	st := w.room.Due(w.now())
-	for _, o := range st.Over {
-		c := w.calls[o.Call]
+	st := w.admission.Advance(w.now())
+	for _, o := range st.Dropped {
+		c := w.calls[o.CallID]
 		if c == nil {
 			continue
 		}
-		if o.Why == admission.NoLoad {
-			w.answer(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotFound, Reason: "load failed"})
+		if o.Reason == admission.LoadFailed {
+			w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotFound, Reason: "load failed"})
 		} else {
-			w.answer(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "its time was up before it could begin"})
+			w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "its time was up before it could begin"})
 		}
 	}
 	for _, id := range st.Unloads {
-		if l := w.copies[id]; l != nil && l.copy != nil {
-			l.gone = true
-			l.copy.End(nil)
+		if l := w.replicas[id]; l != nil && l.process != nil {
+			l.unloading = true
+			l.process.Stop(nil)
 		}
 	}
 	for _, l := range st.Loads {
-		p := w.packages[l.Function.Name]
-		w.copies[l.Copy] = &loaded{}
-		fail := w.troubles.FailLoads
-		w.work.Go(func() { w.load(l.Copy, p, fail) })
+		p := w.releases[l.Function.Name]
+		w.replicas[l.ReplicaID] = &replica{}
+		fail := w.faults.FailLoads
+		w.background.Go(func() { w.loadReplica(l.ReplicaID, p, fail) })
 	}
 	for _, r := range st.Runs {
-		w.begin(r)
+		w.startCall(r)
 	}
-	kept := w.orders[:0]
-	for _, o := range w.orders {
-		n := w.room.Of(o.function)
+	kept := w.loadRequests[:0]
+	for _, o := range w.loadRequests {
+		n := w.admission.Counts(o.function)
 		switch {
-		case n.Warm >= o.copies:
+		case n.Warm >= o.replicas:
 			o.reply(&workerrpc.LoadResult{Code: workerrpc.CodeOK, Replicas: n.Warm})
-		case n.Loading+n.Asked == 0:
+		case n.Loading+n.Requested == 0:
 			o.reply(&workerrpc.LoadResult{Code: workerrpc.CodeOverloaded, Replicas: n.Warm, Reason: "no room, or a load failed"})
 		default:
 			kept = append(kept, o)
 		}
 	}
-	w.orders = kept
-	if st.Next > 0 {
-		w.wake.Reset(st.Next)
+	w.loadRequests = kept
+	if st.WakeAfter > 0 {
+		w.wakeTimer.Reset(st.WakeAfter)
 	}
 }
 
-// begin hands an event to its copy; the lock is held.
-func (w *Worker) begin(r admission.Run) {
-	c, l := w.calls[r.Call], w.copies[r.Copy]
-	if c == nil || l == nil || l.copy == nil { // withdrawn meanwhile, or its copy is gone
-		w.room.Ended(w.now(), r.Call)
-		w.wake.Reset(0)
+// startCall hands an event to its copy; the lock is held.
+func (w *Worker) startCall(r admission.Run) {
+	c, l := w.calls[r.CallID], w.replicas[r.ReplicaID]
+	if c == nil || l == nil || l.process == nil { // withdrawn meanwhile, or its copy is gone
+		w.admission.CallEnded(w.now(), r.CallID)
+		w.wakeTimer.Reset(0)
 		if c != nil {
-			w.answer(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "its copy ended"})
+			w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "its copy ended"})
 		}
 		return
 	}
-	if c.launch.IdempotencyKey == "" {
-		w.run(r, c, l, "")
+	if c.attempt.IdempotencyKey == "" {
+		w.execute(r, c, l, "")
 		return
 	}
-	w.work.Go(func() { w.claim(r, c) })
+	w.background.Go(func() { w.claimKey(r, c) })
 }
 
-// claim asks whether a keyed event is a repeat before it is handed over.
-func (w *Worker) claim(r admission.Run, c *call) {
-	key := keyOf(c.launch)
-	ctx, stop := context.WithTimeout(context.Background(), time.Duration(claimShare*float64(c.launch.TimeLeft)))
-	claim, v, body := w.keeper.Claim(ctx, key, c.launch.IdempotencyWindow)
+// claimKey asks whether a keyed event is a repeat before it is handed over.
+func (w *Worker) claimKey(r admission.Run, c *call) {
+	key := scopedKey(c.attempt)
+	ctx, stop := context.WithTimeout(context.Background(), time.Duration(claimTimeoutShare*float64(c.attempt.TimeLeft)))
+	claim, v, body := w.claims.Claim(ctx, key, c.attempt.IdempotencyWindow)
 	stop()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	l := w.copies[r.Copy]
-	if v == idempotency.Run && w.calls[c.id] != nil && l != nil && l.copy != nil {
-		w.run(r, c, l, claim)
+	l := w.replicas[r.ReplicaID]
+	if v == idempotency.DecisionExecute && w.calls[c.id] != nil && l != nil && l.process != nil {
+		w.execute(r, c, l, claim)
 		return
 	}
-	if v == idempotency.Run { // withdrawn meanwhile, or its copy is gone
-		w.keeper.Release(key, claim)
+	if v == idempotency.DecisionExecute { // withdrawn meanwhile, or its copy is gone
+		w.claims.Release(key, claim)
 	}
-	w.room.Ended(w.now(), r.Call)
+	w.admission.CallEnded(w.now(), r.CallID)
 	switch v {
-	case idempotency.Handled:
-		w.answer(c, &workerrpc.AttemptResult{Code: workerrpc.CodeOK, Deduplicated: true, Body: body, Reason: "a repeat inside its window"})
-	case idempotency.Repeat:
-		w.answer(c, &workerrpc.AttemptResult{Code: workerrpc.CodeFailed, Deduplicated: true, Reason: "a repeat of one that may have run"})
-	case idempotency.Run:
-		w.answer(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "its copy ended"})
+	case idempotency.DecisionCompleted:
+		w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeOK, Deduplicated: true, Body: body, Reason: "a repeat inside its window"})
+	case idempotency.DecisionDuplicate:
+		w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeFailed, Deduplicated: true, Reason: "a repeat of one that may have run"})
+	case idempotency.DecisionExecute:
+		w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "its copy ended"})
 	default:
-		w.answer(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "it is not known whether it is a repeat"})
+		w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "it is not known whether it is a repeat"})
 	}
-	w.due()
+	w.advance()
 }
 
-// keyOf is a key among those of all tenants and event types.
-func keyOf(l *workerrpc.Attempt) string { return l.Type + "\n" + l.Tenant + "\n" + l.IdempotencyKey }
+// scopedKey is a key among those of all tenants and event types.
+func scopedKey(l *workerrpc.Attempt) string {
+	return l.Type + "\n" + l.Tenant + "\n" + l.IdempotencyKey
+}
 
-// run hands an event over; the lock is held.
-func (w *Worker) run(r admission.Run, c *call, l *loaded, claim string) {
-	e := c.launch
-	if c.warmth != workerrpc.ReplicaWarm {
-		if err := w.journal.write(note{Kind: noteRun, Event: e.RequestID}, false); err != nil {
+// execute hands an event over; the lock is held.
+func (w *Worker) execute(r admission.Run, c *call, l *replica, claim string) {
+	e := c.attempt
+	if c.replicaState != workerrpc.ReplicaWarm {
+		if err := w.journal.append(journalRecord{Kind: recordStarted, RequestID: e.RequestID}, false); err != nil {
 			if claim != "" {
-				w.keeper.Release(keyOf(e), claim)
+				w.claims.Release(scopedKey(e), claim)
 			}
-			w.room.Ended(w.now(), r.Call) // not written down as run: it must not run
-			w.wake.Reset(0)
-			w.answer(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: err.Error()})
+			w.admission.CallEnded(w.now(), r.CallID) // not written down as run: it must not run
+			w.wakeTimer.Reset(0)
+			w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: err.Error()})
 			return
 		}
 	}
-	slow := w.troubles.Slow
-	w.work.Add(1)
-	l.copy.Call(e.Body, e.TimeLeft, func(res runner.Result) {
-		defer w.work.Done()
+	slow := w.faults.SlowFactor
+	w.background.Add(1)
+	l.process.Call(e.Body, e.TimeLeft, func(res runner.Result) {
+		defer w.background.Done()
 		if slow > 1 {
-			time.Sleep(time.Duration(float64(res.Took) * (slow - 1)))
+			time.Sleep(time.Duration(float64(res.Duration) * (slow - 1)))
 		}
-		w.ended(r.Call, c, claim, res)
+		w.completeCall(r.CallID, c, claim, res)
 	})
 }
 
-func (w *Worker) ended(id uint64, c *call, claim string, res runner.Result) {
+func (w *Worker) completeCall(id uint64, c *call, claim string, res runner.Result) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.room.Ended(w.now(), id)
-	a := &workerrpc.AttemptResult{Code: workerrpc.CodeOK, Body: res.Body, CPUTime: res.Took}
+	w.admission.CallEnded(w.now(), id)
+	a := &workerrpc.AttemptResult{Code: workerrpc.CodeOK, Body: res.Body, CPUTime: res.Duration}
 	if res.Err != nil {
 		a.Code, a.Reason = workerrpc.CodeFailed, res.Err.Error()
 	}
-	if errors.Is(res.Err, runner.ErrNotBegun) {
+	if errors.Is(res.Err, runner.ErrNotStarted) {
 		a.Code = workerrpc.CodeNotStarted
 	}
 	if claim != "" {
 		switch a.Code {
 		case workerrpc.CodeOK:
-			w.keeper.Handled(keyOf(c.launch), claim, a.Body)
+			w.claims.Complete(scopedKey(c.attempt), claim, a.Body)
 		case workerrpc.CodeNotStarted:
-			w.keeper.Release(keyOf(c.launch), claim)
+			w.claims.Release(scopedKey(c.attempt), claim)
 		}
 	}
-	w.answer(c, a)
-	w.due()
+	w.respond(c, a)
+	w.advance()
 }
 
-// load brings up a copy. It is written down, durably, before anything of it begins.
-func (w *Worker) load(id uint64, p manifest.Manifest, fail bool) {
-	took, copy, err := w.bring(id, p, fail)
+// loadReplica brings up a copy. It is written down, durably, before anything of it begins.
+func (w *Worker) loadReplica(id uint64, p manifest.Manifest, fail bool) {
+	took, copy, err := w.startReplica(id, p, fail)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err != nil {
-		w.o.Log.Warn("load failed", "package", p.Name, "version", p.Version, "err", err)
-		delete(w.copies, id)
-		w.room.Loaded(w.now(), id, false)
-		w.due()
+		w.options.Log.Warn("load failed", "package", p.Name, "version", p.Version, "err", err)
+		delete(w.replicas, id)
+		w.admission.LoadEnded(w.now(), id, false)
+		w.advance()
 		return
 	}
-	w.o.Log.Info("loaded", "package", p.Name, "version", p.Version, "fetch", took.Fetch, "verify", took.Verify, "compile", took.Compile,
+	w.options.Log.Info("loaded", "package", p.Name, "version", p.Version, "fetch", took.Fetch, "verify", took.Verify, "compile", took.Compile,
 		"start", took.Start)
-	w.loads = append(w.loads[max(0, len(w.loads)-99):], took)
-	w.copies[id].copy = copy
-	w.room.Loaded(w.now(), id, true)
-	w.work.Go(func() { w.watch(id, copy) })
+	w.loadTimings = append(w.loadTimings[max(0, len(w.loadTimings)-99):], took)
+	w.replicas[id].process = copy
+	w.admission.LoadEnded(w.now(), id, true)
+	w.background.Go(func() { w.watchReplica(id, copy) })
 	if w.closed {
-		copy.End(nil)
+		copy.Stop(nil)
 	}
-	w.due()
+	w.advance()
 }
 
-func (w *Worker) bring(id uint64, p manifest.Manifest, fail bool) (took Loading, copy *runner.Copy, err error) {
-	if err := w.journal.write(note{Kind: noteLoad, Load: id, Function: p.Name, Version: p.Version}, true); err != nil {
+func (w *Worker) startReplica(id uint64, p manifest.Manifest, fail bool) (took LoadTimings, copy *runner.Replica, err error) {
+	if err := w.journal.append(journalRecord{Kind: recordLoadStarted, LoadID: id, Function: p.Name, Version: p.Version}, true); err != nil {
 		return took, nil, err
 	}
 	defer func() { // well or not, this life knows its end
-		err = errors.Join(err, w.journal.write(note{Kind: noteLoaded, Load: id}, false))
+		err = errors.Join(err, w.journal.append(journalRecord{Kind: recordLoadEnded, LoadID: id}, false))
 		if err != nil && copy != nil {
-			copy.End(nil)
+			copy.Stop(nil)
 		} else if err == nil {
-			w.o.Fail(PointWarm)
+			w.options.FailPoint(PointCompleted)
 		}
 	}()
-	w.o.Fail(PointNoted)
+	w.options.FailPoint(PointJournaled)
 	if fail {
 		return took, nil, errors.New("told to fail")
 	}
 	at := time.Now()
-	folder := filepath.Join(w.o.Folder, "packages", fmt.Sprintf("%s-%s-%d", p.Name, p.Version, id))
-	ctx, stop := context.WithTimeout(context.Background(), w.o.Ready)
-	here, err := w.o.Supply.Bring(ctx, p.Name, p.Version, folder)
+	folder := filepath.Join(w.options.Folder, "packages", fmt.Sprintf("%s-%s-%d", p.Name, p.Version, id))
+	ctx, stop := context.WithTimeout(context.Background(), w.options.StartTimeout)
+	here, err := w.options.Artifacts.Bring(ctx, p.Name, p.Version, folder)
 	stop()
 	if err != nil {
 		return took, nil, err
 	}
 	took.Fetch = time.Since(at)
-	w.o.Fail(PointFetched)
+	w.options.FailPoint(PointFetched)
 	at = time.Now()
 	if err := here.Verify(); err != nil {
 		return took, nil, errors.Join(err, os.RemoveAll(folder))
 	}
 	took.Verify = time.Since(at)
-	w.o.Fail(PointVerified)
+	w.options.FailPoint(PointVerified)
 	at = time.Now()
-	if copy, err = w.host.Start(context.Background(), here); err != nil { // bounded by Ready
+	if copy, err = w.replicaHost.Start(context.Background(), here); err != nil { // bounded by Ready
 		return took, nil, errors.Join(err, os.RemoveAll(folder))
 	}
-	took.Compile = copy.Compiled()
+	took.Compile = copy.CompileTime()
 	took.Start = max(0, time.Since(at)-took.Compile)
-	w.o.Fail(PointStarted)
+	w.options.FailPoint(PointStarted)
 	return took, copy, nil
 }
 
-// watch waits for a copy's end, wished or not. Its events have their results from the copy itself.
-func (w *Worker) watch(id uint64, c *runner.Copy) {
-	<-c.Dead()
+// watchReplica waits for a copy's end, wished or not. Its events have their results from the copy itself.
+func (w *Worker) watchReplica(id uint64, c *runner.Replica) {
+	<-c.Done()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	l := w.copies[id]
-	delete(w.copies, id)
-	if l.gone {
-		w.room.Unloaded(id)
+	l := w.replicas[id]
+	delete(w.replicas, id)
+	if l.unloading {
+		w.admission.ReplicaUnloaded(id)
 	} else {
-		w.room.Gone(w.now(), id)
+		w.admission.ReplicaExited(w.now(), id)
 	}
 	_ = os.RemoveAll(c.Folder()) // what is left is removed at the next start
-	w.due()
+	w.advance()
 }
 
-// sample looks at the memory of every copy and ends one that holds more than its package may.
-func (w *Worker) sample(ctx context.Context) error {
-	return httpserver.Every(ctx, w.o.Sample, func() error {
+// sampleMemory looks at the memory of every copy and ends one that holds more than its package may.
+func (w *Worker) sampleMemory(ctx context.Context) error {
+	return httpserver.Every(ctx, w.options.MemorySampleInterval, func() error {
 		w.mu.Lock()
-		var all []*runner.Copy
-		for _, l := range w.copies {
-			if l.copy != nil {
-				all = append(all, l.copy)
+		var all []*runner.Replica
+		for _, l := range w.replicas {
+			if l.process != nil {
+				all = append(all, l.process)
 			}
 		}
 		w.mu.Unlock()
-		sum, err := runner.Memory(os.Getpid())
+		sum, err := runner.ProcessMemory(os.Getpid())
 		if err != nil {
-			w.o.Log.Error("memory can't be read", "err", err)
+			w.options.Log.Error("memory can't be read", "err", err)
 		}
 		for _, c := range all {
 			m, err := c.Memory()
 			if err != nil {
 				continue // it has just ended
 			}
-			if sum += m; m > c.Limit() {
-				c.End(runner.ErrMemory)
+			if sum += m; m > c.MemoryLimit() {
+				c.Stop(runner.ErrMemoryLimit)
 			}
 		}
 		w.mu.Lock()
-		w.memory = sum
+		w.memoryUsage = sum
 		w.mu.Unlock()
-		if err := w.bound(); err != nil {
-			w.o.Log.Error("the log of copies is not bounded", "err", err)
+		if err := w.rotateReplicaLog(); err != nil {
+			w.options.Log.Error("the log of copies is not bounded", "err", err)
 		}
 		return nil
 	})
 }
 
-// bound moves a log of copies that is too long aside. Copies write into the file themselves, so it is copied and cut; a line
+// rotateReplicaLog moves a log of copies that is too long aside. Copies write into the file themselves, so it is copied and cut; a line
 // that is written in between is lost.
-func (w *Worker) bound() error {
-	if w.o.Effects == nil || w.o.MostLog <= 0 {
+func (w *Worker) rotateReplicaLog() error {
+	if w.options.ReplicaLog == nil || w.options.MaxReplicaLogBytes <= 0 {
 		return nil
 	}
-	if is, err := w.o.Effects.Stat(); err != nil || is.Size() <= w.o.MostLog {
+	if is, err := w.options.ReplicaLog.Stat(); err != nil || is.Size() <= w.options.MaxReplicaLogBytes {
 		return err
 	}
-	name := w.o.Effects.Name()
+	name := w.options.ReplicaLog.Name()
 	in, err := os.Open(name)
 	if err != nil {
 		return err
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -32,8 +32,8 @@
 )
 
 var (
-	store string // packages of both kinds, built once
-	base  string // address of the store that has them
+	packagesDir string // packages of both kinds, built once
+	storeURL    string // address of the store that has them
 )
 
 // TestMain is also the program of wasm copies and of workers that are to be killed.
@@ -48,11 +48,11 @@
 		os.Exit(0)
 	}
 	if point := os.Getenv("LP_TEST_KILL"); point != "" {
-		doomed(point)
+		runUntilFailPoint(point)
 	}
 	dir, err := os.MkdirTemp("", "packages")
 	if err == nil {
-		store, err = dir, build(dir)
+		packagesDir, err = dir, buildPackages(dir)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -66,7 +66,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	base = s.Client.Base
+	storeURL = s.Client.Base
 	code := m.Run()
 	s.Close()
 	os.RemoveAll(dir)
@@ -79,8 +79,8 @@
 	os.Exit(code)
 }
 
-// build makes the example packages: each as a process and as wasm.
-func build(dir string) error {
+// buildPackages makes the example packages: each as a process and as wasm.
+func buildPackages(dir string) error {
 	for _, name := range []string{"misbehave", "preview"} {
 		for _, kind := range []string{manifest.Process, manifest.Wasm} {
 			fn := name + "-" + kind
@@ -107,31 +107,31 @@
 	if err != nil {
 		panic(err)
 	}
-	return worker.Options{Name: "w", Folder: folder, Supply: giver.Supplier, Self: self, Launches: 100, Overhead: 512 << 20, Answer: 1 << 20,
-		Ready: 60 * time.Second, Grace: time.Second, Sample: 20 * time.Millisecond,
-		Limits: admission.Limits{Memory: 8 << 30, Running: 8, Waiting: 100, Loads: 4, Keep: time.Minute, OnMiss: true}}, giver.Close
+	return worker.Options{Name: "w", Folder: folder, Artifacts: giver.Supplier, Executable: self, MaxInFlight: 100, WasmOverhead: 512 << 20, MaxResponseBytes: 1 << 20,
+		StartTimeout: 60 * time.Second, GracePeriod: time.Second, MemorySampleInterval: 20 * time.Millisecond,
+		Limits: admission.Limits{MemoryBytes: 8 << 30, MaxRunning: 8, MaxWaiting: 100, MaxLoads: 4, IdleTimeout: time.Minute, LoadOnMiss: true}}, giver.Close
 }
 
-// rig is a worker and a front end's link to it.
-type rig struct {
+// harness is a worker and a front end's link to it.
+type harness struct {
 	*worker.Worker
-	t       *testing.T
-	peer    *workerrpc.Client
-	effects string
-	addr    string
+	t          *testing.T
+	peer       *workerrpc.Client
+	replicaLog string
+	addr       string
 }
 
-func start(t *testing.T, change func(*worker.Options)) *rig {
-	return startAt(t, t.TempDir(), base, change)
+func startWorker(t *testing.T, change func(*worker.Options)) *harness {
+	return startWorkerIn(t, t.TempDir(), storeURL, change)
 }
 
-// startAt starts a worker in a folder, with the packages of the store at base.
-func startAt(t *testing.T, folder, base string, change func(*worker.Options)) *rig {
+// startWorkerIn starts a worker in a folder, with the packages of the store at base.
+func startWorkerIn(t *testing.T, folder, base string, change func(*worker.Options)) *harness {
 	o, done := options(folder, base)
 	t.Cleanup(done)
-	r := &rig{t: t, effects: filepath.Join(t.TempDir(), "effects")}
+	r := &harness{t: t, replicaLog: filepath.Join(t.TempDir(), "effects")}
 	var err error
-	if o.Effects, err = os.OpenFile(r.effects, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644); err != nil {
+	if o.ReplicaLog, err = os.OpenFile(r.replicaLog, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if change != nil {
@@ -146,20 +146,20 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	r.addr = listener.Addr().String()
-	r.peer = connect(ctx, r.addr)
+	r.peer = newPeer(ctx, r.addr)
 	ended := make(chan error, 2)
 	go func() { ended <- r.Run(ctx, listener) }()
 	go func() { ended <- r.peer.Run(ctx) }()
 	t.Cleanup(func() {
 		stop()
-		if err := errors.Join(<-ended, <-ended, o.Effects.Close()); err != nil {
+		if err := errors.Join(<-ended, <-ended, o.ReplicaLog.Close()); err != nil {
 			t.Error(err)
 		}
 	})
 	return r
 }
 
-func connect(_ context.Context, addr string) *workerrpc.Client {
+func newPeer(_ context.Context, addr string) *workerrpc.Client {
 	return workerrpc.NewClient("front", "w", addr, workerrpc.Limits{DialTimeout: 10 * time.Second, QueueTimeout: 30 * time.Second, WriteTimeout: 10 * time.Second,
 		MaxQueuedCalls: 1000, MaxQueuedBytes: 1 << 24}, func(ctx context.Context, addr string) (net.Conn, error) {
 		var d net.Dialer
@@ -167,14 +167,14 @@
 	})
 }
 
-func (r *rig) send(l workerrpc.Attempt) <-chan workerrpc.Outcome {
+func (r *harness) send(l workerrpc.Attempt) <-chan workerrpc.Outcome {
 	got := make(chan workerrpc.Outcome, 1)
 	r.peer.Send(l, 60*time.Second, func(o workerrpc.Outcome) { got <- o })
 	return got
 }
 
-// until waits for a condition.
-func (r *rig) until(what string, is func() bool) {
+// waitFor waits for a condition.
+func (r *harness) waitFor(what string, is func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -183,8 +183,8 @@
 	}
 }
 
-// wants runs an event and compares its code and a part of the body or reason.
-func (r *rig) wants(function, body string, code workerrpc.Code, part string) *workerrpc.AttemptResult {
+// expectAnswer runs an event and compares its code and a part of the body or reason.
+func (r *harness) expectAnswer(function, body string, code workerrpc.Code, part string) *workerrpc.AttemptResult {
 	r.t.Helper()
 	o := <-r.send(workerrpc.Attempt{RequestID: body, Function: function, Body: []byte(body)})
 	for o.AttemptResult != nil && o.AttemptResult.Code == workerrpc.CodeNotStarted { // its copy was just ending: a front end goes on elsewhere
@@ -201,30 +201,30 @@
 
 // Both kinds run the same program to the same answers; a copy that misbehaves costs its own events only, and the function
 // is served again by another copy.
-func TestBothKindsAndMisbehaviour(t *testing.T) {
-	r := start(t, nil)
+func TestBothKindsAndFaultyFunctions(t *testing.T) {
+	r := startWorker(t, nil)
 	for _, kind := range []string{manifest.Process, manifest.Wasm} {
 		model, mis := "preview-"+kind, "misbehave-"+kind
-		a := r.wants(model, `{"features":[1,2,3]}`, workerrpc.CodeOK, `{"score":0.83`)
+		a := r.expectAnswer(model, `{"features":[1,2,3]}`, workerrpc.CodeOK, `{"score":0.83`)
 		if a.ReplicaState != workerrpc.ReplicaLoadStarted {
 			t.Errorf("warmth %d", a.ReplicaState)
 		}
-		if a = r.wants(model, `{"features":[1,2,3]}`, workerrpc.CodeOK, `{"score":0.83`); a.ReplicaState != workerrpc.ReplicaWarm {
+		if a = r.expectAnswer(model, `{"features":[1,2,3]}`, workerrpc.CodeOK, `{"score":0.83`); a.ReplicaState != workerrpc.ReplicaWarm {
 			t.Errorf("%+v", a)
 		}
-		r.wants(model, `{"features":[1]}`, workerrpc.CodeFailed, "1 features, the model has 3")
-		r.wants(mis, "echo", workerrpc.CodeOK, "echo")
-		r.wants(mis, "fail", workerrpc.CodeFailed, "told to fail")
-		r.wants(mis, "panic "+kind, workerrpc.CodeFailed, "")
-		r.wants(mis, "exit "+kind, workerrpc.CodeFailed, "")
-		r.wants(mis, "flood "+kind, workerrpc.CodeFailed, "")
-		r.wants(mis, "spin "+kind, workerrpc.CodeFailed, runner.ErrTime.Error())
-		r.wants(mis, "allocate "+kind, workerrpc.CodeFailed, "")
-		r.wants(mis, "echo again", workerrpc.CodeOK, "echo again")
-		r.wants(model, `{"features":[1,2,3]}`, workerrpc.CodeOK, `{"score":0.83`)
-	}
-	r.wants("nobody", "x", workerrpc.CodeNotFound, "not here")
-	log, err := os.ReadFile(r.effects)
+		r.expectAnswer(model, `{"features":[1]}`, workerrpc.CodeFailed, "1 features, the model has 3")
+		r.expectAnswer(mis, "echo", workerrpc.CodeOK, "echo")
+		r.expectAnswer(mis, "fail", workerrpc.CodeFailed, "told to fail")
+		r.expectAnswer(mis, "panic "+kind, workerrpc.CodeFailed, "")
+		r.expectAnswer(mis, "exit "+kind, workerrpc.CodeFailed, "")
+		r.expectAnswer(mis, "flood "+kind, workerrpc.CodeFailed, "")
+		r.expectAnswer(mis, "spin "+kind, workerrpc.CodeFailed, runner.ErrTimeLimit.Error())
+		r.expectAnswer(mis, "allocate "+kind, workerrpc.CodeFailed, "")
+		r.expectAnswer(mis, "echo again", workerrpc.CodeOK, "echo again")
+		r.expectAnswer(model, `{"features":[1,2,3]}`, workerrpc.CodeOK, `{"score":0.83`)
+	}
+	r.expectAnswer("nobody", "x", workerrpc.CodeNotFound, "not here")
+	log, err := os.ReadFile(r.replicaLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -243,7 +243,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { own.Close() })
-	if err := own.PublishAll(t.Context(), store); err != nil {
+	if err := own.PublishAll(t.Context(), packagesDir); err != nil {
 		t.Fatal(err)
 	}
 	b, err := own.Release("preview-process", "")
@@ -258,21 +258,21 @@
 	if err := os.WriteFile(filepath.Join(broken, "chunks", first[:2], first), []byte("x"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	r := startAt(t, t.TempDir(), own.Client.Base, nil)
-	a := r.wants("preview-process", "x", workerrpc.CodeNotFound, "load failed")
+	r := startWorkerIn(t, t.TempDir(), own.Client.Base, nil)
+	a := r.expectAnswer("preview-process", "x", workerrpc.CodeNotFound, "load failed")
 	if a.ReplicaState != workerrpc.ReplicaLoadFailed || !a.Code.NeverRan() {
 		t.Errorf("%+v", a)
 	}
-	r.wants("misbehave-process", "echo", workerrpc.CodeOK, "echo")
+	r.expectAnswer("misbehave-process", "echo", workerrpc.CodeOK, "echo")
 }
 
 // A keyed event's repeat inside its window is dropped, also across a restart; outside it runs.
-func TestKeyedAcrossARestart(t *testing.T) {
+func TestIdempotencyAcrossRestart(t *testing.T) {
 	folder := t.TempDir()
 	var effects string
 	t.Run("first life", func(t *testing.T) {
-		r := startAt(t, folder, base, nil)
-		effects = r.effects
+		r := startWorkerIn(t, folder, storeURL, nil)
+		effects = r.replicaLog
 		send := func(body, key string, window time.Duration) *workerrpc.AttemptResult {
 			o := <-r.send(workerrpc.Attempt{RequestID: body, Function: "misbehave-process", IdempotencyKey: key, IdempotencyWindow: window, Body: []byte(body)})
 			return o.AttemptResult
@@ -294,7 +294,7 @@
 			t.Errorf("%s, %v", log, err)
 		}
 	})
-	r := startAt(t, folder, base, nil)
+	r := startWorkerIn(t, folder, storeURL, nil)
 	for key, want := range map[string]workerrpc.Code{"k": workerrpc.CodeOK, "gone": workerrpc.CodeFailed} {
 		o := <-r.send(workerrpc.Attempt{RequestID: "again", Function: "misbehave-process", IdempotencyKey: key, IdempotencyWindow: time.Minute, Body: []byte("again")})
 		if !o.AttemptResult.Deduplicated || o.AttemptResult.Code != want {
@@ -308,9 +308,9 @@
 }
 
 // Told to misbehave it does, and undoes it at the stated time; an order that makes no sense is refused with its reason.
-func TestControl(t *testing.T) {
-	r := start(t, nil)
-	control := httptest.NewServer(r.Control())
+func TestControlInterface(t *testing.T) {
+	r := startWorker(t, nil)
+	control := httptest.NewServer(r.ControlHandler())
 	t.Cleanup(control.Close)
 	order := func(text string) (int, string) {
 		resp, err := control.Client().Post(control.URL+"/v1/trouble", "application/json", strings.NewReader(text))
@@ -331,7 +331,7 @@
 			t.Errorf("%s: %d %s", text, status, got)
 		}
 	}
-	r.wants("misbehave-process", "echo", workerrpc.CodeOK, "echo")
+	r.expectAnswer("misbehave-process", "echo", workerrpc.CodeOK, "echo")
 	if status, got := order(`{"what":"refuse","tenant":"x","for":"300ms"}`); status != 204 {
 		t.Fatal(got)
 	}
@@ -353,14 +353,14 @@
 	}
 }
 
-// doomed is a worker that kills itself at a point of a load, while an event waits for it.
-func doomed(point string) {
+// runUntilFailPoint is a worker that kills itself at a point of a load, while an event waits for it.
+func runUntilFailPoint(point string) {
 	o, _ := options(os.Getenv("LP_TEST_FOLDER"), os.Getenv("LP_TEST_STORE"))
 	var err error
-	if o.Effects, err = os.OpenFile(os.Getenv("LP_TEST_EFFECTS"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644); err != nil {
+	if o.ReplicaLog, err = os.OpenFile(os.Getenv("LP_TEST_EFFECTS"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644); err != nil {
 		panic(err)
 	}
-	o.Fail = func(at string) {
+	o.FailPoint = func(at string) {
 		if at == point {
 			_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
 			select {}
@@ -385,7 +385,7 @@
 
 // Killed at every step of a load: the next life says that the load failed and which events it had taken, and never that
 // one did not run which did. LP_ROUNDS sets the rounds for each step.
-func TestKilledDuringALoad(t *testing.T) {
+func TestCrashDuringLoad(t *testing.T) {
 	rounds := 2
 	if n, err := strconv.Atoi(os.Getenv("LP_ROUNDS")); err == nil {
 		rounds = n
@@ -395,19 +395,19 @@
 		t.Fatal(err)
 	}
 	checked := 0
-	for _, point := range []string{worker.PointNoted, worker.PointFetched, worker.PointVerified, worker.PointStarted, worker.PointWarm, "after"} {
+	for _, point := range []string{worker.PointJournaled, worker.PointFetched, worker.PointVerified, worker.PointStarted, worker.PointCompleted, "after"} {
 		for range rounds {
 			dir := t.TempDir()
 			effects := filepath.Join(dir, "effects")
 			cmd := exec.Command(self)
-			cmd.Env = append(os.Environ(), "LP_TEST_KILL="+point, "LP_TEST_FOLDER="+dir, "LP_TEST_STORE="+base, "LP_TEST_EFFECTS="+effects)
+			cmd.Env = append(os.Environ(), "LP_TEST_KILL="+point, "LP_TEST_FOLDER="+dir, "LP_TEST_STORE="+storeURL, "LP_TEST_EFFECTS="+effects)
 			var out bytes.Buffer
 			cmd.Stderr = &out
 			var exit *exec.ExitError
 			if err := cmd.Run(); !errors.As(err, &exit) || exit.Sys().(syscall.WaitStatus).Signal() != syscall.SIGKILL {
 				t.Fatalf("%s: %v: %s", point, err, out.String())
 			}
-			o, done := options(dir, base)
+			o, done := options(dir, storeURL)
 			t.Cleanup(done)
 			next, err := worker.New(o)
 			if err != nil {
@@ -427,8 +427,8 @@
 				t.Fatal(err)
 			}
 			ran := strings.Contains(string(log), "effect waits")
-			cut := next.Cut()
-			open := point != worker.PointWarm && point != "after"
+			cut := next.InterruptedLoads()
+			open := point != worker.PointCompleted && point != "after"
 			if open != (len(cut) == 1) || open && (cut[0].Function != "misbehave-process" || len(cut[0].Requests) != 1 || cut[0].Requests[0].RequestID != "waits") {
 				t.Errorf("%s: told %+v", point, cut)
 			}
@@ -448,17 +448,17 @@
 }
 
 // What the worker reports is what the operating system says, within 5 %, over at least 50 samples under load.
-func TestReportedMemoryIsTrue(t *testing.T) {
-	r := start(t, nil)
+func TestReportedMemoryMatchesProcesses(t *testing.T) {
+	r := startWorker(t, nil)
 	worst, samples := 0.0, 0
 	for _, kind := range []string{manifest.Process, manifest.Wasm} {
-		r.wants("misbehave-"+kind, "hold", workerrpc.CodeOK, "")
+		r.expectAnswer("misbehave-"+kind, "hold", workerrpc.CodeOK, "")
 		for range 30 {
-			r.wants("misbehave-"+kind, "echo", workerrpc.CodeOK, "")
+			r.expectAnswer("misbehave-"+kind, "echo", workerrpc.CodeOK, "")
 			// a quiet moment: two looks of the worker with the same result around ours
 			for range 50 {
 				before := r.LoadReport().MemoryBytes
-				real, err := tree(os.Getpid())
+				real, err := processTreeMemory(os.Getpid())
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -479,8 +479,8 @@
 	}
 }
 
-// tree sums what the operating system says of a process and its children, read independently of the worker.
-func tree(pid int) (int64, error) {
+// processTreeMemory sums what the operating system says of a process and its children, read independently of the worker.
+func processTreeMemory(pid int) (int64, error) {
 	sum := int64(0)
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/smaps_rollup", pid))
 	if err != nil {
@@ -509,7 +509,7 @@
 			if err != nil {
 				return 0, err
 			}
-			m, err := tree(n)
+			m, err := processTreeMemory(n)
 			if err != nil {
 				continue // a child that has ended
 			}
@@ -521,7 +521,7 @@
 
 // Two workers of a group drop each other's repeats, also when one of three registers is away; with two away, a keyed event
 // is turned away as never run.
-func TestKeyedInAGroup(t *testing.T) {
+func TestIdempotencyInGroup(t *testing.T) {
 	var at []string
 	var servers []*httptest.Server
 	for range 3 {
@@ -536,20 +536,20 @@
 		})
 		at, servers = append(at, strings.TrimPrefix(server.URL, "http://")), append(servers, server)
 	}
-	var rigs []*rig
+	var rigs []*harness
 	for range 2 {
 		g, err := idempotency.NewGroup(at, 10*time.Second, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(g.Close)
-		rigs = append(rigs, start(t, func(o *worker.Options) { o.Group = g }))
+		rigs = append(rigs, startWorker(t, func(o *worker.Options) { o.IdempotencyGroup = g }))
 	}
-	send := func(r *rig, body, tenant, key string) *workerrpc.AttemptResult {
+	send := func(r *harness, body, tenant, key string) *workerrpc.AttemptResult {
 		return (<-r.send(workerrpc.Attempt{RequestID: body, Function: "misbehave-process", Type: "t", Tenant: tenant, IdempotencyKey: key, IdempotencyWindow: time.Minute,
 			Body: []byte(body)})).AttemptResult
 	}
-	settled := func(r *rig, body, key string, want func(*workerrpc.AttemptResult) bool) {
+	settled := func(r *harness, body, key string, want func(*workerrpc.AttemptResult) bool) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) { // registers hear of ends a little later
 			a := send(r, body, "x", key)
@@ -588,7 +588,7 @@
 		t.Errorf("%+v", a)
 	}
 	for _, r := range rigs {
-		log, err := os.ReadFile(r.effects)
+		log, err := os.ReadFile(r.replicaLog)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -602,21 +602,21 @@
 
 // A version that is replaced while it is busy finishes what it runs; what comes next runs on the new one. Orders that cross
 // (load two, none, one) end with what the last one asked for, and each is answered.
-func TestReplacedWhileBusyAndCrossingOrders(t *testing.T) {
+func TestReleaseReplacedWhileBusyAndOverlappingLoadRequests(t *testing.T) {
 	own, err := localfleet.OpenStore(t.TempDir(), localfleet.Easy)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { own.Close() })
-	if err := own.PublishAll(t.Context(), store); err != nil {
+	if err := own.PublishAll(t.Context(), packagesDir); err != nil {
 		t.Fatal(err)
 	}
-	r := startAt(t, t.TempDir(), own.Client.Base, nil)
-	r.wants("misbehave-process", "echo", workerrpc.CodeOK, "echo")
+	r := startWorkerIn(t, t.TempDir(), own.Client.Base, nil)
+	r.expectAnswer("misbehave-process", "echo", workerrpc.CodeOK, "echo")
 	busy := r.send(workerrpc.Attempt{RequestID: "b", Function: "misbehave-process", Body: []byte("sleep 700ms")})
-	r.until("it runs", func() bool { return r.LoadReport().Running == 1 })
+	r.waitFor("it runs", func() bool { return r.LoadReport().Running == 1 })
 	next := t.TempDir()
-	if err := os.CopyFS(next, os.DirFS(filepath.Join(store, "preview-process", "1"))); err != nil {
+	if err := os.CopyFS(next, os.DirFS(filepath.Join(packagesDir, "preview-process", "1"))); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.Chmod(filepath.Join(next, "entry"), 0o755); err != nil {
@@ -630,14 +630,14 @@
 		t.Fatal(err)
 	}
 	own.Stop(time.Second) // the list of releases does not come, nor does the release
-	if err := r.Refresh(t.Context()); err == nil {
+	if err := r.RefreshReleases(t.Context()); err == nil {
 		t.Error("a stopped store answers")
 	}
-	if a := r.wants("misbehave-process", "echo", workerrpc.CodeOK, "echo"); a.ReplicaState != workerrpc.ReplicaWarm {
+	if a := r.expectAnswer("misbehave-process", "echo", workerrpc.CodeOK, "echo"); a.ReplicaState != workerrpc.ReplicaWarm {
 		t.Errorf("the old version is not warm while the store is stopped: %+v", a)
 	}
-	r.until("the new version is here", func() bool {
-		if err := r.Refresh(t.Context()); err != nil {
+	r.waitFor("the new version is here", func() bool {
+		if err := r.RefreshReleases(t.Context()); err != nil {
 			return false
 		}
 		o := <-r.send(workerrpc.Attempt{RequestID: "p", Function: "misbehave-process", Body: []byte(`{"features":[1,2,3]}`)})
@@ -655,20 +655,20 @@
 			t.Errorf("an order has no answer: %v", o.Err)
 		}
 	}
-	r.wants("preview-process", `{"features":[1,2,3]}`, workerrpc.CodeOK, "score")
+	r.expectAnswer("preview-process", `{"features":[1,2,3]}`, workerrpc.CodeOK, "score")
 }
 
 // With memory for one copy and that one busy, an event of another function waits for it to be idle; more memory than there
 // is is never reserved, and the event of a package that could never fit is refused at once. Several events that come at once
 // for a function that is not loaded load it once.
 func TestMemoryPressure(t *testing.T) {
-	r := start(t, func(o *worker.Options) { o.Limits.Memory, o.Limits.Loads = 100<<20, 2 })
+	r := startWorker(t, func(o *worker.Options) { o.Limits.MemoryBytes, o.Limits.MaxLoads = 100<<20, 2 })
 	var all []<-chan workerrpc.Outcome
 	for range 2 {
 		all = append(all, r.send(workerrpc.Attempt{RequestID: "s", Function: "misbehave-process", Body: []byte("sleep 300ms")}))
 	}
-	r.until("both run", func() bool { return r.LoadReport().Running == 2 })
-	if n := len(r.Loads()); n != 1 {
+	r.waitFor("both run", func() bool { return r.LoadReport().Running == 2 })
+	if n := len(r.LoadTimings()); n != 1 {
 		t.Errorf("%d loads for two events that came together", n)
 	}
 	all = append(all, r.send(workerrpc.Attempt{RequestID: "p", Function: "preview-process", Body: []byte(`{"features":[1,2,3]}`)}))
@@ -677,10 +677,10 @@
 			t.Errorf("event %d: %+v", i, o.AttemptResult)
 		}
 	}
-	if n := len(r.Loads()); n != 2 {
+	if n := len(r.LoadTimings()); n != 2 {
 		t.Errorf("%d loads, want 2", n)
 	}
-	r.wants("preview-wasm", "x", workerrpc.CodeNotFound, "more memory than this worker has")
+	r.expectAnswer("preview-wasm", "x", workerrpc.CodeNotFound, "more memory than this worker has")
 }
 
 // A worker whose system's clock was a day off, and was set right between two lives, holds a key as long as its window is,
@@ -691,16 +691,16 @@
 		const window = 3 * time.Second
 		var first time.Time
 		t.Run("first life", func(t *testing.T) {
-			r := startAt(t, folder, base, nil)
-			r.wants("misbehave-process", "echo", workerrpc.CodeOK, "echo")
+			r := startWorkerIn(t, folder, storeURL, nil)
+			r.expectAnswer("misbehave-process", "echo", workerrpc.CodeOK, "echo")
 			first = time.Now()
 			o := <-r.send(workerrpc.Attempt{RequestID: "a", Function: "misbehave-process", IdempotencyKey: "k", IdempotencyWindow: window, Body: []byte("a")})
 			if o.AttemptResult == nil || o.AttemptResult.Code != workerrpc.CodeOK {
 				t.Fatalf("%+v", o)
 			}
 		})
-		worker.Shift(t, filepath.Join(folder, "journal"), off)
-		r := startAt(t, folder, base, nil)
+		worker.ShiftJournalClock(t, filepath.Join(folder, "journal"), off)
+		r := startWorkerIn(t, folder, storeURL, nil)
 		for {
 			asked := time.Now()
 			a := (<-r.send(workerrpc.Attempt{RequestID: "b", Function: "misbehave-process", IdempotencyKey: "k", IdempotencyWindow: window, Body: []byte("b")})).AttemptResult
@@ -719,25 +719,25 @@
 }
 
 // A worker tells how cold it is and, in its next life, how long it took to warm up; a log that is too long is moved aside.
-func TestWarmUpIsTold(t *testing.T) {
+func TestWarmUpIsReported(t *testing.T) {
 	folder := t.TempDir()
 	t.Run("first life", func(t *testing.T) {
-		r := startAt(t, folder, base, func(o *worker.Options) { o.MostLog = 100 })
+		r := startWorkerIn(t, folder, storeURL, func(o *worker.Options) { o.MaxReplicaLogBytes = 100 })
 		if c := r.LoadReport().ColdStartRate; c != 1 {
 			t.Errorf("cold %v before its first event", c)
 		}
 		for range 40 {
-			r.wants("misbehave-process", "echo", workerrpc.CodeOK, "echo")
+			r.expectAnswer("misbehave-process", "echo", workerrpc.CodeOK, "echo")
 		}
 		if c := r.LoadReport().ColdStartRate; c != 0 {
 			t.Errorf("cold %v after 40 events", c)
 		}
-		r.until("the log is moved aside", func() bool {
-			old, err := os.Stat(r.effects + ".1")
+		r.waitFor("the log is moved aside", func() bool {
+			old, err := os.Stat(r.replicaLog + ".1")
 			return err == nil && old.Size() >= 100
 		})
 	})
-	r := startAt(t, folder, base, nil)
+	r := startWorkerIn(t, folder, storeURL, nil)
 	var told time.Duration
 	greeted := make(chan struct{})
 	p := workerrpc.NewClient("second", "w", r.addr, workerrpc.Limits{DialTimeout: 10 * time.Second, QueueTimeout: 30 * time.Second, WriteTimeout: 10 * time.Second, MaxQueuedCalls: 10,
