--- a/cmd/artifact-store/main.go
+++ b/cmd/artifact-store/main.go
@@ -50,9 +50,9 @@
 	if f.Requests < 1 || f.Rate < 0 || f.Stop < 0 || f.StopFor <= 0 || f.Grace < 0 || f.Collect <= 0 {
 		return errors.New("--requests, --stop-for and --collect are above 0, --rate, --stop and --grace not below")
 	}
-	log := telemetry.New(os.Stderr, f.Flags)
-	s, err := artifactstore.Open(artifactstore.Options{Folder: f.Folder, Grace: f.Grace, Log: log, Capacity: artifactstore.Capacity{Rate: f.Rate * 1e6,
-		Requests: f.Requests, Stop: f.Stop, StopIn: time.Second, StopFor: f.StopFor}})
+	log := telemetry.NewLogger(os.Stderr, f.Flags)
+	s, err := artifactstore.Open(artifactstore.Options{Folder: f.Folder, GracePeriod: f.Grace, Log: log, Capacity: artifactstore.Capacity{BytesPerSecond: f.Rate * 1e6,
+		MaxConcurrent: f.Requests, StopFactor: f.Stop, StopWindow: time.Second, StopDuration: f.StopFor}})
 	if err != nil {
 		return err
 	}
@@ -65,8 +65,8 @@
 	defer stop()
 	server := &http.Server{Handler: s.Handler(!f.ReadOnly), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: time.Minute, MaxHeaderBytes: 16 << 10}
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return httpserver.Until(ctx, server, listener, 10*time.Second) })
-	g.Go(func() error { return s.Run(ctx, f.Collect) })
+	g.Go(func() error { return httpserver.Serve(ctx, server, listener, 10*time.Second) })
+	g.Go(func() error { return s.RunGarbageCollector(ctx, f.Collect) })
 	log.Info("store listens", "address", listener.Addr().String())
 	return g.Wait()
 }
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -95,7 +95,7 @@
 		}
 		defer closing(out.Close)
 		base := time.Now()
-		capturing, cerr := capture.NewFile(out, capture.Head{Front: f.Name, Index: f.Index, Base: base})
+		capturing, cerr := capture.NewWriter(out, capture.Header{Incarnation: f.Name, GatewayIndex: f.Index, Base: base})
 		if cerr != nil {
 			return cerr
 		}
--- a/cmd/lpctl/main.go
+++ b/cmd/lpctl/main.go
@@ -66,7 +66,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	log := telemetry.New(os.Stderr, c.Flags)
+	log := telemetry.NewLogger(os.Stderr, c.Flags)
 	k.BindTo(ctx, (*context.Context)(nil))
 	k.Bind(log)
 	if err := k.Run(log); err != nil {
--- a/cmd/lpctl/packages.go
+++ b/cmd/lpctl/packages.go
@@ -20,7 +20,7 @@
 }
 
 func (f storeFlag) client() artifactstore.Client {
-	return artifactstore.Client{Base: f.Store, HTTP: http.DefaultClient}
+	return artifactstore.Client{BaseURL: f.Store, HTTPClient: http.DefaultClient}
 }
 
 type publishCmd struct {
@@ -37,22 +37,22 @@
 	}
 	old, since := layer.Release{}, "a worker without any release"
 	b, err := c.client().Release(ctx, p.Name, "")
-	var refused *httpclient.Refused
+	var refused *httpclient.StatusError
 	switch {
 	case err == nil:
 		if old, err = layer.Decode(b); err != nil {
 			return err
 		}
-		m, err := old.Package()
+		m, err := old.ParseManifest()
 		if err != nil {
 			return err
 		}
 		since = "a worker that has version " + m.Version
-	case !errors.As(err, &refused) || refused.Status != http.StatusNotFound:
+	case !errors.As(err, &refused) || refused.StatusCode != http.StatusNotFound:
 		return err
 	}
 	if c.Dry {
-		next, err := layer.Cut(c.Folder, func(layer.Ref, []byte) error { return nil })
+		next, err := layer.Split(c.Folder, func(layer.ChunkRef, []byte) error { return nil })
 		if err != nil {
 			return err
 		}
@@ -63,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s version %s, release %.12s: %d chunks, %d sent\n", sent.Name, sent.Version, sent.Digest, sent.Chunks, sent.New)
+	fmt.Printf("%s version %s, release %.12s: %d chunks, %d sent\n", sent.Name, sent.Version, sent.Digest, sent.Chunks, sent.NewChunks)
 	fmt.Printf("%s fetches %s\n", since, fetched(old, sent.Release))
 	return nil
 }
@@ -147,7 +147,7 @@
 	if err != nil {
 		return err
 	}
-	have := old.Has()
+	have := old.ChunkSet()
 	t := newTable("layer", "file", "chunks", "new", "new bytes")
 	for _, l := range next.Layers {
 		for _, f := range l.Files {
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -45,7 +45,7 @@
 	if f.WatchDelay < 0 {
 		return errors.New("--late: at least 0s")
 	}
-	log := telemetry.New(os.Stderr, f.Flags)
+	log := telemetry.NewLogger(os.Stderr, f.Flags)
 	listener, err := net.Listen("tcp", f.Listen)
 	if err != nil {
 		return err
@@ -60,7 +60,7 @@
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return r.Run(ctx) })
-	g.Go(func() error { return httpserver.Until(ctx, server, listener, 0) })
+	g.Go(func() error { return httpserver.Serve(ctx, server, listener, 0) })
 	log.Info("list of workers listens", "address", listener.Addr().String())
 	return g.Wait()
 }
--- a/cmd/worker/main.go
+++ b/cmd/worker/main.go
@@ -113,9 +113,9 @@
 	if err != nil {
 		return err
 	}
-	o.Artifacts, err = distribution.New(distribution.Options{Name: c.Name, Folder: c.Folder, Store: artifactstore.Client{Base: c.Store, HTTP: &http.Client{}},
-		Cache: chunks, Peers: func() []distribution.Peer { return *peers.Load() }, Capacity: c.Network * 1e6, Part: c.Share, Slots: 2 * c.Running,
-		Patience: c.Patience, Parallel: 16, Log: log})
+	o.Artifacts, err = distribution.New(distribution.Options{Name: c.Name, Folder: c.Folder, Store: artifactstore.Client{BaseURL: c.Store, HTTPClient: &http.Client{}},
+		Cache: chunks, Peers: func() []distribution.Peer { return *peers.Load() }, NetworkBytesPerSecond: c.Network * 1e6, UploadShare: c.Share, MaxUploads: 2 * c.Running,
+		ChunkTimeout: c.Patience, MaxParallelChunks: 16, Log: log})
 	if err != nil {
 		return err
 	}
@@ -140,14 +140,14 @@
 	g, serving := errgroup.WithContext(serving)
 	g.Go(func() error { return w.Run(serving, listener) })
 	giver := &http.Server{Handler: o.Artifacts.Handler(), ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 16 << 10}
-	g.Go(func() error { return httpserver.Until(serving, giver, gives, 0) })
+	g.Go(func() error { return httpserver.Serve(serving, giver, gives, 0) })
 	if c.Control != "" {
 		orders, err := net.Listen("tcp", c.Control)
 		if err != nil {
 			return err
 		}
 		control := &http.Server{Handler: w.ControlHandler(), ReadHeaderTimeout: 5 * time.Second}
-		g.Go(func() error { return httpserver.Until(serving, control, orders, 0) })
+		g.Go(func() error { return httpserver.Serve(serving, control, orders, 0) })
 	}
 	entry := registry.Entry{Name: c.Name, Addr: listener.Addr().String(), Zone: c.Zone, Cell: c.Cell, Kind: c.Kind, Cores: c.Cores, State: registry.InService,
 		Started: time.Now(), ChunkAddr: gives.Addr().String()}
@@ -228,9 +228,9 @@
 	}
 	server := &http.Server{Handler: r.Handler(), ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 16 << 10}
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return httpserver.Until(ctx, server, listener, 10*time.Second) })
+	g.Go(func() error { return httpserver.Serve(ctx, server, listener, 10*time.Second) })
 	g.Go(func() error {
-		return httpserver.Every(ctx, time.Second, func() error {
+		return httpserver.RunPeriodically(ctx, time.Second, func() error {
 			_, err := r.Sweep()
 			return err
 		})
@@ -253,8 +253,8 @@
 
 // Run writes the manifest.
 func (c *packCmd) Run() error {
-	p, err := manifest.Write(c.Folder, manifest.Manifest{Name: c.Name, Version: c.Version, Type: c.Type, Kind: c.Kind, Entry: c.Entry,
-		Lanes: c.Lanes, Memory: config.ByteSize(c.Memory << 20), Time: config.Duration(c.Time)})
+	p, err := manifest.Write(c.Folder, manifest.Manifest{Name: c.Name, Version: c.Version, Type: c.Type, Kind: c.Kind, EntryPoint: c.Entry,
+		Concurrency: c.Lanes, MemoryLimit: config.ByteSize(c.Memory << 20), Timeout: config.Duration(c.Time)})
 	if err != nil {
 		return err
 	}
@@ -280,7 +280,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	k.BindTo(ctx, (*context.Context)(nil))
-	k.Bind(telemetry.New(os.Stderr, c.Flags))
+	k.Bind(telemetry.NewLogger(os.Stderr, c.Flags))
 	if err := k.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "worker:", err)
 		stop()
--- a/internal/artifact/artifactstore/client.go
+++ b/internal/artifact/artifactstore/client.go
@@ -17,18 +17,18 @@
 
 // Client asks a store at Base, such as http://127.0.0.1:8730.
 type Client struct {
-	Base string
-	HTTP *http.Client
+	BaseURL    string
+	HTTPClient *http.Client
 }
 
 // Chunk fetches a chunk's packed form, not verified.
 func (c Client) Chunk(ctx context.Context, d layer.Digest) ([]byte, error) {
-	return c.ask(ctx, http.MethodGet, "/v1/chunks/"+d.String(), nil, layer.MaxPacked)
+	return c.do(ctx, http.MethodGet, "/v1/chunks/"+d.String(), nil, layer.MaxCompressedSize)
 }
 
 // Packages are the newest releases.
-func (c Client) Packages(ctx context.Context) (all []Entry, err error) {
-	b, err := c.ask(ctx, http.MethodGet, "/v1/packages", nil, layer.MaxRelease)
+func (c Client) Packages(ctx context.Context) (all []PackageInfo, err error) {
+	b, err := c.do(ctx, http.MethodGet, "/v1/packages", nil, layer.MaxReleaseSize)
 	if err == nil {
 		err = json.Unmarshal(b, &all)
 	}
@@ -41,32 +41,32 @@
 	if version != "" {
 		path += "/" + url.PathEscape(version)
 	}
-	return c.ask(ctx, http.MethodGet, path, nil, layer.MaxRelease)
+	return c.do(ctx, http.MethodGet, path, nil, layer.MaxReleaseSize)
 }
 
-// Counts tells what the store did.
-func (c Client) Counts(ctx context.Context) (n Counts, err error) {
-	b, err := c.ask(ctx, http.MethodGet, "/v1/counts", nil, 64<<10)
+// Stats tells what the store did.
+func (c Client) Stats(ctx context.Context) (n Stats, err error) {
+	b, err := c.do(ctx, http.MethodGet, "/v1/counts", nil, 64<<10)
 	if err == nil {
 		err = json.Unmarshal(b, &n)
 	}
 	return n, err
 }
 
-// Sent tells what publishing sent.
-type Sent struct {
-	Entry
-	Release         layer.Release
-	Chunks, New     int // of the release, and those that the store did not have
-	Bytes, NewBytes int64
+// PublishResult tells what publishing sent.
+type PublishResult struct {
+	PackageInfo
+	Release           layer.Release
+	Chunks, NewChunks int // of the release, and those that the store did not have
+	Bytes, NewBytes   int64
 }
 
-const uploads = 8 // at a time
+const maxConcurrentUploads = 8 // at a time
 
 // Publish cuts a package's folder and sends what the store does not have, then the release. While it is not through, the
 // old release stays the newest.
-func (c Client) Publish(ctx context.Context, folder string) (sent Sent, err error) {
-	r, err := layer.Cut(folder, func(layer.Ref, []byte) error { return nil })
+func (c Client) Publish(ctx context.Context, folder string) (sent PublishResult, err error) {
+	r, err := layer.Split(folder, func(layer.ChunkRef, []byte) error { return nil })
 	if err != nil {
 		return sent, fmt.Errorf("publish %s: %w", folder, err)
 	}
@@ -80,7 +80,7 @@
 	if err != nil {
 		return sent, err
 	}
-	b, err := c.ask(ctx, http.MethodPost, "/v1/missing", body, layer.MaxRelease)
+	b, err := c.do(ctx, http.MethodPost, "/v1/missing", body, layer.MaxReleaseSize)
 	if err != nil {
 		return sent, fmt.Errorf("publish %s: %w", folder, err)
 	}
@@ -93,18 +93,18 @@
 		wanted[n] = true
 	}
 	g, gctx := errgroup.WithContext(ctx)
-	g.SetLimit(uploads)
-	again, err := layer.Cut(folder, func(ref layer.Ref, content []byte) error {
+	g.SetLimit(maxConcurrentUploads)
+	again, err := layer.Split(folder, func(ref layer.ChunkRef, content []byte) error {
 		name := ref.Digest.String()
 		if !wanted[name] {
 			return gctx.Err()
 		}
 		delete(wanted, name)
-		sent.New++
+		sent.NewChunks++
 		sent.NewBytes += int64(ref.Size)
-		packed := layer.Pack(content)
+		packed := layer.Compress(content)
 		g.Go(func() error {
-			_, err := c.ask(gctx, http.MethodPut, "/v1/chunks/"+name, packed, 4096)
+			_, err := c.do(gctx, http.MethodPut, "/v1/chunks/"+name, packed, 4096)
 			return err
 		})
 		return nil
@@ -124,8 +124,8 @@
 	if !bytes.Equal(first, second) {
 		return sent, fmt.Errorf("publish %s: the content changed while it was sent", folder)
 	}
-	if b, err = c.ask(ctx, http.MethodPost, "/v1/releases", first, 64<<10); err == nil {
-		err = json.Unmarshal(b, &sent.Entry)
+	if b, err = c.do(ctx, http.MethodPost, "/v1/releases", first, 64<<10); err == nil {
+		err = json.Unmarshal(b, &sent.PackageInfo)
 	}
 	if err != nil {
 		return sent, fmt.Errorf("publish %s: %w", folder, err)
@@ -133,8 +133,8 @@
 	return sent, nil
 }
 
-func (c Client) ask(ctx context.Context, method, path string, body []byte, most int64) ([]byte, error) {
-	b, err := httpclient.Do(ctx, c.HTTP, method, c.Base+path, body, most)
+func (c Client) do(ctx context.Context, method, path string, body []byte, most int64) ([]byte, error) {
+	b, err := httpclient.Do(ctx, c.HTTPClient, method, c.BaseURL+path, body, most)
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
--- a/internal/artifact/artifactstore/compat_test.go
+++ b/internal/artifact/artifactstore/compat_test.go
@@ -18,16 +18,16 @@
 	if err := os.CopyFS(dir, os.DirFS("testdata/stored")); err != nil {
 		t.Fatal(err)
 	}
-	s, c := open(t, dir, artifactstore.Capacity{Requests: 64}, 0)
+	s, c := openStore(t, dir, artifactstore.Capacity{MaxConcurrent: 64}, 0)
 	digests := map[string]string{
 		"1": "be53225e517c90ae351309a91d743ec091f7c91ace05f02e1a0a23ede6cc06ce",
 		"2": "58ebc6fc50361c794501e494982bb519c4be59007724de828b0f38a67909bd9b",
 	}
-	want := []artifactstore.Entry{{Name: "f", Version: "2", Digest: digests["2"]}}
+	want := []artifactstore.PackageInfo{{Name: "f", Version: "2", Digest: digests["2"]}}
 	if got, err := c.Packages(t.Context()); err != nil || !slices.Equal(got, want) {
 		t.Errorf("releases: got %+v, error %v, want %+v", got, err, want)
 	}
-	if n, err := s.Collect(); err != nil || n != 0 {
+	if n, err := s.CollectGarbage(); err != nil || n != 0 {
 		t.Errorf("collected: got %d chunks, error %v, want 0: every chunk is named by a release", n, err)
 	}
 	for i, version := range []string{"1", "2"} {
@@ -42,7 +42,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if m, err := r.Package(); err != nil || m.Name != "f" || m.Version != version || m.Memory != 1<<20 {
+		if m, err := r.ParseManifest(); err != nil || m.Name != "f" || m.Version != version || m.MemoryLimit != 1<<20 {
 			t.Errorf("release %s: got manifest %+v, error %v, want name f, version %s, memory %d", version, m, err, version, 1<<20)
 		}
 		if again, err := layer.Encode(r); err != nil || !bytes.Equal(again, encoded) {
@@ -58,9 +58,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := layer.Unpack(chunks[0].Digest, packed); err != nil || !bytes.Equal(got, content) {
+		if got, err := layer.Decompress(chunks[0].Digest, packed); err != nil || !bytes.Equal(got, content) {
 			t.Errorf("release %s: got chunk of %d bytes, error %v, want the %d bytes that were stored", version, len(got), err, len(content))
 		}
-		whole(t, c, version)
+		requireCompleteRelease(t, c, version)
 	}
 }
--- a/internal/artifact/artifactstore/crowd.go
+++ b/internal/artifact/artifactstore/crowd.go
@@ -4,69 +4,71 @@
 
 // Capacity is what a store can do.
 type Capacity struct {
-	Rate     float64       // bytes a second in all; 0: as fast as it goes
-	Requests int           // fetches at a time; more are turned away
-	Stop     float64       // so many times Requests tried within StopIn stops it
-	StopIn   time.Duration // the time over which tries are counted
-	StopFor  time.Duration
+	BytesPerSecond float64       // bytes a second in all; 0: as fast as it goes
+	MaxConcurrent  int           // fetches at a time; more are turned away
+	StopFactor     float64       // so many times Requests tried within StopIn stops it
+	StopWindow     time.Duration // the time over which tries are counted
+	StopDuration   time.Duration
 }
 
-// Verdict is what a Crowd says to a fetch.
-type Verdict int
+// Decision is what a Crowd says to a fetch.
+type Decision int
 
 // The verdicts.
 const (
-	Serve Verdict = iota
-	TurnAway
+	Admitted Decision = iota
+	Rejected
 	Stopped
 )
 
-// Crowd decides which fetches a store takes. It does no I/O and reads no clock.
-type Crowd struct {
-	c       Capacity
-	under   int
-	until   time.Duration // it is stopped
-	window  time.Duration // its begin
-	tries   int           // in it
-	stops   int
-	refused int // in a row, for the time to come back
+// AdmissionController decides which fetches a store takes. It does no I/O and reads no clock.
+type AdmissionController struct {
+	capacity              Capacity
+	inFlight              int
+	stoppedUntil          time.Duration // it is stopped
+	windowStart           time.Duration // its begin
+	windowRequests        int           // in it
+	stopCount             int
+	consecutiveRejections int // in a row, for the time to come back
 }
 
-// NewCrowd begins without anybody.
-func NewCrowd(c Capacity) *Crowd { return &Crowd{c: c} }
+// NewAdmissionController begins without anybody.
+func NewAdmissionController(c Capacity) *AdmissionController {
+	return &AdmissionController{capacity: c}
+}
 
-// Ask decides on a fetch that comes now; after is when its sender may come back if it is not served.
-func (c *Crowd) Ask(now time.Duration) (v Verdict, after time.Duration) {
-	if now < c.until {
-		return Stopped, c.until - now
+// Admit decides on a fetch that comes now; after is when its sender may come back if it is not served.
+func (c *AdmissionController) Admit(now time.Duration) (v Decision, after time.Duration) {
+	if now < c.stoppedUntil {
+		return Stopped, c.stoppedUntil - now
 	}
-	if now-c.window >= c.c.StopIn {
-		c.window, c.tries = now, 0
+	if now-c.windowStart >= c.capacity.StopWindow {
+		c.windowStart, c.windowRequests = now, 0
 	}
-	c.tries++
-	if c.c.Stop > 0 && c.c.StopFor > 0 && float64(c.tries) > c.c.Stop*float64(c.c.Requests) && c.under >= c.c.Requests {
-		c.until = now + c.c.StopFor
-		c.tries = 0
-		c.stops++
-		return Stopped, c.c.StopFor
+	c.windowRequests++
+	if c.capacity.StopFactor > 0 && c.capacity.StopDuration > 0 && float64(c.windowRequests) > c.capacity.StopFactor*float64(c.capacity.MaxConcurrent) && c.inFlight >= c.capacity.MaxConcurrent {
+		c.stoppedUntil = now + c.capacity.StopDuration
+		c.windowRequests = 0
+		c.stopCount++
+		return Stopped, c.capacity.StopDuration
 	}
-	if c.under >= c.c.Requests {
-		c.refused++ // those that are told to wait come one after the other
-		return TurnAway, time.Second * time.Duration(min(8, 1+c.refused/max(1, c.c.Requests)))
+	if c.inFlight >= c.capacity.MaxConcurrent {
+		c.consecutiveRejections++ // those that are told to wait come one after the other
+		return Rejected, time.Second * time.Duration(min(8, 1+c.consecutiveRejections/max(1, c.capacity.MaxConcurrent)))
 	}
-	c.refused = 0
-	c.under++
-	return Serve, 0
+	c.consecutiveRejections = 0
+	c.inFlight++
+	return Admitted, 0
 }
 
-// Ended tells that a fetch that was served is over.
-func (c *Crowd) Ended() { c.under = max(0, c.under-1) }
+// Done tells that a fetch that was served is over.
+func (c *AdmissionController) Done() { c.inFlight = max(0, c.inFlight-1) }
 
 // Stop stops it for so long, as an operator's order.
-func (c *Crowd) Stop(now, d time.Duration) {
-	c.until = now + d
-	c.stops++
+func (c *AdmissionController) Stop(now, d time.Duration) {
+	c.stoppedUntil = now + d
+	c.stopCount++
 }
 
 // Stops is how often it was stopped.
-func (c *Crowd) Stops() int { return c.stops }
+func (c *AdmissionController) Stops() int { return c.stopCount }
--- a/internal/artifact/artifactstore/golden_test.go
+++ b/internal/artifact/artifactstore/golden_test.go
@@ -44,8 +44,8 @@
 	if err := os.WriteFile(filepath.Join(dir, "entry"), []byte("#!/bin/sh\necho golden\n"), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := manifest.Write(dir, manifest.Manifest{Name: "f-1", Version: version, Type: "t-2", Kind: manifest.Process, Lanes: 3,
-		Memory: 4 << 20, Time: config.Duration(5 * time.Second), Entry: "entry"}); err != nil {
+	if _, err := manifest.Write(dir, manifest.Manifest{Name: "f-1", Version: version, Type: "t-2", Kind: manifest.Process, Concurrency: 3,
+		MemoryLimit: 4 << 20, Timeout: config.Duration(5 * time.Second), EntryPoint: "entry"}); err != nil {
 		t.Fatal(err)
 	}
 	return dir
@@ -94,7 +94,7 @@
 		gone = "404 page not found"
 	)
 	dir := t.TempDir()
-	s, err := artifactstore.Open(artifactstore.Options{Folder: dir, Capacity: artifactstore.Capacity{Requests: 4}, Grace: time.Hour})
+	s, err := artifactstore.Open(artifactstore.Options{Folder: dir, Capacity: artifactstore.Capacity{MaxConcurrent: 4}, GracePeriod: time.Hour})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -180,7 +180,7 @@
 
 // TestGoldenTurnAway: a store that serves nothing at a time turns the first fetch away.
 func TestGoldenTurnAway(t *testing.T) {
-	s, err := artifactstore.Open(artifactstore.Options{Folder: t.TempDir(), Grace: time.Hour})
+	s, err := artifactstore.Open(artifactstore.Options{Folder: t.TempDir(), GracePeriod: time.Hour})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -194,7 +194,7 @@
 // TestGoldenClient: the requests of the client, with their bodies, against a store. The packed chunk on file is what the
 // zstd encoder in use makes; another release of that library may pack the same content into other bytes.
 func TestGoldenClient(t *testing.T) {
-	s, err := artifactstore.Open(artifactstore.Options{Folder: t.TempDir(), Capacity: artifactstore.Capacity{Requests: 4}, Grace: time.Hour})
+	s, err := artifactstore.Open(artifactstore.Options{Folder: t.TempDir(), Capacity: artifactstore.Capacity{MaxConcurrent: 4}, GracePeriod: time.Hour})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -218,10 +218,10 @@
 		server.Close()
 		s.Close()
 	})
-	c, ctx := artifactstore.Client{Base: server.URL, HTTP: client}, context.Background()
+	c, ctx := artifactstore.Client{BaseURL: server.URL, HTTPClient: client}, context.Background()
 	sent, err := c.Publish(ctx, goldenFolder(t, "v1"))
-	if want := (artifactstore.Entry{Name: "f-1", Version: "v1", Digest: firstDigest}); err != nil || sent.Entry != want {
-		t.Fatalf("publish: got %+v, %v, want %+v", sent.Entry, err, want)
+	if want := (artifactstore.PackageInfo{Name: "f-1", Version: "v1", Digest: firstDigest}); err != nil || sent.PackageInfo != want {
+		t.Fatalf("publish: got %+v, %v, want %+v", sent.PackageInfo, err, want)
 	}
 	if _, err := c.Packages(ctx); err != nil {
 		t.Error(err)
@@ -236,8 +236,8 @@
 	if err != nil || string(b) != golden(t, "chunk") {
 		t.Errorf("chunk: got %x, %v, want that on file", b, err)
 	}
-	n, err := c.Counts(ctx)
-	if want := (artifactstore.Counts{Served: 1, Bytes: int64(len(b)), Most: 1, Chunks: 1}); err != nil || !reflect.DeepEqual(n, want) {
+	n, err := c.Stats(ctx)
+	if want := (artifactstore.Stats{Served: 1, Bytes: int64(len(b)), MaxFetchesPerChunk: 1, DistinctChunks: 1}); err != nil || !reflect.DeepEqual(n, want) {
 		t.Errorf("counts: got %+v, %v, want %+v", n, err, want)
 	}
 	want := []string{
--- a/internal/artifact/artifactstore/store.go
+++ b/internal/artifact/artifactstore/store.go
@@ -29,71 +29,71 @@
 	"lupinpond/internal/base/httpserver"
 )
 
-const format = 1
+const formatVersion = 1
 
 var (
-	bucketReleases = []byte("releases") // NAME, 0, VERSION: the encoded release
-	bucketNewest   = []byte("newest")   // NAME: VERSION
+	releasesBucket = []byte("releases") // NAME, 0, VERSION: the encoded release
+	newestBucket   = []byte("newest")   // NAME: VERSION
 )
 
 // Options of a Store.
 type Options struct {
-	Folder   string
-	Capacity Capacity
-	Grace    time.Duration // a chunk that no release names is collected after it
-	Log      *slog.Logger
-	Fail     func(point string) // called at each step of publishing, for tests; may be nil
+	Folder      string
+	Capacity    Capacity
+	GracePeriod time.Duration // a chunk that no release names is collected after it
+	Log         *slog.Logger
+	FailPoint   func(point string) // called at each step of publishing, for tests; may be nil
 }
 
 // Steps of publishing, as fail points name them.
 const (
-	PointChunk   = "chunk"   // a chunk is written, not named yet
-	PointNamed   = "named"   // it has its name
-	PointRelease = "release" // the release is about to be written
-	PointWritten = "written" // it is
+	FailPointChunkWritten = "chunk"   // a chunk is written, not named yet
+	FailPointChunkRenamed = "named"   // it has its name
+	FailPointBeforeCommit = "release" // the release is about to be written
+	FailPointAfterCommit  = "written" // it is
 )
 
 // Store is a store that is open.
 type Store struct {
-	o       Options
-	db      *bolt.DB
-	started time.Time
-	limiter *rate.Limiter
-
-	mu     sync.Mutex
-	crowd  *Crowd
-	counts map[layer.Digest]int // fetches that were served
-	sum    Counts
-	list   []Entry // the newest releases; nil: not read since one was published
-
-	publish sync.RWMutex // held for writing while chunks are collected
+	options     Options
+	db          *bolt.DB
+	startedAt   time.Time
+	rateLimiter *rate.Limiter
+
+	mu             sync.Mutex
+	admission      *AdmissionController
+	fetchesByChunk map[layer.Digest]int // fetches that were served
+	counters       Stats
+	packageCache   []PackageInfo // the newest releases; nil: not read since one was published
+
+	collectMu sync.RWMutex // held for writing while chunks are collected
 }
 
-// Counts tell what a store did in this life.
-type Counts struct {
-	Served     int   `json:"served"` // fetches of chunks
-	Bytes      int64 `json:"bytes"`  // of them
-	TurnedAway int   `json:"turned-away"`
-	Stopped    int   `json:"stopped"` // fetches that found it stopped
-	Stops      int   `json:"stops"`
-	Most       int   `json:"most"` // fetches of the chunk that was fetched most
-	Chunks     int   `json:"chunks"`
+// Stats tell what a store did in this life.
+type Stats struct {
+	Served               int   `json:"served"` // fetches of chunks
+	Bytes                int64 `json:"bytes"`  // of them
+	Rejected             int   `json:"turned-away"`
+	RejectedWhileStopped int   `json:"stopped"` // fetches that found it stopped
+	Stops                int   `json:"stops"`
+	MaxFetchesPerChunk   int   `json:"most"` // fetches of the chunk that was fetched most
+	DistinctChunks       int   `json:"chunks"`
 }
 
-// Entry is a package as the list of packages tells it.
-type Entry struct {
+// PackageInfo is a package as the list of packages tells it.
+type PackageInfo struct {
 	Name    string `json:"name"`
 	Version string `json:"version"`
 	Digest  string `json:"digest"` // of the release
 }
 
-// ErrMissing says that a release names chunks that the store does not have.
-var ErrMissing = errors.New("the release names chunks that are not there")
+// ErrMissingChunks says that a release names chunks that the store does not have.
+var ErrMissingChunks = errors.New("the release names chunks that are not there")
 
 // Open opens or makes a store's folder. Another process that has it open is an error.
 func Open(o Options) (*Store, error) {
-	if o.Fail == nil {
-		o.Fail = func(string) {}
+	if o.FailPoint == nil {
+		o.FailPoint = func(string) {}
 	}
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -101,13 +101,13 @@
 	if err := os.MkdirAll(filepath.Join(o.Folder, "chunks"), 0o755); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	db, err := durable.Open(filepath.Join(o.Folder, "releases.bolt"), format, bucketReleases, bucketNewest)
+	db, err := durable.Open(filepath.Join(o.Folder, "releases.bolt"), formatVersion, releasesBucket, newestBucket)
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	s := &Store{o: o, db: db, started: time.Now(), crowd: NewCrowd(o.Capacity), counts: map[layer.Digest]int{}}
-	if o.Capacity.Rate > 0 {
-		s.limiter = rate.NewLimiter(rate.Limit(o.Capacity.Rate), layer.MaxPacked)
+	s := &Store{options: o, db: db, startedAt: time.Now(), admission: NewAdmissionController(o.Capacity), fetchesByChunk: map[layer.Digest]int{}}
+	if o.Capacity.BytesPerSecond > 0 {
+		s.rateLimiter = rate.NewLimiter(rate.Limit(o.Capacity.BytesPerSecond), layer.MaxCompressedSize)
 	}
 	return s, nil
 }
@@ -115,46 +115,46 @@
 // Close closes it.
 func (s *Store) Close() error { return s.db.Close() }
 
-func (s *Store) now() time.Duration { return time.Since(s.started) }
+func (s *Store) elapsed() time.Duration { return time.Since(s.startedAt) }
 
 // Stop has it turn everything away for so long.
 func (s *Store) Stop(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.crowd.Stop(s.now(), d)
+	s.admission.Stop(s.elapsed(), d)
 }
 
 // SetRate has it give so many bytes a second from now on; it does nothing to a store without a rate.
 func (s *Store) SetRate(bytes float64) {
-	if s.limiter != nil && bytes > 0 {
-		s.limiter.SetLimit(rate.Limit(bytes))
+	if s.rateLimiter != nil && bytes > 0 {
+		s.rateLimiter.SetLimit(rate.Limit(bytes))
 	}
 }
 
-// Counts tells what it did.
-func (s *Store) Counts() Counts {
+// Stats tells what it did.
+func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.sum
-	c.Stops, c.Chunks = s.crowd.Stops(), len(s.counts)
-	for _, n := range s.counts {
-		c.Most = max(c.Most, n)
+	c := s.counters
+	c.Stops, c.DistinctChunks = s.admission.Stops(), len(s.fetchesByChunk)
+	for _, n := range s.fetchesByChunk {
+		c.MaxFetchesPerChunk = max(c.MaxFetchesPerChunk, n)
 	}
 	return c
 }
 
-func (s *Store) path(d layer.Digest) string {
-	return filepath.Join(s.o.Folder, "chunks", d.String()[:2], d.String())
+func (s *Store) chunkPath(d layer.Digest) string {
+	return filepath.Join(s.options.Folder, "chunks", d.String()[:2], d.String())
 }
 
 // PutChunk keeps a chunk; it is durable when it returns.
 func (s *Store) PutChunk(d layer.Digest, packed []byte) error {
-	if _, err := layer.Unpack(d, packed); err != nil {
+	if _, err := layer.Decompress(d, packed); err != nil {
 		return err
 	}
-	s.publish.RLock()
-	defer s.publish.RUnlock()
-	path := s.path(d)
+	s.collectMu.RLock()
+	defer s.collectMu.RUnlock()
+	path := s.chunkPath(d)
 	if err := os.Chtimes(path, time.Time{}, time.Now()); err == nil {
 		return nil // there, and not to be collected soon
 	}
@@ -170,23 +170,23 @@
 	if err == nil {
 		err = tmp.Sync()
 	}
-	s.o.Fail(PointChunk)
+	s.options.FailPoint(FailPointChunkWritten)
 	if err = errors.Join(err, tmp.Close()); err == nil {
 		err = os.Rename(tmp.Name(), path)
 	}
 	if err != nil {
 		return errors.Join(fmt.Errorf("store: chunk %.12s: %w", d, err), os.Remove(tmp.Name()))
 	}
-	s.o.Fail(PointNamed)
+	s.options.FailPoint(FailPointChunkRenamed)
 	return durable.SyncDir(dir)
 }
 
-// Missing are those of the chunks that the store does not have. Those that it has are not collected within the grace.
-func (s *Store) Missing(all []layer.Digest) (missing []layer.Digest) {
-	s.publish.RLock()
-	defer s.publish.RUnlock()
+// MissingChunks are those of the chunks that the store does not have. Those that it has are not collected within the grace.
+func (s *Store) MissingChunks(all []layer.Digest) (missing []layer.Digest) {
+	s.collectMu.RLock()
+	defer s.collectMu.RUnlock()
 	for _, d := range all {
-		if os.Chtimes(s.path(d), time.Time{}, time.Now()) != nil {
+		if os.Chtimes(s.chunkPath(d), time.Time{}, time.Now()) != nil {
 			missing = append(missing, d)
 		}
 	}
@@ -197,60 +197,60 @@
 
 // Publish makes a release the newest of its package, in one transaction. A version that is there already may only be
 // published again as it is.
-func (s *Store) Publish(encoded []byte) (Entry, error) {
+func (s *Store) Publish(encoded []byte) (PackageInfo, error) {
 	r, err := layer.Decode(encoded)
 	if err != nil {
-		return Entry{}, err
+		return PackageInfo{}, err
 	}
-	m, err := r.Package()
+	m, err := r.ParseManifest()
 	if err != nil {
-		return Entry{}, err
+		return PackageInfo{}, err
 	}
-	s.publish.RLock()
-	defer s.publish.RUnlock()
+	s.collectMu.RLock()
+	defer s.collectMu.RUnlock()
 	var refs []layer.Digest
 	for _, c := range r.Chunks() {
 		refs = append(refs, c.Digest)
 	}
 	for _, d := range refs {
-		if _, err := os.Stat(s.path(d)); err != nil {
-			return Entry{}, fmt.Errorf("%w: chunk %.12s: %w", ErrMissing, d, err)
+		if _, err := os.Stat(s.chunkPath(d)); err != nil {
+			return PackageInfo{}, fmt.Errorf("%w: chunk %.12s: %w", ErrMissingChunks, d, err)
 		}
 	}
 	if strings.ContainsRune(m.Name+m.Version, 0) {
-		return Entry{}, errors.New("store: a name or version with a zero byte")
+		return PackageInfo{}, errors.New("store: a name or version with a zero byte")
 	}
-	s.o.Fail(PointRelease)
+	s.options.FailPoint(FailPointBeforeCommit)
 	err = s.db.Update(func(tx *bolt.Tx) error {
 		key := releaseKey(m.Name, m.Version)
-		if old := tx.Bucket(bucketReleases).Get(key); old != nil && !bytes.Equal(old, encoded) {
+		if old := tx.Bucket(releasesBucket).Get(key); old != nil && !bytes.Equal(old, encoded) {
 			return fmt.Errorf("version %s of %s is published already with other content", m.Version, m.Name)
 		}
-		if err := tx.Bucket(bucketReleases).Put(key, encoded); err != nil {
+		if err := tx.Bucket(releasesBucket).Put(key, encoded); err != nil {
 			return err
 		}
-		return tx.Bucket(bucketNewest).Put([]byte(m.Name), []byte(m.Version))
+		return tx.Bucket(newestBucket).Put([]byte(m.Name), []byte(m.Version))
 	})
 	if err != nil {
-		return Entry{}, fmt.Errorf("store: %w", err)
+		return PackageInfo{}, fmt.Errorf("store: %w", err)
 	}
 	s.mu.Lock()
-	s.list = nil
+	s.packageCache = nil
 	s.mu.Unlock()
-	s.o.Fail(PointWritten)
-	return Entry{m.Name, m.Version, layer.Sum(encoded).String()}, nil
+	s.options.FailPoint(FailPointAfterCommit)
+	return PackageInfo{m.Name, m.Version, layer.Sum(encoded).String()}, nil
 }
 
 // Withdraw takes a version away. The newest can't be.
 func (s *Store) Withdraw(name, version string) error {
 	return s.db.Update(func(tx *bolt.Tx) error {
-		if string(tx.Bucket(bucketNewest).Get([]byte(name))) == version {
+		if string(tx.Bucket(newestBucket).Get([]byte(name))) == version {
 			return fmt.Errorf("store: %s is the newest version of %s: publish another one first", version, name)
 		}
-		if tx.Bucket(bucketReleases).Get(releaseKey(name, version)) == nil {
+		if tx.Bucket(releasesBucket).Get(releaseKey(name, version)) == nil {
 			return fmt.Errorf("store: no version %s of %s: %w", version, name, fs.ErrNotExist)
 		}
-		return tx.Bucket(bucketReleases).Delete(releaseKey(name, version))
+		return tx.Bucket(releasesBucket).Delete(releaseKey(name, version))
 	})
 }
 
@@ -258,9 +258,9 @@
 func (s *Store) Release(name, version string) (encoded []byte, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
 		if version == "" {
-			version = string(tx.Bucket(bucketNewest).Get([]byte(name)))
+			version = string(tx.Bucket(newestBucket).Get([]byte(name)))
 		}
-		v := tx.Bucket(bucketReleases).Get(releaseKey(name, version))
+		v := tx.Bucket(releasesBucket).Get(releaseKey(name, version))
 		if v == nil {
 			return fmt.Errorf("store: no release %q of %q: %w", version, name, fs.ErrNotExist)
 		}
@@ -271,35 +271,35 @@
 }
 
 // Packages are the newest releases. Every worker asks for them again and again: they are read once for each that is published.
-func (s *Store) Packages() ([]Entry, error) {
+func (s *Store) Packages() ([]PackageInfo, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.list != nil {
-		return s.list, nil
+	if s.packageCache != nil {
+		return s.packageCache, nil
 	}
-	all := []Entry{}
+	all := []PackageInfo{}
 	err := s.db.View(func(tx *bolt.Tx) error {
-		return tx.Bucket(bucketNewest).ForEach(func(name, version []byte) error {
-			v := tx.Bucket(bucketReleases).Get(releaseKey(string(name), string(version)))
-			all = append(all, Entry{string(name), string(version), layer.Sum(v).String()})
+		return tx.Bucket(newestBucket).ForEach(func(name, version []byte) error {
+			v := tx.Bucket(releasesBucket).Get(releaseKey(string(name), string(version)))
+			all = append(all, PackageInfo{string(name), string(version), layer.Sum(v).String()})
 			return nil
 		})
 	})
 	if err != nil {
 		return nil, err
 	}
-	s.list = all
+	s.packageCache = all
 	return all, nil
 }
 
-// Collect removes chunks that no release names and that nobody has written or asked about within the grace, and what a kill
+// CollectGarbage removes chunks that no release names and that nobody has written or asked about within the grace, and what a kill
 // has left half written. It answers how many.
-func (s *Store) Collect() (n int, err error) {
-	s.publish.Lock()
-	defer s.publish.Unlock()
+func (s *Store) CollectGarbage() (n int, err error) {
+	s.collectMu.Lock()
+	defer s.collectMu.Unlock()
 	named := map[string]bool{}
 	err = s.db.View(func(tx *bolt.Tx) error {
-		return tx.Bucket(bucketReleases).ForEach(func(k, v []byte) error {
+		return tx.Bucket(releasesBucket).ForEach(func(k, v []byte) error {
 			r, err := layer.Decode(v)
 			if err != nil {
 				return fmt.Errorf("%q: %w", k, err) // nothing is collected while a release can't be read
@@ -313,8 +313,8 @@
 	if err != nil {
 		return 0, fmt.Errorf("store: collect: %w", err)
 	}
-	old := time.Now().Add(-s.o.Grace)
-	err = filepath.WalkDir(filepath.Join(s.o.Folder, "chunks"), func(path string, d fs.DirEntry, err error) error {
+	old := time.Now().Add(-s.options.GracePeriod)
+	err = filepath.WalkDir(filepath.Join(s.options.Folder, "chunks"), func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || named[d.Name()] {
 			return err
 		}
@@ -332,7 +332,7 @@
 // is on, what publishing needs.
 func (s *Store) Handler(publish bool) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/packages", s.taken(func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("GET /v1/packages", s.withAdmission(func(w http.ResponseWriter, r *http.Request) {
 		all, err := s.Packages()
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -344,9 +344,9 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		content(w, r, layer.Sum(body), body)
+		serveContent(w, r, layer.Sum(body), body)
 	}))
-	release := s.taken(func(w http.ResponseWriter, r *http.Request) {
+	release := s.withAdmission(func(w http.ResponseWriter, r *http.Request) {
 		b, err := s.Release(r.PathValue("name"), r.PathValue("version"))
 		if errors.Is(err, fs.ErrNotExist) {
 			http.Error(w, err.Error(), http.StatusNotFound)
@@ -357,37 +357,37 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/cbor")
-		content(w, r, layer.Sum(b), b)
+		serveContent(w, r, layer.Sum(b), b)
 	})
 	mux.HandleFunc("GET /v1/packages/{name}", release)
 	mux.HandleFunc("GET /v1/packages/{name}/{version}", release)
-	mux.HandleFunc("GET /v1/chunks/{digest}", s.taken(s.chunk))
-	mux.HandleFunc("GET /v1/counts", func(w http.ResponseWriter, _ *http.Request) { tell(w, s.Counts()) })
+	mux.HandleFunc("GET /v1/chunks/{digest}", s.withAdmission(s.serveChunk))
+	mux.HandleFunc("GET /v1/counts", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Stats()) })
 	if publish {
-		s.publishing(mux)
+		s.registerPublishRoutes(mux)
 	}
 	return mux
 }
 
-// content answers b or a part of it, or that it has not changed.
-func content(w http.ResponseWriter, r *http.Request, d layer.Digest, b []byte) {
+// serveContent answers b or a part of it, or that it has not changed.
+func serveContent(w http.ResponseWriter, r *http.Request, d layer.Digest, b []byte) {
 	w.Header().Set("ETag", `"`+d.String()+`"`)
 	http.ServeContent(w, r, "", time.Time{}, bytes.NewReader(b))
 }
 
-// taken lets a request in as far as the capacity goes.
-func (s *Store) taken(f http.HandlerFunc) http.HandlerFunc {
+// withAdmission lets a request in as far as the capacity goes.
+func (s *Store) withAdmission(f http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		v, after := s.crowd.Ask(s.now())
+		v, after := s.admission.Admit(s.elapsed())
 		switch v {
-		case TurnAway:
-			s.sum.TurnedAway++
+		case Rejected:
+			s.counters.Rejected++
 		case Stopped:
-			s.sum.Stopped++
+			s.counters.RejectedWhileStopped++
 		}
 		s.mu.Unlock()
-		if v != Serve {
+		if v != Admitted {
 			w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(after.Seconds()))))
 			if v == Stopped {
 				http.Error(w, "the store has stopped", http.StatusServiceUnavailable)
@@ -398,20 +398,20 @@
 		}
 		defer func() {
 			s.mu.Lock()
-			s.crowd.Ended()
+			s.admission.Done()
 			s.mu.Unlock()
 		}()
 		f(w, r)
 	}
 }
 
-func (s *Store) chunk(w http.ResponseWriter, r *http.Request) {
-	d, err := layer.Parse(r.PathValue("digest"))
+func (s *Store) serveChunk(w http.ResponseWriter, r *http.Request) {
+	d, err := layer.ParseDigest(r.PathValue("digest"))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	b, err := os.ReadFile(s.path(d))
+	b, err := os.ReadFile(s.chunkPath(d))
 	if err != nil {
 		status := http.StatusInternalServerError
 		if errors.Is(err, fs.ErrNotExist) {
@@ -420,66 +420,66 @@
 		http.Error(w, fmt.Sprintf("chunk %s is not here", d), status)
 		return
 	}
-	if s.limiter != nil {
-		if err := s.limiter.WaitN(r.Context(), min(len(b), layer.MaxPacked)); err != nil {
+	if s.rateLimiter != nil {
+		if err := s.rateLimiter.WaitN(r.Context(), min(len(b), layer.MaxCompressedSize)); err != nil {
 			return // the asker is gone
 		}
 	}
 	s.mu.Lock()
-	s.counts[d]++
-	s.sum.Served++
-	s.sum.Bytes += int64(len(b))
+	s.fetchesByChunk[d]++
+	s.counters.Served++
+	s.counters.Bytes += int64(len(b))
 	s.mu.Unlock()
 	w.Header().Set("Content-Type", "application/zstd")
-	content(w, r, d, b)
+	serveContent(w, r, d, b)
 }
 
-func (s *Store) publishing(mux *http.ServeMux) {
+func (s *Store) registerPublishRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("PUT /v1/chunks/{digest}", func(w http.ResponseWriter, r *http.Request) {
-		d, err := layer.Parse(r.PathValue("digest"))
+		d, err := layer.ParseDigest(r.PathValue("digest"))
 		var b []byte
 		if err == nil {
-			b, err = io.ReadAll(http.MaxBytesReader(w, r.Body, layer.MaxPacked))
+			b, err = io.ReadAll(http.MaxBytesReader(w, r.Body, layer.MaxCompressedSize))
 		}
 		if err == nil {
 			err = s.PutChunk(d, b)
 		}
-		ended(w, err)
+		writeStatus(w, err)
 	})
 	mux.HandleFunc("POST /v1/missing", func(w http.ResponseWriter, r *http.Request) {
 		var names []string
-		err := json.NewDecoder(http.MaxBytesReader(w, r.Body, layer.MaxRelease)).Decode(&names)
+		err := json.NewDecoder(http.MaxBytesReader(w, r.Body, layer.MaxReleaseSize)).Decode(&names)
 		var all []layer.Digest
 		for _, n := range names {
-			d, perr := layer.Parse(n)
+			d, perr := layer.ParseDigest(n)
 			err = errors.Join(err, perr)
 			all = append(all, d)
 		}
 		if err != nil {
-			ended(w, err)
+			writeStatus(w, err)
 			return
 		}
 		missing := []string{}
-		for _, d := range s.Missing(all) {
+		for _, d := range s.MissingChunks(all) {
 			missing = append(missing, d.String())
 		}
-		tell(w, missing)
+		writeJSON(w, missing)
 	})
 	mux.HandleFunc("POST /v1/releases", func(w http.ResponseWriter, r *http.Request) {
-		b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, layer.MaxRelease))
-		var e Entry
+		b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, layer.MaxReleaseSize))
+		var e PackageInfo
 		if err == nil {
 			e, err = s.Publish(b)
 		}
 		if err != nil {
-			ended(w, err)
+			writeStatus(w, err)
 			return
 		}
-		s.o.Log.Info("published", "package", e.Name, "version", e.Version, "digest", e.Digest)
-		tell(w, e)
+		s.options.Log.Info("published", "package", e.Name, "version", e.Version, "digest", e.Digest)
+		writeJSON(w, e)
 	})
 	mux.HandleFunc("DELETE /v1/packages/{name}/{version}", func(w http.ResponseWriter, r *http.Request) {
-		ended(w, s.Withdraw(r.PathValue("name"), r.PathValue("version")))
+		writeStatus(w, s.Withdraw(r.PathValue("name"), r.PathValue("version")))
 	})
 	mux.HandleFunc("POST /v1/stop", func(w http.ResponseWriter, r *http.Request) {
 		d, err := time.ParseDuration(r.URL.Query().Get("for"))
@@ -489,20 +489,20 @@
 		if err == nil {
 			s.Stop(d)
 		}
-		ended(w, err)
+		writeStatus(w, err)
 	})
 }
 
-func tell(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v) // the asker is gone
 }
 
-func ended(w http.ResponseWriter, err error) {
+func writeStatus(w http.ResponseWriter, err error) {
 	switch {
 	case err == nil:
 		w.WriteHeader(http.StatusNoContent)
-	case errors.Is(err, ErrMissing):
+	case errors.Is(err, ErrMissingChunks):
 		http.Error(w, err.Error(), http.StatusConflict)
 	case errors.Is(err, fs.ErrNotExist):
 		http.Error(w, err.Error(), http.StatusNotFound)
@@ -511,13 +511,13 @@
 	}
 }
 
-// Run collects every so often until ctx ends.
-func (s *Store) Run(ctx context.Context, every time.Duration) error {
-	return httpserver.Every(ctx, every, func() error {
-		if n, err := s.Collect(); err != nil {
-			s.o.Log.Error("nothing collected", "err", err)
+// RunGarbageCollector collects every so often until ctx ends.
+func (s *Store) RunGarbageCollector(ctx context.Context, every time.Duration) error {
+	return httpserver.RunPeriodically(ctx, every, func() error {
+		if n, err := s.CollectGarbage(); err != nil {
+			s.options.Log.Error("nothing collected", "err", err)
 		} else if n > 0 {
-			s.o.Log.Info("collected", "chunks", n)
+			s.options.Log.Info("collected", "chunks", n)
 		}
 		return nil
 	})
--- a/internal/artifact/artifactstore/store_test.go
+++ b/internal/artifact/artifactstore/store_test.go
@@ -29,25 +29,25 @@
 
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("LP_TEST_STORE"); dir != "" {
-		doomed(dir)
+		publishUntilKilled(dir)
 	}
 	goleak.VerifyTestMain(m)
 }
 
-// folder makes a package of random content drawn from seed.
-func folder(dir, version string, seed byte, size int) (string, error) {
+// writePackage makes a package of random content drawn from seed.
+func writePackage(dir, version string, seed byte, size int) (string, error) {
 	content := make([]byte, size)
 	_, _ = rand.NewChaCha8([32]byte{seed}).Read(content) // never fails
 	if err := os.WriteFile(filepath.Join(dir, "entry"), content, 0o755); err != nil {
 		return "", err
 	}
-	_, err := manifest.Write(dir, manifest.Manifest{Name: "f", Version: version, Type: "t", Kind: manifest.Process, Lanes: 1, Memory: 1 << 20,
-		Time: config.Duration(time.Second), Entry: "entry"})
+	_, err := manifest.Write(dir, manifest.Manifest{Name: "f", Version: version, Type: "t", Kind: manifest.Process, Concurrency: 1, MemoryLimit: 1 << 20,
+		Timeout: config.Duration(time.Second), EntryPoint: "entry"})
 	return dir, err
 }
 
-func open(t *testing.T, dir string, c artifactstore.Capacity, grace time.Duration) (*artifactstore.Store, artifactstore.Client) {
-	s, err := artifactstore.Open(artifactstore.Options{Folder: dir, Capacity: c, Grace: grace})
+func openStore(t *testing.T, dir string, c artifactstore.Capacity, grace time.Duration) (*artifactstore.Store, artifactstore.Client) {
+	s, err := artifactstore.Open(artifactstore.Options{Folder: dir, Capacity: c, GracePeriod: grace})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,13 +58,13 @@
 		server.Close()
 		s.Close()
 	})
-	return s, artifactstore.Client{Base: server.URL, HTTP: client}
+	return s, artifactstore.Client{BaseURL: server.URL, HTTPClient: client}
 }
 
-// doomed publishes version 2 and kills itself at a step of it.
-func doomed(dir string) {
+// publishUntilKilled publishes version 2 and kills itself at a step of it.
+func publishUntilKilled(dir string) {
 	at, _ := strconv.Atoi(os.Getenv("LP_TEST_AT"))
-	s, err := artifactstore.Open(artifactstore.Options{Folder: dir, Capacity: artifactstore.Capacity{Requests: 64}, Fail: func(point string) {
+	s, err := artifactstore.Open(artifactstore.Options{Folder: dir, Capacity: artifactstore.Capacity{MaxConcurrent: 64}, FailPoint: func(point string) {
 		if at--; at == 0 {
 			fmt.Println("at", point)
 			_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
@@ -78,10 +78,10 @@
 	if err != nil {
 		panic(err)
 	}
-	if _, err = folder(from, "2", 2, 1<<20); err != nil {
+	if _, err = writePackage(from, "2", 2, 1<<20); err != nil {
 		panic(err)
 	}
-	r, err := layer.Cut(from, func(ref layer.Ref, content []byte) error { return s.PutChunk(ref.Digest, layer.Pack(content)) })
+	r, err := layer.Split(from, func(ref layer.ChunkRef, content []byte) error { return s.PutChunk(ref.Digest, layer.Compress(content)) })
 	if err != nil {
 		panic(err)
 	}
@@ -101,17 +101,17 @@
 	points := map[string]int{}
 	for at, over := 1, false; !over; at += 3 {
 		dir := t.TempDir()
-		s, err := artifactstore.Open(artifactstore.Options{Folder: dir, Capacity: artifactstore.Capacity{Requests: 64}})
+		s, err := artifactstore.Open(artifactstore.Options{Folder: dir, Capacity: artifactstore.Capacity{MaxConcurrent: 64}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		first, err := folder(t.TempDir(), "1", 1, 1<<20)
+		first, err := writePackage(t.TempDir(), "1", 1, 1<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
 		server := httptest.NewServer(s.Handler(true))
 		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-		if _, err := (artifactstore.Client{Base: server.URL, HTTP: client}).Publish(t.Context(), first); err != nil {
+		if _, err := (artifactstore.Client{BaseURL: server.URL, HTTPClient: client}).Publish(t.Context(), first); err != nil {
 			t.Fatal(err)
 		}
 		server.Close()
@@ -123,28 +123,28 @@
 		out, err := cmd.Output()
 		over = err == nil // it came to its end
 		points[strings.TrimSpace(string(out))]++
-		_, c := open(t, dir, artifactstore.Capacity{Requests: 64}, 0)
+		_, c := openStore(t, dir, artifactstore.Capacity{MaxConcurrent: 64}, 0)
 		all, err := c.Packages(t.Context())
 		if err != nil || len(all) != 1 || over && all[0].Version != "2" {
 			t.Fatalf("killed at step %d: %+v, %v", at, all, err)
 		}
-		whole(t, c, all[0].Version)
-		second, err := folder(t.TempDir(), "2", 2, 1<<20)
+		requireCompleteRelease(t, c, all[0].Version)
+		second, err := writePackage(t.TempDir(), "2", 2, 1<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := c.Publish(t.Context(), second); err != nil {
 			t.Errorf("killed at step %d: publishing again: %v", at, err)
 		}
-		whole(t, c, "2")
+		requireCompleteRelease(t, c, "2")
 	}
 	if len(points) < 3 {
 		t.Errorf("killed at %v only", points)
 	}
 }
 
-// whole fetches a release with all of its chunks and verifies it.
-func whole(t *testing.T, c artifactstore.Client, version string) {
+// requireCompleteRelease fetches a release with all of its chunks and verifies it.
+func requireCompleteRelease(t *testing.T, c artifactstore.Client, version string) {
 	t.Helper()
 	b, err := c.Release(t.Context(), "f", version)
 	if err != nil {
@@ -154,12 +154,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := layer.Build(r, filepath.Join(t.TempDir(), "built"), func(ref layer.Ref) ([]byte, error) {
+	p, err := layer.Build(r, filepath.Join(t.TempDir(), "built"), func(ref layer.ChunkRef) ([]byte, error) {
 		packed, err := c.Chunk(t.Context(), ref.Digest)
 		if err != nil {
 			return nil, err
 		}
-		return layer.Unpack(ref.Digest, packed)
+		return layer.Decompress(ref.Digest, packed)
 	})
 	if err == nil {
 		err = p.Verify()
@@ -172,8 +172,8 @@
 // Collecting takes what no release names and nothing else; a release whose chunks are gone is refused, and publishing again
 // brings them; the newest version can't be withdrawn; a published version can't change.
 func TestCollect(t *testing.T) {
-	s, c := open(t, t.TempDir(), artifactstore.Capacity{Requests: 64}, 0)
-	one, err := folder(t.TempDir(), "1", 1, 512<<10)
+	s, c := openStore(t, t.TempDir(), artifactstore.Capacity{MaxConcurrent: 64}, 0)
+	one, err := writePackage(t.TempDir(), "1", 1, 512<<10)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,38 +181,38 @@
 		t.Fatal(err)
 	}
 	loose := []byte("named by nobody")
-	if err := s.PutChunk(layer.Sum(loose), layer.Pack(loose)); err != nil {
+	if err := s.PutChunk(layer.Sum(loose), layer.Compress(loose)); err != nil {
 		t.Fatal(err)
 	}
-	if n, err := s.Collect(); n != 1 || err != nil {
+	if n, err := s.CollectGarbage(); n != 1 || err != nil {
 		t.Errorf("%d collected, %v", n, err)
 	}
-	whole(t, c, "1")
+	requireCompleteRelease(t, c, "1")
 	r := layer.Release{Format: layer.Format}
-	if r.Manifest, err = os.ReadFile(filepath.Join(one, manifest.File)); err != nil {
+	if r.Manifest, err = os.ReadFile(filepath.Join(one, manifest.FileName)); err != nil {
 		t.Fatal(err)
 	}
-	r.Layers = []layer.Layer{{Name: "entry", Files: []layer.File{{Path: "entry", Chunks: []layer.Ref{{Digest: layer.Sum(loose), Size: len(loose)}}}}}}
+	r.Layers = []layer.Layer{{Name: "entry", Files: []layer.File{{Path: "entry", Chunks: []layer.ChunkRef{{Digest: layer.Sum(loose), Size: len(loose)}}}}}}
 	b, err := layer.Encode(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Publish(b); !errors.Is(err, artifactstore.ErrMissing) {
+	if _, err := s.Publish(b); !errors.Is(err, artifactstore.ErrMissingChunks) {
 		t.Error("a release without its chunks was published: ", err)
 	}
-	if err := s.PutChunk(layer.Sum(loose), layer.Pack(loose)); err != nil {
+	if err := s.PutChunk(layer.Sum(loose), layer.Compress(loose)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := s.Publish(b); err == nil || !strings.Contains(err.Error(), "published already") {
 		t.Error("a published version was changed: ", err)
 	}
-	if err := s.PutChunk(layer.Sum(loose), layer.Pack([]byte("other"))); !errors.Is(err, layer.ErrCorrupt) {
+	if err := s.PutChunk(layer.Sum(loose), layer.Compress([]byte("other"))); !errors.Is(err, layer.ErrCorrupt) {
 		t.Error("a chunk under another's name: ", err)
 	}
 	if err := s.Withdraw("f", "1"); err == nil {
 		t.Error("the newest version was withdrawn")
 	}
-	two, err := folder(t.TempDir(), "2", 2, 512<<10)
+	two, err := writePackage(t.TempDir(), "2", 2, 512<<10)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -225,28 +225,28 @@
 	if err := s.Withdraw("f", "0"); !errors.Is(err, fs.ErrNotExist) {
 		t.Error(err)
 	}
-	if n, err := s.Collect(); n < 3 || err != nil {
+	if n, err := s.CollectGarbage(); n < 3 || err != nil {
 		t.Errorf("%d collected of what the withdrawn release named, %v", n, err)
 	}
-	whole(t, c, "2")
+	requireCompleteRelease(t, c, "2")
 }
 
 // Past its capacity the store turns away with a time to come back; pushed far past it, it stops; ranges and conditions work.
 func TestHTTP(t *testing.T) {
-	s, c := open(t, t.TempDir(), artifactstore.Capacity{Requests: 1, Stop: 4, StopIn: time.Hour, StopFor: time.Hour}, time.Hour)
+	s, c := openStore(t, t.TempDir(), artifactstore.Capacity{MaxConcurrent: 1, StopFactor: 4, StopWindow: time.Hour, StopDuration: time.Hour}, time.Hour)
 	content := []byte(strings.Repeat("content ", 1000))
-	packed := layer.Pack(content)
+	packed := layer.Compress(content)
 	d := layer.Sum(content)
 	if err := s.PutChunk(d, packed); err != nil {
 		t.Fatal(err)
 	}
 	get := func(head, value string) (*http.Response, error) {
-		req, err := http.NewRequest(http.MethodGet, c.Base+"/v1/chunks/"+d.String(), nil)
+		req, err := http.NewRequest(http.MethodGet, c.BaseURL+"/v1/chunks/"+d.String(), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		req.Header.Set(head, value)
-		resp, err := c.HTTP.Do(req)
+		resp, err := c.HTTPClient.Do(req)
 		if err == nil {
 			resp.Body.Close()
 		}
@@ -261,11 +261,11 @@
 		}
 	}
 	now := time.Second
-	w := artifactstore.NewCrowd(artifactstore.Capacity{Requests: 2, Stop: 3, StopIn: time.Second, StopFor: 5 * time.Second})
-	var said []artifactstore.Verdict
+	w := artifactstore.NewAdmissionController(artifactstore.Capacity{MaxConcurrent: 2, StopFactor: 3, StopWindow: time.Second, StopDuration: 5 * time.Second})
+	var said []artifactstore.Decision
 	for range 8 {
-		v, after := w.Ask(now)
-		if v != artifactstore.Serve && after <= 0 {
+		v, after := w.Admit(now)
+		if v != artifactstore.Admitted && after <= 0 {
 			t.Error("no time to come back")
 		}
 		said = append(said, v)
@@ -273,24 +273,24 @@
 	if fmt.Sprint(said) != "[0 0 1 1 1 1 2 2]" {
 		t.Error(said)
 	}
-	w.Ended()
-	w.Ended()
-	if v, _ := w.Ask(now + 5*time.Second); v != artifactstore.Serve {
+	w.Done()
+	w.Done()
+	if v, _ := w.Admit(now + 5*time.Second); v != artifactstore.Admitted {
 		t.Error("still stopped: ", v)
 	}
 	s.Stop(time.Hour)
-	var refused *httpclient.Refused
-	if _, err := c.Chunk(context.Background(), d); !errors.As(err, &refused) || refused.Status != 503 || refused.After <= 0 {
+	var refused *httpclient.StatusError
+	if _, err := c.Chunk(context.Background(), d); !errors.As(err, &refused) || refused.StatusCode != 503 || refused.RetryAfter <= 0 {
 		t.Error(err)
 	}
-	if n := s.Counts(); n.Stopped != 1 || n.Stops != 1 || n.Served < 2 {
+	if n := s.Stats(); n.RejectedWhileStopped != 1 || n.Stops != 1 || n.Served < 2 {
 		t.Errorf("%+v", n)
 	}
 }
 
 // Bad requests are told why and change nothing.
 func FuzzHandler(f *testing.F) {
-	s, err := artifactstore.Open(artifactstore.Options{Folder: f.TempDir(), Capacity: artifactstore.Capacity{Requests: 64}})
+	s, err := artifactstore.Open(artifactstore.Options{Folder: f.TempDir(), Capacity: artifactstore.Capacity{MaxConcurrent: 64}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/artifact/cache/cache.go
+++ b/internal/artifact/cache/cache.go
@@ -18,44 +18,44 @@
 	"lupinpond/internal/artifact/layer"
 )
 
-// version names the folder; another version's folder is left alone and not read.
-const version = "chunks-1"
+// formatDir names the folder; another version's folder is left alone and not read.
+const formatDir = "chunks-1"
 
 const (
-	mostAside = 16 // corrupt files that are kept for a look
-	halfWorth = 10 * time.Minute
-	rareTwice = 2.0 // a chunk that no other worker was seen to hold is worth so many times more
+	maxQuarantined   = 16 // corrupt files that are kept for a look
+	valueHalvingTime = 10 * time.Minute
+	rareChunkWeight  = 2.0 // a chunk that no other worker was seen to hold is worth so many times more
 )
 
-// Counts tell what a cache did in this life.
-type Counts struct {
-	Hits, Misses, Corrupt, Evicted, Unkept int // Unkept: could not be written, used all the same
+// Stats tell what a cache did in this life.
+type Stats struct {
+	Hits, Misses, Corrupt, Evicted, NotStored int // Unkept: could not be written, used all the same
 }
 
 // Item is a chunk as eviction sees it.
 type Item struct {
-	Digest layer.Digest
-	Size   int64 // on disk
-	Uses   int
-	Used   time.Time // last
-	Rare   bool      // no other worker was seen to hold it
+	Digest   layer.Digest
+	Size     int64 // on disk
+	Uses     int
+	LastUsed time.Time // last
+	Rare     bool      // no other worker was seen to hold it
 }
 
-// Worth is what a byte of an item is worth now: more with each use, half with each ten minutes since the last, twice if it is
+// Value is what a byte of an item is worth now: more with each use, half with each ten minutes since the last, twice if it is
 // rare.
-func (i Item) Worth(now time.Time) float64 {
-	worth := float64(1+i.Uses) * math.Exp2(-float64(now.Sub(i.Used))/float64(halfWorth))
+func (i Item) Value(now time.Time) float64 {
+	worth := float64(1+i.Uses) * math.Exp2(-float64(now.Sub(i.LastUsed))/float64(valueHalvingTime))
 	if i.Rare {
-		worth *= rareTwice
+		worth *= rareChunkWeight
 	}
 	return worth / float64(max(1, i.Size))
 }
 
-// Evict chooses what goes so that need bytes are freed: the least worth first. It chooses nothing if all that may go is not
+// SelectEvictions chooses what goes so that need bytes are freed: the least worth first. It chooses nothing if all that may go is not
 // enough.
-func Evict(items []Item, need int64, now time.Time) []layer.Digest {
+func SelectEvictions(items []Item, need int64, now time.Time) []layer.Digest {
 	slices.SortFunc(items, func(a, b Item) int {
-		return cmp.Or(cmp.Compare(a.Worth(now), b.Worth(now)), slices.Compare(a.Digest[:], b.Digest[:]))
+		return cmp.Or(cmp.Compare(a.Value(now), b.Value(now)), slices.Compare(a.Digest[:], b.Digest[:]))
 	})
 	var gone []layer.Digest
 	for _, i := range items {
@@ -73,24 +73,24 @@
 
 // Cache is a folder of chunks. Its methods may be called by any goroutine.
 type Cache struct {
-	folder string
-	most   int64
-	log    *slog.Logger
+	folder   string
+	maxBytes int64
+	log      *slog.Logger
 
 	mu      sync.Mutex
 	items   map[layer.Digest]*Item
 	pins    map[layer.Digest]int
 	writing map[layer.Digest]bool
 	size    int64
-	counts  Counts
+	stats   Stats
 }
 
 // Open opens or makes a cache in a folder; most is its bytes on disk. Files that a killed process left half written are seen
 // when they are read; names that are no chunks are left alone.
 func Open(folder string, most int64, log *slog.Logger) (*Cache, error) {
-	c := &Cache{folder: filepath.Join(folder, version), most: most, log: log, items: map[layer.Digest]*Item{}, pins: map[layer.Digest]int{},
+	c := &Cache{folder: filepath.Join(folder, formatDir), maxBytes: most, log: log, items: map[layer.Digest]*Item{}, pins: map[layer.Digest]int{},
 		writing: map[layer.Digest]bool{}}
-	dirs := []string{c.aside()}
+	dirs := []string{c.quarantineDir()}
 	for _, letter := range "0123456789abcdef" {
 		dirs = append(dirs, filepath.Join(c.folder, string(letter)))
 	}
@@ -112,12 +112,12 @@
 		switch {
 		case err != nil:
 			return err
-		case d.IsDir() && path == c.aside():
+		case d.IsDir() && path == c.quarantineDir():
 			return filepath.SkipDir
 		case d.IsDir():
 			return nil
 		}
-		digest, err := layer.Parse(d.Name())
+		digest, err := layer.ParseDigest(d.Name())
 		if err != nil {
 			return nil
 		}
@@ -125,7 +125,7 @@
 		if err != nil {
 			return err
 		}
-		c.items[digest] = &Item{Digest: digest, Size: st.Size(), Used: st.ModTime()}
+		c.items[digest] = &Item{Digest: digest, Size: st.Size(), LastUsed: st.ModTime()}
 		c.size += st.Size()
 		return nil
 	})
@@ -134,13 +134,13 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.room(0)
+	c.makeSpace(0)
 	return c, nil
 }
 
-func (c *Cache) aside() string { return filepath.Join(c.folder, "aside") }
+func (c *Cache) quarantineDir() string { return filepath.Join(c.folder, "aside") }
 
-func (c *Cache) path(d layer.Digest) string {
+func (c *Cache) chunkPath(d layer.Digest) string {
 	return filepath.Join(c.folder, d.String()[:1], d.String())
 }
 
@@ -156,45 +156,45 @@
 	c.mu.Lock()
 	item := c.items[d]
 	if item == nil {
-		c.counts.Misses++
+		c.stats.Misses++
 		c.mu.Unlock()
 		return nil, nil, false
 	}
 	c.mu.Unlock()
-	packed, err := os.ReadFile(c.path(d))
+	packed, err := os.ReadFile(c.chunkPath(d))
 	if err == nil {
-		content, err = layer.Unpack(d, packed)
+		content, err = layer.Decompress(d, packed)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		c.counts.Misses++
+		c.stats.Misses++
 		if c.items[d] != item { // it went meanwhile
 			return nil, nil, false
 		}
-		c.forget(item)
+		c.removeItem(item)
 		if errors.Is(err, layer.ErrCorrupt) {
-			c.counts.Corrupt++
+			c.stats.Corrupt++
 		}
 		c.log.Warn("a chunk on disk is set aside", "chunk", d, "err", err)
-		c.setAside(d)
+		c.quarantine(d)
 		return nil, nil, false
 	}
-	c.counts.Hits++
+	c.stats.Hits++
 	item.Uses++
-	item.Used = time.Now()
+	item.LastUsed = time.Now()
 	return content, packed, true
 }
 
-func (c *Cache) setAside(d layer.Digest) {
-	kept, err := os.ReadDir(c.aside())
-	if err == nil && len(kept) < mostAside && os.Rename(c.path(d), filepath.Join(c.aside(), d.String())) == nil {
+func (c *Cache) quarantine(d layer.Digest) {
+	kept, err := os.ReadDir(c.quarantineDir())
+	if err == nil && len(kept) < maxQuarantined && os.Rename(c.chunkPath(d), filepath.Join(c.quarantineDir(), d.String())) == nil {
 		return
 	}
-	_ = os.Remove(c.path(d)) // what can't be removed is written over when it is fetched
+	_ = os.Remove(c.chunkPath(d)) // what can't be removed is written over when it is fetched
 }
 
-func (c *Cache) forget(i *Item) {
+func (c *Cache) removeItem(i *Item) {
 	delete(c.items, i.Digest)
 	c.size -= i.Size
 }
@@ -208,7 +208,7 @@
 		c.mu.Unlock()
 		return
 	}
-	room := c.room(n)
+	room := c.makeSpace(n)
 	if room {
 		c.writing[d] = true
 		c.size += n
@@ -216,45 +216,45 @@
 	c.mu.Unlock()
 	err := errors.New("all that is there is in use")
 	if room { // under its name at once: half a file is seen when it is read, and a new name costs more than the bytes
-		err = os.WriteFile(c.path(d), packed, 0o644)
+		err = os.WriteFile(c.chunkPath(d), packed, 0o644)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.writing, d)
 	if err == nil {
-		c.items[d] = &Item{Digest: d, Size: n, Used: time.Now(), Rare: rare}
+		c.items[d] = &Item{Digest: d, Size: n, LastUsed: time.Now(), Rare: rare}
 		return
 	}
 	if room {
 		c.size -= n
-		_ = os.Remove(c.path(d)) // what is left of it is seen when it is read
+		_ = os.Remove(c.chunkPath(d)) // what is left of it is seen when it is read
 	}
-	c.counts.Unkept++
+	c.stats.NotStored++
 	c.log.Warn("a chunk is not kept", "chunk", d, "err", err)
 }
 
-// room evicts until need more bytes fit; the lock is held.
-func (c *Cache) room(need int64) bool {
-	if over := c.size + need - c.most; over > 0 {
+// makeSpace evicts until need more bytes fit; the lock is held.
+func (c *Cache) makeSpace(need int64) bool {
+	if over := c.size + need - c.maxBytes; over > 0 {
 		var may []Item
 		for d, i := range c.items {
 			if c.pins[d] == 0 {
 				may = append(may, *i)
 			}
 		}
-		for _, d := range Evict(may, over, time.Now()) {
-			c.forget(c.items[d])
-			c.counts.Evicted++
-			if err := os.Remove(c.path(d)); err != nil {
+		for _, d := range SelectEvictions(may, over, time.Now()) {
+			c.removeItem(c.items[d])
+			c.stats.Evicted++
+			if err := os.Remove(c.chunkPath(d)); err != nil {
 				c.log.Warn("an evicted chunk is still on disk", "chunk", d, "err", err)
 			}
 		}
 	}
-	return c.size+need <= c.most
+	return c.size+need <= c.maxBytes
 }
 
 // Pin keeps chunks from eviction until the release that it returns is called.
-func (c *Cache) Pin(chunks []layer.Ref) (release func()) {
+func (c *Cache) Pin(chunks []layer.ChunkRef) (release func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range chunks {
@@ -271,11 +271,11 @@
 	}
 }
 
-// Counts tells what it did.
-func (c *Cache) Counts() Counts {
+// Stats tells what it did.
+func (c *Cache) Stats() Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.counts
+	return c.stats
 }
 
 // Size is its bytes on disk.
--- a/internal/artifact/cache/cache_test.go
+++ b/internal/artifact/cache/cache_test.go
@@ -16,17 +16,17 @@
 	"lupinpond/internal/artifact/layer"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("LP_TEST_CACHE"); dir != "" {
-		c, err := cache.Open(dir, 200_000, quiet)
+		c, err := cache.Open(dir, 200_000, discardLog)
 		if err != nil {
 			panic(err)
 		}
 		for i := 0; ; i++ {
-			b := content(i)
-			c.Put(layer.Sum(b), layer.Pack(b), i%2 == 0)
+			b := chunkContent(i)
+			c.Put(layer.Sum(b), layer.Compress(b), i%2 == 0)
 			if i%10 == 0 {
 				fmt.Println(i)
 			}
@@ -35,7 +35,9 @@
 	os.Exit(m.Run())
 }
 
-func content(i int) []byte { return []byte(strings.Repeat(fmt.Sprint("chunk ", i, " "), 1000+i%1000)) }
+func chunkContent(i int) []byte {
+	return []byte(strings.Repeat(fmt.Sprint("chunk ", i, " "), 1000+i%1000))
+}
 
 // Killed at any moment, ten times over one folder: what the next life finds is whole or set aside, and within its bound.
 func TestKilledWhileWriting(t *testing.T) {
@@ -62,7 +64,7 @@
 			t.Fatal(err)
 		}
 		_ = cmd.Wait()
-		c, err := cache.Open(dir, 200_000, quiet)
+		c, err := cache.Open(dir, 200_000, discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,7 +76,7 @@
 			t.Fatal(files, err)
 		}
 		for _, f := range files {
-			d, err := layer.Parse(filepath.Base(f))
+			d, err := layer.ParseDigest(filepath.Base(f))
 			if err != nil {
 				t.Errorf("%s is left", f)
 				continue
@@ -83,7 +85,7 @@
 				t.Errorf("%s was given corrupt", f)
 			}
 		}
-		if n := c.Counts(); n.Hits == 0 {
+		if n := c.Stats(); n.Hits == 0 {
 			t.Errorf("%+v", n)
 		}
 	}
@@ -96,25 +98,25 @@
 	if err := os.MkdirAll(other, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	c, err := cache.Open(dir, 2000, quiet)
+	c, err := cache.Open(dir, 2000, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := content(0)
-	ref := layer.Ref{Digest: layer.Sum(first), Size: len(first)}
-	release := c.Pin([]layer.Ref{ref})
-	c.Put(ref.Digest, layer.Pack(first), false)
+	first := chunkContent(0)
+	ref := layer.ChunkRef{Digest: layer.Sum(first), Size: len(first)}
+	release := c.Pin([]layer.ChunkRef{ref})
+	c.Put(ref.Digest, layer.Compress(first), false)
 	for i := 1; i < 200; i++ {
-		b := content(i)
-		c.Put(layer.Sum(b), layer.Pack(b), true)
+		b := chunkContent(i)
+		c.Put(layer.Sum(b), layer.Compress(b), true)
 	}
-	if !c.Has(ref.Digest) || c.Counts().Evicted == 0 || c.Size() > 2000 {
-		t.Errorf("pinned: %v, %+v, %d bytes", c.Has(ref.Digest), c.Counts(), c.Size())
+	if !c.Has(ref.Digest) || c.Stats().Evicted == 0 || c.Size() > 2000 {
+		t.Errorf("pinned: %v, %+v, %d bytes", c.Has(ref.Digest), c.Stats(), c.Size())
 	}
 	release()
 	for i := 200; i < 400; i++ {
-		b := content(i)
-		c.Put(layer.Sum(b), layer.Pack(b), true)
+		b := chunkContent(i)
+		c.Put(layer.Sum(b), layer.Compress(b), true)
 	}
 	if c.Has(ref.Digest) {
 		t.Error("nothing was evicted that had been pinned")
@@ -126,21 +128,21 @@
 
 // Evict frees what is needed with the least worth, or nothing; what is used more, later or rarer than another of its size
 // never goes before it.
-func TestEvict(t *testing.T) {
+func TestSelectEvictions(t *testing.T) {
 	now := time.Unix(1e6, 0)
 	rapid.Check(t, func(t *rapid.T) {
 		var items []cache.Item
 		total := int64(0)
 		for i := range rapid.IntRange(0, 30).Draw(t, "n") {
 			x := cache.Item{Size: int64(rapid.IntRange(1, 100).Draw(t, "size")), Uses: rapid.IntRange(0, 5).Draw(t, "uses"),
-				Used: now.Add(-time.Duration(rapid.IntRange(0, 3600).Draw(t, "age")) * time.Second), Rare: rapid.Bool().Draw(t, "rare")}
+				LastUsed: now.Add(-time.Duration(rapid.IntRange(0, 3600).Draw(t, "age")) * time.Second), Rare: rapid.Bool().Draw(t, "rare")}
 			x.Digest[0] = byte(i)
 			items = append(items, x)
 			total += x.Size
 		}
 		need := int64(rapid.IntRange(0, 2000).Draw(t, "need"))
 		gone := map[layer.Digest]bool{}
-		for _, d := range cache.Evict(append([]cache.Item(nil), items...), need, now) {
+		for _, d := range cache.SelectEvictions(append([]cache.Item(nil), items...), need, now) {
 			gone[d] = true
 		}
 		freed := int64(0)
@@ -157,7 +159,7 @@
 		}
 		for _, a := range items {
 			for _, b := range items {
-				better := a.Size <= b.Size && a.Uses >= b.Uses && !a.Used.Before(b.Used) && (a.Rare || !b.Rare) && a.Worth(now) > b.Worth(now)
+				better := a.Size <= b.Size && a.Uses >= b.Uses && !a.LastUsed.Before(b.LastUsed) && (a.Rare || !b.Rare) && a.Value(now) > b.Value(now)
 				if better && gone[a.Digest] && !gone[b.Digest] {
 					t.Fatalf("%+v went before %+v", a, b)
 				}
--- a/internal/artifact/cache/compat_test.go
+++ b/internal/artifact/cache/compat_test.go
@@ -16,7 +16,7 @@
 	if err := os.CopyFS(dir, os.DirFS("testdata/stored")); err != nil {
 		t.Fatal(err)
 	}
-	c, err := cache.Open(dir, 1<<20, quiet)
+	c, err := cache.Open(dir, 1<<20, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,7 +24,7 @@
 		{"8641dac8b5c832616c9535fbe59197427eec3194459d36df903a39ad473633cd", strings.Repeat("first ", 500)},
 		{"5fe5893e7e4d10461122d856ad50d492f50504262afaf9824f8a52033f84b555", strings.Repeat("second ", 500)},
 	} {
-		d, err := layer.Parse(x.digest)
+		d, err := layer.ParseDigest(x.digest)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -36,7 +36,7 @@
 			t.Errorf("chunk %s: got %d bytes %.20q, found %v, want %d bytes %.20q", x.digest, len(got), got, ok, len(x.content), x.content)
 		}
 	}
-	if got, want := c.Counts(), (cache.Counts{Hits: 2}); got != want {
+	if got, want := c.Stats(), (cache.Stats{Hits: 2}); got != want {
 		t.Errorf("counts: got %+v, want %+v", got, want)
 	}
 	if got, want := c.Size(), int64(57); got != want {
--- a/internal/artifact/distribution/bench_test.go
+++ b/internal/artifact/distribution/bench_test.go
@@ -25,46 +25,46 @@
 		b.Run(c.name, func(b *testing.B) {
 			for range b.N {
 				sees := func(i, j int) bool { return !c.alone }
-				f := newFleet(b, c.workers, artifactstore.Capacity{Requests: c.requests, Rate: rate}, 5*time.Minute, 1e9, sees)
+				f := newFleet(b, c.workers, artifactstore.Capacity{MaxConcurrent: c.requests, BytesPerSecond: rate}, 5*time.Minute, 1e9, sees)
 				sent := f.publish("1", size, 0)
 				f.refresh()
 				at := time.Now()
 				done := make(chan struct{})
 				go func() {
 					defer close(done)
-					for c.killed > 0 && f.store.Counts().Served < sent.Chunks/2 {
+					for c.killed > 0 && f.store.Stats().Served < sent.Chunks/2 {
 						time.Sleep(time.Millisecond)
 					}
 					for _, m := range f.workers[:c.killed] {
 						m.stop()
 					}
 				}()
-				n := f.bring("1", f.workers...)
+				n := f.install("1", f.workers...)
 				took := time.Since(at)
 				<-done
 				if n < c.workers-c.killed {
 					b.Fatalf("%d of %d have it", n, c.workers)
 				}
-				counts := f.store.Counts()
+				counts := f.store.Stats()
 				b.ReportMetric(took.Seconds()/(size/rate), "of-ideal")
 				b.ReportMetric(took.Seconds(), "s")
-				b.ReportMetric(float64(counts.Most), "worst-chunk")
+				b.ReportMetric(float64(counts.MaxFetchesPerChunk), "worst-chunk")
 				b.ReportMetric(float64(counts.Bytes)/float64(sent.Bytes), "packages-from-store")
-				b.ReportMetric(float64(counts.TurnedAway), "turned-away")
+				b.ReportMetric(float64(counts.Rejected), "turned-away")
 			}
 		})
 	}
 }
 
-// BenchmarkBring is building a package of 16 MiB whose chunks are all on disk, beside copying the file.
-func BenchmarkBring(b *testing.B) {
-	f := newFleet(b, 1, easy, time.Minute, 1e9, nil)
+// BenchmarkInstall is building a package of 16 MiB whose chunks are all on disk, beside copying the file.
+func BenchmarkInstall(b *testing.B) {
+	f := newFleet(b, 1, ampleCapacity, time.Minute, 1e9, nil)
 	f.publish("1", 16<<20, 0)
 	f.refresh()
-	f.bring("1", f.workers[0])
+	f.install("1", f.workers[0])
 	b.SetBytes(16 << 20)
 	for i := range b.N {
-		if _, err := f.workers[0].Bring(b.Context(), "f", "1", filepath.Join(f.workers[0].folder, fmt.Sprint("b", i))); err != nil {
+		if _, err := f.workers[0].Install(b.Context(), "f", "1", filepath.Join(f.workers[0].folder, fmt.Sprint("b", i))); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/artifact/distribution/golden_test.go
+++ b/internal/artifact/distribution/golden_test.go
@@ -54,7 +54,7 @@
 func (f trip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
 // goldenSupplier makes worker w-1 with a network of one byte a second.
-func goldenSupplier(t *testing.T, storage trip, peers ...distribution.Peer) (*distribution.Supplier, *cache.Cache) {
+func goldenSupplier(t *testing.T, storage trip, peers ...distribution.Peer) (*distribution.Distributor, *cache.Cache) {
 	t.Helper()
 	dir := t.TempDir()
 	c, err := cache.Open(dir, 1<<30, slog.New(slog.DiscardHandler))
@@ -62,8 +62,8 @@
 		t.Fatal(err)
 	}
 	s, err := distribution.New(distribution.Options{Name: "w-1", Folder: dir, Cache: c, Peers: func() []distribution.Peer { return peers },
-		Store:    artifactstore.Client{Base: "http://store:8730", HTTP: &http.Client{Transport: storage}},
-		Capacity: 1, Part: 1, Slots: 1, Patience: 10 * time.Minute, Parallel: 1})
+		Store:                 artifactstore.Client{BaseURL: "http://store:8730", HTTPClient: &http.Client{Transport: storage}},
+		NetworkBytesPerSecond: 1, UploadShare: 1, MaxUploads: 1, ChunkTimeout: 10 * time.Minute, MaxParallelChunks: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 	const jsonHead = "\nContent-Type: application/json\n\n"
 	big := make([]byte, 200_000) // does not pack: most of what may be given at once
 	_, _ = rand.NewChaCha8([32]byte{7}).Read(big)
-	d, packed := layer.Sum(big), layer.Pack(big)
+	d, packed := layer.Sum(big), layer.Compress(big)
 	c.Put(d, packed, false)
 	other := layer.Sum([]byte("not held")).String()
 	after := regexp.MustCompile(`"after-ms":[1-9][0-9]{6,}\}`) // of busy: depends on the clock, hours at one byte a second
@@ -128,7 +128,7 @@
 		{"golden 3", true, []string{before, storage}},
 	} {
 		content := []byte(x.content)
-		d, packed := layer.Sum(content), layer.Pack(content)
+		d, packed := layer.Sum(content), layer.Compress(content)
 		var mu sync.Mutex
 		var got []string
 		note := func(who string, r *http.Request) {
--- a/internal/artifact/fetch/want.go
+++ b/internal/artifact/fetch/want.go
@@ -21,18 +21,18 @@
 // Ratios of the time that a want has.
 // Ratios of the time that a want has.
 const (
-	sendShare  = 0.125    // that sending a chunk may take
-	waitShare  = 1.0 / 32 // that one home is given to fetch a chunk while it is waited for; then it promises, or is late
-	hedgeShare = 1.0 / 64 // that an answer may take besides; then another peer is asked as well
-	ownShare   = 0.5      // after which a worker goes to the store though a home has promised to
-	pauseShare = 1.0 / 64
-	pauseMost  = 0.125
-	mostComing = 8 // promises of one home in a round
-	mostTold   = 8 // holders that are remembered
+	transferShare      = 0.125    // that sending a chunk may take
+	homeWaitShare      = 1.0 / 32 // that one home is given to fetch a chunk while it is waited for; then it promises, or is late
+	hedgeDelayShare    = 1.0 / 64 // that an answer may take besides; then another peer is asked as well
+	storeFallbackShare = 0.5      // after which a worker goes to the store though a home has promised to
+	roundPauseShare    = 1.0 / 64
+	maxRoundPauseShare = 0.125
+	maxPendingReplies  = 8 // promises of one home in a round
+	maxReplicas        = 8 // holders that are remembered
 )
 
-// Order is the names in a chunk's order, best first.
-func Order(chunk []byte, names []string) []string {
+// RendezvousOrder is the names in a chunk's order, best first.
+func RendezvousOrder(chunk []byte, names []string) []string {
 	type at struct {
 		name string
 		hash uint64
@@ -52,167 +52,167 @@
 	return out
 }
 
-// Do is what a want has its worker do.
-type Do int
+// Action is what a want has its worker do.
+type Action int
 
 // The things to do.
 const (
-	Pause   Do = iota // ask again after Wait, or when something is heard
-	AskPeer           // ask Peer and wait for Wait at most
-	AskStore
-	GiveUp
+	Pause         Action = iota // ask again after Wait, or when something is heard
+	FetchFromPeer               // ask Peer and wait for Wait at most
+	FetchFromStore
+	Abandon
 )
 
 // Step is what is to be done now.
 type Step struct {
-	Do   Do
-	Peer string
-	Held bool // ask only whether it holds the chunk: it is not to fetch it
-	Wait time.Duration
-	Send time.Duration // after Wait, until the chunk has to be here
+	Action          Action
+	Peer            string
+	CachedOnly      bool // ask only whether it holds the chunk: it is not to fetch it
+	Wait            time.Duration
+	TransferTimeout time.Duration // after Wait, until the chunk has to be here
 }
 
-// Said is what a peer says to a request for a chunk.
-type Said int
+// PeerResponse is what a peer says to a request for a chunk.
+type PeerResponse int
 
 // What peers say. Gave ends a want.
 const (
-	Gave    Said = iota
-	Missing      // it does not hold the chunk and is not going to
-	Coming       // it is fetching it
-	Busy         // it holds it, but gives as much as it may
-	Failed       // no answer in time, or none at all
-	Corrupt      // it gave something else
+	Delivered PeerResponse = iota
+	Missing                // it does not hold the chunk and is not going to
+	Pending                // it is fetching it
+	Busy                   // it holds it, but gives as much as it may
+	Failed                 // no answer in time, or none at all
+	Corrupt                // it gave something else
 )
 
-// Want is a worker's search for one chunk.
-type Want struct {
-	order    []string // of the chunk, without this worker
-	homes    int      // of order
-	self     int      // this worker's place among the homes; -1: it is none
-	began    time.Duration
-	patience time.Duration
-	resume   time.Duration
-	round    int
-	tried    map[string]bool // in this round
-	promised map[string]int  // how often a peer has said that it is coming, in this round
-	told     []string        // who hold it, as others say
-	store    time.Duration   // not asked before
-	asked    bool            // the store, in this round
-	anyone   bool            // someone has promised, in this round
+// Search is a worker's search for one chunk.
+type Search struct {
+	order          []string // of the chunk, without this worker
+	homeCount      int      // of order
+	selfIndex      int      // this worker's place among the homes; -1: it is none
+	startedAt      time.Duration
+	timeout        time.Duration
+	resumeAt       time.Duration
+	round          int
+	tried          map[string]bool // in this round
+	pendingReplies map[string]int  // how often a peer has said that it is coming, in this round
+	replicas       []string        // who hold it, as others say
+	storeNotBefore time.Duration   // not asked before
+	storeTried     bool            // the store, in this round
+	anyPending     bool            // someone has promised, in this round
 }
 
-// NewWant begins a search; order is the chunk's order of all listed workers, patience how long it may take.
-func NewWant(self string, order []string, now, patience time.Duration) *Want {
-	w := &Want{self: slices.Index(order, self), began: now, patience: patience, tried: map[string]bool{}, promised: map[string]int{}}
-	if w.self >= Homes {
-		w.self = -1
+// NewSearch begins a search; order is the chunk's order of all listed workers, patience how long it may take.
+func NewSearch(self string, order []string, now, patience time.Duration) *Search {
+	w := &Search{selfIndex: slices.Index(order, self), startedAt: now, timeout: patience, tried: map[string]bool{}, pendingReplies: map[string]int{}}
+	if w.selfIndex >= Homes {
+		w.selfIndex = -1
 	}
-	w.homes = min(Homes, len(order))
-	if w.self >= 0 {
-		w.homes--
+	w.homeCount = min(Homes, len(order))
+	if w.selfIndex >= 0 {
+		w.homeCount--
 	}
 	w.order = slices.DeleteFunc(slices.Clone(order), func(n string) bool { return n == self })
 	return w
 }
 
 // Next says what to do now. trusted tells whether a peer may be asked at all; chance is between 0 and 1 and spreads pauses.
-func (w *Want) Next(now time.Duration, trusted func(peer string) bool, chance float64) Step {
-	passed := now - w.began
-	if passed >= w.patience {
-		return Step{Do: GiveUp}
+func (w *Search) Next(now time.Duration, trusted func(peer string) bool, chance float64) Step {
+	passed := now - w.startedAt
+	if passed >= w.timeout {
+		return Step{Action: Abandon}
 	}
-	if now < w.resume {
-		return Step{Do: Pause, Wait: w.resume - now}
+	if now < w.resumeAt {
+		return Step{Action: Pause, Wait: w.resumeAt - now}
 	}
-	for _, p := range w.told {
+	for _, p := range w.replicas {
 		if !w.tried[p] && trusted(p) {
-			return Step{Do: AskPeer, Peer: p, Held: true, Wait: w.wait(), Send: share(w.patience, sendShare)}
+			return Step{Action: FetchFromPeer, Peer: p, CachedOnly: true, Wait: w.homeWait(), TransferTimeout: fraction(w.timeout, transferShare)}
 		}
 	}
-	reach := min(len(w.order), w.homes<<min(w.round, 16)) // round by round, all are asked
-	if w.homes == 0 {
+	reach := min(len(w.order), w.homeCount<<min(w.round, 16)) // round by round, all are asked
+	if w.homeCount == 0 {
 		reach = min(len(w.order), w.round)
 	}
 	for i, p := range w.order[:reach] {
 		if !w.tried[p] && trusted(p) {
 			// homes before this worker fetch it; of all others it is only asked whether they hold it
-			held := i >= w.homes || w.self >= 0 && i >= w.self
-			return Step{Do: AskPeer, Peer: p, Held: held, Wait: w.wait(), Send: share(w.patience, sendShare)}
+			held := i >= w.homeCount || w.selfIndex >= 0 && i >= w.selfIndex
+			return Step{Action: FetchFromPeer, Peer: p, CachedOnly: held, Wait: w.homeWait(), TransferTimeout: fraction(w.timeout, transferShare)}
 		}
 	}
-	own := !w.anyone || passed >= share(w.patience, ownShare)
-	if own && !w.asked && now >= w.store {
-		return Step{Do: AskStore}
+	own := !w.anyPending || passed >= fraction(w.timeout, storeFallbackShare)
+	if own && !w.storeTried && now >= w.storeNotBefore {
+		return Step{Action: FetchFromStore}
 	}
 	// the round is over
 	w.round++
 	clear(w.tried)
-	clear(w.promised)
-	w.asked, w.anyone = false, false
-	pause := min(share(w.patience, pauseShare)<<min(w.round, 10), share(w.patience, pauseMost))
-	w.resume = now + max(1, share(pause, 0.5+0.5*chance))
-	return Step{Do: Pause, Wait: w.resume - now}
+	clear(w.pendingReplies)
+	w.storeTried, w.anyPending = false, false
+	pause := min(fraction(w.timeout, roundPauseShare)<<min(w.round, 10), fraction(w.timeout, maxRoundPauseShare))
+	w.resumeAt = now + max(1, fraction(pause, 0.5+0.5*chance))
+	return Step{Action: Pause, Wait: w.resumeAt - now}
 }
 
 // Hedge says whom to ask besides a peer that was asked at since and has not answered, if it is time for that; if not, when it
 // will be. The store is never asked besides a peer. The peer that is late counts as asked in this round.
-func (w *Want) Hedge(now time.Duration, late Step, since time.Duration, trusted func(peer string) bool) (s Step, ok bool, after time.Duration) {
-	due := since + share(w.patience, hedgeShare)
-	if !late.Held { // it may be fetching, and says so when its time to wait is up
+func (w *Search) Hedge(now time.Duration, late Step, since time.Duration, trusted func(peer string) bool) (s Step, ok bool, after time.Duration) {
+	due := since + fraction(w.timeout, hedgeDelayShare)
+	if !late.CachedOnly { // it may be fetching, and says so when its time to wait is up
 		due += late.Wait
 	}
 	if now < due {
 		return s, false, due - now
 	}
 	w.tried[late.Peer] = true
-	for _, p := range w.told {
+	for _, p := range w.replicas {
 		if !w.tried[p] && trusted(p) {
-			return Step{Do: AskPeer, Peer: p, Held: true, Wait: w.wait(), Send: share(w.patience, sendShare)}, true, 0
+			return Step{Action: FetchFromPeer, Peer: p, CachedOnly: true, Wait: w.homeWait(), TransferTimeout: fraction(w.timeout, transferShare)}, true, 0
 		}
 	}
 	for i, p := range w.order {
 		if !w.tried[p] && trusted(p) {
-			return Step{Do: AskPeer, Peer: p, Held: i >= w.homes || w.self >= 0 && i >= w.self, Wait: w.wait(), Send: share(w.patience, sendShare)}, true, 0
+			return Step{Action: FetchFromPeer, Peer: p, CachedOnly: i >= w.homeCount || w.selfIndex >= 0 && i >= w.selfIndex, Wait: w.homeWait(), TransferTimeout: fraction(w.timeout, transferShare)}, true, 0
 		}
 	}
-	return s, false, w.patience // nobody is left
+	return s, false, w.timeout // nobody is left
 }
 
-func share(d time.Duration, part float64) time.Duration { return time.Duration(part * float64(d)) }
+func fraction(d time.Duration, part float64) time.Duration { return time.Duration(part * float64(d)) }
 
-func (w *Want) wait() time.Duration { return max(1, share(w.patience, waitShare)) }
+func (w *Search) homeWait() time.Duration { return max(1, fraction(w.timeout, homeWaitShare)) }
 
-// Heard notes what a peer said: who else holds the chunk, and after how long it may be asked again.
-func (w *Want) Heard(now time.Duration, peer string, said Said, holders []string, after time.Duration) {
+// RecordPeerResponse notes what a peer said: who else holds the chunk, and after how long it may be asked again.
+func (w *Search) RecordPeerResponse(now time.Duration, peer string, said PeerResponse, holders []string, after time.Duration) {
 	for _, h := range holders {
-		if len(w.told) < mostTold && !slices.Contains(w.told, h) && slices.Contains(w.order, h) {
-			w.told = append(w.told, h)
+		if len(w.replicas) < maxReplicas && !slices.Contains(w.replicas, h) && slices.Contains(w.order, h) {
+			w.replicas = append(w.replicas, h)
 		}
 	}
 	switch said {
-	case Coming, Busy:
-		w.anyone = true
-		if w.promised[peer]++; w.promised[peer] >= mostComing {
+	case Pending, Busy:
+		w.anyPending = true
+		if w.pendingReplies[peer]++; w.pendingReplies[peer] >= maxPendingReplies {
 			w.tried[peer] = true // its promises are worth nothing in this round
 			return
 		}
-		for _, h := range w.told {
+		for _, h := range w.replicas {
 			if !w.tried[h] && h != peer {
 				return // another one is asked meanwhile
 			}
 		}
-		w.resume = now + min(max(after, 1), w.wait())
+		w.resumeAt = now + min(max(after, 1), w.homeWait())
 	case Missing, Failed, Corrupt:
 		w.tried[peer] = true
 		if said != Missing {
-			w.told = slices.DeleteFunc(w.told, func(h string) bool { return h == peer })
+			w.replicas = slices.DeleteFunc(w.replicas, func(h string) bool { return h == peer })
 		}
 	}
 }
 
-// Store notes that the store did not give the chunk, and for how long it wants to be left alone.
-func (w *Want) Store(now, after time.Duration) {
-	w.asked = true
-	w.store = now + after
+// RecordStoreFailure notes that the store did not give the chunk, and for how long it wants to be left alone.
+func (w *Search) RecordStoreFailure(now, after time.Duration) {
+	w.storeTried = true
+	w.storeNotBefore = now + after
 }
--- a/internal/artifact/layer/layer.go
+++ b/internal/artifact/layer/layer.go
@@ -29,28 +29,28 @@
 
 // Bounds of the format. A chunk has a quarter of the mean at least and four times the mean at most.
 const (
-	meanBits    = 16 // chunks of 64 KiB in the mean
-	MinChunk    = 1 << (meanBits - 2)
-	MaxChunk    = 1 << (meanBits + 2)
-	MaxPacked   = MaxChunk + 1024 // what zstd may add
-	MaxRelease  = 16 << 20        // bytes of an encoded release
-	maxFiles    = 100_000
-	polynomial  = chunker.Pol(0x3DA3358B4DC173) // part of the format: another one shares no chunk
-	digestBytes = 32
+	averageChunkBits  = 16 // chunks of 64 KiB in the mean
+	MinChunkSize      = 1 << (averageChunkBits - 2)
+	MaxChunkSize      = 1 << (averageChunkBits + 2)
+	MaxCompressedSize = MaxChunkSize + 1024 // what zstd may add
+	MaxReleaseSize    = 16 << 20            // bytes of an encoded release
+	maxFiles          = 100_000
+	polynomial        = chunker.Pol(0x3DA3358B4DC173) // part of the format: another one shares no chunk
+	digestSize        = 32
 )
 
 // Digest names a chunk or a release: BLAKE3 of its content, before compression.
-type Digest [digestBytes]byte
+type Digest [digestSize]byte
 
 // Sum is the digest of content.
 func Sum(b []byte) Digest { return blake3.Sum256(b) }
 
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Parse reads a digest in hex.
-func Parse(s string) (d Digest, err error) {
-	if len(s) != 2*digestBytes {
-		return d, fmt.Errorf("digest of %d letters, %d are needed", len(s), 2*digestBytes)
+// ParseDigest reads a digest in hex.
+func ParseDigest(s string) (d Digest, err error) {
+	if len(s) != 2*digestSize {
+		return d, fmt.Errorf("digest of %d letters, %d are needed", len(s), 2*digestSize)
 	}
 	if _, err := hex.Decode(d[:], []byte(s)); err != nil {
 		return d, fmt.Errorf("digest: %w", err)
@@ -61,8 +61,8 @@
 	return d, nil
 }
 
-// Ref is a chunk as a release names it.
-type Ref struct {
+// ChunkRef is a chunk as a release names it.
+type ChunkRef struct {
 	_      struct{} `cbor:",toarray"`
 	Digest Digest
 	Size   int // bytes of its content
@@ -70,9 +70,9 @@
 
 // File is one file of a layer.
 type File struct {
-	Path   string `cbor:"1,keyasint"` // in the package's folder, with /
-	Run    bool   `cbor:"2,keyasint,omitempty"`
-	Chunks []Ref  `cbor:"3,keyasint"`
+	Path       string     `cbor:"1,keyasint"` // in the package's folder, with /
+	Executable bool       `cbor:"2,keyasint,omitempty"`
+	Chunks     []ChunkRef `cbor:"3,keyasint"`
 }
 
 // Size is the file's bytes.
@@ -97,8 +97,8 @@
 }
 
 // Chunks are the chunks of a release, each once, in the order of their first use.
-func (r Release) Chunks() []Ref {
-	var all []Ref
+func (r Release) Chunks() []ChunkRef {
+	var all []ChunkRef
 	seen := map[Digest]bool{}
 	for _, l := range r.Layers {
 		for _, f := range l.Files {
@@ -123,9 +123,9 @@
 	return n
 }
 
-// Package is the manifest, read.
-func (r Release) Package() (manifest.Manifest, error) {
-	return manifest.ReadManifest("manifest.yaml", r.Manifest)
+// ParseManifest is the manifest, read.
+func (r Release) ParseManifest() (manifest.Manifest, error) {
+	return manifest.Parse("manifest.yaml", r.Manifest)
 }
 
 // Encode writes a release; its digest is that of the bytes.
@@ -135,16 +135,16 @@
 		return nil, err
 	}
 	b, err := mode.Marshal(r)
-	if err == nil && len(b) > MaxRelease {
-		err = fmt.Errorf("a release of %d bytes, at most %d are taken: fewer or larger files", len(b), MaxRelease)
+	if err == nil && len(b) > MaxReleaseSize {
+		err = fmt.Errorf("a release of %d bytes, at most %d are taken: fewer or larger files", len(b), MaxReleaseSize)
 	}
 	return b, err
 }
 
 // Decode reads a release and refuses what could write outside a package's folder or take memory without bound.
 func Decode(b []byte) (r Release, err error) {
-	if len(b) > MaxRelease {
-		return r, fmt.Errorf("release: %d bytes, at most %d are taken", len(b), MaxRelease)
+	if len(b) > MaxReleaseSize {
+		return r, fmt.Errorf("release: %d bytes, at most %d are taken", len(b), MaxReleaseSize)
 	}
 	var version struct {
 		Format int `cbor:"1,keyasint"`
@@ -163,10 +163,10 @@
 	if err := mode.Unmarshal(b, &r); err != nil {
 		return r, fmt.Errorf("release: %w", err)
 	}
-	if _, err := r.Package(); err != nil {
+	if _, err := r.ParseManifest(); err != nil {
 		return r, fmt.Errorf("release: %w", err)
 	}
-	seen := map[string]bool{manifest.File: true}
+	seen := map[string]bool{manifest.FileName: true}
 	for i, l := range r.Layers {
 		for j, f := range l.Files {
 			at := fmt.Sprintf("release: layer %d, file %d (%.80q)", i, j, f.Path)
@@ -182,8 +182,8 @@
 			}
 			seen[f.Path] = true
 			for k, c := range f.Chunks {
-				if c.Size < 1 || c.Size > MaxChunk {
-					return r, fmt.Errorf("%s: chunk %d of %d bytes, 1 to %d are taken", at, k, c.Size, MaxChunk)
+				if c.Size < 1 || c.Size > MaxChunkSize {
+					return r, fmt.Errorf("%s: chunk %d of %d bytes, 1 to %d are taken", at, k, c.Size, MaxChunkSize)
 				}
 			}
 		}
@@ -191,8 +191,8 @@
 	return r, nil
 }
 
-// Cut makes a release of a package's folder and hands each chunk's content to keep, in order; the same one may come again.
-func Cut(folder string, keep func(Ref, []byte) error) (r Release, err error) {
+// Split makes a release of a package's folder and hands each chunk's content to keep, in order; the same one may come again.
+func Split(folder string, keep func(ChunkRef, []byte) error) (r Release, err error) {
 	p, err := manifest.Open(folder)
 	if err != nil {
 		return r, err
@@ -201,7 +201,7 @@
 		return r, err
 	}
 	r.Format = Format
-	if r.Manifest, err = os.ReadFile(filepath.Join(folder, manifest.File)); err != nil {
+	if r.Manifest, err = os.ReadFile(filepath.Join(folder, manifest.FileName)); err != nil {
 		return r, err
 	}
 	err = filepath.WalkDir(folder, func(name string, d fs.DirEntry, err error) error {
@@ -209,13 +209,13 @@
 			return err
 		}
 		rel, err := filepath.Rel(folder, name)
-		if err != nil || rel == manifest.File {
+		if err != nil || rel == manifest.FileName {
 			return err
 		}
 		if !d.Type().IsRegular() {
 			return fmt.Errorf("%s: only plain files and folders can be published", name)
 		}
-		f, err := cutFile(name, filepath.ToSlash(rel), keep)
+		f, err := splitFile(name, filepath.ToSlash(rel), keep)
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
@@ -231,7 +231,7 @@
 	return r, err
 }
 
-func cutFile(name, rel string, keep func(Ref, []byte) error) (f File, err error) {
+func splitFile(name, rel string, keep func(ChunkRef, []byte) error) (f File, err error) {
 	in, err := os.Open(name)
 	if err != nil {
 		return f, err
@@ -241,10 +241,10 @@
 	if err != nil {
 		return f, err
 	}
-	f = File{Path: path.Clean(rel), Run: st.Mode()&0o100 != 0}
-	c := chunker.NewWithBoundaries(in, polynomial, MinChunk, MaxChunk)
-	c.SetAverageBits(meanBits)
-	buf := make([]byte, MaxChunk)
+	f = File{Path: path.Clean(rel), Executable: st.Mode()&0o100 != 0}
+	c := chunker.NewWithBoundaries(in, polynomial, MinChunkSize, MaxChunkSize)
+	c.SetAverageBits(averageChunkBits)
+	buf := make([]byte, MaxChunkSize)
 	for {
 		x, err := c.Next(buf)
 		if errors.Is(err, io.EOF) {
@@ -253,7 +253,7 @@
 		if err != nil {
 			return f, err
 		}
-		ref := Ref{Digest: Sum(x.Data), Size: len(x.Data)}
+		ref := ChunkRef{Digest: Sum(x.Data), Size: len(x.Data)}
 		f.Chunks = append(f.Chunks, ref)
 		if err := keep(ref, x.Data); err != nil {
 			return f, err
@@ -264,30 +264,30 @@
 // ErrCorrupt says that bytes are not the chunk that they should be.
 var ErrCorrupt = errors.New("not the content that the digest names")
 
-var coders = sync.OnceValues(func() (*zstd.Encoder, *zstd.Decoder) { // both are safe for many goroutines at a time
+var zstdCodecs = sync.OnceValues(func() (*zstd.Encoder, *zstd.Decoder) { // both are safe for many goroutines at a time
 	enc, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedDefault))
 	if err != nil {
 		panic(err) // no option of it is wrong
 	}
-	dec, err := zstd.NewReader(nil, zstd.WithDecoderMaxMemory(MaxChunk), zstd.WithDecoderConcurrency(0))
+	dec, err := zstd.NewReader(nil, zstd.WithDecoderMaxMemory(MaxChunkSize), zstd.WithDecoderConcurrency(0))
 	if err != nil {
 		panic(err)
 	}
 	return enc, dec
 })
 
-// Pack compresses a chunk's content.
-func Pack(content []byte) []byte {
-	enc, _ := coders()
+// Compress compresses a chunk's content.
+func Compress(content []byte) []byte {
+	enc, _ := zstdCodecs()
 	return enc.EncodeAll(content, nil)
 }
 
-// Unpack gives a chunk's content back, if it is what the digest names.
-func Unpack(d Digest, packed []byte) ([]byte, error) {
-	if len(packed) > MaxPacked {
+// Decompress gives a chunk's content back, if it is what the digest names.
+func Decompress(d Digest, packed []byte) ([]byte, error) {
+	if len(packed) > MaxCompressedSize {
 		return nil, fmt.Errorf("chunk %.12s: %d bytes: %w", d, len(packed), ErrCorrupt)
 	}
-	_, dec := coders()
+	_, dec := zstdCodecs()
 	content, err := dec.DecodeAll(packed, nil)
 	if err != nil {
 		return nil, fmt.Errorf("chunk %.12s: %w: %w", d, ErrCorrupt, err)
@@ -299,7 +299,7 @@
 }
 
 // Build writes a release's files into a folder that does not exist yet; content gives the chunks.
-func Build(r Release, folder string, content func(Ref) ([]byte, error)) (p manifest.Package, err error) {
+func Build(r Release, folder string, content func(ChunkRef) ([]byte, error)) (p manifest.Package, err error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return p, err
 	}
@@ -315,18 +315,18 @@
 			}
 		}
 	}
-	if err := os.WriteFile(filepath.Join(folder, manifest.File), r.Manifest, 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(folder, manifest.FileName), r.Manifest, 0o644); err != nil {
 		return p, err
 	}
 	return manifest.Open(folder)
 }
 
-func buildFile(f File, name string, content func(Ref) ([]byte, error)) error {
+func buildFile(f File, name string, content func(ChunkRef) ([]byte, error)) error {
 	if err := os.MkdirAll(filepath.Dir(name), 0o755); err != nil {
 		return err
 	}
 	mode := fs.FileMode(0o644)
-	if f.Run {
+	if f.Executable {
 		mode = 0o755
 	}
 	out, err := os.OpenFile(name, os.O_CREATE|os.O_EXCL|os.O_WRONLY, mode)
@@ -348,8 +348,8 @@
 	return out.Close()
 }
 
-// Has is the digests of a release's chunks.
-func (r Release) Has() map[Digest]bool {
+// ChunkSet is the digests of a release's chunks.
+func (r Release) ChunkSet() map[Digest]bool {
 	all := map[Digest]bool{}
 	for _, c := range r.Chunks() {
 		all[c.Digest] = true
@@ -359,7 +359,7 @@
 
 // Diff tells what a worker that has the release old would fetch for next: its chunks and their bytes, and the bytes of all.
 func Diff(old, next Release) (chunks int, bytes, all int64) {
-	have := old.Has()
+	have := old.ChunkSet()
 	for _, c := range next.Chunks() {
 		all += int64(c.Size)
 		if !have[c.Digest] {
--- a/internal/artifact/layer/layer_test.go
+++ b/internal/artifact/layer/layer_test.go
@@ -15,7 +15,7 @@
 	"lupinpond/internal/base/config"
 )
 
-func packageOf(t testing.TB, content map[string][]byte) string {
+func writePackage(t testing.TB, content map[string][]byte) string {
 	dir := t.TempDir()
 	for name, b := range content {
 		if err := os.MkdirAll(filepath.Dir(filepath.Join(dir, name)), 0o755); err != nil {
@@ -25,28 +25,28 @@
 			t.Fatal(err)
 		}
 	}
-	if _, err := manifest.Write(dir, manifest.Manifest{Name: "f", Version: "1", Type: "t", Kind: manifest.Process, Lanes: 1, Memory: 1 << 20,
-		Time: config.Duration(time.Second), Entry: "entry"}); err != nil {
+	if _, err := manifest.Write(dir, manifest.Manifest{Name: "f", Version: "1", Type: "t", Kind: manifest.Process, Concurrency: 1, MemoryLimit: 1 << 20,
+		Timeout: config.Duration(time.Second), EntryPoint: "entry"}); err != nil {
 		t.Fatal(err)
 	}
 	return dir
 }
 
-func random(seed byte, n int) []byte {
+func randomBytes(seed byte, n int) []byte {
 	b := make([]byte, n)
 	_, _ = rand.NewChaCha8([32]byte{seed}).Read(b) // never fails
 	return b
 }
 
 // A release comes back as it was, layer by layer; bytes put in at the front of a large file change a few chunks only.
-func TestCutAndBuild(t *testing.T) {
-	content := map[string][]byte{"entry": random(1, 1<<20), "weights/a": random(2, 3<<20), "weights/b/c": nil}
+func TestSplitAndBuild(t *testing.T) {
+	content := map[string][]byte{"entry": randomBytes(1, 1<<20), "weights/a": randomBytes(2, 3<<20), "weights/b/c": nil}
 	kept := map[layer.Digest][]byte{}
-	keep := func(r layer.Ref, b []byte) error {
-		kept[r.Digest] = layer.Pack(b)
+	keep := func(r layer.ChunkRef, b []byte) error {
+		kept[r.Digest] = layer.Compress(b)
 		return nil
 	}
-	r, err := layer.Cut(packageOf(t, content), keep)
+	r, err := layer.Split(writePackage(t, content), keep)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,7 +60,7 @@
 	if r, err = layer.Decode(b); err != nil {
 		t.Fatal(err)
 	}
-	get := func(c layer.Ref) ([]byte, error) { return layer.Unpack(c.Digest, kept[c.Digest]) }
+	get := func(c layer.ChunkRef) ([]byte, error) { return layer.Decompress(c.Digest, kept[c.Digest]) }
 	p, err := layer.Build(r, filepath.Join(t.TempDir(), "x"), get)
 	if err != nil || p.Verify() != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 		}
 	}
 	content["weights/a"] = append([]byte("a few bytes at the front"), content["weights/a"]...)
-	next, err := layer.Cut(packageOf(t, content), keep)
+	next, err := layer.Split(writePackage(t, content), keep)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 	}
 	bad := 0
 	for d, packed := range kept {
-		if _, err := layer.Unpack(d, packed); errors.Is(err, layer.ErrCorrupt) {
+		if _, err := layer.Decompress(d, packed); errors.Is(err, layer.ErrCorrupt) {
 			bad++
 		}
 	}
@@ -95,7 +95,7 @@
 
 // What could write outside the folder or is of another version is refused with its place.
 func TestBadReleases(t *testing.T) {
-	r, err := layer.Cut(packageOf(t, map[string][]byte{"entry": []byte("x")}), func(layer.Ref, []byte) error { return nil })
+	r, err := layer.Split(writePackage(t, map[string][]byte{"entry": []byte("x")}), func(layer.ChunkRef, []byte) error { return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 		"not in layer":             func(r *layer.Release) { r.Layers[0].Files[0].Path = "other" },
 		"named twice":              func(r *layer.Release) { r.Layers = append(r.Layers, r.Layers[0]) },
 		"1 to 262144": func(r *layer.Release) {
-			r.Layers[0].Files[0].Chunks = []layer.Ref{{Digest: one[0].Digest, Size: 1 << 30}}
+			r.Layers[0].Files[0].Chunks = []layer.ChunkRef{{Digest: one[0].Digest, Size: 1 << 30}}
 		},
 		"manifest": func(r *layer.Release) { r.Manifest = []byte("format: 9") },
 	} {
@@ -125,7 +125,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	r, err := layer.Cut(packageOf(f, map[string][]byte{"entry": random(1, 100_000)}), func(layer.Ref, []byte) error { return nil })
+	r, err := layer.Split(writePackage(f, map[string][]byte{"entry": randomBytes(1, 100_000)}), func(layer.ChunkRef, []byte) error { return nil })
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -151,13 +151,13 @@
 	})
 }
 
-func FuzzUnpack(f *testing.F) {
+func FuzzDecompress(f *testing.F) {
 	content := []byte("content")
 	d := layer.Sum(content)
-	f.Add(layer.Pack(content))
+	f.Add(layer.Compress(content))
 	f.Add([]byte("\x28\xb5\x2f\xfd"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if got, err := layer.Unpack(d, b); err == nil && string(got) != string(content) {
+		if got, err := layer.Decompress(d, b); err == nil && string(got) != string(content) {
 			t.Errorf("%q", got)
 		}
 	})
@@ -165,9 +165,9 @@
 
 // BenchmarkSteps is what a chunk costs: cutting, hashing, packing, verified unpacking, beside reading the file alone.
 func BenchmarkSteps(b *testing.B) {
-	dir := packageOf(b, map[string][]byte{"entry": []byte(strings.Repeat(fmt.Sprintf("%x", random(1, 1<<10)), 1<<13))}) // 16 MiB, some order in it
+	dir := writePackage(b, map[string][]byte{"entry": []byte(strings.Repeat(fmt.Sprintf("%x", randomBytes(1, 1<<10)), 1<<13))}) // 16 MiB, some order in it
 	var chunks [][]byte
-	if _, err := layer.Cut(dir, func(_ layer.Ref, c []byte) error {
+	if _, err := layer.Split(dir, func(_ layer.ChunkRef, c []byte) error {
 		chunks = append(chunks, append([]byte(nil), c...))
 		return nil
 	}); err != nil {
@@ -177,10 +177,10 @@
 	var packed [][]byte
 	for _, c := range chunks {
 		size += int64(len(c))
-		packed = append(packed, layer.Pack(c))
+		packed = append(packed, layer.Compress(c))
 	}
 	for name, f := range map[string]func(){
-		"cut": func() { _, _ = layer.Cut(dir, func(layer.Ref, []byte) error { return nil }) },
+		"cut": func() { _, _ = layer.Split(dir, func(layer.ChunkRef, []byte) error { return nil }) },
 		"hash": func() {
 			for _, c := range chunks {
 				layer.Sum(c)
@@ -188,12 +188,12 @@
 		},
 		"pack": func() {
 			for _, c := range chunks {
-				layer.Pack(c)
+				layer.Compress(c)
 			}
 		},
 		"unpack": func() {
 			for i, c := range chunks {
-				if _, err := layer.Unpack(layer.Sum(c), packed[i]); err != nil {
+				if _, err := layer.Decompress(layer.Sum(c), packed[i]); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/artifact/manifest/manifest.go
+++ b/internal/artifact/manifest/manifest.go
@@ -21,8 +21,8 @@
 // Format is the version of the manifest that this program reads.
 const Format = 1
 
-// File is the manifest's name in a package's folder.
-const File = "manifest.yaml"
+// FileName is the manifest's name in a package's folder.
+const FileName = "manifest.yaml"
 
 // The kinds of packages.
 const (
@@ -32,16 +32,16 @@
 
 // Manifest says what a package is.
 type Manifest struct {
-	Format  int             `yaml:"format"`
-	Name    string          `yaml:"name"`    // of the function
-	Version string          `yaml:"version"` // of the release
-	Type    string          `yaml:"type"`    // event type
-	Kind    string          `yaml:"kind"`
-	Lanes   int             `yaml:"lanes"`  // events that one copy runs at a time
-	Memory  config.ByteSize `yaml:"memory"` // limit of a copy
-	Time    config.Duration `yaml:"time"`   // limit of one event
-	Entry   string          `yaml:"entry"`  // the file that is run, in the package's folder
-	Digest  string          `yaml:"digest"` // BLAKE3 of the entry, hex
+	Format      int             `yaml:"format"`
+	Name        string          `yaml:"name"`    // of the function
+	Version     string          `yaml:"version"` // of the release
+	Type        string          `yaml:"type"`    // event type
+	Kind        string          `yaml:"kind"`
+	Concurrency int             `yaml:"lanes"`  // events that one copy runs at a time
+	MemoryLimit config.ByteSize `yaml:"memory"` // limit of a copy
+	Timeout     config.Duration `yaml:"time"`   // limit of one event
+	EntryPoint  string          `yaml:"entry"`  // the file that is run, in the package's folder
+	Digest      string          `yaml:"digest"` // BLAKE3 of the entry, hex
 }
 
 // Package is a manifest and where its content stands.
@@ -50,22 +50,22 @@
 	Folder string
 }
 
-// ErrDigest says that content is not what its manifest names.
-var ErrDigest = errors.New("the content is not what the manifest names")
+// ErrDigestMismatch says that content is not what its manifest names.
+var ErrDigestMismatch = errors.New("the content is not what the manifest names")
 
-// ReadManifest reads a manifest; a mistake has file, line and column.
-func ReadManifest(name string, b []byte) (Manifest, error) {
+// Parse reads a manifest; a mistake has file, line and column.
+func Parse(name string, b []byte) (Manifest, error) {
 	var m Manifest
 	if err := config.DecodeStrict(name, b, &m); err != nil {
 		return m, err
 	}
-	if field, reason := m.contradiction(); reason != "" {
+	if field, reason := m.validate(); reason != "" {
 		return m, config.ErrorAt(name, b, "$."+field, reason)
 	}
 	return m, nil
 }
 
-func (m Manifest) contradiction() (field, reason string) {
+func (m Manifest) validate() (field, reason string) {
 	digest, err := hex.DecodeString(m.Digest)
 	switch {
 	case m.Format != Format:
@@ -78,13 +78,13 @@
 		return "type", "an event type"
 	case m.Kind != Wasm && m.Kind != Process:
 		return "kind", fmt.Sprintf("%q is not wasm or process", m.Kind)
-	case m.Lanes < 1 || m.Lanes > 1024:
+	case m.Concurrency < 1 || m.Concurrency > 1024:
 		return "lanes", "from 1 to 1024"
-	case m.Memory < 1<<20 || m.Memory > 1<<40:
+	case m.MemoryLimit < 1<<20 || m.MemoryLimit > 1<<40:
 		return "memory", "from 1MiB to 1024GiB"
-	case m.Time <= 0:
+	case m.Timeout <= 0:
 		return "time", "more than 0s"
-	case m.Entry == "" || !filepath.IsLocal(m.Entry):
+	case m.EntryPoint == "" || !filepath.IsLocal(m.EntryPoint):
 		return "entry", "a file in the package's folder"
 	case err != nil || len(digest) != 32:
 		return "digest", "64 hex digits of a BLAKE3 digest"
@@ -94,28 +94,28 @@
 
 // Open reads the manifest of a folder.
 func Open(folder string) (Package, error) {
-	path := filepath.Join(folder, File)
+	path := filepath.Join(folder, FileName)
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return Package{}, fmt.Errorf("package: %w", err)
 	}
-	m, err := ReadManifest(path, b)
+	m, err := Parse(path, b)
 	return Package{m, folder}, err
 }
 
 // Verify reads the content and compares it with the manifest's digest.
 func (p Package) Verify() error {
-	got, err := digest(filepath.Join(p.Folder, p.Entry))
+	got, err := fileDigest(filepath.Join(p.Folder, p.EntryPoint))
 	if err != nil {
 		return fmt.Errorf("package %s: %w", p.Name, err)
 	}
 	if got != p.Digest {
-		return fmt.Errorf("package %s version %s: %w: %s has digest %.12s, not %.12s", p.Name, p.Version, ErrDigest, p.Entry, got, p.Digest)
+		return fmt.Errorf("package %s version %s: %w: %s has digest %.12s, not %.12s", p.Name, p.Version, ErrDigestMismatch, p.EntryPoint, got, p.Digest)
 	}
 	return nil
 }
 
-func digest(path string) (string, error) {
+func fileDigest(path string) (string, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return "", err
@@ -132,17 +132,17 @@
 func Write(folder string, m Manifest) (Package, error) {
 	var err error
 	m.Format = Format
-	if m.Digest, err = digest(filepath.Join(folder, m.Entry)); err != nil {
+	if m.Digest, err = fileDigest(filepath.Join(folder, m.EntryPoint)); err != nil {
 		return Package{}, fmt.Errorf("package %s: %w", m.Name, err)
 	}
-	if field, reason := m.contradiction(); reason != "" {
+	if field, reason := m.validate(); reason != "" {
 		return Package{}, fmt.Errorf("package %s: %s: %s", m.Name, field, reason)
 	}
 	b, err := yaml.Marshal(m)
 	if err != nil {
 		return Package{}, fmt.Errorf("package %s: %w", m.Name, err)
 	}
-	if err := renameio.WriteFile(filepath.Join(folder, File), b, 0o644); err != nil {
+	if err := renameio.WriteFile(filepath.Join(folder, FileName), b, 0o644); err != nil {
 		return Package{}, fmt.Errorf("package %s: %w", m.Name, err)
 	}
 	return Package{m, folder}, nil
--- a/internal/artifact/manifest/manifest_test.go
+++ b/internal/artifact/manifest/manifest_test.go
@@ -35,7 +35,7 @@
 		{"lanes: 2", "lane: 2", "m:6:1: unknown field"},
 		{"0000\"", "00zz\"", "m:10:9: digest:"},
 	} {
-		_, err := manifest.ReadManifest("m", []byte(strings.Replace(manifestText, c.old, c.new, 1)))
+		_, err := manifest.Parse("m", []byte(strings.Replace(manifestText, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %s", c.new, err, c.want)
 		}
@@ -44,11 +44,11 @@
 	if err := os.WriteFile(filepath.Join(dir, "entry"), []byte("content"), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	m, err := manifest.ReadManifest("m", []byte(manifestText))
+	m, err := manifest.Parse("m", []byte(manifestText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.Entry = "entry"
+	m.EntryPoint = "entry"
 	if _, err := manifest.Write(dir, m); err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "entry"), []byte("Content"), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Verify(); !errors.Is(err, manifest.ErrDigest) {
+	if err := p.Verify(); !errors.Is(err, manifest.ErrDigestMismatch) {
 		t.Error(err)
 	}
 }
@@ -68,12 +68,12 @@
 	f.Add([]byte(manifestText))
 	f.Add([]byte("format: 1\nname: {}\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		m, err := manifest.ReadManifest("m", b)
+		m, err := manifest.Parse("m", b)
 		var at *config.Error
 		if err != nil && (!errors.As(err, &at) || at.Line < 1) {
 			t.Errorf("no place: %v", err)
 		}
-		if err == nil && (!filepath.IsLocal(m.Entry) || strings.Contains(m.Name, "/") || m.Lanes < 1 || m.Memory < 1<<20) {
+		if err == nil && (!filepath.IsLocal(m.EntryPoint) || strings.Contains(m.Name, "/") || m.Concurrency < 1 || m.MemoryLimit < 1<<20) {
 			t.Errorf("taken: %+v", m)
 		}
 	})
--- a/internal/base/capture/capture.go
+++ b/internal/base/capture/capture.go
@@ -23,7 +23,7 @@
 const (
 	Client Side = iota + 1
 	Worker
-	List
+	EndpointList
 )
 
 // Kind is what happened on a connection.
@@ -33,44 +33,44 @@
 const (
 	Opened Kind = iota + 1
 	Read
-	Wrote
+	Written
 	Closed
-	Killed
+	Crashed
 )
 
 // Record is one thing that happened on a connection.
 type Record struct {
-	Kind Kind          `cbor:"1,keyasint"`
-	Conn uint64        `cbor:"2,keyasint"`
-	Side Side          `cbor:"3,keyasint"`
-	Peer string        `cbor:"4,keyasint,omitempty"` // of a worker's connection: its name
-	At   time.Duration `cbor:"5,keyasint"`           // since the capture's base: when the call began (Wrote) or ended
-	Took time.Duration `cbor:"6,keyasint,omitempty"` // of a write
-	Data []byte        `cbor:"7,keyasint,omitempty"` // what passed; less than was asked for if it failed
-	Far  bool          `cbor:"8,keyasint,omitempty"` // of Closed: by the other end
+	Kind     Kind          `cbor:"1,keyasint"`
+	ConnID   uint64        `cbor:"2,keyasint"`
+	Side     Side          `cbor:"3,keyasint"`
+	Peer     string        `cbor:"4,keyasint,omitempty"` // of a worker's connection: its name
+	At       time.Duration `cbor:"5,keyasint"`           // since the capture's base: when the call began (Wrote) or ended
+	Duration time.Duration `cbor:"6,keyasint,omitempty"` // of a write
+	Data     []byte        `cbor:"7,keyasint,omitempty"` // what passed; less than was asked for if it failed
+	ByPeer   bool          `cbor:"8,keyasint,omitempty"` // of Closed: by the other end
 }
 
 // Tap records for one front end. Its methods may be called by any goroutine. A nil Tap records nothing.
 type Tap struct {
-	base time.Time
-	mu   sync.Mutex
-	conn uint64
-	sink func(Record)
+	base       time.Time
+	mu         sync.Mutex
+	lastConnID uint64
+	sink       func(Record)
 }
 
 // NewTap records to sink, with times since base. sink is called by one goroutine at a time.
 func NewTap(base time.Time, sink func(Record)) *Tap { return &Tap{base: base, sink: sink} }
 
-func (t *Tap) note(r Record) {
+func (t *Tap) record(r Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sink(r)
 }
 
-// Killed notes that the front end is gone without a word.
-func (t *Tap) Killed() {
+// Crashed notes that the front end is gone without a word.
+func (t *Tap) Crashed() {
 	if t != nil {
-		t.note(Record{Kind: Killed, At: time.Since(t.base)})
+		t.record(Record{Kind: Crashed, At: time.Since(t.base)})
 	}
 }
 
@@ -80,10 +80,10 @@
 		return conn
 	}
 	t.mu.Lock()
-	t.conn++
-	c := &tapped{Conn: conn, tap: t, id: t.conn, side: side, peer: peer}
+	t.lastConnID++
+	c := &tappedConn{Conn: conn, tap: t, id: t.lastConnID, side: side, peer: peer}
 	t.mu.Unlock()
-	t.note(Record{Kind: Opened, Conn: c.id, Side: side, Peer: peer, At: time.Since(t.base)})
+	t.record(Record{Kind: Opened, ConnID: c.id, Side: side, Peer: peer, At: time.Since(t.base)})
 	return c
 }
 
@@ -92,7 +92,7 @@
 	if t == nil {
 		return l
 	}
-	return &listener{Listener: l, tap: t}
+	return &tappedListener{Listener: l, tap: t}
 }
 
 // Dialer wraps a dialer for one peer.
@@ -107,12 +107,12 @@
 	}
 }
 
-type listener struct {
+type tappedListener struct {
 	net.Listener
 	tap *Tap
 }
 
-func (l *listener) Accept() (net.Conn, error) {
+func (l *tappedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -120,7 +120,7 @@
 	return l.tap.Conn(conn, Client, ""), nil
 }
 
-type tapped struct {
+type tappedConn struct {
 	net.Conn
 	tap  *Tap
 	id   uint64
@@ -129,16 +129,16 @@
 	once sync.Once
 }
 
-func (c *tapped) note(kind Kind, at, took time.Duration, data []byte) {
-	c.tap.note(Record{Kind: kind, Conn: c.id, Side: c.side, Peer: c.peer, At: at, Took: took,
+func (c *tappedConn) record(kind Kind, at, took time.Duration, data []byte) {
+	c.tap.record(Record{Kind: kind, ConnID: c.id, Side: c.side, Peer: c.peer, At: at, Duration: took,
 		Data: append([]byte(nil), data...)})
 }
 
 // Read notes what came after it has come; the end of the stream counts as closed by the other side.
-func (c *tapped) Read(b []byte) (int, error) {
+func (c *tappedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.note(Read, time.Since(c.tap.base), 0, b[:n])
+		c.record(Read, time.Since(c.tap.base), 0, b[:n])
 	}
 	var slow net.Error
 	if err != nil && !errors.Is(err, net.ErrClosed) && !(errors.As(err, &slow) && slow.Timeout()) {
@@ -148,23 +148,23 @@
 }
 
 // Write notes what left, when it began to leave and how long that took.
-func (c *tapped) Write(b []byte) (int, error) {
+func (c *tappedConn) Write(b []byte) (int, error) {
 	at := time.Since(c.tap.base)
 	n, err := c.Conn.Write(b)
 	if n > 0 {
-		c.note(Wrote, at, time.Since(c.tap.base)-at, b[:n])
+		c.record(Written, at, time.Since(c.tap.base)-at, b[:n])
 	}
 	return n, err
 }
 
-func (c *tapped) Close() error {
+func (c *tappedConn) Close() error {
 	c.closed(false)
 	return c.Conn.Close()
 }
 
-func (c *tapped) closed(far bool) {
+func (c *tappedConn) closed(far bool) {
 	c.once.Do(func() {
-		c.tap.note(Record{Kind: Closed, Conn: c.id, Side: c.side, Peer: c.peer, At: time.Since(c.tap.base), Far: far})
+		c.tap.record(Record{Kind: Closed, ConnID: c.id, Side: c.side, Peer: c.peer, At: time.Since(c.tap.base), ByPeer: far})
 	})
 }
 
@@ -173,24 +173,24 @@
 	version = 1
 )
 
-// Head opens a capture file.
-type Head struct {
-	Magic   string    `cbor:"1,keyasint"`
-	Version int       `cbor:"2,keyasint"`
-	Front   string    `cbor:"3,keyasint"` // name of the front end's life: a restart is another one
-	Index   int       `cbor:"4,keyasint"` // its number among the front ends
-	Base    time.Time `cbor:"5,keyasint"` // what the times count from
+// Header opens a capture file.
+type Header struct {
+	Magic        string    `cbor:"1,keyasint"`
+	Version      int       `cbor:"2,keyasint"`
+	Incarnation  string    `cbor:"3,keyasint"` // name of the front end's life: a restart is another one
+	GatewayIndex int       `cbor:"4,keyasint"` // its number among the front ends
+	Base         time.Time `cbor:"5,keyasint"` // what the times count from
 }
 
-// File writes a capture to a file, compressed.
-type File struct {
-	zip *zstd.Encoder
-	enc *cbor.Encoder
-	err error
+// Writer writes a capture to a file, compressed.
+type Writer struct {
+	compressor *zstd.Encoder
+	encoder    *cbor.Encoder
+	err        error
 }
 
-// NewFile begins a capture file on out; Close ends it but not out.
-func NewFile(out io.Writer, h Head) (*File, error) {
+// NewWriter begins a capture file on out; Close ends it but not out.
+func NewWriter(out io.Writer, h Header) (*Writer, error) {
 	zip, err := zstd.NewWriter(out, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
@@ -200,23 +200,23 @@
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
-	f := &File{zip: zip, enc: mode.NewEncoder(zip)}
-	if err := f.enc.Encode(h); err != nil {
+	f := &Writer{compressor: zip, encoder: mode.NewEncoder(zip)}
+	if err := f.encoder.Encode(h); err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
 	return f, nil
 }
 
 // Add writes a record; an error is kept for Close.
-func (f *File) Add(r Record) {
+func (f *Writer) Add(r Record) {
 	if f.err == nil {
-		f.err = f.enc.Encode(r)
+		f.err = f.encoder.Encode(r)
 	}
 }
 
 // Close ends the file and returns the first error.
-func (f *File) Close() error {
-	if err := f.zip.Close(); f.err == nil {
+func (f *Writer) Close() error {
+	if err := f.compressor.Close(); f.err == nil {
 		f.err = err
 	}
 	if f.err != nil {
@@ -225,8 +225,8 @@
 	return nil
 }
 
-// Load reads a capture file. torn says that it ends inside a record, as after a kill; what came before is returned.
-func Load(in io.Reader) (h Head, records []Record, torn bool, err error) {
+// ReadAll reads a capture file. torn says that it ends inside a record, as after a kill; what came before is returned.
+func ReadAll(in io.Reader) (h Header, records []Record, torn bool, err error) {
 	zip, err := zstd.NewReader(bufio.NewReader(in), zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(1<<28))
 	if err != nil {
 		return h, nil, false, fmt.Errorf("capture: %w", err)
@@ -254,7 +254,7 @@
 			return h, records, false, nil
 		case err != nil:
 			return h, records, false, fmt.Errorf("capture: record %d: %w", len(records)+1, err)
-		case r.Kind < Opened || r.Kind > Killed:
+		case r.Kind < Opened || r.Kind > Crashed:
 			return h, records, false, fmt.Errorf("capture: record %d: unknown kind %d", len(records)+1, r.Kind)
 		}
 		records = append(records, r)
--- a/internal/base/capture/compat_test.go
+++ b/internal/base/capture/compat_test.go
@@ -15,12 +15,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, records, torn, err := capture.Load(bytes.NewReader(stored))
+	h, records, torn, err := capture.ReadAll(bytes.NewReader(stored))
 	if err != nil || torn {
 		t.Fatalf("got torn %v, error %v, want false and none", torn, err)
 	}
 	base := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
-	if h.Front != "f0" || h.Index != 0 || h.Version != 1 || !h.Base.Equal(base) {
+	if h.Incarnation != "f0" || h.GatewayIndex != 0 || h.Version != 1 || !h.Base.Equal(base) {
 		t.Errorf("head: got %+v, want front f0, index 0, version 1, base %v", h, base)
 	}
 	type what struct {
@@ -32,7 +32,7 @@
 		got[what{r.Kind, r.Side}]++
 		size += len(r.Data)
 	}
-	want := map[what]int{{capture.Read, capture.Client}: 8, {capture.Wrote, capture.Client}: 8, {capture.Wrote, capture.Worker}: 13,
+	want := map[what]int{{capture.Read, capture.Client}: 8, {capture.Written, capture.Client}: 8, {capture.Written, capture.Worker}: 13,
 		{capture.Read, capture.Worker}: 11}
 	for k, n := range want {
 		if got[k] != n {
--- a/internal/base/httpclient/httpclient.go
+++ b/internal/base/httpclient/httpclient.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	mostReason = 1024 // bytes of a refusal's reason
-	mostAfter  = time.Hour
+	maxReasonBytes = 1024 // bytes of a refusal's reason
+	maxRetryAfter  = time.Hour
 )
 
-// Refused is an answer other than the one asked for.
-type Refused struct {
-	Status int
-	After  time.Duration // when to come back, in whole seconds; 0: not told
-	Reason string
+// StatusError is an answer other than the one asked for.
+type StatusError struct {
+	StatusCode int
+	RetryAfter time.Duration // when to come back, in whole seconds; 0: not told
+	Reason     string
 }
 
-func (r *Refused) Error() string {
-	return fmt.Sprintf("%d %s: %s", r.Status, http.StatusText(r.Status), r.Reason)
+func (r *StatusError) Error() string {
+	return fmt.Sprintf("%d %s: %s", r.StatusCode, http.StatusText(r.StatusCode), r.Reason)
 }
 
 // Do sends a request once and answers the body, of at most most bytes. An answer of status 300 and above is a *Refused; a
@@ -46,8 +46,8 @@
 	}
 	if resp.StatusCode >= 300 {
 		after, _ := strconv.Atoi(resp.Header.Get("Retry-After")) // none of our interfaces names a date
-		return nil, &Refused{resp.StatusCode, min(max(0, time.Duration(after)*time.Second), mostAfter),
-			string(bytes.TrimSpace(b[:min(len(b), mostReason)]))}
+		return nil, &StatusError{resp.StatusCode, min(max(0, time.Duration(after)*time.Second), maxRetryAfter),
+			string(bytes.TrimSpace(b[:min(len(b), maxReasonBytes)]))}
 	}
 	if int64(len(b)) > most {
 		return nil, fmt.Errorf("%s answered more than %d bytes", url, most)
--- a/internal/base/httpserver/httpserver.go
+++ b/internal/base/httpserver/httpserver.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Until serves listener until ctx ends. Requests under way then have grace to end; with 0 they end at once. The error is
+// Serve serves listener until ctx ends. Requests under way then have grace to end; with 0 they end at once. The error is
 // that of a server which could not go on.
-func Until(ctx context.Context, server *http.Server, listener net.Listener, grace time.Duration) error {
+func Serve(ctx context.Context, server *http.Server, listener net.Listener, grace time.Duration) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -36,8 +36,8 @@
 	return g.Wait()
 }
 
-// Every does something every so often until ctx ends, or until it fails.
-func Every(ctx context.Context, period time.Duration, do func() error) error {
+// RunPeriodically does something every so often until ctx ends, or until it fails.
+func RunPeriodically(ctx context.Context, period time.Duration, do func() error) error {
 	tick := time.NewTicker(period)
 	defer tick.Stop()
 	for {
@@ -52,8 +52,8 @@
 	}
 }
 
-// Pause waits, or until ctx ends, which is its error.
-func Pause(ctx context.Context, d time.Duration) error {
+// Sleep waits, or until ctx ends, which is its error.
+func Sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
 	}
@@ -67,31 +67,31 @@
 	}
 }
 
-// Local is a server on a loopback port inside this process.
-type Local struct {
-	Addr  string // HOST:PORT
-	stop  context.CancelFunc
-	ended chan error
+// LoopbackServer is a server on a loopback port inside this process.
+type LoopbackServer struct {
+	Addr   string // HOST:PORT
+	cancel context.CancelFunc
+	done   chan error
 }
 
-// OnLoopback serves h on addr of loopback, such as 127.0.0.1:0.
-func OnLoopback(addr string, h http.Handler) (*Local, error) {
+// StartLoopback serves h on addr of loopback, such as 127.0.0.1:0.
+func StartLoopback(addr string, h http.Handler) (*LoopbackServer, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	l := &Local{Addr: listener.Addr().String(), stop: stop, ended: make(chan error, 1)}
+	l := &LoopbackServer{Addr: listener.Addr().String(), cancel: stop, done: make(chan error, 1)}
 	go func() {
-		l.ended <- Until(ctx, &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}, listener, 0)
+		l.done <- Serve(ctx, &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}, listener, 0)
 	}()
 	return l, nil
 }
 
 // Close ends it with all that is under way.
-func (l *Local) Close() error {
-	l.stop()
-	err := <-l.ended
-	l.ended <- err // another Close finds it too
+func (l *LoopbackServer) Close() error {
+	l.cancel()
+	err := <-l.done
+	l.done <- err // another Close finds it too
 	return err
 }
--- a/internal/base/telemetry/log.go
+++ b/internal/base/telemetry/log.go
@@ -16,14 +16,14 @@
 	LogLevel  slog.Level `default:"warn" help:"Least level that is logged: debug, info, warn or error."`
 }
 
-// New makes a logger that writes to out, in colours only where that is a terminal.
-func New(out *os.File, f Flags) *slog.Logger {
+// NewLogger makes a logger that writes to out, in colours only where that is a terminal.
+func NewLogger(out *os.File, f Flags) *slog.Logger {
 	return newLogger(out, term.IsTerminal(int(out.Fd())), f)
 }
 
 // NewLossyLogger makes a logger that never makes who logs wait; the second result ends it.
-func NewLossyLogger(out *os.File, f Flags) (*slog.Logger, *Lossy) {
-	lossy := NewLossy(out)
+func NewLossyLogger(out *os.File, f Flags) (*slog.Logger, *LossyWriter) {
+	lossy := NewLossyWriter(out)
 	return newLogger(lossy, term.IsTerminal(int(out.Fd())), f), lossy
 }
 
--- a/internal/base/telemetry/lossy.go
+++ b/internal/base/telemetry/lossy.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// queuedLines is how many lines of a log wait for their reader.
-const queuedLines = 1024
+// maxQueuedLines is how many lines of a log wait for their reader.
+const maxQueuedLines = 1024
 
-// Lossy writes lines to something that may block or fail, such as a pipe whose reader stands still or is gone, and never makes who
+// LossyWriter writes lines to something that may block or fail, such as a pipe whose reader stands still or is gone, and never makes who
 // writes them wait: lines that find no room are dropped and counted.
-type Lossy struct {
+type LossyWriter struct {
 	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 	stop    chan struct{} // closed by Close
-	ended   chan struct{}
+	done    chan struct{}
 }
 
-// NewLossy makes one; Close ends it.
-func NewLossy(out io.Writer) *Lossy {
-	l := &Lossy{out: out, lines: make(chan []byte, queuedLines), stop: make(chan struct{}), ended: make(chan struct{})}
+// NewLossyWriter makes one; Close ends it.
+func NewLossyWriter(out io.Writer) *LossyWriter {
+	l := &LossyWriter{out: out, lines: make(chan []byte, maxQueuedLines), stop: make(chan struct{}), done: make(chan struct{})}
 	go l.run()
 	return l
 }
 
 // Write queues a line. It never fails.
-func (l *Lossy) Write(line []byte) (int, error) {
+func (l *LossyWriter) Write(line []byte) (int, error) {
 	select {
 	case l.lines <- bytes.Clone(line):
 	default:
@@ -39,11 +39,11 @@
 }
 
 // Dropped is the number of lines that found no room, or could not be written.
-func (l *Lossy) Dropped() int64 { return l.dropped.Load() }
+func (l *LossyWriter) Dropped() int64 { return l.dropped.Load() }
 
 // run writes lines until Close, and then those that are queued.
-func (l *Lossy) run() {
-	defer close(l.ended)
+func (l *LossyWriter) run() {
+	defer close(l.done)
 	told := int64(0)
 	for {
 		select {
@@ -59,7 +59,7 @@
 }
 
 // write writes a line, and tells of lines that were dropped beyond those that were told of.
-func (l *Lossy) write(line []byte, told int64) int64 {
+func (l *LossyWriter) write(line []byte, told int64) int64 {
 	if _, err := l.out.Write(line); err != nil {
 		l.dropped.Add(1)
 		return told
@@ -75,10 +75,10 @@
 }
 
 // Close writes what is queued, for at most so long. What is written after it is dropped.
-func (l *Lossy) Close(within time.Duration) {
+func (l *LossyWriter) Close(within time.Duration) {
 	close(l.stop)
 	select {
-	case <-l.ended:
+	case <-l.done:
 	case <-time.After(within):
 	}
 }
--- a/internal/base/telemetry/lossy_test.go
+++ b/internal/base/telemetry/lossy_test.go
@@ -9,24 +9,24 @@
 	"lupinpond/internal/base/telemetry"
 )
 
-// blocked is a reader that stands still until it is released.
-type blocked struct {
+// blockedWriter is a reader that stands still until it is released.
+type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
-	have    strings.Builder
+	written strings.Builder
 }
 
-func (b *blocked) Write(p []byte) (int, error) {
+func (b *blockedWriter) Write(p []byte) (int, error) {
 	<-b.release
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.have.Write(p)
+	return b.written.Write(p)
 }
 
 // Who logs never waits for who reads the log; what found no room is counted, and told once there is room again.
 func TestLossyNeverWaits(t *testing.T) {
-	out := &blocked{release: make(chan struct{})}
-	l := telemetry.NewLossy(out)
+	out := &blockedWriter{release: make(chan struct{})}
+	l := telemetry.NewLossyWriter(out)
 	for range 5000 {
 		if _, err := l.Write([]byte("line\n")); err != nil {
 			t.Fatal(err)
@@ -42,7 +42,7 @@
 	}
 	out.mu.Lock()
 	defer out.mu.Unlock()
-	text := out.have.String()
+	text := out.written.String()
 	if n := strings.Count(text, "line\n"); int64(n)+l.Dropped() != 5000 {
 		t.Errorf("%d lines written and %d dropped of 5000", n, l.Dropped())
 	}
--- a/internal/gateway/act.go
+++ b/internal/gateway/act.go
@@ -161,7 +161,7 @@
 	dial := &net.Dialer{Timeout: g.options.Config.Gateway.WorkerRPC.Dial.Std()}
 	transport := &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			return g.options.Tap.Dialer(capture.List, "list", func(ctx context.Context, addr string) (net.Conn, error) {
+			return g.options.Tap.Dialer(capture.EndpointList, "list", func(ctx context.Context, addr string) (net.Conn, error) {
 				return dial.DialContext(ctx, network, addr)
 			})(ctx, addr)
 		}}
--- a/internal/gateway/platform/metrics.go
+++ b/internal/gateway/platform/metrics.go
@@ -160,5 +160,5 @@
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	f.log.Info("metrics are served", "address", listener.Addr().String())
-	return httpserver.Until(ctx, &http.Server{Handler: mux, ReadHeaderTimeout: metricsHeaderTimeout}, listener, 0)
+	return httpserver.Serve(ctx, &http.Server{Handler: mux, ReadHeaderTimeout: metricsHeaderTimeout}, listener, 0)
 }
--- a/internal/testbed/checker/checker_test.go
+++ b/internal/testbed/checker/checker_test.go
@@ -63,14 +63,14 @@
 // request sends an event of a function; it returns its connection.
 func (s *script) request(front int, at time.Duration, function, id string) uint64 {
 	c := s.open()
-	s.record(front, capture.Record{Kind: capture.Read, Conn: c, Side: capture.Client, At: at, Data: fmt.Appendf(nil,
+	s.record(front, capture.Record{Kind: capture.Read, ConnID: c, Side: capture.Client, At: at, Data: fmt.Appendf(nil,
 		"POST /v1/functions/%s/invocations HTTP/1.1\r\nHost: x\r\nce-id: %s\r\nce-source: s\r\nPrefer: wait=2\r\nContent-Length: 1\r\n\r\nx",
 		function, id)})
 	return c
 }
 
 func (s *script) answer(front int, c uint64, at time.Duration, status int, event string) {
-	s.record(front, capture.Record{Kind: capture.Wrote, Conn: c, Side: capture.Client, At: at, Data: fmt.Appendf(nil,
+	s.record(front, capture.Record{Kind: capture.Written, ConnID: c, Side: capture.Client, At: at, Data: fmt.Appendf(nil,
 		"HTTP/1.1 %d %s\r\nLupin-Event: %s\r\nContent-Length: 2\r\n\r\nok", status, http.StatusText(status), event)})
 }
 
@@ -79,7 +79,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.record(front, capture.Record{Kind: kind, Conn: c, Side: capture.Worker, Peer: worker, At: at, Data: b})
+	s.record(front, capture.Record{Kind: kind, ConnID: c, Side: capture.Worker, Peer: worker, At: at, Data: b})
 }
 
 // launch sends a launch on a connection of its own; it returns how to answer it.
@@ -87,7 +87,7 @@
 	c := s.open()
 	s.seq++
 	seq := s.seq
-	s.frame(front, capture.Wrote, c, worker, at, &workerrpc.Attempt{Seq: seq, RequestID: event, Function: function, Type: kind})
+	s.frame(front, capture.Written, c, worker, at, &workerrpc.Attempt{Seq: seq, RequestID: event, Function: function, Type: kind})
 	return func(at time.Duration, code workerrpc.Code, worked time.Duration) {
 		s.frame(front, capture.Read, c, worker, at, &workerrpc.AttemptResult{Seq: seq, RequestID: event, Code: code, CPUTime: worked})
 	}
@@ -111,9 +111,9 @@
 	s.launch(1, 321*ms, "c", "gross-salary", "salary-release", "e4")(325*ms, workerrpc.CodeFailed, ms)
 	s.answer(1, c, 326*ms, 502, "e4")
 	c = s.request(1, 340*ms, "preview", "5") // the client leaves
-	s.record(1, capture.Record{Kind: capture.Closed, Conn: c, Side: capture.Client, At: 400 * ms, Far: true})
+	s.record(1, capture.Record{Kind: capture.Closed, ConnID: c, Side: capture.Client, At: 400 * ms, ByPeer: true})
 	for i, at := range []time.Duration{500 * ms, 501 * ms} {
-		s.frame(0, capture.Wrote, s.open(), "a", at, &workerrpc.LoadRequest{Seq: uint64(i), Function: "preview", Replicas: 1})
+		s.frame(0, capture.Written, s.open(), "a", at, &workerrpc.LoadRequest{Seq: uint64(i), Function: "preview", Replicas: 1})
 	}
 	s.news(0, 1000*ms, false, entry("c", "z2", registry.Draining, -time.Hour))
 	c = s.request(0, 1400*ms, "preview", "6") // within the grace
@@ -157,7 +157,7 @@
 		}},
 		{"connection closed instead of an answer", []int{1}, func(s *script) {
 			c := s.request(0, 5*time.Second, "preview", "x")
-			s.record(0, capture.Record{Kind: capture.Closed, Conn: c, Side: capture.Client, At: 5100 * ms})
+			s.record(0, capture.Record{Kind: capture.Closed, ConnID: c, Side: capture.Client, At: 5100 * ms})
 		}},
 		{"at-most-once again after an error", []int{2}, func(s *script) {
 			c := s.request(0, 5*time.Second, "gross-salary", "x")
@@ -208,7 +208,7 @@
 			s.answer(0, c, 1511*ms, 200, "x")
 		}},
 		{"load ordered after a drain", []int{3}, func(s *script) {
-			s.frame(0, capture.Wrote, s.open(), "c", 1600*ms, &workerrpc.LoadRequest{Seq: 99, Function: "preview", Replicas: 1})
+			s.frame(0, capture.Written, s.open(), "c", 1600*ms, &workerrpc.LoadRequest{Seq: 99, Function: "preview", Replicas: 1})
 		}},
 		{"launched to a worker that a whole list left out", []int{3}, func(s *script) {
 			s.news(1, 3000*ms, true, entry("a", "z1", registry.InService, -time.Hour), entry("b", "z1", registry.InService, 1990*ms))
@@ -220,10 +220,10 @@
 		{"a cold worker pushed by all together", []int{4}, func(s *script) { push(s, func(i int) int { return i % 2 }) }},
 		{"orders past the ration", []int{5}, func(s *script) {
 			for i := range 3 {
-				s.frame(0, capture.Wrote, s.open(), "a", time.Duration(10+i)*time.Second/10*10, &workerrpc.LoadRequest{Seq: uint64(i), Function: "preview", Replicas: 1})
+				s.frame(0, capture.Written, s.open(), "a", time.Duration(10+i)*time.Second/10*10, &workerrpc.LoadRequest{Seq: uint64(i), Function: "preview", Replicas: 1})
 			}
 			for i := range 3 {
-				s.frame(0, capture.Wrote, s.open(), "a", 20*time.Second+time.Duration(i)*ms, &workerrpc.LoadRequest{Seq: uint64(i), Function: "preview", Replicas: 1})
+				s.frame(0, capture.Written, s.open(), "a", 20*time.Second+time.Duration(i)*ms, &workerrpc.LoadRequest{Seq: uint64(i), Function: "preview", Replicas: 1})
 			}
 		}},
 		{"orders after the events that paid for them have aged", []int{5}, func(s *script) {
@@ -232,7 +232,7 @@
 				s.answer(0, c, 30100*ms, 200, fmt.Sprint("x", i))
 			}
 			for i := range 6 { // eight events pay for six orders, but only within their second
-				s.frame(0, capture.Wrote, s.open(), "a", 31100*ms+time.Duration(i)*ms, &workerrpc.LoadRequest{Seq: uint64(i), Function: "preview", Replicas: 1})
+				s.frame(0, capture.Written, s.open(), "a", 31100*ms+time.Duration(i)*ms, &workerrpc.LoadRequest{Seq: uint64(i), Function: "preview", Replicas: 1})
 			}
 		}},
 	} {
@@ -274,7 +274,7 @@
 // A capture that ends inside a record is judged up to there; one that is no capture is refused with a reason.
 func TestTornAndForeignCaptures(t *testing.T) {
 	var b bytes.Buffer
-	f, err := capture.NewFile(&b, capture.Head{Front: "f"})
+	f, err := capture.NewWriter(&b, capture.Header{Incarnation: "f"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -284,18 +284,18 @@
 		for j := range data {
 			data[j] = byte(src.Uint32())
 		}
-		f.Add(capture.Record{Kind: capture.Read, Conn: uint64(i), Data: data})
+		f.Add(capture.Record{Kind: capture.Read, ConnID: uint64(i), Data: data})
 	}
 	if err := f.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if _, records, torn, err := capture.Load(bytes.NewReader(b.Bytes())); err != nil || torn || len(records) != 1000 {
+	if _, records, torn, err := capture.ReadAll(bytes.NewReader(b.Bytes())); err != nil || torn || len(records) != 1000 {
 		t.Errorf("%d records, torn %v, %v", len(records), torn, err)
 	}
-	if _, records, torn, err := capture.Load(bytes.NewReader(b.Bytes()[:b.Len()/2])); err != nil || !torn || len(records) < 100 {
+	if _, records, torn, err := capture.ReadAll(bytes.NewReader(b.Bytes()[:b.Len()/2])); err != nil || !torn || len(records) < 100 {
 		t.Errorf("%d records, torn %v, %v", len(records), torn, err)
 	}
-	if _, _, _, err := capture.Load(strings.NewReader("something else")); err == nil {
+	if _, _, _, err := capture.ReadAll(strings.NewReader("something else")); err == nil {
 		t.Error("a foreign file was taken")
 	}
 }
--- a/internal/testbed/checker/compat_test.go
+++ b/internal/testbed/checker/compat_test.go
@@ -40,7 +40,7 @@
 	// Without the first answer to a client the verdict differs: it comes from the stored bytes.
 	records := f.Fronts[0].Records
 	for i, r := range records {
-		if r.Side == capture.Client && r.Kind == capture.Wrote {
+		if r.Side == capture.Client && r.Kind == capture.Written {
 			f.Fronts[0].Records = append(records[:i:i], records[i+1:]...)
 			break
 		}
--- a/internal/testbed/checker/keep.go
+++ b/internal/testbed/checker/keep.go
@@ -63,7 +63,7 @@
 			err = fmt.Errorf("keep capture: %w", cerr)
 		}
 	}()
-	out, err := capture.NewFile(file, capture.Head{Front: front.Name, Index: front.Index, Base: base})
+	out, err := capture.NewWriter(file, capture.Header{Incarnation: front.Name, GatewayIndex: front.Index, Base: base})
 	if err != nil {
 		return err
 	}
@@ -116,12 +116,12 @@
 		return Front{}, err
 	}
 	defer file.Close()
-	h, records, torn, err := capture.Load(file)
+	h, records, torn, err := capture.ReadAll(file)
 	if err != nil {
 		return Front{}, err
 	}
 	for i := range records { // a process of its own counts from another moment
 		records[i].At += h.Base.Sub(base)
 	}
-	return Front{Name: h.Front, Index: h.Index, Records: records, Torn: torn}, nil
+	return Front{Name: h.Incarnation, Index: h.GatewayIndex, Records: records, Torn: torn}, nil
 }
--- a/internal/testbed/checker/read.go
+++ b/internal/testbed/checker/read.go
@@ -55,7 +55,7 @@
 }
 
 func (s *stream) add(r capture.Record) {
-	s.marks = append(s.marks, mark{len(s.data), r.At, r.At + r.Took})
+	s.marks = append(s.marks, mark{len(s.data), r.At, r.At + r.Duration})
 	s.data = append(s.data, r.Data...)
 }
 
@@ -135,23 +135,23 @@
 		conns := map[uint64]*conn{}
 		var ids []uint64
 		for _, r := range front.Records {
-			if r.Kind == capture.Killed {
+			if r.Kind == capture.Crashed {
 				s.killed[front] = r.At
 				continue
 			}
-			c := conns[r.Conn]
+			c := conns[r.ConnID]
 			if c == nil {
 				c = &conn{side: r.Side, peer: r.Peer}
-				conns[r.Conn] = c
-				ids = append(ids, r.Conn)
+				conns[r.ConnID] = c
+				ids = append(ids, r.ConnID)
 			}
 			switch r.Kind {
 			case capture.Read:
 				c.in.add(r)
-			case capture.Wrote:
+			case capture.Written:
 				c.out.add(r)
 			case capture.Closed:
-				c.closed, c.isClosed, c.far = r.At, true, r.Far
+				c.closed, c.isClosed, c.far = r.At, true, r.ByPeer
 			}
 		}
 		for _, id := range ids {
--- a/internal/testbed/discoverytest/service.go
+++ b/internal/testbed/discoverytest/service.go
@@ -62,7 +62,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop, s.ended = stop, make(chan error, 1)
 	go func() {
-		s.ended <- httpserver.Until(ctx, &http.Server{Handler: s, ReadHeaderTimeout: headerLimit}, counting{listener, &s.bytes}, 0)
+		s.ended <- httpserver.Serve(ctx, &http.Server{Handler: s, ReadHeaderTimeout: headerLimit}, counting{listener, &s.bytes}, 0)
 	}()
 	return nil
 }
--- a/internal/testbed/localfleet/localfleet.go
+++ b/internal/testbed/localfleet/localfleet.go
@@ -107,8 +107,8 @@
 		if err := os.WriteFile(filepath.Join(tmp, "entry"), append(b, own...), 0o755); err != nil {
 			return err
 		}
-		if _, err := manifest.Write(tmp, manifest.Manifest{Name: name, Version: version, Type: fn.Type, Kind: manifest.Process, Lanes: fn.Concurrency,
-			Memory: 64 << 20, Time: config.Duration(30 * time.Second), Entry: "entry"}); err != nil {
+		if _, err := manifest.Write(tmp, manifest.Manifest{Name: name, Version: version, Type: fn.Type, Kind: manifest.Process, Concurrency: fn.Concurrency,
+			MemoryLimit: 64 << 20, Timeout: config.Duration(30 * time.Second), EntryPoint: "entry"}); err != nil {
 			return err
 		}
 		_, err = r.store.Client.Publish(context.Background(), tmp)
@@ -151,7 +151,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	giver, err := NewGiver(r.o.Name, r.o.Folder, r.o.Store.store.Client.Base, 5*time.Second, r.o.Peers, nil)
+	giver, err := NewGiver(r.o.Name, r.o.Folder, r.o.Store.store.Client.BaseURL, 5*time.Second, r.o.Peers, nil)
 	if err != nil {
 		return "", time.Time{}, err
 	}
@@ -160,7 +160,7 @@
 		giver.Close()
 		return "", time.Time{}, err
 	}
-	w, err := worker.New(worker.Options{Name: r.o.Name, Folder: r.o.Folder, Artifacts: giver.Supplier, MaxInFlight: 256, MaxResponseBytes: 1 << 20,
+	w, err := worker.New(worker.Options{Name: r.o.Name, Folder: r.o.Folder, Artifacts: giver.Distributor, MaxInFlight: 256, MaxResponseBytes: 1 << 20,
 		StartTimeout: 20 * time.Second, GracePeriod: time.Second, MemorySampleInterval: 500 * time.Millisecond, ReleasePollInterval: 500 * time.Millisecond, ReplicaLog: r.o.Effects,
 		IdempotencyGroup: r.o.Group, Limits: r.o.Limits})
 	if err != nil {
--- a/internal/testbed/localfleet/store.go
+++ b/internal/testbed/localfleet/store.go
@@ -21,23 +21,23 @@
 type Store struct {
 	*artifactstore.Store
 	Client artifactstore.Client // of it
-	server *httpserver.Local
+	server *httpserver.LoopbackServer
 }
 
 // Easy is the capacity of a store that is in nobody's way.
-var Easy = artifactstore.Capacity{Requests: 256}
+var Easy = artifactstore.Capacity{MaxConcurrent: 256}
 
 // OpenStore opens one in a folder.
 func OpenStore(folder string, c artifactstore.Capacity) (*Store, error) {
-	s, err := artifactstore.Open(artifactstore.Options{Folder: folder, Capacity: c, Grace: time.Hour})
+	s, err := artifactstore.Open(artifactstore.Options{Folder: folder, Capacity: c, GracePeriod: time.Hour})
 	if err != nil {
 		return nil, err
 	}
-	server, err := httpserver.OnLoopback("127.0.0.1:0", s.Handler(true))
+	server, err := httpserver.StartLoopback("127.0.0.1:0", s.Handler(true))
 	if err != nil {
 		return nil, errors.Join(err, s.Close())
 	}
-	client := artifactstore.Client{Base: "http://" + server.Addr, HTTP: &http.Client{Transport: &http.Transport{}}}
+	client := artifactstore.Client{BaseURL: "http://" + server.Addr, HTTPClient: &http.Client{Transport: &http.Transport{}}}
 	return &Store{Store: s, Client: client, server: server}, nil
 }
 
@@ -58,16 +58,16 @@
 // Close ends it.
 func (s *Store) Close() error {
 	err := s.server.Close()
-	s.Client.HTTP.CloseIdleConnections()
+	s.Client.HTTPClient.CloseIdleConnections()
 	return errors.Join(err, s.Store.Close())
 }
 
 // Giver is a worker's supplier and the server on which it gives chunks to others.
 type Giver struct {
-	*distribution.Supplier
+	*distribution.Distributor
 	Addr   string
 	client *http.Client
-	server *httpserver.Local
+	server *httpserver.LoopbackServer
 }
 
 // NewGiver makes a supplier in a worker's folder, of the store at base. peers may be nil.
@@ -84,12 +84,12 @@
 		return nil, err
 	}
 	g := &Giver{client: &http.Client{Transport: &http.Transport{}}}
-	if g.Supplier, err = distribution.New(distribution.Options{Name: name, Folder: folder, Store: artifactstore.Client{Base: base, HTTP: g.client}, Cache: c,
-		Peers: peers, Capacity: 1e9, Part: 0.5, Slots: 16, Patience: patience, Parallel: 16, Log: log}); err != nil {
+	if g.Distributor, err = distribution.New(distribution.Options{Name: name, Folder: folder, Store: artifactstore.Client{BaseURL: base, HTTPClient: g.client}, Cache: c,
+		Peers: peers, NetworkBytesPerSecond: 1e9, UploadShare: 0.5, MaxUploads: 16, ChunkTimeout: patience, MaxParallelChunks: 16, Log: log}); err != nil {
 		return nil, err
 	}
-	if g.server, err = httpserver.OnLoopback("127.0.0.1:0", g.Handler()); err != nil {
-		g.Supplier.Close()
+	if g.server, err = httpserver.StartLoopback("127.0.0.1:0", g.Handler()); err != nil {
+		g.Distributor.Close()
 		return nil, err
 	}
 	g.Addr = g.server.Addr
@@ -99,7 +99,7 @@
 // Close ends it, and what is under way.
 func (g *Giver) Close() {
 	var both sync.WaitGroup
-	both.Go(g.Supplier.Close)
+	both.Go(g.Distributor.Close)
 	_ = g.server.Close() // what was given is lost with it
 	both.Wait()
 	g.client.CloseIdleConnections()
--- a/internal/testbed/scale/faults.go
+++ b/internal/testbed/scale/faults.go
@@ -57,7 +57,7 @@
 	var g errgroup.Group
 	for i, worker := range workers {
 		if i > 0 && row.Over > 0 {
-			if err := httpserver.Pause(ctx, row.Over.Std()/time.Duration(row.Count)); err != nil {
+			if err := httpserver.Sleep(ctx, row.Over.Std()/time.Duration(row.Count)); err != nil {
 				return err
 			}
 		}
@@ -137,7 +137,7 @@
 	if err := r.publish([]discovery.Endpoint{line}); err != nil {
 		return err
 	}
-	if err := httpserver.Pause(ctx, lasts); err != nil {
+	if err := httpserver.Sleep(ctx, lasts); err != nil {
 		return err
 	}
 	if r.line(worker).Name != line.Name { // another one has taken its place meanwhile
@@ -177,7 +177,7 @@
 	if err := r.publish(r.gone(workers)); err != nil {
 		return err
 	}
-	if err := httpserver.Pause(ctx, lasts); err != nil {
+	if err := httpserver.Sleep(ctx, lasts); err != nil {
 		return err
 	}
 	started, err := r.workersDo(workers, func(mine []int) command { return command{Start: mine} })
@@ -193,7 +193,7 @@
 	if _, err := r.workersDo(workers, func(mine []int) command { return command{Silence: mine} }); err != nil {
 		return err
 	}
-	if err := httpserver.Pause(ctx, lasts); err != nil {
+	if err := httpserver.Sleep(ctx, lasts); err != nil {
 		return err
 	}
 	return r.replace(workers)
@@ -204,7 +204,7 @@
 	if _, err := r.list.pipe.ask(command{Away: &away}); err != nil {
 		return err
 	}
-	if err := httpserver.Pause(ctx, lasts); err != nil {
+	if err := httpserver.Sleep(ctx, lasts); err != nil {
 		return err
 	}
 	away = false
--- a/internal/testbed/scenario/play.go
+++ b/internal/testbed/scenario/play.go
@@ -164,7 +164,7 @@
 	}
 	g.Go(func() error {
 		for i, a := range arrivals {
-			if err := httpserver.Pause(gctx, time.Until(start.Add(a.at))); err != nil {
+			if err := httpserver.Sleep(gctx, time.Until(start.Add(a.at))); err != nil {
 				return err
 			}
 			t, _ := s.o.File.RequestType(a.function.Type)
@@ -229,8 +229,8 @@
 		}
 	}
 	s.rate = float64(s.day.Store) * float64(st.Size()) / usual.Seconds()
-	if s.releases, err = localfleet.NewReleases(filepath.Join(s.dir, "store"), s.o.Payroll, s.o.File, artifactstore.Capacity{Rate: s.rate,
-		Requests: 8 * s.day.Store}); err == nil {
+	if s.releases, err = localfleet.NewReleases(filepath.Join(s.dir, "store"), s.o.Payroll, s.o.File, artifactstore.Capacity{BytesPerSecond: s.rate,
+		MaxConcurrent: 8 * s.day.Store}); err == nil {
 		s.effects, err = os.OpenFile(filepath.Join(s.dir, "effects"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	}
 	var registers func()
@@ -289,7 +289,7 @@
 			return nil, err
 		}
 		ends = append(ends, func() { r.Close() })
-		server, err := httpserver.OnLoopback("127.0.0.1:0", r.Handler())
+		server, err := httpserver.StartLoopback("127.0.0.1:0", r.Handler())
 		if err != nil {
 			return nil, err
 		}
@@ -361,7 +361,7 @@
 		s.news = append(s.news, checker.Told{Front: front, At: at.Sub(s.base), News: n})
 	})
 	s.listen = func() (io.Closer, error) {
-		server, err := httpserver.OnLoopback(s.list, s.roster.Handler())
+		server, err := httpserver.StartLoopback(s.list, s.roster.Handler())
 		if err != nil {
 			return nil, err
 		}
@@ -483,7 +483,7 @@
 		l.drain()
 	} else {
 		l.counts = l.gate.Counts(context.Background())
-		l.tap.Killed()
+		l.tap.Crashed()
 		l.kill()
 	}
 	err := <-l.done
@@ -502,11 +502,11 @@
 
 // trouble plays one entry of the time line and undoes it.
 func (s *stage) trouble(ctx context.Context, start time.Time, t Trouble) error {
-	if err := httpserver.Pause(ctx, time.Until(start.Add(t.At.Std()))); err != nil {
+	if err := httpserver.Sleep(ctx, time.Until(start.Add(t.At.Std()))); err != nil {
 		return err
 	}
 	s.o.Log.Info("trouble", "day", s.day.Name, "what", t.What, "workers", t.Workers, "fronts", t.Fronts)
-	until := func() error { return httpserver.Pause(ctx, time.Until(start.Add(t.At.Std()+t.For.Std()))) }
+	until := func() error { return httpserver.Sleep(ctx, time.Until(start.Add(t.At.Std()+t.For.Std()))) }
 	var workers []localfleet.Worker
 	for _, i := range t.Workers {
 		workers = append(workers, s.workers[i])
--- a/internal/worker/bench_test.go
+++ b/internal/worker/bench_test.go
@@ -178,8 +178,8 @@
 						if err := os.Chmod(filepath.Join(to, "entry"), 0o755); err != nil {
 							b.Fatal(err)
 						}
-						if _, err := manifest.Write(to, manifest.Manifest{Name: name, Version: "1", Type: "t", Kind: kind, Lanes: 1, Memory: 64 << 20,
-							Time: config.Duration(time.Second), Entry: "entry"}); err != nil {
+						if _, err := manifest.Write(to, manifest.Manifest{Name: name, Version: "1", Type: "t", Kind: kind, Concurrency: 1, MemoryLimit: 64 << 20,
+							Timeout: config.Duration(time.Second), EntryPoint: "entry"}); err != nil {
 							b.Fatal(err)
 						}
 					}
@@ -190,7 +190,7 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					w, call, end := startBenchmarkWorker(b, own.Client.Base)
+					w, call, end := startBenchmarkWorker(b, own.Client.BaseURL)
 					time.Sleep(50 * time.Millisecond)
 					before := w.LoadReport().MemoryBytes
 					at := time.Now()
--- a/internal/worker/runner/runner.go
+++ b/internal/worker/runner/runner.go
@@ -210,17 +210,17 @@
 func (h *Host) Start(ctx context.Context, p manifest.Package) (*Replica, error) {
 	c := &Replica{host: h, pkg: p, token: rand.Text(), ready: make(chan struct{}), pending: make(chan *call), exited: make(chan struct{}),
 		calls: map[string]*call{}}
-	entry := filepath.Join(p.Folder, p.Entry)
+	entry := filepath.Join(p.Folder, p.EntryPoint)
 	switch p.Kind {
 	case manifest.Wasm:
-		c.cmd = exec.Command(h.options.Executable, "wasm-copy", "--lanes", strconv.Itoa(p.Lanes), "--memory",
-			strconv.FormatInt(int64(p.Memory), 10), "--cache", h.options.CompilationCache, entry)
+		c.cmd = exec.Command(h.options.Executable, "wasm-copy", "--lanes", strconv.Itoa(p.Concurrency), "--memory",
+			strconv.FormatInt(int64(p.MemoryLimit), 10), "--cache", h.options.CompilationCache, entry)
 	default:
 		c.cmd = exec.Command(entry)
 	}
 	c.cmd.Dir = p.Folder
 	c.cmd.Env = []string{fmt.Sprintf("%s=http://%s/v1/%s", EnvRuntime, h.listener.Addr(), c.token), "PATH=/usr/bin:/bin",
-		"GOMAXPROCS=" + strconv.Itoa(p.Lanes+1)} // a lane that spins leaves the others theirs
+		"GOMAXPROCS=" + strconv.Itoa(p.Concurrency+1)} // a lane that spins leaves the others theirs
 	c.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if h.options.ReplicaLog != nil { // the child itself writes there: no line is lost with the worker
 		c.cmd.Stdout, c.cmd.Stderr = h.options.ReplicaLog, h.options.ReplicaLog
@@ -296,9 +296,9 @@
 // MemoryLimit is the memory that the copy may hold.
 func (c *Replica) MemoryLimit() int64 {
 	if c.pkg.Kind == manifest.Wasm {
-		return int64(c.pkg.Memory) + c.host.options.WasmOverhead
+		return int64(c.pkg.MemoryLimit) + c.host.options.WasmOverhead
 	}
-	return int64(c.pkg.Memory)
+	return int64(c.pkg.MemoryLimit)
 }
 
 // ProcessMemory is what the operating system says that a process holds.
@@ -316,7 +316,7 @@
 
 // Call runs an event on the copy and hands out its result, once. within is what is left of its time.
 func (c *Replica) Call(body []byte, within time.Duration, done func(Result)) {
-	within = min(within, c.pkg.Time.Std())
+	within = min(within, c.pkg.Timeout.Std())
 	c.mu.Lock()
 	c.lastCallID++
 	x := &call{id: strconv.Itoa(c.lastCallID), body: body, deadline: time.Now().Add(within), done: make(chan Result, 1)}
--- a/internal/worker/runner/runner_test.go
+++ b/internal/worker/runner/runner_test.go
@@ -34,8 +34,8 @@
 	if err := os.WriteFile(filepath.Join(dir, "entry"), []byte("#!/bin/sh\n"+text), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	p, err := manifest.Write(dir, manifest.Manifest{Name: "f", Version: "1", Type: "t", Kind: manifest.Process, Lanes: 1, Memory: 64 << 20,
-		Time: config.Duration(time.Second), Entry: "entry"})
+	p, err := manifest.Write(dir, manifest.Manifest{Name: "f", Version: "1", Type: "t", Kind: manifest.Process, Concurrency: 1, MemoryLimit: 64 << 20,
+		Timeout: config.Duration(time.Second), EntryPoint: "entry"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -31,9 +31,9 @@
 // Options are what a Worker is made from.
 type Options struct {
 	Name                 string
-	Folder               string                 // its own: journal, packages, compiled code
-	Artifacts            *distribution.Supplier // brings packages
-	Executable           string                 // this program, for wasm copies
+	Folder               string                    // its own: journal, packages, compiled code
+	Artifacts            *distribution.Distributor // brings packages
+	Executable           string                    // this program, for wasm copies
 	Limits               admission.Limits
 	MaxInFlight          int                // most outstanding on one connection
 	WasmOverhead         int64              // of a wasm copy beside its own memory
@@ -165,7 +165,7 @@
 	w.server = &workerrpc.Server{Handshake: workerrpc.Handshake{Name: o.Name, Started: w.started, MaxAttempts: o.MaxInFlight, InterruptedLoads: w.journal.interruptedLoads,
 		WarmUpTime: w.journal.warmUpDuration}, Handler: w}
 	w.wakeTimer = time.AfterFunc(time.Hour, w.onWake)
-	o.Artifacts.Follow(w.Utilization)
+	o.Artifacts.SetUtilization(w.Utilization)
 	return w, nil
 }
 
@@ -195,7 +195,7 @@
 func (w *Worker) prefetchRelease(p manifest.Manifest) {
 	ctx, stop := context.WithTimeout(context.Background(), w.options.StartTimeout)
 	defer stop()
-	err := w.options.Artifacts.Prepare(ctx, p.Name, p.Version)
+	err := w.options.Artifacts.Prefetch(ctx, p.Name, p.Version)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.prefetching, p.Name)
@@ -210,9 +210,9 @@
 // activateRelease has a release be the one that is loaded; the lock is held. Copies of the old one finish what they run.
 func (w *Worker) activateRelease(p manifest.Manifest) {
 	w.releases[p.Name] = p
-	w.admission.Publish(admission.Function{Name: p.Name, Version: p.Version, Concurrency: p.Lanes, MemoryBytes: w.replicaMemory(p)})
+	w.admission.Publish(admission.Function{Name: p.Name, Version: p.Version, Concurrency: p.Concurrency, MemoryBytes: w.replicaMemory(p)})
 	w.background.Go(func() { // it removes files
-		if err := w.options.Artifacts.Forget(p.Name); err != nil {
+		if err := w.options.Artifacts.DropPrevious(p.Name); err != nil {
 			w.options.Log.Warn("an old release's files are left", "package", p.Name, "err", err)
 		}
 	})
@@ -223,7 +223,7 @@
 	if w.options.ReleasePollInterval <= 0 {
 		return nil
 	}
-	return httpserver.Every(ctx, w.options.ReleasePollInterval, func() error {
+	return httpserver.RunPeriodically(ctx, w.options.ReleasePollInterval, func() error {
 		if err := w.RefreshReleases(ctx); err != nil && ctx.Err() == nil {
 			w.options.Log.Warn("no new releases are known", "err", err)
 		}
@@ -233,9 +233,9 @@
 
 func (w *Worker) replicaMemory(p manifest.Manifest) int64 {
 	if p.Kind == manifest.Wasm {
-		return int64(p.Memory) + w.options.WasmOverhead
+		return int64(p.MemoryLimit) + w.options.WasmOverhead
 	}
-	return int64(p.Memory)
+	return int64(p.MemoryLimit)
 }
 
 // Run serves front ends until ctx ends, then ends all copies.
@@ -640,7 +640,7 @@
 	at := time.Now()
 	folder := filepath.Join(w.options.Folder, "packages", fmt.Sprintf("%s-%s-%d", p.Name, p.Version, id))
 	ctx, stop := context.WithTimeout(context.Background(), w.options.StartTimeout)
-	here, err := w.options.Artifacts.Bring(ctx, p.Name, p.Version, folder)
+	here, err := w.options.Artifacts.Install(ctx, p.Name, p.Version, folder)
 	stop()
 	if err != nil {
 		return took, nil, err
@@ -681,7 +681,7 @@
 
 // sampleMemory looks at the memory of every copy and ends one that holds more than its package may.
 func (w *Worker) sampleMemory(ctx context.Context) error {
-	return httpserver.Every(ctx, w.options.MemorySampleInterval, func() error {
+	return httpserver.RunPeriodically(ctx, w.options.MemorySampleInterval, func() error {
 		w.mu.Lock()
 		var all []*runner.Replica
 		for _, l := range w.replicas {
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -66,7 +66,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	storeURL = s.Client.Base
+	storeURL = s.Client.BaseURL
 	code := m.Run()
 	s.Close()
 	os.RemoveAll(dir)
@@ -88,8 +88,8 @@
 			if err := localfleet.Build(filepath.Join(folder, "entry"), "lupinpond/examples/"+name, kind); err != nil {
 				return err
 			}
-			if _, err := manifest.Write(folder, manifest.Manifest{Name: fn, Version: "1", Type: "t", Kind: kind, Lanes: 2, Memory: 96 << 20,
-				Time: config.Duration(2 * time.Second), Entry: "entry"}); err != nil {
+			if _, err := manifest.Write(folder, manifest.Manifest{Name: fn, Version: "1", Type: "t", Kind: kind, Concurrency: 2, MemoryLimit: 96 << 20,
+				Timeout: config.Duration(2 * time.Second), EntryPoint: "entry"}); err != nil {
 				return err
 			}
 		}
@@ -107,7 +107,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return worker.Options{Name: "w", Folder: folder, Artifacts: giver.Supplier, Executable: self, MaxInFlight: 100, WasmOverhead: 512 << 20, MaxResponseBytes: 1 << 20,
+	return worker.Options{Name: "w", Folder: folder, Artifacts: giver.Distributor, Executable: self, MaxInFlight: 100, WasmOverhead: 512 << 20, MaxResponseBytes: 1 << 20,
 		StartTimeout: 60 * time.Second, GracePeriod: time.Second, MemorySampleInterval: 20 * time.Millisecond,
 		Limits: admission.Limits{MemoryBytes: 8 << 30, MaxRunning: 8, MaxWaiting: 100, MaxLoads: 4, IdleTimeout: time.Minute, LoadOnMiss: true}}, giver.Close
 }
@@ -258,7 +258,7 @@
 	if err := os.WriteFile(filepath.Join(broken, "chunks", first[:2], first), []byte("x"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	r := startWorkerIn(t, t.TempDir(), own.Client.Base, nil)
+	r := startWorkerIn(t, t.TempDir(), own.Client.BaseURL, nil)
 	a := r.expectAnswer("preview-process", "x", workerrpc.CodeNotFound, "load failed")
 	if a.ReplicaState != workerrpc.ReplicaLoadFailed || !a.Code.NeverRan() {
 		t.Errorf("%+v", a)
@@ -611,7 +611,7 @@
 	if err := own.PublishAll(t.Context(), packagesDir); err != nil {
 		t.Fatal(err)
 	}
-	r := startWorkerIn(t, t.TempDir(), own.Client.Base, nil)
+	r := startWorkerIn(t, t.TempDir(), own.Client.BaseURL, nil)
 	r.expectAnswer("misbehave-process", "echo", workerrpc.CodeOK, "echo")
 	busy := r.send(workerrpc.Attempt{RequestID: "b", Function: "misbehave-process", Body: []byte("sleep 700ms")})
 	r.waitFor("it runs", func() bool { return r.LoadReport().Running == 1 })
@@ -622,8 +622,8 @@
 	if err := os.Chmod(filepath.Join(next, "entry"), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := manifest.Write(next, manifest.Manifest{Name: "misbehave-process", Version: "2", Type: "t", Kind: manifest.Process, Lanes: 2,
-		Memory: 96 << 20, Time: config.Duration(2 * time.Second), Entry: "entry"}); err != nil {
+	if _, err := manifest.Write(next, manifest.Manifest{Name: "misbehave-process", Version: "2", Type: "t", Kind: manifest.Process, Concurrency: 2,
+		MemoryLimit: 96 << 20, Timeout: config.Duration(2 * time.Second), EntryPoint: "entry"}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := own.Client.Publish(t.Context(), next); err != nil {
