--- a/cmd/lpctl/main.go
+++ b/cmd/lpctl/main.go
@@ -27,19 +27,19 @@
 type cli struct {
 	telemetry.Flags
 
-	Up       upCmd       `cmd:"" help:"Start front ends, the list and imitation workers in one process."`
-	Invoke   invokeCmd   `cmd:"" help:"Send one event to a front end."`
-	Check    checkCmd    `cmd:"" help:"Check a file of settings."`
-	Workers  workersCmd  `cmd:"" help:"Show the list of workers, or drain one."`
-	Publish  publishCmd  `cmd:"" help:"Publish a package to the store, and say what it makes workers fetch."`
-	Package  packageCmd  `cmd:"" help:"Look at the packages of the store."`
-	Trouble  troubleCmd  `cmd:"" help:"Have a worker misbehave for a time, over its control interface."`
-	Rehearse rehearseCmd `cmd:"" help:"Play rehearsed days of trouble on loopback and judge the five rules."`
-	Rules    rulesCmd    `cmd:"" help:"Judge the five rules from a folder of captures."`
-	Replay   replayCmd   `cmd:"" help:"Replay a recording of a core and compare what it does."`
-	Slopes   slopesCmd   `cmd:"" help:"Measure what the decision core costs as the fleet grows, and fit curves."`
-	Scale    scaleCmd    `cmd:"" help:"Run real and hollow front ends, emulated workers and a list service at a fleet's size on loopback."`
-	Soak     soakCmd     `cmd:"" help:"Play real front ends on loopback through overlapping troubles, and judge the rules from the sockets."`
+	Up       upCmd            `cmd:"" help:"Start front ends, the list and imitation workers in one process."`
+	Invoke   invokeCmd        `cmd:"" help:"Send one event to a front end."`
+	Check    checkCmd         `cmd:"" help:"Check a file of settings."`
+	Workers  workersCmd       `cmd:"" help:"Show the list of workers, or drain one."`
+	Publish  publishCmd       `cmd:"" help:"Publish a package to the store, and say what it makes workers fetch."`
+	Package  packageCmd       `cmd:"" help:"Look at the packages of the store."`
+	Trouble  injectFaultCmd   `cmd:"" help:"Have a worker misbehave for a time, over its control interface."`
+	Rehearse scenarioCmd      `cmd:"" help:"Play rehearsed days of trouble on loopback and judge the five rules."`
+	Rules    checkCapturesCmd `cmd:"" help:"Judge the five rules from a folder of captures."`
+	Replay   replayCmd        `cmd:"" help:"Replay a recording of a core and compare what it does."`
+	Slopes   costModelCmd     `cmd:"" help:"Measure what the decision core costs as the fleet grows, and fit curves."`
+	Scale    scaleCmd         `cmd:"" help:"Run real and hollow front ends, emulated workers and a list service at a fleet's size on loopback."`
+	Soak     soakCmd          `cmd:"" help:"Play real front ends on loopback through overlapping troubles, and judge the rules from the sockets."`
 
 	ScaleChild scaleChildCmd `cmd:"" hidden:"" help:"A process of a scale run."`
 
@@ -78,8 +78,8 @@
 	}
 }
 
-// settings reads a file, or the defaults where none is named.
-func settings(path string) (fleetconfig.File, error) {
+// loadConfig reads a file, or the defaults where none is named.
+func loadConfig(path string) (fleetconfig.File, error) {
 	if path == "" {
 		return fleetconfig.Default()
 	}
@@ -95,7 +95,7 @@
 	return t
 }
 
-type troubleCmd struct {
+type injectFaultCmd struct {
 	What    string        `arg:"" help:"hang, silence, slow, refuse, errors, fail-loads or false-reports."`
 	Control string        `required:"" help:"The worker's control address, such as http://127.0.0.1:8720."`
 	For     time.Duration `required:"" help:"Then it is undone."`
@@ -105,7 +105,7 @@
 }
 
 // Run sends the order.
-func (c *troubleCmd) Run(ctx context.Context, _ *slog.Logger) error {
+func (c *injectFaultCmd) Run(ctx context.Context, _ *slog.Logger) error {
 	body, err := json.Marshal(worker.FaultRequest{Fault: c.What, Tenant: c.Tenant, Factor: c.Factor, Delay: c.At.String(), Duration: c.For.String()})
 	if err != nil {
 		return err
--- a/cmd/lpctl/packages.go
+++ b/cmd/lpctl/packages.go
@@ -56,7 +56,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("%s fetches %s\n", since, fetched(old, next))
+		fmt.Printf("%s fetches %s\n", since, describeFetch(old, next))
 		return nil
 	}
 	sent, err := c.client().Publish(ctx, c.Folder)
@@ -64,12 +64,12 @@
 		return err
 	}
 	fmt.Printf("%s version %s, release %.12s: %d chunks, %d sent\n", sent.Name, sent.Version, sent.Digest, sent.Chunks, sent.NewChunks)
-	fmt.Printf("%s fetches %s\n", since, fetched(old, sent.Release))
+	fmt.Printf("%s fetches %s\n", since, describeFetch(old, sent.Release))
 	return nil
 }
 
-// fetched says what a worker that has one release fetches for another.
-func fetched(old, next layer.Release) string {
+// describeFetch says what a worker that has one release fetches for another.
+func describeFetch(old, next layer.Release) string {
 	chunks, bytes, all := layer.Diff(old, next)
 	return fmt.Sprintf("%d chunks, %s of %s (%.1f %%)", chunks, mib(bytes), mib(all), 100*float64(bytes)/float64(max(1, all)))
 }
@@ -161,6 +161,6 @@
 		}
 	}
 	t.Render()
-	fmt.Println(fetched(old, next))
+	fmt.Println(describeFetch(old, next))
 	return nil
 }
--- a/cmd/lpctl/rehearse.go
+++ b/cmd/lpctl/rehearse.go
@@ -25,7 +25,7 @@
 	"lupinpond/scenarios"
 )
 
-type rehearseCmd struct {
+type scenarioCmd struct {
 	Days     []string `arg:"" optional:"" help:"Days by name, or files ending in .yaml."`
 	All      bool     `help:"Play every built-in day."`
 	List     bool     `help:"List the built-in days."`
@@ -39,22 +39,22 @@
 }
 
 // Run plays days.
-func (c *rehearseCmd) Run(ctx context.Context, log *slog.Logger) error {
-	f, err := settings(c.Settings)
+func (c *scenarioCmd) Run(ctx context.Context, log *slog.Logger) error {
+	f, err := loadConfig(c.Settings)
 	if err != nil {
 		return err
 	}
-	all, err := scenario.All(scenarios.Files, f)
+	all, err := scenario.LoadAll(scenarios.Files, f)
 	if err != nil {
 		return err
 	}
 	if c.List {
 		for _, d := range all {
-			fmt.Printf("%-20s %s", d.Name, d.About)
+			fmt.Printf("%-20s %s", d.Name, d.Description)
 		}
 		return nil
 	}
-	var chosen []scenario.Day
+	var chosen []scenario.Scenario
 	if c.All {
 		chosen = all
 	}
@@ -64,14 +64,14 @@
 			if err != nil {
 				return err
 			}
-			d, err := scenario.Read(name, b, f)
+			d, err := scenario.Parse(name, b, f)
 			if err != nil {
 				return err
 			}
 			chosen = append(chosen, d)
 			continue
 		}
-		i := slices.IndexFunc(all, func(d scenario.Day) bool { return d.Name == name })
+		i := slices.IndexFunc(all, func(d scenario.Scenario) bool { return d.Name == name })
 		if i < 0 {
 			return fmt.Errorf("no day %q; lpctl rehearse --list names them", name)
 		}
@@ -84,10 +84,10 @@
 	if err != nil {
 		return err
 	}
-	return c.tell(results)
+	return c.report(results)
 }
 
-func (c *rehearseCmd) play(ctx context.Context, chosen []scenario.Day, f fleetconfig.File, log *slog.Logger) ([]scenario.Result, error) {
+func (c *scenarioCmd) play(ctx context.Context, chosen []scenario.Scenario, f fleetconfig.File, log *slog.Logger) ([]scenario.Result, error) {
 	var out io.Writer = os.Stderr
 	if c.JSON {
 		out = io.Discard
@@ -113,12 +113,12 @@
 	g.SetLimit(max(1, jobs))
 	for i, d := range chosen {
 		g.Go(func() error {
-			o := scenario.Options{File: f, Log: log, Progress: func(part float64) { move(i, int(100*part)) }}
+			o := scenario.Options{Config: f, Log: log, Progress: func(part float64) { move(i, int(100*part)) }}
 			if c.Workers == "runtime" {
-				o.Payroll, o.Alone = c.Payroll, c.Alone
+				o.PayrollBinary, o.DisablePeerDistribution = c.Payroll, c.Alone
 			}
 			if c.Keep != "" {
-				o.Keep = filepath.Join(c.Keep, d.Name)
+				o.OutputDir = filepath.Join(c.Keep, d.Name)
 			}
 			var err error
 			results[i], err = scenario.Play(ctx, d, o)
@@ -129,17 +129,17 @@
 	return results, g.Wait()
 }
 
-func (c *rehearseCmd) tell(results []scenario.Result) error {
+func (c *scenarioCmd) report(results []scenario.Result) error {
 	kept := 0
 	for _, r := range results {
-		if r.Kept() {
+		if r.Passed() {
 			kept++
 		}
 	}
 	if c.JSON {
 		enc := json.NewEncoder(os.Stdout)
 		for _, r := range results {
-			r.Clients.Took = nil
+			r.Clients.Latencies = nil
 			if err := enc.Encode(r); err != nil {
 				return err
 			}
@@ -149,24 +149,24 @@
 			"in time", "p50 ms", "p99 ms", "ran twice", "cold used", "rules")
 		for _, r := range results {
 			v, state := r.Verdict, "kept"
-			if !r.Kept() {
-				state = fmt.Sprint("broken ", v.Broken())
+			if !r.Passed() {
+				state = fmt.Sprint("broken ", v.ViolatedRules())
 			}
-			t.AppendRow(table.Row{r.Day, r.Clients.Events, v.Tries, v.Handled, v.Deferred, v.Dead, v.Left, v.Lost, v.Launches, v.Orders,
-				fmt.Sprintf("%.3f", r.ServiceOf), r.Clients.Percentile(0.5).Milliseconds(), r.Clients.Percentile(0.99).Milliseconds(),
-				len(r.Doubles), fmt.Sprintf("%.2f", v.Tightest), state})
+			t.AppendRow(table.Row{r.Scenario, r.Clients.Requests, v.Requests, v.Completed, v.Rejected, v.Failed, v.Disconnected, v.Lost, v.Attempts, v.LoadRequests,
+				fmt.Sprintf("%.3f", r.ServedInTimeShare), r.Clients.Percentile(0.5).Milliseconds(), r.Clients.Percentile(0.99).Milliseconds(),
+				len(r.DuplicateExecutions), fmt.Sprintf("%.2f", v.PeakSlowStartUse), state})
 		}
 		t.Render()
 		for _, r := range results {
-			for i, b := range r.Verdict.Breaches {
+			for i, b := range r.Verdict.Violations {
 				if i == 10 {
-					fmt.Printf("%s: and %d more\n", r.Day, len(r.Verdict.Breaches)-i)
+					fmt.Printf("%s: and %d more\n", r.Scenario, len(r.Verdict.Violations)-i)
 					break
 				}
-				fmt.Printf("%s: %v\n", r.Day, b)
+				fmt.Printf("%s: %v\n", r.Scenario, b)
 			}
-			for _, e := range r.Doubles {
-				fmt.Printf("%s: %s ran twice, counted at the workers\n", r.Day, e)
+			for _, e := range r.DuplicateExecutions {
+				fmt.Printf("%s: %s ran twice, counted at the workers\n", r.Scenario, e)
 			}
 		}
 		fmt.Printf("rules kept on %d of %d days\n", kept, len(results))
@@ -177,18 +177,18 @@
 	return nil
 }
 
-type rulesCmd struct {
+type checkCapturesCmd struct {
 	Folder string `arg:"" help:"Folder with settings.yaml, news.json and captures, as rehearse --keep writes it." type:"existingdir"`
 	JSON   bool   `help:"The verdict as JSON."`
 }
 
 // Run judges a folder.
-func (c *rulesCmd) Run(_ *slog.Logger) error {
+func (c *checkCapturesCmd) Run(_ *slog.Logger) error {
 	facts, err := checker.Load(c.Folder)
 	if err != nil {
 		return err
 	}
-	v, err := checker.Judge(facts)
+	v, err := checker.Check(facts)
 	if err != nil {
 		return err
 	}
@@ -198,21 +198,21 @@
 		}
 	} else {
 		fmt.Printf("%d events taken: %d handled, %d deferred, %d dead-lettered, %d clients left, %d lost with a front end; %d launches, %d orders\n",
-			v.Tries, v.Handled, v.Deferred, v.Dead, v.Left, v.Lost, v.Launches, v.Orders)
+			v.Requests, v.Completed, v.Rejected, v.Failed, v.Disconnected, v.Lost, v.Attempts, v.LoadRequests)
 		for rule := 1; rule <= 5; rule++ {
 			n := 0
-			for _, b := range v.Breaches {
+			for _, b := range v.Violations {
 				if b.Rule == rule {
 					n++
 				}
 			}
 			fmt.Printf("rule %d: %d checked, %d breaches\n", rule, v.Checked[rule], n)
 		}
-		for _, b := range v.Breaches {
+		for _, b := range v.Violations {
 			fmt.Println(b)
 		}
 	}
-	if !v.Kept() {
+	if !v.Passed() {
 		return errFailed
 	}
 	return nil
--- a/cmd/lpctl/scale.go
+++ b/cmd/lpctl/scale.go
@@ -51,7 +51,7 @@
 	defer closeSamples()
 	if c.Check {
 		fmt.Println(plan.Estimate().Sum)
-		return plan.Check(options.MostBytes)
+		return plan.Check(options.MaxBytes)
 	}
 	if err := plan.CheckGate(c.Gate); err != nil {
 		return err
@@ -75,7 +75,7 @@
 	if err != nil {
 		return scale.Options{}, nil, err
 	}
-	o := scale.Options{Gate: c.Gate, MostBytes: most, Log: slog.New(slog.DiscardHandler),
+	o := scale.Options{GatewayProgram: c.Gate, MaxBytes: most, Log: slog.New(slog.DiscardHandler),
 		Command: func(role scale.Role) *exec.Cmd { return exec.Command(self, "scale-child", string(role)) }}
 	if c.Samples == "" {
 		return o, func() {}, nil
@@ -95,14 +95,14 @@
 		return out.Encode(r)
 	}
 	fmt.Printf("%s: %d processes, started in %.1f s, %.1f s in all, at most %.0f MiB resident (estimated at most %d)\n", r.Plan, r.Processes,
-		r.StartTook, r.Seconds, r.PeakMiB, r.Estimate.Bytes>>20)
-	fmt.Printf("machine: least idle %.0f %% of its cores in a sample\n", 100*r.LeastIdle)
+		r.StartSeconds, r.Seconds, r.PeakMiB, r.Estimate.Bytes>>20)
+	fmt.Printf("machine: least idle %.0f %% of its cores in a sample\n", 100*r.MinIdle)
 	c.printSpans(r.Spans)
 	applied := newTable("changes of", "in force at a front end: p50 ms", "p99", "worst", "count", "at the last of each: p50", "p99", "worst", "changes")
 	for _, s := range r.Spans {
-		a, l := r.Applied[s.Name], r.LastOf[s.Name]
+		a, l := r.Applied[s.Name], r.AppliedEverywhere[s.Name]
 		if a.Count > 0 {
-			applied.AppendRow([]any{s.Name, a.P50, a.P99, a.Worst, a.Count, l.P50, l.P99, l.Worst, l.Count})
+			applied.AppendRow([]any{s.Name, a.P50, a.P99, a.Max, a.Count, l.P50, l.P99, l.Max, l.Count})
 		}
 	}
 	applied.Render()
@@ -111,11 +111,11 @@
 		name string
 		d    scale.Delay
 	}{{"hollow, replica loaded", r.Warm}, {"hollow, cold start", r.Cold}, {"real, replica loaded", r.RealWarm}, {"real, cold start", r.RealCold}} {
-		latency.AppendRow([]any{row.name, row.d.P50, row.d.P99, row.d.Worst, row.d.Count})
+		latency.AppendRow([]any{row.name, row.d.P50, row.d.P99, row.d.Max, row.d.Count})
 	}
 	latency.Render()
 	fmt.Printf("real front ends' clients: %d sent, %d served, %d rejected, %d failed\n", r.Real.Submitted, r.Real.Served, r.Real.Rejected, r.Real.Failed)
-	fmt.Printf("%d changes; lists at the end %v, the service's %s; %d heard out of order\n", r.Changes, r.Lists, r.ListWanted, r.OutOfOrder)
+	fmt.Printf("%d changes; lists at the end %v, the service's %s; %d heard out of order\n", r.Changes, r.Lists, r.ExpectedList, r.OutOfOrder)
 	return nil
 }
 
@@ -124,9 +124,9 @@
 		"handshakes/s", "worker: conns", "loads/s", "list: % core", "MiB", "whole", "served", "cold", "rejected", "none", "failed", "idle %")
 	for _, s := range spans {
 		p := func(v float64) string { return fmt.Sprintf("%.3g", v) }
-		out.AppendRow([]any{s.Name, p(s.Seconds), p(s.RequestRate), p(100 * s.FrontCore), p(s.FrontMiB), p(s.FrontFiles), p(100 * s.RealCore), p(s.RealMiB),
-			p(s.RealFiles), p(s.ControlBytes), p(s.ListBytes), p(s.OrderRate), p(s.ProbeRate), p(s.HandshakeRate), p(s.Connections), p(s.Loads),
-			p(100 * s.ListCore), p(s.ListMiB), s.WholeLists, s.Served, s.Cold, s.Rejected, s.FoundNone, s.Failed, p(100 * s.MachineIdle)})
+		out.AppendRow([]any{s.Name, p(s.Seconds), p(s.RequestRate), p(100 * s.GatewayCPU), p(s.GatewayMiB), p(s.GatewayFDs), p(100 * s.RealGatewayCPU), p(s.RealGatewayMiB),
+			p(s.RealGatewayFDs), p(s.ControlBytes), p(s.DiscoveryBytes), p(s.LoadRequestRate), p(s.ProbeRate), p(s.HandshakeRate), p(s.Connections), p(s.Loads),
+			p(100 * s.DiscoveryCPU), p(s.DiscoveryMiB), s.CompleteLists, s.Served, s.Cold, s.Rejected, s.NoWorker, s.Failed, p(100 * s.MachineIdle)})
 	}
 	out.Render()
 }
@@ -153,9 +153,9 @@
 		case "workers":
 			sized.Workers.Count = size
 		case "front-ends":
-			sized.FrontEnds.Hollow = size
+			sized.Gateways.Hollow = size
 		case "rate":
-			sized.FrontEnds.Rate = float64(size)
+			sized.Gateways.Rate = float64(size)
 		}
 		result, err := scale.Run(ctx, sized, options)
 		fmt.Printf("-- %s %d\n", c.Sweep, size)
@@ -166,18 +166,18 @@
 			return err
 		}
 		busy, idle := result.Spans[0], result.Spans[len(result.Spans)-1]
-		note(size, "front end with requests, % of a core", 100*busy.FrontCore)
-		note(size, "front end with requests, descriptors", busy.FrontFiles)
+		note(size, "front end with requests, % of a core", 100*busy.GatewayCPU)
+		note(size, "front end with requests, descriptors", busy.GatewayFDs)
 		note(size, "front end with requests, control B/s", busy.ControlBytes)
 		note(size, "front end with requests, handshakes/s", busy.HandshakeRate)
 		note(size, "worker, connections", busy.Connections)
-		note(size, "list service, % of a core", 100*busy.ListCore)
-		note(size, "list service, MiB", busy.ListMiB)
-		note(size, "front end at the end without requests, % of a core", 100*idle.FrontCore)
+		note(size, "list service, % of a core", 100*busy.DiscoveryCPU)
+		note(size, "list service, MiB", busy.DiscoveryMiB)
+		note(size, "front end at the end without requests, % of a core", 100*idle.GatewayCPU)
 		note(size, "front end at the end without requests, control B/s", idle.ControlBytes)
-		note(size, "front end at the end, MiB of its process", idle.FrontMiB)
-		note(size, "real front end at the end, MiB", idle.RealMiB)
-		for _, d := range result.LastOf {
+		note(size, "front end at the end, MiB of its process", idle.GatewayMiB)
+		note(size, "real front end at the end, MiB", idle.RealGatewayMiB)
+		for _, d := range result.AppliedEverywhere {
 			note(size, "change at the last front end, ms, p99", d.P99)
 		}
 	}
--- a/cmd/lpctl/slopes.go
+++ b/cmd/lpctl/slopes.go
@@ -10,8 +10,8 @@
 	"lupinpond/internal/testbed/costmodel"
 )
 
-// slopesCmd measures the decision core at several sizes. Each size runs by itself, one after the other, on one processor core.
-type slopesCmd struct {
+// costModelCmd measures the decision core at several sizes. Each size runs by itself, one after the other, on one processor core.
+type costModelCmd struct {
 	By        string  `enum:"workers,functions,rate,fleet" default:"workers" help:"What grows: ${enum}. With fleet, workers, front ends and rate grow together from today's to the target."`
 	Sizes     []int   `help:"Sizes to measure; without them those of the capacity page."`
 	Workers   int     `default:"400" help:"Workers, where these do not grow."`
@@ -41,7 +41,7 @@
 )
 
 // Run measures and prints.
-func (c *slopesCmd) Run(_ *slog.Logger) error {
+func (c *costModelCmd) Run(_ *slog.Logger) error {
 	runtime.GOMAXPROCS(1)
 	sizes := c.Sizes
 	if len(sizes) == 0 {
@@ -51,7 +51,7 @@
 		"B a worker, used", "heap MiB", "orders a request", "probes a request", "served")
 	var points []costmodel.Point
 	for _, size := range sizes {
-		f, err := costmodel.Core(c.load(size))
+		f, err := costmodel.MeasureCore(c.load(size))
 		if err != nil {
 			return err
 		}
@@ -64,9 +64,9 @@
 		}
 		n := float64(f.Counts.Requests)
 		out.AppendRow([]any{size, fmt.Sprintf("%.1f", f.RequestMicros), fmt.Sprintf("%.2f", 100*f.CoreShare),
-			fmt.Sprintf("%.2f", f.TickMicros), fmt.Sprintf("%.1f", f.ChangeMicros), fmt.Sprintf("%.2f", f.WholeListMillis),
+			fmt.Sprintf("%.2f", f.IdleTickMicros), fmt.Sprintf("%.1f", f.ChangeMicros), fmt.Sprintf("%.2f", f.CompleteListMillis),
 			fmt.Sprintf("%.0f", f.WorkerBytes), fmt.Sprintf("%.0f", f.UsedBytes), fmt.Sprintf("%.1f", f.HeapMiB),
-			fmt.Sprintf("%.2f", float64(f.Counts.Orders)/n), fmt.Sprintf("%.2f", float64(f.Counts.Probes)/n),
+			fmt.Sprintf("%.2f", float64(f.Counts.LoadRequests)/n), fmt.Sprintf("%.2f", float64(f.Counts.Probes)/n),
 			fmt.Sprintf("%.3f", float64(f.Counts.Served)/n)})
 	}
 	if c.JSON {
@@ -83,8 +83,8 @@
 }
 
 // load is what is measured at one size.
-func (c *slopesCmd) load(size int) costmodel.Load {
-	l := costmodel.Load{Workers: c.Workers, Functions: c.Functions, FrontEnds: c.FrontEnds, Rate: c.Rate, Skew: c.Skew, Requests: c.Requests, Seed: c.Seed}
+func (c *costModelCmd) load(size int) costmodel.Load {
+	l := costmodel.Load{Workers: c.Workers, Functions: c.Functions, Gateways: c.FrontEnds, Rate: c.Rate, Skew: c.Skew, Requests: c.Requests, Seed: c.Seed}
 	switch c.By {
 	case "workers":
 		l.Workers = size
@@ -96,7 +96,7 @@
 		way := float64(size) / 100
 		between := func(from, to float64) float64 { return from + way*(to-from) }
 		l.Workers = int(between(todayWorkers, targetWorkers))
-		l.FrontEnds = int(between(todayFronts, targetFronts))
+		l.Gateways = int(between(todayFronts, targetFronts))
 		l.Functions = int(between(todayFunctions, targetFunctions))
 		l.Rate = between(todayRate, targetRate)
 	}
--- a/cmd/lpctl/soak.go
+++ b/cmd/lpctl/soak.go
@@ -73,8 +73,8 @@
 	if c.Verbose {
 		out = os.Stdout
 	}
-	report, err := soak.Run(ctx, soak.Options{Seed: c.Seed, Processes: c.Processes, Workers: c.Workers, Rate: c.Rate, For: c.For, Quiet: c.Quiet,
-		Program: c.Gate, Dir: dir, Inject: c.Inject, Out: out})
+	report, err := soak.Run(ctx, soak.Options{Seed: c.Seed, Gateways: c.Processes, Workers: c.Workers, Rate: c.Rate, Duration: c.For, WarmUp: c.Quiet,
+		Program: c.Gate, Dir: dir, InjectSyscallErrors: c.Inject, Out: out})
 	if err != nil {
 		return err
 	}
@@ -91,18 +91,18 @@
 
 // print prints what was judged and each broken rule.
 func (c *soakCmd) print(r soak.Report) {
-	s := r.Sums
+	s := r.Counts
 	fmt.Printf("requests %d: served %d, rejected %d, failed %d, exceptions %d, client left %d, excused %d; not judged %d\n", s.Requests, s.Served,
-		s.Rejected, s.Failed, s.Exceptions, s.Left, s.Excused, s.NotJudged)
-	fmt.Printf("attempts %d, load requests %d; troubles %d, starts %d, bad clients %d\n", s.Attempts, s.Orders, s.Troubles, s.Starts, s.BadClients)
+		s.Rejected, s.Failed, s.Exceptions, s.Disconnected, s.Excused, s.NotChecked)
+	fmt.Printf("attempts %d, load requests %d; troubles %d, starts %d, bad clients %d\n", s.Attempts, s.LoadRequests, s.Faults, s.Starts, s.BadClients)
 	for _, line := range r.Injected {
 		fmt.Println("injected:", line)
 	}
-	kinds := map[soak.Kind]int{}
+	kinds := map[soak.Rule]int{}
 	for i, v := range r.Violations {
-		kinds[v.Kind]++
+		kinds[v.Rule]++
 		if i < mostShown {
-			fmt.Printf("%7.2f s  %s %s %s: %s\n", v.After.Seconds(), v.Kind, v.Front, v.ID, v.Detail)
+			fmt.Printf("%7.2f s  %s %s %s: %s\n", v.Elapsed.Seconds(), v.Rule, v.Gateway, v.RequestID, v.Detail)
 		}
 	}
 	if len(kinds) == 0 {
--- a/cmd/lpctl/up.go
+++ b/cmd/lpctl/up.go
@@ -27,11 +27,11 @@
 
 // Run runs until a signal.
 func (c *upCmd) Run(ctx context.Context, log *slog.Logger) error {
-	f, err := settings(c.Settings)
+	f, err := loadConfig(c.Settings)
 	if err != nil {
 		return err
 	}
-	return scenario.Up(ctx, f, c.Fronts, c.Workers, log, func(fronts []string, list string) {
+	return scenario.RunLocal(ctx, f, c.Fronts, c.Workers, log, func(fronts []string, list string) {
 		fmt.Printf("front ends: %v\nlist of workers: %s\n\ntry:\n", fronts, list)
 		fn := f.Functions[0].Name
 		fmt.Printf("  lpctl invoke --front http://%s %s 'a salary'\n", fronts[0], fn)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -75,7 +75,7 @@
 	list := httptest.NewServer(r.registry.Handler())
 	t.Cleanup(list.Close)
 	dir := t.TempDir()
-	releases, err := localfleet.NewReleases(filepath.Join(dir, "store"), payroll, file, localfleet.Easy)
+	releases, err := localfleet.NewReleases(filepath.Join(dir, "store"), payroll, file, localfleet.AmpleCapacity)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 	t.Cleanup(func() { effects.Close() })
 	for i := range 2 {
 		name := fmt.Sprint("w", i)
-		w := localfleet.NewRuntime(localfleet.RuntimeOptions{Name: name, Folder: filepath.Join(dir, name), Store: releases, Effects: effects,
+		w := localfleet.NewRuntime(localfleet.RuntimeOptions{Name: name, Folder: filepath.Join(dir, name), Releases: releases, ExecutionLog: effects,
 			Limits: admission.Limits{MemoryBytes: 16 * 64 << 20, MaxRunning: 8, MaxWaiting: 100, MaxLoads: 4, IdleTimeout: time.Minute,
 				LoadOnMiss: file.Fleet.LoadPolicy.OnMiss == "load"}})
 		addr, started, err := w.Start("", true)
@@ -173,12 +173,12 @@
 
 func (r *harness) injectFaults(change func(*faultinject.Faults)) {
 	for _, w := range r.workers {
-		w.Trouble(change)
+		w.InjectFault(change)
 	}
 }
 
 func (r *harness) executions(kind string) int {
-	runs, err := localfleet.Effects(r.effects)
+	runs, err := localfleet.CountExecutions(r.effects)
 	if err != nil {
 		r.t.Fatal(err)
 	}
--- a/internal/gateway/invariants_test.go
+++ b/internal/gateway/invariants_test.go
@@ -280,7 +280,7 @@
 	for _, u := range guardMutations {
 		t.Run(u.kind.String(), func(t *testing.T) {
 			t.Parallel()
-			out, passed, err := mutationtest.Test(t.Context(), t.TempDir(), u.file, u.text, u.instead, "^TestInvariantsHold$/^"+u.scene+"$")
+			out, passed, err := mutationtest.RunTests(t.Context(), t.TempDir(), u.file, u.text, u.instead, "^TestInvariantsHold$/^"+u.scene+"$")
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/gateway/platform/invariants_test.go
+++ b/internal/gateway/platform/invariants_test.go
@@ -81,7 +81,7 @@
 			invariant.ClosedUnanswered},
 	} {
 		t.Run(u.kind.String(), func(t *testing.T) {
-			out, passed, err := mutationtest.Test(t.Context(), t.TempDir(), u.file, u.text, u.instead, "^TestInvariantsHold$/^"+u.scene+"$")
+			out, passed, err := mutationtest.RunTests(t.Context(), t.TempDir(), u.file, u.text, u.instead, "^TestInvariantsHold$/^"+u.scene+"$")
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/gateway/shape_test.go
+++ b/internal/gateway/shape_test.go
@@ -18,7 +18,7 @@
 // its settings alone; the load reports and the list reach the module as those settings say.
 func TestRecordingOfAnotherShape(t *testing.T) {
 	r := startHarness(t, func(f *fleetconfig.File) {
-		localfleet.OtherShape(f, "z")
+		localfleet.AlternateDeployment(f, "z")
 		f.Fleet.Workers.Kinds = []fleetconfig.WorkerKind{{Name: "box", Memory: 1 << 30}}
 		f.Gateway.RegistryURL = "http://127.0.0.1:1"
 		b, err := yaml.Marshal(*f)
--- a/internal/testbed/checker/keep.go
+++ b/internal/testbed/checker/keep.go
@@ -17,43 +17,43 @@
 )
 
 const (
-	settingsFile = "settings.yaml"
-	newsFile     = "news.json"
-	captureEnd   = ".cap"
+	configFile     = "settings.yaml"
+	deliveriesFile = "news.json"
+	captureExt     = ".cap"
 )
 
-// kept is what is told beside the captures.
-type kept struct {
-	Base time.Time
-	End  time.Duration
-	News []Told
+// manifest is what is told beside the captures.
+type manifest struct {
+	ClockBase  time.Time `json:"Base"`
+	End        time.Duration
+	Deliveries []Delivery `json:"News"`
 }
 
-// Keep writes what is judged into a folder: settings, list news and a capture for each life of a front end.
-func Keep(dir string, f Facts) error {
-	settings, err := yaml.Marshal(f.File)
+// Save writes what is judged into a folder: settings, list news and a capture for each life of a front end.
+func Save(dir string, f Input) error {
+	settings, err := yaml.Marshal(f.Config)
 	if err != nil {
 		return fmt.Errorf("keep settings: %w", err)
 	}
-	if err := os.WriteFile(filepath.Join(dir, settingsFile), settings, 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, configFile), settings, 0o644); err != nil {
 		return fmt.Errorf("keep settings: %w", err)
 	}
-	news, err := json.Marshal(kept{f.Base, f.End, f.News})
+	news, err := json.Marshal(manifest{f.ClockBase, f.End, f.Deliveries})
 	if err != nil {
 		return fmt.Errorf("keep news: %w", err)
 	}
-	if err := os.WriteFile(filepath.Join(dir, newsFile), news, 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, deliveriesFile), news, 0o644); err != nil {
 		return fmt.Errorf("keep news: %w", err)
 	}
-	for _, front := range f.Fronts {
-		if err := keep(filepath.Join(dir, front.Name+captureEnd), front, f.Base); err != nil {
+	for _, front := range f.Captures {
+		if err := saveCapture(filepath.Join(dir, front.Name+captureExt), front, f.ClockBase); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func keep(path string, front Front, base time.Time) (err error) {
+func saveCapture(path string, front GatewayCapture, base time.Time) (err error) {
 	file, err := os.Create(path)
 	if err != nil {
 		return fmt.Errorf("keep capture: %w", err)
@@ -74,54 +74,54 @@
 }
 
 // Load reads a folder that Keep wrote, or that front ends with captures of their own left.
-func Load(dir string) (Facts, error) {
-	var f Facts
+func Load(dir string) (Input, error) {
+	var f Input
 	var err error
-	if f.File, err = fleetconfig.Read(filepath.Join(dir, settingsFile)); err != nil {
+	if f.Config, err = fleetconfig.Read(filepath.Join(dir, configFile)); err != nil {
 		return f, err
 	}
-	text, err := os.ReadFile(filepath.Join(dir, newsFile))
+	text, err := os.ReadFile(filepath.Join(dir, deliveriesFile))
 	if err != nil {
 		return f, fmt.Errorf("read list news: %w", err)
 	}
-	var k kept
+	var k manifest
 	if err := json.Unmarshal(text, &k); err != nil {
-		return f, fmt.Errorf("%s: %w", newsFile, err)
+		return f, fmt.Errorf("%s: %w", deliveriesFile, err)
 	}
-	f.Base, f.End, f.News = k.Base, k.End, k.News
+	f.ClockBase, f.End, f.Deliveries = k.ClockBase, k.End, k.Deliveries
 	names, err := os.ReadDir(dir)
 	if err != nil {
 		return f, err
 	}
 	for _, name := range names {
-		if !strings.HasSuffix(name.Name(), captureEnd) {
+		if !strings.HasSuffix(name.Name(), captureExt) {
 			continue
 		}
-		front, err := load(filepath.Join(dir, name.Name()), f.Base)
+		front, err := loadCapture(filepath.Join(dir, name.Name()), f.ClockBase)
 		if err != nil {
 			return f, fmt.Errorf("%s: %w", name.Name(), err)
 		}
-		f.Fronts = append(f.Fronts, front)
+		f.Captures = append(f.Captures, front)
 	}
-	if len(f.Fronts) == 0 {
-		return f, errors.New("no capture (*" + captureEnd + ") in " + dir)
+	if len(f.Captures) == 0 {
+		return f, errors.New("no capture (*" + captureExt + ") in " + dir)
 	}
-	slices.SortFunc(f.Fronts, func(a, b Front) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(f.Captures, func(a, b GatewayCapture) int { return strings.Compare(a.Name, b.Name) })
 	return f, nil
 }
 
-func load(path string, base time.Time) (Front, error) {
+func loadCapture(path string, base time.Time) (GatewayCapture, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return Front{}, err
+		return GatewayCapture{}, err
 	}
 	defer file.Close()
 	h, records, torn, err := capture.ReadAll(file)
 	if err != nil {
-		return Front{}, err
+		return GatewayCapture{}, err
 	}
 	for i := range records { // a process of its own counts from another moment
 		records[i].At += h.Base.Sub(base)
 	}
-	return Front{Name: h.Incarnation, Index: h.GatewayIndex, Records: records, Torn: torn}, nil
+	return GatewayCapture{Name: h.Incarnation, Index: h.GatewayIndex, Records: records, Torn: torn}, nil
 }
--- a/internal/testbed/checker/read.go
+++ b/internal/testbed/checker/read.go
@@ -19,124 +19,124 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// Front is what was captured at one life of a front end.
-type Front struct {
+// GatewayCapture is what was captured at one life of a front end.
+type GatewayCapture struct {
 	Name    string
 	Index   int
 	Records []capture.Record
 	Torn    bool // the capture ends early: what is missing at its end is not judged
 }
 
-// Told is list news as it was sent to a front end, on the same clock as the captures.
-type Told struct {
-	Front string
-	At    time.Duration
-	News  registry.WatchEvent
+// Delivery is list news as it was sent to a front end, on the same clock as the captures.
+type Delivery struct {
+	Gateway string `json:"Front"`
+	At      time.Duration
+	Event   registry.WatchEvent `json:"News"`
 }
 
-// Facts are all that is judged.
-type Facts struct {
-	File   fleetconfig.File
-	Fronts []Front
-	News   []Told
-	End    time.Duration // of the day; 0: after the last record
-	Base   time.Time     // what the clock of the captures counts from
+// Input are all that is judged.
+type Input struct {
+	Config     fleetconfig.File
+	Captures   []GatewayCapture
+	Deliveries []Delivery
+	End        time.Duration // of the day; 0: after the last record
+	ClockBase  time.Time     // what the clock of the captures counts from
 }
 
 // stream is one direction of a connection.
 type stream struct {
-	data  []byte
-	marks []mark
+	data     []byte
+	segments []segment
 }
 
-type mark struct {
-	from       int // offset of its first byte
+type segment struct {
+	offset     int // offset of its first byte
 	begin, end time.Duration
 }
 
 func (s *stream) add(r capture.Record) {
-	s.marks = append(s.marks, mark{len(s.data), r.At, r.At + r.Duration})
+	s.segments = append(s.segments, segment{len(s.data), r.At, r.At + r.Duration})
 	s.data = append(s.data, r.Data...)
 }
 
-// at gives when the byte at an offset passed.
-func (s *stream) at(offset int) mark {
-	i, found := slices.BinarySearchFunc(s.marks, offset, func(m mark, o int) int { return m.from - o })
+// segmentAt gives when the byte at an offset passed.
+func (s *stream) segmentAt(offset int) segment {
+	i, found := slices.BinarySearchFunc(s.segments, offset, func(m segment, o int) int { return m.offset - o })
 	if !found {
 		i--
 	}
 	if i < 0 {
-		return mark{}
+		return segment{}
 	}
-	return s.marks[i]
+	return s.segments[i]
 }
 
 type conn struct {
 	side     capture.Side
 	peer     string
 	in, out  stream
-	closed   time.Duration
+	closedAt time.Duration
 	isClosed bool
-	far      bool
+	byPeer   bool
 }
 
-// try is one request of a client and its answer.
-type try struct {
-	front    *Front
-	call     invoke.Call
-	at       time.Duration // the whole request was read
-	status   int
-	begin    time.Duration // of the answer
-	end      time.Duration
-	event    string
-	back     bool // a time to come back is named
-	gone     time.Duration
-	isGone   bool
-	cut      time.Duration // the front end closed the connection without an answer
-	isCut    bool
-	notTaken bool
+// clientRequest is one request of a client and its answer.
+type clientRequest struct {
+	gateway         *GatewayCapture
+	call            invoke.Call
+	receivedAt      time.Duration // the whole request was read
+	status          int
+	responseBegin   time.Duration // of the answer
+	responseEnd     time.Duration
+	requestID       string
+	hasRetryAfter   bool // a time to come back is named
+	disconnectedAt  time.Duration
+	disconnected    bool
+	closedAt        time.Duration // the front end closed the connection without an answer
+	closedByGateway bool
+	notAccepted     bool
 }
 
-// launch is one launch as it left a front end.
-type launch struct {
-	front      *Front
-	worker     string
-	frame      *workerrpc.Attempt
-	begin, end time.Duration
-	answer     *workerrpc.AttemptResult
-	answered   time.Duration
-	cancelled  time.Duration // 0: never
-	broken     time.Duration // 0: never
+// attempt is one launch as it left a front end.
+type attempt struct {
+	gateway        *GatewayCapture
+	worker         string
+	frame          *workerrpc.Attempt
+	begin, end     time.Duration
+	result         *workerrpc.AttemptResult
+	resultAt       time.Duration
+	cancelledAt    time.Duration // 0: never
+	disconnectedAt time.Duration // 0: never
 }
 
-// order is one load order as it left.
-type order struct {
-	front      *Front
+// loadRequest is one load order as it left.
+type loadRequest struct {
+	gateway    *GatewayCapture
 	worker     string
 	frame      *workerrpc.LoadRequest
 	begin, end time.Duration
 }
 
-// seen is what the captures hold.
-type seen struct {
-	tries    []*try
-	launches []*launch
-	orders   []*order
-	killed   map[*Front]time.Duration
-	strange  []Breach // what no rule-keeping front end puts on a socket
+// traffic is what the captures hold.
+type traffic struct {
+	requests           []*clientRequest
+	attempts           []*attempt
+	loadRequests       []*loadRequest
+	killedAt           map[*GatewayCapture]time.Duration
+	protocolViolations []Violation // what no rule-keeping front end puts on a socket
 }
 
-// read takes the captures apart.
-func read(f Facts) (*seen, error) {
-	s := &seen{killed: map[*Front]time.Duration{}}
-	catalogue := invoke.NewCatalogue(f.File)
-	for i := range f.Fronts {
-		front := &f.Fronts[i]
+// readTraffic takes the captures apart.
+func readTraffic(f Input) (*traffic, error) {
+	s := &traffic{killedAt: map[*GatewayCapture]time.Duration{}}
+	catalogue := invoke.NewCatalogue(f.Config)
+	for i := range f.Captures {
+		front := &f.Captures[i]
 		conns := map[uint64]*conn{}
 		var ids []uint64
 		for _, r := range front.Records {
 			if r.Kind == capture.Crashed {
-				s.killed[front] = r.At
+				s.killedAt[front] = r.At
 				continue
 			}
 			c := conns[r.ConnID]
@@ -151,30 +151,30 @@
 			case capture.Written:
 				c.out.add(r)
 			case capture.Closed:
-				c.closed, c.isClosed, c.far = r.At, true, r.ByPeer
+				c.closedAt, c.isClosed, c.byPeer = r.At, true, r.ByPeer
 			}
 		}
 		for _, id := range ids {
 			var err error
 			switch c := conns[id]; c.side {
 			case capture.Client:
-				s.client(front, c, catalogue)
+				s.readClient(front, c, catalogue)
 			case capture.Worker:
-				err = s.worker(front, c)
+				err = s.readWorker(front, c)
 			}
 			if err != nil {
 				return nil, fmt.Errorf("capture of %s, connection %d: %w", front.Name, id, err)
 			}
 		}
 	}
-	slices.SortStableFunc(s.launches, func(a, b *launch) int { return int(a.begin - b.begin) })
-	slices.SortStableFunc(s.orders, func(a, b *order) int { return int(a.begin - b.begin) })
-	slices.SortStableFunc(s.tries, func(a, b *try) int { return int(a.at - b.at) })
+	slices.SortStableFunc(s.attempts, func(a, b *attempt) int { return int(a.begin - b.begin) })
+	slices.SortStableFunc(s.loadRequests, func(a, b *loadRequest) int { return int(a.begin - b.begin) })
+	slices.SortStableFunc(s.requests, func(a, b *clientRequest) int { return int(a.receivedAt - b.receivedAt) })
 	return s, nil
 }
 
-// client takes the requests of a client's connection and their answers.
-func (s *seen) client(front *Front, c *conn, catalogue *invoke.Catalogue) {
+// readClient takes the requests of a client's connection and their answers.
+func (s *traffic) readClient(front *GatewayCapture, c *conn, catalogue *invoke.Catalogue) {
 	in, out := bytes.NewReader(c.in.data), bytes.NewReader(c.out.data)
 	requests, answers := bufio.NewReader(in), bufio.NewReader(out)
 	for {
@@ -186,44 +186,44 @@
 			break // never whole: never taken
 		}
 		used := len(c.in.data) - in.Len() - requests.Buffered()
-		t := &try{front: front, at: c.in.at(used - 1).begin}
+		t := &clientRequest{gateway: front, receivedAt: c.in.segmentAt(used - 1).begin}
 		name, isInvoke := strings.CutPrefix(r.URL.Path, "/v1/functions/")
 		name, isInvocation := strings.CutSuffix(name, "/invocations")
 		var problem *invoke.Problem
 		t.call, problem = catalogue.ReadHeader(name, r.Header)
-		t.notTaken = !isInvoke || !isInvocation || r.Method != http.MethodPost || problem != nil
+		t.notAccepted = !isInvoke || !isInvocation || r.Method != http.MethodPost || problem != nil
 		from := len(c.out.data) - out.Len() - answers.Buffered()
 		a, err := http.ReadResponse(answers, r)
 		if err == nil {
 			var body []byte
 			if body, err = io.ReadAll(a.Body); err == nil {
 				used := len(c.out.data) - out.Len() - answers.Buffered()
-				t.status, t.begin, t.end = a.StatusCode, c.out.at(from).begin, c.out.at(used-1).end
-				t.event, t.back = a.Header.Get(invoke.HeaderRequestID), a.Header.Get("Retry-After") != ""
-				t.notTaken = t.notTaken || t.event == "" || bytes.Contains(body, []byte(invoke.ProblemNotAccepted))
+				t.status, t.responseBegin, t.responseEnd = a.StatusCode, c.out.segmentAt(from).begin, c.out.segmentAt(used-1).end
+				t.requestID, t.hasRetryAfter = a.Header.Get(invoke.HeaderRequestID), a.Header.Get("Retry-After") != ""
+				t.notAccepted = t.notAccepted || t.requestID == "" || bytes.Contains(body, []byte(invoke.ProblemNotAccepted))
 			}
 		}
 		if t.status == 0 && c.isClosed {
-			t.gone, t.isGone, t.cut, t.isCut = c.closed, c.far, c.closed, !c.far
+			t.disconnectedAt, t.disconnected, t.closedAt, t.closedByGateway = c.closedAt, c.byPeer, c.closedAt, !c.byPeer
 		}
-		s.tries = append(s.tries, t)
+		s.requests = append(s.requests, t)
 		if t.status == 0 {
 			break
 		}
 	}
 	if left := out.Len() + answers.Buffered(); left > 0 && len(c.in.data) > 0 {
 		if b, err := answers.Peek(12); err == nil && bytes.HasPrefix(b, []byte("HTTP/1.1 ")) && !bytes.Contains(b, []byte(" 400")) {
-			at := c.out.at(len(c.out.data) - left)
-			s.strange = append(s.strange, Breach{Rule: 1, Front: front.Name, At: at.begin,
-				What: "an answer that no request asked for, or a second one"})
+			at := c.out.segmentAt(len(c.out.data) - left)
+			s.protocolViolations = append(s.protocolViolations, Violation{Rule: 1, Gateway: front.Name, At: at.begin,
+				Message: "an answer that no request asked for, or a second one"})
 		}
 	}
 }
 
-// worker takes the frames of a worker's connection.
-func (s *seen) worker(front *Front, c *conn) error {
-	calls := map[uint64]*launch{}
-	out, in := frames{c.out, 0}, frames{c.in, 0}
+// readWorker takes the frames of a worker's connection.
+func (s *traffic) readWorker(front *GatewayCapture, c *conn) error {
+	calls := map[uint64]*attempt{}
+	out, in := frameReader{c.out, 0}, frameReader{c.in, 0}
 	type cancel struct {
 		seq uint64
 		at  time.Duration
@@ -239,21 +239,21 @@
 		}
 		switch b := body.(type) {
 		case *workerrpc.Attempt:
-			l := &launch{front: front, worker: c.peer, frame: b, begin: first.begin, end: last.end}
+			l := &attempt{gateway: front, worker: c.peer, frame: b, begin: first.begin, end: last.end}
 			if c.isClosed {
-				l.broken = c.closed
+				l.disconnectedAt = c.closedAt
 			}
 			calls[b.Seq] = l
-			s.launches = append(s.launches, l)
+			s.attempts = append(s.attempts, l)
 		case *workerrpc.LoadRequest:
-			s.orders = append(s.orders, &order{front, c.peer, b, first.begin, last.end})
+			s.loadRequests = append(s.loadRequests, &loadRequest{front, c.peer, b, first.begin, last.end})
 		case *workerrpc.Cancel:
 			cancels = append(cancels, cancel{b.Seq, first.begin})
 		}
 	}
 	for _, x := range cancels {
 		if l := calls[x.seq]; l != nil {
-			l.cancelled = x.at
+			l.cancelledAt = x.at
 		}
 	}
 	for {
@@ -262,33 +262,33 @@
 			return nil // what a worker sends is not judged
 		}
 		if b, is := body.(*workerrpc.AttemptResult); is {
-			if l := calls[b.Seq]; l != nil && l.answer == nil && l.frame.RequestID == b.RequestID {
-				l.answer, l.answered = b, last.begin
+			if l := calls[b.Seq]; l != nil && l.result == nil && l.frame.RequestID == b.RequestID {
+				l.result, l.resultAt = b, last.begin
 			}
 		}
 	}
 }
 
-// frames reads frames out of a stream, with when their first and last bytes passed.
-type frames struct {
+// frameReader reads frames out of a stream, with when their first and last bytes passed.
+type frameReader struct {
 	stream
-	used int
+	offset int
 }
 
-func (f *frames) next() (body any, first, last mark, err error) {
-	rest := f.data[f.used:]
+func (f *frameReader) next() (body any, first, last segment, err error) {
+	rest := f.data[f.offset:]
 	if len(rest) < 4 {
-		return nil, mark{}, mark{}, nil
+		return nil, segment{}, segment{}, nil
 	}
 	n := int(rest[0])<<24 | int(rest[1])<<16 | int(rest[2])<<8 | int(rest[3])
 	if n > workerrpc.MaxFrame {
-		return nil, mark{}, mark{}, fmt.Errorf("%w: a frame of %d bytes", workerrpc.ErrProtocol, n)
+		return nil, segment{}, segment{}, fmt.Errorf("%w: a frame of %d bytes", workerrpc.ErrProtocol, n)
 	}
 	if len(rest) < 4+n {
-		return nil, mark{}, mark{}, nil
+		return nil, segment{}, segment{}, nil
 	}
 	body, err = workerrpc.ParseFrame(rest[4 : 4+n])
-	first, last = f.at(f.used), f.at(f.used+3+n)
-	f.used += 4 + n
+	first, last = f.segmentAt(f.offset), f.segmentAt(f.offset+3+n)
+	f.offset += 4 + n
 	return body, first, last, err
 }
--- a/internal/testbed/costmodel/costmodel_test.go
+++ b/internal/testbed/costmodel/costmodel_test.go
@@ -30,7 +30,7 @@
 
 // A slope from fewer than four sizes, or through figures that are no sizes, is refused.
 func TestFitRefuses(t *testing.T) {
-	var few costmodel.ErrFewPoints
+	var few costmodel.TooFewPointsError
 	if _, err := costmodel.FitPoints(make([]costmodel.Point, 3)); !errors.As(err, &few) || few.Points != 3 {
 		t.Error(err)
 	}
@@ -41,22 +41,22 @@
 
 // A measured core serves its traffic, and the same seed has it do the same.
 func TestCoreServesTheTraffic(t *testing.T) {
-	load := costmodel.Load{Workers: 60, Functions: 200, FrontEnds: 10, Rate: 50, Skew: 1.7, Requests: 400, Seed: 3}
-	first, err := costmodel.Core(load)
+	load := costmodel.Load{Workers: 60, Functions: 200, Gateways: 10, Rate: 50, Skew: 1.7, Requests: 400, Seed: 3}
+	first, err := costmodel.MeasureCore(load)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := costmodel.Core(load)
+	again, err := costmodel.MeasureCore(load)
 	if err != nil || first.Counts != again.Counts {
 		t.Errorf("%+v, then %+v %v", first.Counts, again.Counts, err)
 	}
-	if c := first.Counts; c.Requests != 400 || c.Served < 300 || c.Orders == 0 || c.Attempts < c.Served/2 {
+	if c := first.Counts; c.Requests != 400 || c.Served < 300 || c.LoadRequests == 0 || c.Attempts < c.Served/2 {
 		t.Errorf("%+v", c)
 	}
-	if first.RequestMicros <= 0 || first.WorkerBytes <= 0 || first.ChangeMicros <= 0 || first.TickMicros <= 0 {
+	if first.RequestMicros <= 0 || first.WorkerBytes <= 0 || first.ChangeMicros <= 0 || first.IdleTickMicros <= 0 {
 		t.Errorf("%+v", first)
 	}
-	if _, err := costmodel.Core(costmodel.Load{}); err == nil {
+	if _, err := costmodel.MeasureCore(costmodel.Load{}); err == nil {
 		t.Error("an empty load was measured")
 	}
 }
--- a/internal/testbed/costmodel/fit.go
+++ b/internal/testbed/costmodel/fit.go
@@ -29,20 +29,20 @@
 	Residual float64 `json:"residual"` // largest distance of a point from the curve, as a part of the point
 }
 
-// leastPoints is the number of sizes below which no slope is told.
-const leastPoints = 4
+// minPoints is the number of sizes below which no slope is told.
+const minPoints = 4
 
-// ErrFewPoints says that a slope was asked for with too few sizes.
-type ErrFewPoints struct{ Points int }
+// TooFewPointsError says that a slope was asked for with too few sizes.
+type TooFewPointsError struct{ Points int }
 
-func (e ErrFewPoints) Error() string {
-	return fmt.Sprintf("a slope needs figures at %d sizes, there are %d", leastPoints, e.Points)
+func (e TooFewPointsError) Error() string {
+	return fmt.Sprintf("a slope needs figures at %d sizes, there are %d", minPoints, e.Points)
 }
 
 // FitPoints fits a power law (least squares on logarithms) and a line through points of positive sizes.
 func FitPoints(points []Point) (Fit, error) {
-	if len(points) < leastPoints {
-		return Fit{}, ErrFewPoints{len(points)}
+	if len(points) < minPoints {
+		return Fit{}, TooFewPointsError{len(points)}
 	}
 	var sizes, values, logSizes, logValues []float64
 	for _, p := range points {
--- a/internal/testbed/discoverytest/service_test.go
+++ b/internal/testbed/discoverytest/service_test.go
@@ -39,18 +39,18 @@
 	if n := ask(1, 1); n.Position != 1 || len(n.Events) != 0 {
 		t.Errorf("%+v", n)
 	}
-	for i := range keptChanges + 5 {
+	for i := range maxChanges + 5 {
 		s.Publish([]discovery.Endpoint{{Name: fmt.Sprint("b", i), Addr: "127.0.0.1:2", State: discovery.Up}})
 	}
-	last := int64(1 + keptChanges + 5)
+	last := int64(1 + maxChanges + 5)
 	if n := ask(int(last-2), 0); n.Position != last || len(n.Events) != 2 || n.Events[0].Position != last-1 || n.Events[0].Update.Complete {
 		t.Errorf("%+v", n)
 	}
-	if n := ask(3, 0); len(n.Events) != 1 || !n.Events[0].Update.Complete || len(n.Events[0].Update.Endpoints) != 1+keptChanges+5 {
+	if n := ask(3, 0); len(n.Events) != 1 || !n.Events[0].Update.Complete || len(n.Events[0].Update.Endpoints) != 1+maxChanges+5 {
 		t.Errorf("%d events", len(n.Events))
 	}
 	s.Publish([]discovery.Endpoint{{Name: "a", State: discovery.Removed}})
-	if n := ask(0, 0); len(n.Events[0].Update.Endpoints) != keptChanges+5 {
+	if n := ask(0, 0); len(n.Events[0].Update.Endpoints) != maxChanges+5 {
 		t.Errorf("%d workers", len(n.Events[0].Update.Endpoints))
 	}
 	response, err := http.Get(fmt.Sprintf("http://%s/journal?tail=99999&max_wait=0", s.Addr))
--- a/internal/testbed/emulator/worker.go
+++ b/internal/testbed/emulator/worker.go
@@ -18,86 +18,86 @@
 
 // Function is what an imitation worker knows of a function.
 type Function struct {
-	Name   string
-	Work   time.Duration // mean time on a core of one event
-	Load   time.Duration // of a copy, from a store that is not crowded
-	Memory int64         // bytes of a copy
-	Lanes  int
+	Name        string
+	MeanCPUTime time.Duration // mean time on a core of one event
+	LoadTime    time.Duration // of a copy, from a store that is not crowded
+	Memory      int64         // bytes of a copy
+	Concurrency int
 }
 
 // Model is what a worker is like.
 type Model struct {
-	Cores      float64
-	Memory     int64
-	Queue      int           // events that may wait; more are turned away as full
-	Keep       time.Duration // an idle copy stays so long
-	LoadOnMiss bool
-	ColdFrom   float64       // part of its cores at the start
-	WarmAfter  time.Duration // all of them
-	Multiple   float64       // sent more than this multiple of its present cores
-	Fall       time.Duration // for so long, a cold worker falls over; 0: never
-	Launches   int           // most outstanding a connection
+	Cores              float64
+	Memory             int64
+	QueueLimit         int           // events that may wait; more are turned away as full
+	ReplicaIdleTimeout time.Duration // an idle copy stays so long
+	LoadOnMiss         bool
+	InitialShare       float64       // part of its cores at the start
+	WarmUpTime         time.Duration // all of them
+	CrashMultiple      float64       // sent more than this multiple of its present cores
+	CrashWindow        time.Duration // for so long, a cold worker falls over; 0: never
+	MaxAttempts        int           // most outstanding a connection
 }
 
 // Worker is one imitation worker. Its methods may be called by any goroutine.
 type Worker struct {
-	name      string
-	model     Model
-	functions map[string]Function
-	store     *Store
-	ledger    *Ledger
-	groups    map[string]*Group // by event type
-	chance    random.Source
-
-	mu       sync.Mutex
-	life     int // counts starts: what belongs to an earlier life is void
-	started  time.Time
-	copies   map[string]*set
-	memory   int64
-	running  int
-	waiting  int
-	server   *workerrpc.Server
-	end      context.CancelFunc
-	ended    chan struct{}
-	addr     string
-	troubles faultinject.Faults
-	window   []arrival // work that came lately, while cold
-	falls    int
-	silencer faultinject.Silencer
+	name       string
+	model      Model
+	functions  map[string]Function
+	store      *Store
+	executions *ExecutionLog
+	groups     map[string]*DedupGroup // by event type
+	random     random.Source
+
+	mu          sync.Mutex
+	incarnation int // counts starts: what belongs to an earlier life is void
+	started     time.Time
+	replicas    map[string]*replicaSet
+	memory      int64
+	running     int
+	waiting     int
+	server      *workerrpc.Server
+	cancel      context.CancelFunc
+	stopped     chan struct{}
+	addr        string
+	faults      faultinject.Faults
+	recentWork  []workSample // work that came lately, while cold
+	crashes     int
+	silencer    faultinject.Silencer
 }
 
-type arrival struct {
+type workSample struct {
 	at   time.Time
 	work time.Duration
 }
 
-// set is the copies of one function.
-type set struct {
-	f       Function
-	copies  int
-	loading int
-	busy    int
-	idle    time.Time
-	queue   []*job
+// replicaSet is the copies of one function.
+type replicaSet struct {
+	function  Function
+	replicas  int
+	loading   int
+	busy      int
+	idleSince time.Time
+	queue     []*job
 }
 
 type job struct {
-	launch  *workerrpc.Attempt
-	reply   func(*workerrpc.AttemptResult)
-	life    int
-	warmth  workerrpc.ReplicaState
-	company int
-	work    time.Duration
-	timer   *time.Timer
-	ran     bool
-	over    bool
+	attempt            *workerrpc.Attempt
+	reply              func(*workerrpc.AttemptResult)
+	incarnation        int
+	replicaState       workerrpc.ReplicaState
+	concurrentRequests int
+	cpuTime            time.Duration
+	timer              *time.Timer
+	started            bool
+	finished           bool
 }
 
 // NewWorker makes a worker that is not started; groups are those of keyed event types that it is in.
-func NewWorker(name string, m Model, functions []Function, s *Store, l *Ledger,
-	groups map[string]*Group, seed uint64) *Worker {
-	w := &Worker{name: name, model: m, functions: map[string]Function{}, store: s, ledger: l, groups: groups,
-		chance: random.New(seed ^ random.Hash(name))}
+func NewWorker(name string, m Model, functions []Function, s *Store, l *ExecutionLog,
+	groups map[string]*DedupGroup, seed uint64) *Worker {
+	w := &Worker{name: name, model: m, functions: map[string]Function{}, store: s, executions: l, groups: groups,
+		random: random.New(seed ^ random.Hash(name))}
 	for _, f := range functions {
 		w.functions[f.Name] = f
 	}
@@ -117,17 +117,17 @@
 	ctx, end := context.WithCancel(context.Background())
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.life++
+	w.incarnation++
 	w.started = time.Now()
 	if old {
 		w.started = w.started.Add(-24 * time.Hour)
 	}
-	w.copies, w.memory, w.running, w.waiting, w.window = map[string]*set{}, 0, 0, 0, nil
-	w.addr, w.end, w.ended = listener.Addr().String(), end, make(chan struct{})
-	server := &workerrpc.Server{Handshake: workerrpc.Handshake{Name: w.name, Started: w.started, MaxAttempts: w.model.Launches},
-		Handler: &life{w: w, n: w.life}}
+	w.replicas, w.memory, w.running, w.waiting, w.recentWork = map[string]*replicaSet{}, 0, 0, 0, nil
+	w.addr, w.cancel, w.stopped = listener.Addr().String(), end, make(chan struct{})
+	server := &workerrpc.Server{Handshake: workerrpc.Handshake{Name: w.name, Started: w.started, MaxAttempts: w.model.MaxAttempts},
+		Handler: &life{w: w, n: w.incarnation}}
 	w.server = server
-	ended := w.ended
+	ended := w.stopped
 	silent := w.silencer.Listener(listener)
 	go func() {
 		defer close(ended)
@@ -139,20 +139,20 @@
 // Stop ends the life without a word; whatever ran is lost.
 func (w *Worker) Stop() {
 	w.mu.Lock()
-	if w.end == nil {
+	if w.cancel == nil {
 		w.mu.Unlock()
 		return
 	}
-	w.life++ // no timer of this life answers any more
-	for _, s := range w.copies {
+	w.incarnation++ // no timer of this life answers any more
+	for _, s := range w.replicas {
 		for _, j := range s.queue {
-			j.over = true
+			j.finished = true
 		}
 	}
-	end, ended := w.end, w.ended
-	w.end = nil
+	end, ended := w.cancel, w.stopped
+	w.cancel = nil
 	w.mu.Unlock()
-	w.Silence(false)
+	w.SetUnresponsive(false)
 	end()
 	<-ended
 }
@@ -160,18 +160,18 @@
 // Name is the worker's name.
 func (w *Worker) Name() string { return w.name }
 
-// Falls is how often it fell over.
-func (w *Worker) Falls() int {
+// Crashes is how often it fell over.
+func (w *Worker) Crashes() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.falls
+	return w.crashes
 }
 
-// Trouble has the worker misbehave from now on.
-func (w *Worker) Trouble(change func(*faultinject.Faults)) {
+// InjectFault has the worker misbehave from now on.
+func (w *Worker) InjectFault(change func(*faultinject.Faults)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	change(&w.troubles)
+	change(&w.faults)
 }
 
 // Reset breaks its connections; the worker goes on.
@@ -182,30 +182,30 @@
 	s.CloseConnections()
 }
 
-// Goodbye says on its connections that nothing new is started there.
-func (w *Worker) Goodbye() {
+// Drain says on its connections that nothing new is started there.
+func (w *Worker) Drain() {
 	w.mu.Lock()
 	s := w.server
 	w.mu.Unlock()
 	s.NotifyDraining("draining")
 }
 
-// Release has every copy of a function out of date: what runs ends, the next event finds nothing loaded.
-func (w *Worker) Release(function string) {
+// Redeploy has every copy of a function out of date: what runs ends, the next event finds nothing loaded.
+func (w *Worker) Redeploy(function string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if s := w.copies[function]; s != nil {
-		idle := s.copies - (s.busy+s.f.Lanes-1)/s.f.Lanes
-		s.copies -= idle
-		w.memory -= int64(idle) * s.f.Memory
-		if s.copies == 0 && s.loading == 0 && len(s.queue) > 0 {
+	if s := w.replicas[function]; s != nil {
+		idle := s.replicas - (s.busy+s.function.Concurrency-1)/s.function.Concurrency
+		s.replicas -= idle
+		w.memory -= int64(idle) * s.function.Memory
+		if s.replicas == 0 && s.loading == 0 && len(s.queue) > 0 {
 			w.load(s, nil)
 		}
 	}
 }
 
-// Silence has it neither read nor write, with its connections left open.
-func (w *Worker) Silence(on bool) { w.silencer.Set(on) }
+// SetUnresponsive has it neither read nor write, with its connections left open.
+func (w *Worker) SetUnresponsive(on bool) { w.silencer.Set(on) }
 
 // life is a worker between a start and the next stop, as its connections see it.
 type life struct {
@@ -217,25 +217,25 @@
 func (l *life) LoadReport() *workerrpc.LoadReport {
 	l.w.mu.Lock()
 	defer l.w.mu.Unlock()
-	return l.w.report()
+	return l.w.loadReport()
 }
 
-func (w *Worker) report() *workerrpc.LoadReport {
+func (w *Worker) loadReport() *workerrpc.LoadReport {
 	waiting := float64(w.waiting)
-	if w.troubles.ReportFactor > 0 {
-		waiting *= w.troubles.ReportFactor
+	if w.faults.ReportFactor > 0 {
+		waiting *= w.faults.ReportFactor
 	}
 	return &workerrpc.LoadReport{QueueDepth: int(waiting), Running: w.running, MemoryBytes: w.memory,
 		CPUUtilization: min(1, float64(w.running)/w.model.Cores)}
 }
 
-// share is the part of its cores that a worker has by now.
-func (w *Worker) share(now time.Time) float64 {
+// warmShare is the part of its cores that a worker has by now.
+func (w *Worker) warmShare(now time.Time) float64 {
 	warm := now.Sub(w.started)
-	if w.model.WarmAfter <= 0 || warm >= w.model.WarmAfter {
+	if w.model.WarmUpTime <= 0 || warm >= w.model.WarmUpTime {
 		return 1
 	}
-	return w.model.ColdFrom + (1-w.model.ColdFrom)*float64(warm)/float64(w.model.WarmAfter)
+	return w.model.InitialShare + (1-w.model.InitialShare)*float64(warm)/float64(w.model.WarmUpTime)
 }
 
 // HandleAttempt takes an event.
@@ -243,44 +243,44 @@
 	w := l.w
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.life != l.n {
+	if w.incarnation != l.n {
 		return nil
 	}
 	f, known := w.functions[launch.Function]
-	t := w.troubles
+	t := w.faults
 	// what came is work, whether it is taken or not; a cold worker that gets too much falls over
-	work := time.Duration(float64(f.Work) * -math.Log(1-float64(w.chance.IntN(9500))/10000))
-	if w.pushed(work) {
+	work := time.Duration(float64(f.MeanCPUTime) * -math.Log(1-float64(w.random.IntN(9500))/10000))
+	if w.crashIfOverloaded(work) {
 		return nil
 	}
 	switch {
 	case !known:
-		reply(&workerrpc.AttemptResult{Code: workerrpc.CodeNotFound, Reason: "no such function", Report: w.report()})
+		reply(&workerrpc.AttemptResult{Code: workerrpc.CodeNotFound, Reason: "no such function", Report: w.loadReport()})
 		return nil
 	case t.Hang:
-		w.ledger.ran(launch, w.name)
+		w.executions.record(launch, w.name)
 		return nil
 	case t.FailRequests:
-		w.ledger.ran(launch, w.name)
-		reply(&workerrpc.AttemptResult{Code: workerrpc.CodeFailed, Reason: "error", Report: w.report(), CPUTime: time.Microsecond})
+		w.executions.record(launch, w.name)
+		reply(&workerrpc.AttemptResult{Code: workerrpc.CodeFailed, Reason: "error", Report: w.loadReport(), CPUTime: time.Microsecond})
 		return nil
-	case t.RejectTenant != "" && t.RejectTenant == launch.Tenant, w.waiting >= w.model.Queue:
-		reply(&workerrpc.AttemptResult{Code: workerrpc.CodeOverloaded, Reason: "full", Report: w.report()})
+	case t.RejectTenant != "" && t.RejectTenant == launch.Tenant, w.waiting >= w.model.QueueLimit:
+		reply(&workerrpc.AttemptResult{Code: workerrpc.CodeOverloaded, Reason: "full", Report: w.loadReport()})
 		return nil
 	}
-	s := w.set(f)
-	j := &job{launch: launch, reply: reply, life: w.life, work: work, warmth: workerrpc.ReplicaWarm,
-		company: s.busy + len(s.queue)}
-	if s.copies == 0 {
-		j.warmth = workerrpc.ReplicaLoadAwaited
+	s := w.replicaSet(f)
+	j := &job{attempt: launch, reply: reply, incarnation: w.incarnation, cpuTime: work, replicaState: workerrpc.ReplicaWarm,
+		concurrentRequests: s.busy + len(s.queue)}
+	if s.replicas == 0 {
+		j.replicaState = workerrpc.ReplicaLoadAwaited
 		if s.loading == 0 {
 			if !w.model.LoadOnMiss {
-				reply(&workerrpc.AttemptResult{Code: workerrpc.CodeNotFound, Reason: "not loaded", Report: w.report()})
+				reply(&workerrpc.AttemptResult{Code: workerrpc.CodeNotFound, Reason: "not loaded", Report: w.loadReport()})
 				return nil
 			}
-			j.warmth = workerrpc.ReplicaLoadStarted
+			j.replicaState = workerrpc.ReplicaLoadStarted
 			if !w.load(s, nil) {
-				reply(&workerrpc.AttemptResult{Code: workerrpc.CodeOverloaded, Reason: "no memory", Report: w.report()})
+				reply(&workerrpc.AttemptResult{Code: workerrpc.CodeOverloaded, Reason: "no memory", Report: w.loadReport()})
 				return nil
 			}
 		}
@@ -288,79 +288,79 @@
 	s.queue = append(s.queue, j)
 	w.waiting++
 	w.dispatch(s)
-	return func() { w.cancel(s, j) }
+	return func() { w.cancelJob(s, j) }
 }
 
-func (w *Worker) set(f Function) *set {
-	s := w.copies[f.Name]
+func (w *Worker) replicaSet(f Function) *replicaSet {
+	s := w.replicas[f.Name]
 	if s == nil {
-		s = &set{f: f}
-		w.copies[f.Name] = s
+		s = &replicaSet{function: f}
+		w.replicas[f.Name] = s
 	}
 	return s
 }
 
-// pushed counts work that comes to a cold worker and falls over when it is too much.
-func (w *Worker) pushed(work time.Duration) bool {
+// crashIfOverloaded counts work that comes to a cold worker and falls over when it is too much.
+func (w *Worker) crashIfOverloaded(work time.Duration) bool {
 	now := time.Now()
-	share := w.share(now)
-	if w.model.Multiple <= 0 || share >= 1 {
+	share := w.warmShare(now)
+	if w.model.CrashMultiple <= 0 || share >= 1 {
 		return false
 	}
-	w.window = append(w.window, arrival{now, work})
+	w.recentWork = append(w.recentWork, workSample{now, work})
 	sum := time.Duration(0)
-	kept := w.window[:0]
-	for _, a := range w.window {
-		if now.Sub(a.at) < w.model.Fall {
+	kept := w.recentWork[:0]
+	for _, a := range w.recentWork {
+		if now.Sub(a.at) < w.model.CrashWindow {
 			kept = append(kept, a)
 			sum += a.work
 		}
 	}
-	w.window = kept
-	budget := w.model.Multiple * share * w.model.Cores * float64(w.model.Fall)
+	w.recentWork = kept
+	budget := w.model.CrashMultiple * share * w.model.Cores * float64(w.model.CrashWindow)
 	if float64(sum) <= budget+3*math.Sqrt(budget*float64(max(work, time.Millisecond))) {
 		return false
 	}
-	w.falls++
-	w.life++ // all that it holds is lost; its connections break
+	w.crashes++
+	w.incarnation++ // all that it holds is lost; its connections break
 	server := w.server
 	go server.CloseConnections()
 	return true
 }
 
 // load begins a load; done, if given, hears how it ended. It returns false where there is no room.
-func (w *Worker) load(s *set, done func(workerrpc.Code)) bool {
-	if !w.makeRoom(s.f.Memory) {
+func (w *Worker) load(s *replicaSet, done func(workerrpc.Code)) bool {
+	if !w.evictIdle(s.function.Memory) {
 		return false
 	}
-	w.memory += s.f.Memory
+	w.memory += s.function.Memory
 	s.loading++
-	n := w.life
-	took, failed := w.store.Fetch(s.f.Load)
-	failed = failed || w.troubles.FailLoads
+	n := w.incarnation
+	took, failed := w.store.BeginFetch(s.function.LoadTime)
+	failed = failed || w.faults.FailLoads
 	time.AfterFunc(took, func() {
-		w.store.Fetched()
+		w.store.EndFetch()
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.life != n {
+		if w.incarnation != n {
 			return
 		}
 		s.loading--
 		code := workerrpc.CodeOK
 		if failed {
 			code = workerrpc.CodeFailed
-			w.memory -= s.f.Memory
-			if s.copies == 0 && s.loading == 0 {
+			w.memory -= s.function.Memory
+			if s.replicas == 0 && s.loading == 0 {
 				for _, j := range s.queue {
-					j.warmth = workerrpc.ReplicaLoadFailed
-					w.answer(j, workerrpc.CodeFailed, "load failed")
+					j.replicaState = workerrpc.ReplicaLoadFailed
+					w.complete(j, workerrpc.CodeFailed, "load failed")
 				}
 				w.waiting -= len(s.queue)
 				s.queue = nil
 			}
 		} else {
-			s.copies++
-			s.idle = time.Now()
+			s.replicas++
+			s.idleSince = time.Now()
 			w.dispatch(s)
 		}
 		if done != nil {
@@ -370,89 +370,89 @@
 	return true
 }
 
-// makeRoom drops idle copies: those past their keep time, then the longest idle ones.
-func (w *Worker) makeRoom(need int64) bool {
+// evictIdle drops idle copies: those past their keep time, then the longest idle ones.
+func (w *Worker) evictIdle(need int64) bool {
 	for w.memory+need > w.model.Memory {
-		var oldest *set
-		for _, s := range w.copies {
-			if s.copies*s.f.Lanes-s.busy >= s.f.Lanes && len(s.queue) == 0 &&
-				(oldest == nil || s.idle.Before(oldest.idle)) {
+		var oldest *replicaSet
+		for _, s := range w.replicas {
+			if s.replicas*s.function.Concurrency-s.busy >= s.function.Concurrency && len(s.queue) == 0 &&
+				(oldest == nil || s.idleSince.Before(oldest.idleSince)) {
 				oldest = s
 			}
 		}
 		if oldest == nil {
 			return false
 		}
-		oldest.copies--
-		w.memory -= oldest.f.Memory
+		oldest.replicas--
+		w.memory -= oldest.function.Memory
 	}
 	return true
 }
 
 // dispatch starts what waits on free lanes. Running events share the cores as they stand at their start.
-func (w *Worker) dispatch(s *set) {
-	if s.copies > 0 && s.busy == 0 && len(s.queue) == 0 && time.Since(s.idle) > w.model.Keep {
-		w.memory -= int64(s.copies) * s.f.Memory
-		s.copies = 0
+func (w *Worker) dispatch(s *replicaSet) {
+	if s.replicas > 0 && s.busy == 0 && len(s.queue) == 0 && time.Since(s.idleSince) > w.model.ReplicaIdleTimeout {
+		w.memory -= int64(s.replicas) * s.function.Memory
+		s.replicas = 0
 	}
-	for len(s.queue) > 0 && s.busy < s.copies*s.f.Lanes {
+	for len(s.queue) > 0 && s.busy < s.replicas*s.function.Concurrency {
 		j := s.queue[0]
 		s.queue = s.queue[1:]
 		w.waiting--
-		if g := w.groups[j.launch.Type]; g != nil && g.repeat(j.launch) {
-			w.answer(j, workerrpc.CodeOK, "repeat")
+		if g := w.groups[j.attempt.Type]; g != nil && g.duplicate(j.attempt) {
+			w.complete(j, workerrpc.CodeOK, "repeat")
 			continue
 		}
 		s.busy++
 		w.running++
-		j.ran = true
-		w.ledger.ran(j.launch, w.name)
-		cores := w.model.Cores * w.share(time.Now())
-		took := time.Duration(float64(j.work) * max(1, float64(w.running)/cores))
-		if w.troubles.SlowFactor > 0 {
-			took = time.Duration(float64(took) * w.troubles.SlowFactor)
+		j.started = true
+		w.executions.record(j.attempt, w.name)
+		cores := w.model.Cores * w.warmShare(time.Now())
+		took := time.Duration(float64(j.cpuTime) * max(1, float64(w.running)/cores))
+		if w.faults.SlowFactor > 0 {
+			took = time.Duration(float64(took) * w.faults.SlowFactor)
 		}
 		j.timer = time.AfterFunc(took, func() { w.finish(s, j) })
 	}
 }
 
-func (w *Worker) finish(s *set, j *job) {
+func (w *Worker) finish(s *replicaSet, j *job) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.life != j.life || j.over {
+	if w.incarnation != j.incarnation || j.finished {
 		return
 	}
 	s.busy--
 	w.running--
-	s.idle = time.Now()
-	w.answer(j, workerrpc.CodeOK, "")
+	s.idleSince = time.Now()
+	w.complete(j, workerrpc.CodeOK, "")
 	w.dispatch(s)
 }
 
-func (w *Worker) answer(j *job, code workerrpc.Code, reason string) {
-	j.over = true
-	a := &workerrpc.AttemptResult{Code: code, ReplicaState: j.warmth, ConcurrentRequests: j.company, CPUTime: j.work, Report: w.report(), Reason: reason}
+func (w *Worker) complete(j *job, code workerrpc.Code, reason string) {
+	j.finished = true
+	a := &workerrpc.AttemptResult{Code: code, ReplicaState: j.replicaState, ConcurrentRequests: j.concurrentRequests, CPUTime: j.cpuTime, Report: w.loadReport(), Reason: reason}
 	switch {
 	case code != workerrpc.CodeOK:
 	case reason == "repeat":
 		a.Deduplicated, a.CPUTime = true, 0
 	default:
-		a.Body = fmt.Appendf(nil, "%s handled %s", w.name, j.launch.ClientRequestID)
+		a.Body = fmt.Appendf(nil, "%s handled %s", w.name, j.attempt.ClientRequestID)
 	}
 	j.reply(a)
 }
 
-func (w *Worker) cancel(s *set, j *job) {
+func (w *Worker) cancelJob(s *replicaSet, j *job) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.life != j.life || j.over {
+	if w.incarnation != j.incarnation || j.finished {
 		return
 	}
-	if j.ran {
+	if j.started {
 		j.timer.Stop()
 		s.busy--
 		w.running--
-		w.answer(j, workerrpc.CodeCancelled, "withdrawn")
+		w.complete(j, workerrpc.CodeCancelled, "withdrawn")
 	} else {
 		for i, x := range s.queue {
 			if x == j {
@@ -461,7 +461,7 @@
 				break
 			}
 		}
-		w.answer(j, workerrpc.CodeNotStarted, "withdrawn before its start")
+		w.complete(j, workerrpc.CodeNotStarted, "withdrawn before its start")
 	}
 	w.dispatch(s)
 }
@@ -471,7 +471,7 @@
 	w := l.w
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.life != l.n || w.troubles.Hang {
+	if w.incarnation != l.n || w.faults.Hang {
 		return
 	}
 	f, known := w.functions[o.Function]
@@ -479,7 +479,7 @@
 		reply(&workerrpc.LoadResult{Code: workerrpc.CodeNotFound, Reason: "no such function"})
 		return
 	}
-	s := w.set(f)
+	s := w.replicaSet(f)
 	missing, failed := 0, false
 	ended := func(code workerrpc.Code) { // the lock is held
 		missing--
@@ -489,21 +489,21 @@
 			if failed {
 				code = workerrpc.CodeFailed
 			}
-			reply(&workerrpc.LoadResult{Code: code, Replicas: s.copies})
+			reply(&workerrpc.LoadResult{Code: code, Replicas: s.replicas})
 		}
 	}
-	for s.copies+s.loading < o.Replicas {
+	for s.replicas+s.loading < o.Replicas {
 		missing++
 		if !w.load(s, ended) {
 			missing--
 			if missing == 0 {
-				reply(&workerrpc.LoadResult{Code: workerrpc.CodeOverloaded, Replicas: s.copies, Reason: "no memory"})
+				reply(&workerrpc.LoadResult{Code: workerrpc.CodeOverloaded, Replicas: s.replicas, Reason: "no memory"})
 				return
 			}
 			break
 		}
 	}
 	if missing == 0 {
-		reply(&workerrpc.LoadResult{Code: workerrpc.CodeOK, Replicas: s.copies})
+		reply(&workerrpc.LoadResult{Code: workerrpc.CodeOK, Replicas: s.replicas})
 	}
 }
--- a/internal/testbed/faultproxy/proxy.go
+++ b/internal/testbed/faultproxy/proxy.go
@@ -13,9 +13,9 @@
 
 // Fault is what is done to what passes. The zero value relays.
 type Fault struct {
-	Hold  bool          // nothing passes, nothing is closed: a machine that is cut off
-	Delay time.Duration // of each part that passes, both ways
-	Cut   int           // bytes of answers after which a connection ends; 0: none does
+	Blackhole       bool          // nothing passes, nothing is closed: a machine that is cut off
+	Delay           time.Duration // of each part that passes, both ways
+	CloseAfterBytes int           // bytes of answers after which a connection ends; 0: none does
 }
 
 // Proxy relays connections to one address.
@@ -24,21 +24,21 @@
 	listener net.Listener
 	fault    atomic.Pointer[Fault]
 
-	mu    sync.Mutex
-	pairs map[*pair]bool
-	done  sync.WaitGroup
+	mu         sync.Mutex
+	pairs      map[*connPair]bool
+	background sync.WaitGroup
 }
 
-// pair is a connection and the one that it is relayed to.
-type pair struct {
+// connPair is a connection and the one that it is relayed to.
+type connPair struct {
 	client, server net.Conn
-	answered       atomic.Int64
+	responseBytes  atomic.Int64
 }
 
 const (
-	holdLook  = 2 * time.Millisecond
-	dialLimit = 2 * time.Second
-	partBytes = 16 << 10
+	pollInterval = 2 * time.Millisecond
+	dialTimeout  = 2 * time.Second
+	bufferBytes  = 16 << 10
 )
 
 // New makes a proxy at a free port of loopback.
@@ -47,9 +47,9 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{target: target, listener: listener, pairs: map[*pair]bool{}}
+	p := &Proxy{target: target, listener: listener, pairs: map[*connPair]bool{}}
 	p.fault.Store(&Fault{})
-	p.done.Add(1)
+	p.background.Add(1)
 	go p.accept()
 	return p, nil
 }
@@ -57,8 +57,8 @@
 // Addr is where it listens.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// Set has a fault from now on, on the connections that stand too.
-func (p *Proxy) Set(f Fault) { p.fault.Store(&f) }
+// SetFault has a fault from now on, on the connections that stand too.
+func (p *Proxy) SetFault(f Fault) { p.fault.Store(&f) }
 
 // Reset resets every connection, towards both ends.
 func (p *Proxy) Reset() {
@@ -73,9 +73,9 @@
 // Close ends the proxy and every connection.
 func (p *Proxy) Close() {
 	p.listener.Close()
-	p.Set(Fault{})
+	p.SetFault(Fault{})
 	p.Reset()
-	p.done.Wait()
+	p.background.Wait()
 }
 
 // ResetConn ends a connection with a reset.
@@ -87,30 +87,30 @@
 }
 
 func (p *Proxy) accept() {
-	defer p.done.Done()
+	defer p.background.Done()
 	for {
 		client, err := p.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(holdLook)
+			time.Sleep(pollInterval)
 			continue
 		}
-		p.done.Add(1)
+		p.background.Add(1)
 		go p.relay(client)
 	}
 }
 
 // relay relays one connection until both ways have ended.
 func (p *Proxy) relay(client net.Conn) {
-	defer p.done.Done()
-	server, err := net.DialTimeout("tcp", p.target, dialLimit)
+	defer p.background.Done()
+	server, err := net.DialTimeout("tcp", p.target, dialTimeout)
 	if err != nil {
 		ResetConn(client)
 		return
 	}
-	x := &pair{client: client, server: server}
+	x := &connPair{client: client, server: server}
 	p.mu.Lock()
 	p.pairs[x] = true
 	p.mu.Unlock()
@@ -124,11 +124,11 @@
 }
 
 // copy passes one way until it ends, and ends the other end as this one has ended.
-func (p *Proxy) copy(x *pair, to, from net.Conn, answers bool) {
-	part := make([]byte, partBytes)
+func (p *Proxy) copy(x *connPair, to, from net.Conn, answers bool) {
+	part := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(part)
-		if n > 0 && !p.pass(x, to, part[:n], answers) {
+		if n > 0 && !p.forward(x, to, part[:n], answers) {
 			ResetConn(to)
 			ResetConn(from)
 			return
@@ -147,17 +147,17 @@
 	}
 }
 
-// pass passes a part; false: the connection ends.
-func (p *Proxy) pass(x *pair, to net.Conn, part []byte, answers bool) bool {
+// forward passes a part; false: the connection ends.
+func (p *Proxy) forward(x *connPair, to net.Conn, part []byte, answers bool) bool {
 	f := p.fault.Load()
 	if f.Delay > 0 {
 		time.Sleep(f.Delay)
 	}
-	for p.fault.Load().Hold {
-		time.Sleep(holdLook)
+	for p.fault.Load().Blackhole {
+		time.Sleep(pollInterval)
 	}
-	if answers && f.Cut > 0 {
-		room := f.Cut - int(x.answered.Add(int64(len(part)))) + len(part)
+	if answers && f.CloseAfterBytes > 0 {
+		room := f.CloseAfterBytes - int(x.responseBytes.Add(int64(len(part)))) + len(part)
 		if room < len(part) {
 			_, _ = to.Write(part[:max(0, room)]) // it ends anyway
 			return false
--- a/internal/testbed/faultproxy/proxy_test.go
+++ b/internal/testbed/faultproxy/proxy_test.go
@@ -13,8 +13,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echo is a server that sends back what it gets.
-func echo(t *testing.T) string {
+// startEchoServer is a server that sends back what it gets.
+func startEchoServer(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 
 // What passes is held, cut and reset as it is told.
 func TestFaults(t *testing.T) {
-	p, err := faultproxy.New(echo(t))
+	p, err := faultproxy.New(startEchoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 	if text, err := hear(1); text != "a" || err != nil {
 		t.Error(text, err)
 	}
-	p.Set(faultproxy.Fault{Hold: true})
+	p.SetFault(faultproxy.Fault{Blackhole: true})
 	say("b")
 	if err := conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 	if n, err := conn.Read(make([]byte, 1)); n > 0 || err == nil {
 		t.Error("what is held passes")
 	}
-	p.Set(faultproxy.Fault{})
+	p.SetFault(faultproxy.Fault{})
 	if text, err := hear(1); text != "b" || err != nil {
 		t.Error(text, err)
 	}
@@ -84,7 +84,7 @@
 	if _, err := hear(1); err == nil {
 		t.Error("a reset connection goes on")
 	}
-	p.Set(faultproxy.Fault{Cut: 3})
+	p.SetFault(faultproxy.Fault{CloseAfterBytes: 3})
 	conn = dial()
 	say("12345")
 	if text, err := hear(5); text != "123" || err == nil {
--- a/internal/testbed/localfleet/localfleet.go
+++ b/internal/testbed/localfleet/localfleet.go
@@ -31,16 +31,16 @@
 	Name() string
 	Start(addr string, old bool) (at string, started time.Time, err error)
 	Stop()
-	Falls() int
-	Trouble(func(*faultinject.Faults))
-	Silence(on bool)
+	Crashes() int
+	InjectFault(func(*faultinject.Faults))
+	SetUnresponsive(on bool)
 	Reset()
-	Goodbye()
-	Release(function string)
+	Drain()
+	Redeploy(function string)
 }
 
-// OtherShape makes f the settings of a deployment of the other shape (docs/migration.md), whose front ends stand in zone.
-func OtherShape(f *fleetconfig.File, zone string) {
+// AlternateDeployment makes f the settings of a deployment of the other shape (docs/migration.md), whose front ends stand in zone.
+func AlternateDeployment(f *fleetconfig.File, zone string) {
 	f.Fleet.Tenants = nil
 	for i := range f.Functions {
 		f.Functions[i].Tenant = ""
@@ -52,12 +52,12 @@
 
 // Releases is the packages of a store: every function of a catalogue, as the example program payroll.
 type Releases struct {
-	store  *Store
-	mu     sync.Mutex
-	folder string
-	binary string
-	file   fleetconfig.File
-	number int
+	store       *Store
+	mu          sync.Mutex
+	folder      string
+	binary      string
+	config      fleetconfig.File
+	lastVersion int
 }
 
 // NewReleases opens a store in a folder and publishes every function of f; binary is the payroll program.
@@ -66,9 +66,9 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Releases{store: s, folder: folder, binary: binary, file: f}
+	r := &Releases{store: s, folder: folder, binary: binary, config: f}
 	for _, fn := range f.Functions {
-		if err := r.Release(fn.Name); err != nil {
+		if err := r.Publish(fn.Name); err != nil {
 			return nil, errors.Join(err, s.Close())
 		}
 	}
@@ -81,18 +81,18 @@
 // Store is the store, to have it stop or to read its counts.
 func (r *Releases) Store() *Store { return r.store }
 
-const ownContent = 512 << 10 // bytes in which a release differs from all others
+const uniqueContentBytes = 512 << 10 // bytes in which a release differs from all others
 
-// Release publishes a function anew.
-func (r *Releases) Release(name string) error {
+// Publish publishes a function anew.
+func (r *Releases) Publish(name string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.number++
-	for _, fn := range r.file.Functions {
+	r.lastVersion++
+	for _, fn := range r.config.Functions {
 		if fn.Name != name {
 			continue
 		}
-		version := fmt.Sprintf("%06d", r.number)
+		version := fmt.Sprintf("%06d", r.lastVersion)
 		tmp := filepath.Join(r.folder, "packages", name)
 		if err := os.MkdirAll(tmp, 0o755); err != nil {
 			return err
@@ -102,8 +102,8 @@
 			return fmt.Errorf("package of %s: %w", name, err)
 		}
 		// what stands behind a program is not read by it: each release has some content of its own
-		own := make([]byte, ownContent)
-		_, _ = rand.NewChaCha8([32]byte{byte(r.number), byte(r.number >> 8)}).Read(own) // never fails
+		own := make([]byte, uniqueContentBytes)
+		_, _ = rand.NewChaCha8([32]byte{byte(r.lastVersion), byte(r.lastVersion >> 8)}).Read(own) // never fails
 		if err := os.WriteFile(filepath.Join(tmp, "entry"), append(b, own...), 0o755); err != nil {
 			return err
 		}
@@ -119,30 +119,30 @@
 
 // RuntimeOptions are what a Runtime is made from.
 type RuntimeOptions struct {
-	Name    string
-	Folder  string // its own
-	Store   *Releases
-	Limits  admission.Limits
-	Effects *os.File                   // gets the log of all copies
-	Group   *idempotency.Group         // see worker.Options
-	Peers   func() []distribution.Peer // that give chunks; nil: none
+	Name         string
+	Folder       string // its own
+	Releases     *Releases
+	Limits       admission.Limits
+	ExecutionLog *os.File                   // gets the log of all copies
+	Claims       *idempotency.Group         // see worker.Options
+	Peers        func() []distribution.Peer // that give chunks; nil: none
 }
 
 // Runtime is the worker runtime, started and stopped within this process.
 type Runtime struct {
-	o     RuntimeOptions
-	mu    sync.Mutex
-	w     *worker.Worker
-	giver *Giver
-	stop  context.CancelFunc
-	ended chan error
+	options     RuntimeOptions
+	mu          sync.Mutex
+	worker      *worker.Worker
+	chunkServer *ChunkServer
+	cancel      context.CancelFunc
+	stopped     chan error
 }
 
 // NewRuntime makes one that is not started.
-func NewRuntime(o RuntimeOptions) *Runtime { return &Runtime{o: o} }
+func NewRuntime(o RuntimeOptions) *Runtime { return &Runtime{options: o} }
 
 // Name is the worker's name.
-func (r *Runtime) Name() string { return r.o.Name }
+func (r *Runtime) Name() string { return r.options.Name }
 
 // Start begins a life on addr; empty: any port. old has it say that it started long ago.
 func (r *Runtime) Start(addr string, old bool) (string, time.Time, error) {
@@ -151,7 +151,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	giver, err := NewGiver(r.o.Name, r.o.Folder, r.o.Store.store.Client.BaseURL, 5*time.Second, r.o.Peers, nil)
+	giver, err := NewChunkServer(r.options.Name, r.options.Folder, r.options.Releases.store.Client.BaseURL, 5*time.Second, r.options.Peers, nil)
 	if err != nil {
 		return "", time.Time{}, err
 	}
@@ -160,16 +160,16 @@
 		giver.Close()
 		return "", time.Time{}, err
 	}
-	w, err := worker.New(worker.Options{Name: r.o.Name, Folder: r.o.Folder, Artifacts: giver.Distributor, MaxInFlight: 256, MaxResponseBytes: 1 << 20,
-		StartTimeout: 20 * time.Second, GracePeriod: time.Second, MemorySampleInterval: 500 * time.Millisecond, ReleasePollInterval: 500 * time.Millisecond, ReplicaLog: r.o.Effects,
-		IdempotencyGroup: r.o.Group, Limits: r.o.Limits})
+	w, err := worker.New(worker.Options{Name: r.options.Name, Folder: r.options.Folder, Artifacts: giver.Distributor, MaxInFlight: 256, MaxResponseBytes: 1 << 20,
+		StartTimeout: 20 * time.Second, GracePeriod: time.Second, MemorySampleInterval: 500 * time.Millisecond, ReleasePollInterval: 500 * time.Millisecond, ReplicaLog: r.options.ExecutionLog,
+		IdempotencyGroup: r.options.Claims, Limits: r.options.Limits})
 	if err != nil {
 		giver.Close()
 		return "", time.Time{}, errors.Join(err, listener.Close())
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r.w, r.stop, r.ended, r.giver = w, stop, make(chan error, 1), giver
-	ended := r.ended
+	r.worker, r.cancel, r.stopped, r.chunkServer = w, stop, make(chan error, 1), giver
+	ended := r.stopped
 	go func() { ended <- w.Run(ctx, listener) }()
 	started := time.Now()
 	if old { // the day begins with workers that the list has had for long
@@ -181,8 +181,8 @@
 // Stop ends the life; what ran is lost.
 func (r *Runtime) Stop() {
 	r.mu.Lock()
-	stop, ended, w, giver := r.stop, r.ended, r.w, r.giver
-	r.stop = nil
+	stop, ended, w, giver := r.cancel, r.stopped, r.worker, r.chunkServer
+	r.cancel = nil
 	r.mu.Unlock()
 	if stop == nil {
 		return
@@ -193,42 +193,42 @@
 	<-ended
 }
 
-// Chunks is where it gives chunks to others; empty while it is stopped.
-func (r *Runtime) Chunks() string {
+// ChunkAddr is where it gives chunks to others; empty while it is stopped.
+func (r *Runtime) ChunkAddr() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.stop == nil {
+	if r.cancel == nil {
 		return ""
 	}
-	return r.giver.Addr
+	return r.chunkServer.Addr
 }
 
-// Falls is 0: they are not played by the runtime: it is as cold as it is.
-func (r *Runtime) Falls() int { return 0 }
+// Crashes is 0: they are not played by the runtime: it is as cold as it is.
+func (r *Runtime) Crashes() int { return 0 }
 
-// Trouble has it misbehave from now on.
-func (r *Runtime) Trouble(change func(*faultinject.Faults)) { r.now().UpdateFaults(change) }
+// InjectFault has it misbehave from now on.
+func (r *Runtime) InjectFault(change func(*faultinject.Faults)) { r.current().UpdateFaults(change) }
 
-func (r *Runtime) now() *worker.Worker {
+func (r *Runtime) current() *worker.Worker {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.w
+	return r.worker
 }
 
-// Silence has it neither read nor write.
-func (r *Runtime) Silence(on bool) { r.now().Silence(on) }
+// SetUnresponsive has it neither read nor write.
+func (r *Runtime) SetUnresponsive(on bool) { r.current().Silence(on) }
 
 // Reset breaks its connections.
-func (r *Runtime) Reset() { r.now().Reset() }
+func (r *Runtime) Reset() { r.current().Reset() }
 
-// Goodbye drains it.
-func (r *Runtime) Goodbye() { r.now().Drain() }
+// Drain drains it.
+func (r *Runtime) Drain() { r.current().Drain() }
 
-// Release is done in the store for all workers; each reads it anew.
-func (r *Runtime) Release(string) { _ = r.now().RefreshReleases(context.Background()) } // a store that can't be read is as before
+// Redeploy is done in the store for all workers; each reads it anew.
+func (r *Runtime) Redeploy(string) { _ = r.current().RefreshReleases(context.Background()) } // a store that can't be read is as before
 
-// Effects counts what ran at the workers, from the logs that the packages write.
-func Effects(path string) (map[string]int, error) {
+// CountExecutions counts what ran at the workers, from the logs that the packages write.
+func CountExecutions(path string) (map[string]int, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
--- a/internal/testbed/localfleet/store.go
+++ b/internal/testbed/localfleet/store.go
@@ -24,8 +24,8 @@
 	server *httpserver.LoopbackServer
 }
 
-// Easy is the capacity of a store that is in nobody's way.
-var Easy = artifactstore.Capacity{MaxConcurrent: 256}
+// AmpleCapacity is the capacity of a store that is in nobody's way.
+var AmpleCapacity = artifactstore.Capacity{MaxConcurrent: 256}
 
 // OpenStore opens one in a folder.
 func OpenStore(folder string, c artifactstore.Capacity) (*Store, error) {
@@ -62,16 +62,16 @@
 	return errors.Join(err, s.Store.Close())
 }
 
-// Giver is a worker's supplier and the server on which it gives chunks to others.
-type Giver struct {
+// ChunkServer is a worker's supplier and the server on which it gives chunks to others.
+type ChunkServer struct {
 	*distribution.Distributor
 	Addr   string
 	client *http.Client
 	server *httpserver.LoopbackServer
 }
 
-// NewGiver makes a supplier in a worker's folder, of the store at base. peers may be nil.
-func NewGiver(name, folder, base string, patience time.Duration, peers func() []distribution.Peer, log *slog.Logger) (*Giver, error) {
+// NewChunkServer makes a supplier in a worker's folder, of the store at base. peers may be nil.
+func NewChunkServer(name, folder, base string, patience time.Duration, peers func() []distribution.Peer, log *slog.Logger) (*ChunkServer, error) {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &Giver{client: &http.Client{Transport: &http.Transport{}}}
+	g := &ChunkServer{client: &http.Client{Transport: &http.Transport{}}}
 	if g.Distributor, err = distribution.New(distribution.Options{Name: name, Folder: folder, Store: artifactstore.Client{BaseURL: base, HTTPClient: g.client}, Cache: c,
 		Peers: peers, NetworkBytesPerSecond: 1e9, UploadShare: 0.5, MaxUploads: 16, ChunkTimeout: patience, MaxParallelChunks: 16, Log: log}); err != nil {
 		return nil, err
@@ -97,7 +97,7 @@
 }
 
 // Close ends it, and what is under way.
-func (g *Giver) Close() {
+func (g *ChunkServer) Close() {
 	var both sync.WaitGroup
 	both.Go(g.Distributor.Close)
 	_ = g.server.Close() // what was given is lost with it
--- a/internal/testbed/mutationtest/mutationtest.go
+++ b/internal/testbed/mutationtest/mutationtest.go
@@ -12,9 +12,9 @@
 	"strings"
 )
 
-// Write writes into folder a copy of a source file in which a text that stands there just once is replaced, and the overlay that has
+// WriteOverlay writes into folder a copy of a source file in which a text that stands there just once is replaced, and the overlay that has
 // the go command use the copy. file is an absolute path, source its content.
-func Write(folder, file string, source []byte, text, instead string) (overlay string, err error) {
+func WriteOverlay(folder, file string, source []byte, text, instead string) (overlay string, err error) {
 	if n := strings.Count(string(source), text); n != 1 {
 		return "", fmt.Errorf("%s holds the text to be replaced %d times, not once", file, n)
 	}
@@ -30,9 +30,9 @@
 	return overlay, os.WriteFile(overlay, replaced, 0o600)
 }
 
-// Test runs tests of the package in the present folder with a text of a source file replaced, and gives what it printed. passed: no
+// RunTests runs tests of the package in the present folder with a text of a source file replaced, and gives what it printed. passed: no
 // test failed. Arguments may follow those of go test.
-func Test(ctx context.Context, folder, file, text, instead, run string, more ...string) (out string, passed bool, err error) {
+func RunTests(ctx context.Context, folder, file, text, instead, run string, more ...string) (out string, passed bool, err error) {
 	if file, err = filepath.Abs(file); err != nil {
 		return "", false, err
 	}
@@ -40,7 +40,7 @@
 	if err != nil {
 		return "", false, err
 	}
-	overlay, err := Write(folder, file, source, text, instead)
+	overlay, err := WriteOverlay(folder, file, source, text, instead)
 	if err != nil {
 		return "", false, err
 	}
--- a/internal/testbed/scale/child.go
+++ b/internal/testbed/scale/child.go
@@ -17,25 +17,25 @@
 func Child(ctx context.Context, role Role, in io.Reader, out io.Writer) error {
 	p := newPipe(in, out)
 	switch role {
-	case RoleList:
-		return runList(p)
+	case RoleDiscovery:
+		return runDiscovery(p)
 	case RoleWorkers:
 		return runWorkers(ctx, p)
-	case RoleFrontEnds:
-		return runFrontEnds(ctx, p)
+	case RoleGateways:
+		return runGateways(ctx, p)
 	}
 	return fmt.Errorf("there is no role %q", role)
 }
 
-// runList plays the role of the list service.
-func runList(p *pipe) error {
-	var s *discoverytest.Service
+// runDiscovery plays the role of the list service.
+func runDiscovery(p *pipe) error {
+	var s *discoverytest.Server
 	defer func() {
 		if s != nil {
 			_ = s.Close() // the process ends
 		}
 	}()
-	return p.answer(func(c command) (r reply, err error) {
+	return p.serve(func(c command) (r reply, err error) {
 		switch {
 		case c.Setup != nil:
 			if s, err = discoverytest.New(c.Setup.List); err == nil {
@@ -44,11 +44,11 @@
 		case len(c.Publish) > 0:
 			position, at := s.Publish(c.Publish)
 			r.Position, r.At = position, at.UnixNano()
-		case c.Away != nil:
-			err = s.Away(*c.Away)
+		case c.Unavailable != nil:
+			err = s.SetUnavailable(*c.Unavailable)
 		case c.Report:
 			if r.Report, err = ownReport(); err == nil {
-				r.Report.List = s.Counts()
+				r.Report.Discovery = s.Counts()
 			}
 		}
 		return r, err
--- a/internal/testbed/scale/faults.go
+++ b/internal/testbed/scale/faults.go
@@ -10,25 +10,25 @@
 	"lupinpond/internal/gateway/discovery"
 )
 
-// act carries out one row of the timeline and returns when it is over.
-func (r *run) act(ctx context.Context, row TimelineRow) error {
-	switch row.What {
+// runAction carries out one row of the timeline and returns when it is over.
+func (r *run) runAction(ctx context.Context, row TimelineRow) error {
+	switch row.Action {
 	case Drain:
-		return r.spread(ctx, row, func(worker int) error { return r.drain(ctx, row.For.Std(), worker) })
+		return r.spread(ctx, row, func(worker int) error { return r.drain(ctx, row.Duration.Std(), worker) })
 	case Replace:
 		return r.spread(ctx, row, func(worker int) error { return r.replace([]int{worker}) })
 	case StopWorkers:
 		first := r.draw(r.plan.Workers.Count - row.Count + 1)
-		return r.stopWorkers(ctx, row.For.Std(), upTo(first, row.Count, 1))
+		return r.stopWorkers(ctx, row.Duration.Std(), upTo(first, row.Count, 1))
 	case SilenceZone:
 		zones := r.plan.Workers.Zones
-		return r.silence(ctx, row.For.Std(), upTo(row.Zone, (r.plan.Workers.Count-row.Zone+zones-1)/zones, zones))
+		return r.silence(ctx, row.Duration.Std(), upTo(row.Zone, (r.plan.Workers.Count-row.Zone+zones-1)/zones, zones))
 	case StopList:
-		return r.stopList(ctx, row.For.Std())
-	case RestartFronts:
-		return r.restartFronts(row.Count, false)
+		return r.stopDiscovery(ctx, row.Duration.Std())
+	case RestartGateways:
+		return r.restartGateways(row.Count, false)
 	case RestartEmpty:
-		return r.restartFronts(row.Count, true)
+		return r.restartGateways(row.Count, true)
 	default:
 		return r.changeRate(row.Rate)
 	}
@@ -56,8 +56,8 @@
 	r.mu.Unlock()
 	var g errgroup.Group
 	for i, worker := range workers {
-		if i > 0 && row.Over > 0 {
-			if err := httpserver.Sleep(ctx, row.Over.Std()/time.Duration(row.Count)); err != nil {
+		if i > 0 && row.SpreadOver > 0 {
+			if err := httpserver.Sleep(ctx, row.SpreadOver.Std()/time.Duration(row.Count)); err != nil {
 				return err
 			}
 		}
@@ -68,7 +68,7 @@
 
 // publish tells one change of the list.
 func (r *run) publish(lines []discovery.Endpoint) error {
-	reply, err := r.list.pipe.ask(command{Publish: lines})
+	reply, err := r.discovery.pipe.call(command{Publish: lines})
 	if err != nil {
 		return err
 	}
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// workersDo has the processes of some workers carry out a command, and tells the lines of those that started.
-func (r *run) workersDo(workers []int, make func(mine []int) command) (lines []discovery.Endpoint, err error) {
+// commandWorkers has the processes of some workers carry out a command, and tells the lines of those that started.
+func (r *run) commandWorkers(workers []int, make func(mine []int) command) (lines []discovery.Endpoint, err error) {
 	perProcess := map[*process][]int{}
 	var order []*process
 	for _, worker := range workers {
@@ -90,7 +90,7 @@
 		perProcess[p] = append(perProcess[p], worker)
 	}
 	for _, p := range order {
-		reply, err := p.pipe.ask(make(perProcess[p]))
+		reply, err := p.pipe.call(make(perProcess[p]))
 		if err != nil {
 			return lines, err
 		}
@@ -108,31 +108,31 @@
 	return r.workers[more+(worker-more*(each+1))/each]
 }
 
-// line is what was published of a worker last.
-func (r *run) line(worker int) discovery.Endpoint {
+// endpoint is what was published of a worker last.
+func (r *run) endpoint(worker int) discovery.Endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.lines[worker]
+	return r.endpoints[worker]
 }
 
-// gone are the lines that take workers off the list.
-func (r *run) gone(workers []int) (lines []discovery.Endpoint) {
+// removals are the lines that take workers off the list.
+func (r *run) removals(workers []int) (lines []discovery.Endpoint) {
 	for _, worker := range workers {
-		line := r.line(worker)
+		line := r.endpoint(worker)
 		line.State = discovery.Removed
 		lines = append(lines, line)
 	}
 	return lines
 }
 
-func (r *run) setLine(worker int, line discovery.Endpoint) {
+func (r *run) setEndpoint(worker int, line discovery.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lines[worker] = line
+	r.endpoints[worker] = line
 }
 
 func (r *run) drain(ctx context.Context, lasts time.Duration, worker int) error {
-	line := r.line(worker)
+	line := r.endpoint(worker)
 	line.State = discovery.Draining
 	if err := r.publish([]discovery.Endpoint{line}); err != nil {
 		return err
@@ -140,7 +140,7 @@
 	if err := httpserver.Sleep(ctx, lasts); err != nil {
 		return err
 	}
-	if r.line(worker).Name != line.Name { // another one has taken its place meanwhile
+	if r.endpoint(worker).Name != line.Name { // another one has taken its place meanwhile
 		return nil
 	}
 	line.State = discovery.Up
@@ -149,48 +149,48 @@
 
 // replace has other workers, empty and cold, take the places of some, in one change.
 func (r *run) replace(workers []int) error {
-	started, err := r.workersDo(workers, func(mine []int) command { return command{Start: mine} })
+	started, err := r.commandWorkers(workers, func(mine []int) command { return command{Start: mine} })
 	if err != nil {
 		return err
 	}
-	change := append(r.gone(workers), started...)
-	r.setLines(workers, started)
+	change := append(r.removals(workers), started...)
+	r.setEndpoints(workers, started)
 	return r.publish(change)
 }
 
-// setLines notes the lines of workers that started; processes answer in the order of their first worker.
-func (r *run) setLines(workers []int, started []discovery.Endpoint) {
+// setEndpoints notes the lines of workers that started; processes answer in the order of their first worker.
+func (r *run) setEndpoints(workers []int, started []discovery.Endpoint) {
 	byCell := map[int]discovery.Endpoint{}
 	for _, line := range started {
 		byCell[workerNumber(line)] = line
 	}
 	for _, worker := range workers {
-		r.setLine(worker, byCell[worker])
+		r.setEndpoint(worker, byCell[worker])
 	}
 }
 
 // stopWorkers stops workers next to each other; the list tells it at once, and again when they are back.
 func (r *run) stopWorkers(ctx context.Context, lasts time.Duration, workers []int) error {
-	if _, err := r.workersDo(workers, func(mine []int) command { return command{Stop: mine} }); err != nil {
+	if _, err := r.commandWorkers(workers, func(mine []int) command { return command{Stop: mine} }); err != nil {
 		return err
 	}
-	if err := r.publish(r.gone(workers)); err != nil {
+	if err := r.publish(r.removals(workers)); err != nil {
 		return err
 	}
 	if err := httpserver.Sleep(ctx, lasts); err != nil {
 		return err
 	}
-	started, err := r.workersDo(workers, func(mine []int) command { return command{Start: mine} })
+	started, err := r.commandWorkers(workers, func(mine []int) command { return command{Start: mine} })
 	if err != nil {
 		return err
 	}
-	r.setLines(workers, started)
+	r.setEndpoints(workers, started)
 	return r.publish(started)
 }
 
 // silence has workers answer nothing; the list tells nothing until they are back, empty and cold.
 func (r *run) silence(ctx context.Context, lasts time.Duration, workers []int) error {
-	if _, err := r.workersDo(workers, func(mine []int) command { return command{Silence: mine} }); err != nil {
+	if _, err := r.commandWorkers(workers, func(mine []int) command { return command{Silence: mine} }); err != nil {
 		return err
 	}
 	if err := httpserver.Sleep(ctx, lasts); err != nil {
@@ -199,27 +199,27 @@
 	return r.replace(workers)
 }
 
-func (r *run) stopList(ctx context.Context, lasts time.Duration) error {
+func (r *run) stopDiscovery(ctx context.Context, lasts time.Duration) error {
 	away := true
-	if _, err := r.list.pipe.ask(command{Away: &away}); err != nil {
+	if _, err := r.discovery.pipe.call(command{Unavailable: &away}); err != nil {
 		return err
 	}
 	if err := httpserver.Sleep(ctx, lasts); err != nil {
 		return err
 	}
 	away = false
-	_, err := r.list.pipe.ask(command{Away: &away})
+	_, err := r.discovery.pipe.call(command{Unavailable: &away})
 	return err
 }
 
-// restartFronts restarts hollow front ends, in all processes alike.
-func (r *run) restartFronts(count int, empty bool) error {
+// restartGateways restarts hollow front ends, in all processes alike.
+func (r *run) restartGateways(count int, empty bool) error {
 	var g errgroup.Group
-	for i, p := range r.fronts {
-		mine := count/len(r.fronts) + min(1, max(0, count%len(r.fronts)-i))
+	for i, p := range r.hollowGateways {
+		mine := count/len(r.hollowGateways) + min(1, max(0, count%len(r.hollowGateways)-i))
 		if mine > 0 {
 			g.Go(func() error {
-				_, err := p.pipe.ask(command{Restart: mine, Empty: empty})
+				_, err := p.pipe.call(command{Restart: mine, WithoutList: empty})
 				return err
 			})
 		}
@@ -230,9 +230,9 @@
 func (r *run) changeRate(rate float64) error {
 	r.rate.Store(rateBits(rate))
 	var g errgroup.Group
-	for _, p := range r.fronts {
+	for _, p := range r.hollowGateways {
 		g.Go(func() error {
-			_, err := p.pipe.ask(command{Rate: &rate})
+			_, err := p.pipe.call(command{Rate: &rate})
 			return err
 		})
 	}
--- a/internal/testbed/scale/fronts.go
+++ b/internal/testbed/scale/fronts.go
@@ -31,85 +31,85 @@
 
 // Latencies are kept from a microsecond to two minutes, to three digits.
 const (
-	leastMicros, mostMicros = 1, 120_000_000
-	digits                  = 3
+	minLatencyMicros, maxLatencyMicros = 1, 120_000_000
+	latencyDigits                      = 3
 )
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(leastMicros, mostMicros, digits)
+	return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencyDigits)
 }
 
-// frontPool are the hollow front ends of one process.
-type frontPool struct {
-	plan   Plan
-	config platform.Config
-	draw   *workload.Catalog
-	ctx    context.Context
-	fronts []*hollowFront
-	rate   atomic.Uint64 // bits of the requests a second at each
+// gatewayPool are the hollow front ends of one process.
+type gatewayPool struct {
+	plan      Plan
+	config    platform.Config
+	functions *workload.Catalog
+	ctx       context.Context
+	gateways  []*hollowGateway
+	rate      atomic.Uint64 // bits of the requests a second at each
 
-	submitted, served, coldServed, rejected, foundNone, failed, outOfOrder, restarted atomic.Int64
+	submitted, served, coldServed, rejected, noWorker, failed, outOfOrder, restarted atomic.Int64
 
 	mu         sync.Mutex
 	applied    map[int64][]application
 	warm, cold *hdrhistogram.Histogram
 }
 
-// hollowFront is one of them.
-type hollowFront struct {
-	pool   *frontPool
-	number int
-	random *rand.Rand
-	life   int
-	last   int64 // change in force; the owner's goroutine only
-	since  int64 // when it was started, in Unix nanoseconds
-	front  *platform.Headless
-	stop   context.CancelFunc
-	ended  sync.WaitGroup
+// hollowGateway is one of them.
+type hollowGateway struct {
+	pool          *gatewayPool
+	number        int
+	random        *rand.Rand
+	incarnation   int
+	appliedChange int64 // change in force; the owner's goroutine only
+	startedAt     int64 // when it was started, in Unix nanoseconds
+	gateway       *platform.Headless
+	stop          context.CancelFunc
+	ended         sync.WaitGroup
 }
 
-func newFrontPool(ctx context.Context, s setup) (*frontPool, error) {
+func newGatewayPool(ctx context.Context, s setup) (*gatewayPool, error) {
 	c, err := platform.Parse(s.Config)
 	if err != nil {
 		return nil, err
 	}
-	p := &frontPool{plan: s.Plan, config: c, draw: s.Plan.Functions.catalog(), ctx: ctx, applied: map[int64][]application{},
+	p := &gatewayPool{plan: s.Plan, config: c, functions: s.Plan.Functions.catalog(), ctx: ctx, applied: map[int64][]application{},
 		warm: newHistogram(), cold: newHistogram()}
-	p.setRate(s.Plan.FrontEnds.Rate)
+	p.setRate(s.Plan.Gateways.Rate)
 	for i := range s.Count {
 		number := s.First + i
-		f := &hollowFront{pool: p, number: number, random: rand.New(rand.NewPCG(s.Plan.Seed, 1<<32+uint64(number)))}
+		f := &hollowGateway{pool: p, number: number, random: rand.New(rand.NewPCG(s.Plan.Seed, 1<<32+uint64(number)))}
 		f.start(false)
-		p.fronts = append(p.fronts, f)
+		p.gateways = append(p.gateways, f)
 	}
 	return p, nil
 }
 
-func (p *frontPool) setRate(rate float64) { p.rate.Store(rateBits(rate)) }
+func (p *gatewayPool) setRate(rate float64) { p.rate.Store(rateBits(rate)) }
 
-func (p *frontPool) close() {
-	for _, f := range p.fronts {
+func (p *gatewayPool) close() {
+	for _, f := range p.gateways {
 		f.stop()
 	}
-	for _, f := range p.fronts {
+	for _, f := range p.gateways {
 		f.ended.Wait()
 	}
 }
 
 // start starts a front end, with the list of the start of the run or with none.
-func (f *hollowFront) start(empty bool) {
-	f.life++
-	f.last, f.since = 0, time.Now().UnixNano()
+func (f *hollowGateway) start(empty bool) {
+	f.incarnation++
+	f.appliedChange, f.startedAt = 0, time.Now().UnixNano()
 	c := f.pool.config
 	if empty {
 		c.KnownEndpoints = discovery.Batch{}
 	}
 	c.Name = fmt.Sprintf("h%d", f.number)
 	c.Core.Index, c.Core.Seed = f.number, f.random.Uint64()
-	f.front = platform.NewHeadless(c, slog.New(slog.DiscardHandler), f.inForce)
+	f.gateway = platform.NewHeadless(c, slog.New(slog.DiscardHandler), f.recordApplied)
 	ctx, stop := context.WithCancel(f.pool.ctx)
 	f.stop = stop
-	front := f.front
+	front := f.gateway
 	f.ended.Add(2)
 	go func() {
 		defer f.ended.Done()
@@ -119,39 +119,39 @@
 	}()
 	go func() {
 		defer f.ended.Done()
-		f.arrive(ctx, front)
+		f.generateRequests(ctx, front)
 	}()
 }
 
 // restart stops it and starts it anew.
-func (f *hollowFront) restart(empty bool) {
+func (f *hollowGateway) restart(empty bool) {
 	f.stop()
 	f.ended.Wait()
 	f.pool.restarted.Add(1)
 	f.start(empty)
 }
 
-// inForce notes that a change is in force. Each has to come once and in its order; a whole list needs none before it.
-func (f *hollowFront) inForce(number int64, whole bool) {
+// recordApplied notes that a change is in force. Each has to come once and in its order; a whole list needs none before it.
+func (f *hollowGateway) recordApplied(number int64, whole bool) {
 	now := time.Now().UnixNano()
-	if number <= f.last || number != f.last+1 && !whole {
+	if number <= f.appliedChange || number != f.appliedChange+1 && !whole {
 		f.pool.outOfOrder.Add(1)
 	}
-	f.last = number
+	f.appliedChange = number
 	f.pool.mu.Lock()
-	f.pool.applied[number] = append(f.pool.applied[number], application{At: now, Since: f.since})
+	f.pool.applied[number] = append(f.pool.applied[number], application{At: now, StartedAt: f.startedAt})
 	f.pool.mu.Unlock()
 }
 
-// idleLook is how often a front end without requests looks whether it has some again.
-const idleLook = 100 * time.Millisecond
+// idlePollInterval is how often a front end without requests looks whether it has some again.
+const idlePollInterval = 100 * time.Millisecond
 
-// arrive submits requests at random times until ctx ends.
-func (f *hollowFront) arrive(ctx context.Context, front *platform.Headless) {
+// generateRequests submits requests at random times until ctx ends.
+func (f *hollowGateway) generateRequests(ctx context.Context, front *platform.Headless) {
 	next := time.Now()
 	for {
 		rate := rateOf(&f.pool.rate)
-		pause := idleLook
+		pause := idlePollInterval
 		if rate > 0 {
 			pause = time.Duration(f.random.ExpFloat64() / rate * float64(time.Second))
 		}
@@ -169,17 +169,17 @@
 	}
 }
 
-func (f *hollowFront) submit(front *platform.Headless) {
+func (f *hollowGateway) submit(front *platform.Headless) {
 	p := f.pool
 	p.submitted.Add(1)
 	came := time.Now()
 	front.SubmitSynthetic(platform.SyntheticRequest{ID: fmt.Sprintf("%016x", f.random.Uint64()), Class: className, Tenant: tenantName,
-		Function: p.draw.Draw(f.random), Concurrency: p.plan.Functions.Lanes, Memory: replicaMB, LoadTime: p.plan.Workers.Load.Std(),
-		TimeLeft: p.plan.FrontEnds.Wait.Std()}, func(a invoke.Response) { p.answered(came, a) })
+		Function: p.functions.Draw(f.random), Concurrency: p.plan.Functions.Concurrency, Memory: replicaMB, LoadTime: p.plan.Workers.MeanLoadTime.Std(),
+		TimeLeft: p.plan.Gateways.Wait.Std()}, func(a invoke.Response) { p.recordResponse(came, a) })
 }
 
-// answered counts a final answer.
-func (p *frontPool) answered(came time.Time, a invoke.Response) {
+// recordResponse counts a final answer.
+func (p *gatewayPool) recordResponse(came time.Time, a invoke.Response) {
 	switch a.Outcome {
 	case invoke.Completed:
 		p.served.Add(1)
@@ -188,35 +188,35 @@
 		if cold {
 			p.coldServed.Add(1)
 		}
-		p.latency(cold, time.Since(came))
+		p.recordLatency(cold, time.Since(came))
 	case invoke.Rejected:
 		p.rejected.Add(1)
 		if a.Attempts == 0 {
-			p.foundNone.Add(1)
+			p.noWorker.Add(1)
 		}
 	default:
 		p.failed.Add(1)
 	}
 }
 
-func (p *frontPool) latency(cold bool, took time.Duration) {
+func (p *gatewayPool) recordLatency(cold bool, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.warm
 	if cold {
 		h = p.cold
 	}
-	_ = h.RecordValue(min(max(took.Microseconds(), leastMicros), mostMicros)) // it is in the range
+	_ = h.RecordValue(min(max(took.Microseconds(), minLatencyMicros), maxLatencyMicros)) // it is in the range
 }
 
 // report tells what was counted; with final the lists too.
-func (p *frontPool) report(final bool) (*childReport, error) {
+func (p *gatewayPool) report(final bool) (*childReport, error) {
 	r, err := ownReport()
 	if err != nil {
 		return nil, err
 	}
-	r.FrontEnds = &frontEndCounts{Submitted: p.submitted.Load(), Served: p.served.Load(), Cold: p.coldServed.Load(),
-		Rejected: p.rejected.Load(), FoundNone: p.foundNone.Load(), Failed: p.failed.Load(), OutOfOrder: p.outOfOrder.Load(),
+	r.Gateways = &gatewayCounts{Submitted: p.submitted.Load(), Served: p.served.Load(), Cold: p.coldServed.Load(),
+		Rejected: p.rejected.Load(), NoWorker: p.noWorker.Load(), Failed: p.failed.Load(), OutOfOrder: p.outOfOrder.Load(),
 		Restarted: p.restarted.Load()}
 	p.mu.Lock()
 	r.Applied, p.applied = p.applied, map[int64][]application{}
@@ -230,15 +230,15 @@
 		return r, err
 	}
 	r.Digests = map[string]int{}
-	for _, f := range p.fronts {
+	for _, f := range p.gateways {
 		r.Digests[f.digest(p.ctx)]++
 	}
 	return r, nil
 }
 
 // digest names the list that the front end's core decides by.
-func (f *hollowFront) digest(ctx context.Context) string {
-	members, running := f.front.Members(ctx)
+func (f *hollowGateway) digest(ctx context.Context) string {
+	members, running := f.gateway.Members(ctx)
 	if !running {
 		return "ended"
 	}
@@ -252,26 +252,26 @@
 	return discoverytest.Digest(states)
 }
 
-// runFrontEnds plays the role of hollow front ends.
-func runFrontEnds(ctx context.Context, p *pipe) error {
-	var pool *frontPool
+// runGateways plays the role of hollow front ends.
+func runGateways(ctx context.Context, p *pipe) error {
+	var pool *gatewayPool
 	defer func() {
 		if pool != nil {
 			pool.close()
 		}
 	}()
-	return p.answer(func(c command) (r reply, err error) {
+	return p.serve(func(c command) (r reply, err error) {
 		switch {
 		case c.Setup != nil:
-			pool, err = newFrontPool(ctx, *c.Setup)
+			pool, err = newGatewayPool(ctx, *c.Setup)
 		case c.Report:
 			r.Report, err = pool.report(c.Final)
 		case c.Rate != nil:
 			pool.setRate(*c.Rate)
 		case c.Restart > 0:
 			var restarts sync.WaitGroup
-			for _, f := range pool.fronts[:min(c.Restart, len(pool.fronts))] {
-				restarts.Go(func() { f.restart(c.Empty) })
+			for _, f := range pool.gateways[:min(c.Restart, len(pool.gateways))] {
+				restarts.Go(func() { f.restart(c.WithoutList) })
 			}
 			restarts.Wait()
 		}
--- a/internal/testbed/scale/gates.go
+++ b/internal/testbed/scale/gates.go
@@ -24,14 +24,14 @@
 
 // platformConfig is the file that a front end of the run is started with.
 func (p Plan) platformConfig(name, listen, journal string, index int, known json.RawMessage) ([]byte, error) {
-	f, w := p.FrontEnds, p.Workers
+	f, w := p.Gateways, p.Workers
 	fronts := f.Hollow + f.Real
 	seconds := func(d time.Duration) float64 { return d.Seconds() }
 	wait := seconds(f.Wait.Std())
 	return json.Marshal(map[string]any{"name": name, "listen": listen, "seed": strconv.FormatUint(p.Seed+uint64(index), 16), "journal": journal,
 		"limits": map[string]any{"cores": 1.0, "memory_mb": f.Memory >> 20, "sockets": f.Sockets}, "known": known,
 		"settings": map[string]any{"index": index, "instances": fronts, "quantum": 0.002, "weight_source": "nominal", "kinds": []string{"std"},
-			"family_info": map[string]any{"keep": seconds(w.Keep.Std()), "orders": true, "miss_mode": "load", "order_limit": 4,
+			"family_info": map[string]any{"keep": seconds(w.ReplicaIdleTimeout.Std()), "orders": true, "miss_mode": "load", "order_limit": 4,
 				"machine_mb": []int{64 << 10}},
 			"policy_limits": map[string]any{"cancel": true, "conn_idle": 15, "dial_timeout": 0.25, "max_streams": 32, "send_cap": 6,
 				"probing": true, "retry_after": true, "max_retry_after": 2},
@@ -41,15 +41,15 @@
 			"request_classes": []any{map[string]any{"name": className, "effect": "pure", "aim": wait / 3, "give_up": wait}}}})
 }
 
-// gate is a real front end with its clients' connection.
-type gate struct {
+// realGateway is a real front end with its clients' connection.
+type realGateway struct {
 	*process
 	addr string
 }
 
-// startGate starts the program as the deploy file does, with its configuration in dir.
-func (s *starter) startGate(program, dir string, p Plan, index int, journal string, known json.RawMessage, crashed func(error)) (*gate, error) {
-	addr, err := freeAddress(loopback(gatesNet, index))
+// startRealGateway starts the program as the deploy file does, with its configuration in dir.
+func (s *starter) startRealGateway(program, dir string, p Plan, index int, journal string, known json.RawMessage, crashed func(error)) (*realGateway, error) {
+	addr, err := freeAddress(loopback(gatewaysNet, index))
 	if err != nil {
 		return nil, err
 	}
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &gate{process: child, addr: addr}, nil
+	return &realGateway{process: child, addr: addr}, nil
 }
 
 // freeAddress finds a port at a host of loopback that nothing else has an address at.
@@ -82,11 +82,11 @@
 
 // clients send drawn requests to a real front end over one connection.
 type clients struct {
-	plan   Plan
-	draw   *workload.Catalog
-	random *rand.Rand
-	conn   net.Conn
-	rate   *atomic.Uint64
+	plan      Plan
+	functions *workload.Catalog
+	random    *rand.Rand
+	conn      net.Conn
+	rate      *atomic.Uint64
 
 	mu   sync.Mutex
 	sent map[int32]time.Time
@@ -103,8 +103,8 @@
 	readyLimit   = 30 * time.Second
 )
 
-// dialGate waits until a front end listens.
-func dialGate(ctx context.Context, addr string) (net.Conn, error) {
+// dialGateway waits until a front end listens.
+func dialGateway(ctx context.Context, addr string) (net.Conn, error) {
 	end := time.Now().Add(readyLimit)
 	for {
 		conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
@@ -140,7 +140,7 @@
 	next := time.Now()
 	for {
 		rate := rateOf(c.rate)
-		pause := idleLook
+		pause := idlePollInterval
 		if rate > 0 {
 			pause = time.Duration(c.random.ExpFloat64() / rate * float64(time.Second))
 		}
@@ -173,9 +173,9 @@
 	c.submitted.Add(1)
 	w := thrift.NewWriter("dispatch", thrift.Call, c.seq)
 	w.StringMap(1, "class", className, "id", fmt.Sprintf("%016x", c.random.Uint64()), "wait",
-		strconv.FormatInt(c.plan.FrontEnds.Wait.Std().Milliseconds(), 10), "tenant", tenantName,
-		"key", fmt.Sprintf("%016x", c.draw.Draw(c.random)), "facts",
-		fmt.Sprintf("memory_mb:%d;lanes:%d;load_ms:%d", replicaMB, c.plan.Functions.Lanes, c.plan.Workers.Load.Std().Milliseconds()))
+		strconv.FormatInt(c.plan.Gateways.Wait.Std().Milliseconds(), 10), "tenant", tenantName,
+		"key", fmt.Sprintf("%016x", c.functions.Draw(c.random)), "facts",
+		fmt.Sprintf("memory_mb:%d;lanes:%d;load_ms:%d", replicaMB, c.plan.Functions.Concurrency, c.plan.Workers.MeanLoadTime.Std().Milliseconds()))
 	w.Binary(2, nil)
 	return w.Frame()
 }
@@ -184,15 +184,15 @@
 func (c *clients) read() error {
 	in := bufio.NewReader(c.conn)
 	for {
-		m, err := thrift.ReadMessage(in, mostWord)
+		m, err := thrift.ReadMessage(in, maxArgBytes)
 		if err != nil {
 			return err
 		}
-		c.answered(m)
+		c.recordResponse(m)
 	}
 }
 
-func (c *clients) answered(m thrift.Message) {
+func (c *clients) recordResponse(m thrift.Message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	came, open := c.sent[m.SeqID]
@@ -213,7 +213,7 @@
 			c.coldServed.Add(1)
 			h = c.cold
 		}
-		_ = h.RecordValue(min(max(time.Since(came).Microseconds(), leastMicros), mostMicros)) // it is in the range
+		_ = h.RecordValue(min(max(time.Since(came).Microseconds(), minLatencyMicros), maxLatencyMicros)) // it is in the range
 	case 1:
 		c.rejected.Add(1)
 	default:
--- a/internal/testbed/scale/messages.go
+++ b/internal/testbed/scale/messages.go
@@ -15,34 +15,34 @@
 
 // The roles.
 const (
-	RoleList      Role = "list"
+	RoleDiscovery Role = "list"
 	RoleWorkers   Role = "workers"
-	RoleFrontEnds Role = "front-ends"
+	RoleGateways  Role = "front-ends"
 )
 
 // command is a line from the parent to a child. The first one sets the child up; each is answered by one reply.
 type command struct {
-	Setup   *setup               `json:"setup,omitempty"`
-	Publish []discovery.Endpoint `json:"publish,omitempty"` // the list service: one change
-	Away    *bool                `json:"away,omitempty"`    // the list service
-	Stop    []int                `json:"stop,omitempty"`    // workers, by their numbers in the child
-	Silence []int                `json:"silence,omitempty"` // workers
-	Start   []int                `json:"start,omitempty"`   // workers that stopped or are silent, empty and cold, under new names
-	Restart int                  `json:"restart,omitempty"` // front ends
-	Empty   bool                 `json:"empty,omitempty"`   // with Restart: they start without a list
-	Rate    *float64             `json:"rate,omitempty"`    // of each front end
-	Report  bool                 `json:"report,omitempty"`
-	Final   bool                 `json:"final,omitempty"` // with Report: the lists are told too
+	Setup       *setup               `json:"setup,omitempty"`
+	Publish     []discovery.Endpoint `json:"publish,omitempty"` // the list service: one change
+	Unavailable *bool                `json:"away,omitempty"`    // the list service
+	Stop        []int                `json:"stop,omitempty"`    // workers, by their numbers in the child
+	Silence     []int                `json:"silence,omitempty"` // workers
+	Start       []int                `json:"start,omitempty"`   // workers that stopped or are silent, empty and cold, under new names
+	Restart     int                  `json:"restart,omitempty"` // front ends
+	WithoutList bool                 `json:"empty,omitempty"`   // with Restart: they start without a list
+	Rate        *float64             `json:"rate,omitempty"`    // of each front end
+	Report      bool                 `json:"report,omitempty"`
+	Final       bool                 `json:"final,omitempty"` // with Report: the lists are told too
 }
 
 // setup is what a child is started with.
 type setup struct {
-	Plan    Plan                 `json:"plan"`
-	First   int                  `json:"first"` // number of its first front end or worker
-	Count   int                  `json:"count"`
-	List    []discovery.Endpoint `json:"list,omitempty"`    // for the list service
-	Config  json.RawMessage      `json:"config,omitempty"`  // for front ends, as the platform's file
-	Journal string               `json:"journal,omitempty"` // where the list service is
+	Plan          Plan                 `json:"plan"`
+	First         int                  `json:"first"` // number of its first front end or worker
+	Count         int                  `json:"count"`
+	List          []discovery.Endpoint `json:"list,omitempty"`    // for the list service
+	Config        json.RawMessage      `json:"config,omitempty"`  // for front ends, as the platform's file
+	DiscoveryAddr string               `json:"journal,omitempty"` // where the list service is
 }
 
 // reply is a line from a child to its parent.
@@ -60,9 +60,9 @@
 	ProcessorNanos int64                   `json:"processor_ns"`
 	ResidentBytes  int64                   `json:"resident_bytes"`
 	Descriptors    int                     `json:"descriptors"`
-	List           *discoverytest.Counts   `json:"list,omitempty"`
+	Discovery      *discoverytest.Counts   `json:"list,omitempty"`
 	Workers        *workerCounts           `json:"workers,omitempty"`
-	FrontEnds      *frontEndCounts         `json:"front_ends,omitempty"`
+	Gateways       *gatewayCounts          `json:"front_ends,omitempty"`
 	Applied        map[int64][]application `json:"applied,omitempty"` // by change, since the last report
 	Warm           []byte                  `json:"warm,omitempty"`    // latencies in microseconds, as HdrHistogram encodes them
 	Cold           []byte                  `json:"cold,omitempty"`
@@ -71,31 +71,31 @@
 
 // application is a change that came into force at a front end, in Unix nanoseconds.
 type application struct {
-	At    int64 `json:"at"`
-	Since int64 `json:"since"` // when the front end was started
+	At        int64 `json:"at"`
+	StartedAt int64 `json:"since"` // when the front end was started
 }
 
 // workerCounts are those of the workers of one process.
 type workerCounts struct {
-	Accepted     int64 `json:"accepted"` // connections
-	Open         int64 `json:"open"`
-	Requests     int64 `json:"requests"`
-	Loads        int64 `json:"loads"`
-	Orders       int64 `json:"orders"`
-	Probes       int64 `json:"probes"`
-	Kills        int64 `json:"kills"`
-	Refused      int64 `json:"refused"`
-	ControlBytes int64 `json:"control_bytes"` // of orders and probes, both ways
-	RequestBytes int64 `json:"request_bytes"` // of requests and kills, both ways
+	Accepted        int64 `json:"accepted"` // connections
+	OpenConnections int64 `json:"open"`
+	Requests        int64 `json:"requests"`
+	Loads           int64 `json:"loads"`
+	LoadRequests    int64 `json:"orders"`
+	Probes          int64 `json:"probes"`
+	Cancels         int64 `json:"kills"`
+	Rejected        int64 `json:"refused"`
+	ControlBytes    int64 `json:"control_bytes"` // of orders and probes, both ways
+	RequestBytes    int64 `json:"request_bytes"` // of requests and kills, both ways
 }
 
-// frontEndCounts are those of the hollow front ends of one process.
-type frontEndCounts struct {
+// gatewayCounts are those of the hollow front ends of one process.
+type gatewayCounts struct {
 	Submitted  int64 `json:"submitted"`
 	Served     int64 `json:"served"`
 	Cold       int64 `json:"cold"` // of those served: their replica was not loaded when they came
 	Rejected   int64 `json:"rejected"`
-	FoundNone  int64 `json:"found_none"` // of those rejected: no attempt was made
+	NoWorker   int64 `json:"found_none"` // of those rejected: no attempt was made
 	Failed     int64 `json:"failed"`
 	OutOfOrder int64 `json:"out_of_order"` // changes that came twice or after a gap
 	Restarted  int64 `json:"restarted"`
@@ -112,8 +112,8 @@
 	return &pipe{in: json.NewDecoder(in), out: json.NewEncoder(out)}
 }
 
-// ask sends a command and waits for its reply.
-func (p *pipe) ask(c command) (reply, error) {
+// call sends a command and waits for its reply.
+func (p *pipe) call(c command) (reply, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := p.out.Encode(c); err != nil {
@@ -129,8 +129,8 @@
 	return r, nil
 }
 
-// answer has handle answer every command until the parent is gone.
-func (p *pipe) answer(handle func(command) (reply, error)) error {
+// serve has handle answer every command until the parent is gone.
+func (p *pipe) serve(handle func(command) (reply, error)) error {
 	for {
 		var c command
 		if err := p.in.Decode(&c); err != nil {
--- a/internal/testbed/scale/parts_test.go
+++ b/internal/testbed/scale/parts_test.go
@@ -14,8 +14,8 @@
 
 // A run whose processes hold more than they may, whatever the arithmetic said, is ended.
 func TestSampleOverTheBoundEndsTheRun(t *testing.T) {
-	r := &run{options: Options{MostBytes: 100 << 20, Log: slog.New(slog.DiscardHandler)}}
-	r.plan.Workers.Count, r.plan.FrontEnds.Hollow = 1, 1
+	r := &run{options: Options{MaxBytes: 100 << 20, Log: slog.New(slog.DiscardHandler)}}
+	r.plan.Workers.Count, r.plan.Gateways.Hollow = 1, 1
 	from := totals{at: time.Unix(0, 0)}
 	within, over := totals{at: time.Unix(1, 0), allBytes: 100 << 20}, totals{at: time.Unix(1, 0), allBytes: 101 << 20}
 	if err := r.sample(from, within); err != nil {
@@ -30,14 +30,14 @@
 // empty under another name.
 func TestEmulatedWorker(t *testing.T) {
 	plan := Plan{Seed: 1}
-	plan.Workers = WorkerPlan{Count: 1, Processes: 1, Zones: 1, Slots: 1, Queue: 1}
-	plan.Workers.Answer, plan.Workers.Load, plan.Workers.Keep = 1e6, 1e6, 60e9
+	plan.Workers = WorkerPlan{Count: 1, Processes: 1, Zones: 1, Slots: 1, QueueLimit: 1}
+	plan.Workers.MeanRunTime, plan.Workers.MeanLoadTime, plan.Workers.ReplicaIdleTimeout = 1e6, 1e6, 60e9
 	pool, err := newWorkerPool(setup{Plan: plan, Count: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(pool.close)
-	first := pool.lines()[0]
+	first := pool.endpoints()[0]
 	c := dialWorker(t, first.Addr)
 	c.send("SPAWN", "t1", "key=00000000000000aa,n=1")
 	c.wants("t1", "ok", "n=1")
@@ -47,7 +47,7 @@
 	c.wants("2", "ok", "how=loaded")
 	c.send("TOP", "t2")
 	c.wants("t2", "yes", "stats=inflight:0;pending:0")
-	if n := pool.counts(); n.Requests != 2 || n.Orders != 1 || n.Probes != 1 || n.Loads != 2 || n.Accepted != 1 || n.Open != 1 {
+	if n := pool.counts(); n.Requests != 2 || n.LoadRequests != 1 || n.Probes != 1 || n.Loads != 2 || n.Accepted != 1 || n.OpenConnections != 1 {
 		t.Errorf("%+v", n)
 	}
 	if _, err := pool.handle(command{Stop: []int{0}}); err != nil {
--- a/internal/testbed/scale/process.go
+++ b/internal/testbed/scale/process.go
@@ -17,8 +17,8 @@
 // endLimit is how long a process has to end by itself before it is killed.
 const endLimit = 5 * time.Second
 
-// ErrChild says that a process of the run ended before it was told to.
-var ErrChild = errors.New("a process of the run ended by itself")
+// ErrChildExited says that a process of the run ended before it was told to.
+var ErrChildExited = errors.New("a process of the run ended by itself")
 
 // process is a child. It ends with its parent, however that ends: by the end of its standard input, and by the signal that
 // the kernel sends it when the thread that started it is gone.
@@ -39,8 +39,8 @@
 
 // tail keeps the last bytes of what is written to it.
 type tail struct {
-	mu   sync.Mutex
-	kept []byte
+	mu     sync.Mutex
+	buffer []byte
 }
 
 const tailBytes = 2000
@@ -49,8 +49,8 @@
 func (t *tail) Write(b []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.kept = append(t.kept, b...)
-	t.kept = t.kept[max(0, len(t.kept)-tailBytes):]
+	t.buffer = append(t.buffer, b...)
+	t.buffer = t.buffer[max(0, len(t.buffer)-tailBytes):]
 	return len(b), nil
 }
 
@@ -58,7 +58,7 @@
 func (t *tail) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return string(bytes.TrimSpace(t.kept))
+	return string(bytes.TrimSpace(t.buffer))
 }
 
 // start starts a child; crashed is told when it ends without having been stopped.
@@ -91,7 +91,7 @@
 		if err == nil {
 			how = state.String()
 		}
-		crashed(fmt.Errorf("%w: %s: %s: %s", ErrChild, name, how, p.tail))
+		crashed(fmt.Errorf("%w: %s: %s: %s", ErrChildExited, name, how, p.tail))
 	}()
 	return p, nil
 }
--- a/internal/testbed/scale/run.go
+++ b/internal/testbed/scale/run.go
@@ -22,10 +22,10 @@
 
 // Options are what a run needs beside its plan.
 type Options struct {
-	Command   func(Role) *exec.Cmd // starts a child that calls Child
-	Gate      string               // program of the real front ends; needed where the plan has some
-	MostBytes int64                // resident, of all processes together
-	Log       *slog.Logger         // a line a sample
+	Command        func(Role) *exec.Cmd // starts a child that calls Child
+	GatewayProgram string               // program of the real front ends; needed where the plan has some
+	MaxBytes       int64                // resident, of all processes together
+	Log            *slog.Logger         // a line a sample
 }
 
 // agreeLimit is how long front ends have, at the end, to hear the last change.
@@ -33,33 +33,33 @@
 
 // run is a run under way.
 type run struct {
-	plan    Plan
-	options Options
-	starter *starter
-	dir     string
-	random  *rand.Rand
-	began   time.Time
-	cancel  context.CancelCauseFunc
+	plan      Plan
+	options   Options
+	starter   *starter
+	dir       string
+	random    *rand.Rand
+	startedAt time.Time
+	cancel    context.CancelCauseFunc
 
-	list    *process
-	workers []*process
-	fronts  []*process
-	gates   []*gate
-	clients []*clients
-	rate    atomic.Uint64
-	sending sync.WaitGroup
-	acting  sync.WaitGroup
+	discovery      *process
+	workers        []*process
+	hollowGateways []*process
+	realGateways   []*realGateway
+	clients        []*clients
+	rate           atomic.Uint64
+	sending        sync.WaitGroup
+	acting         sync.WaitGroup
 
-	mu         sync.Mutex
-	lines      []discovery.Endpoint // of each worker, as published last
-	published  map[int64]published
-	span       string
-	applied    map[string]*hdrhistogram.Histogram
-	early      map[int64][]application // not counted yet
-	last       map[int64]time.Duration // of a change, the longest so far
-	warm, cold *hdrhistogram.Histogram
-	peak       int64
-	leastIdle  float64
+	mu           sync.Mutex
+	endpoints    []discovery.Endpoint // of each worker, as published last
+	published    map[int64]published
+	span         string
+	applied      map[string]*hdrhistogram.Histogram
+	early        map[int64][]application // not counted yet
+	longestDelay map[int64]time.Duration // of a change, the longest so far
+	warm, cold   *hdrhistogram.Histogram
+	peak         int64
+	leastIdle    float64
 }
 
 // published is a change of the list.
@@ -70,7 +70,7 @@
 
 // Run plays a plan. It returns when every process that it started has ended, whatever happens.
 func Run(ctx context.Context, plan Plan, options Options) (result Result, err error) {
-	if err := plan.Check(options.MostBytes); err != nil {
+	if err := plan.Check(options.MaxBytes); err != nil {
 		return Result{}, err
 	}
 	began := time.Now()
@@ -81,8 +81,8 @@
 	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	r := &run{plan: plan, options: options, starter: &starter{subprocess.NewStarter()}, dir: dir, random: rand.New(rand.NewPCG(plan.Seed, 0)), began: began,
-		cancel: cancel, published: map[int64]published{}, applied: map[string]*hdrhistogram.Histogram{}, last: map[int64]time.Duration{}, early: map[int64][]application{},
+	r := &run{plan: plan, options: options, starter: &starter{subprocess.NewStarter()}, dir: dir, random: rand.New(rand.NewPCG(plan.Seed, 0)), startedAt: began,
+		cancel: cancel, published: map[int64]published{}, applied: map[string]*hdrhistogram.Histogram{}, longestDelay: map[int64]time.Duration{}, early: map[int64][]application{},
 		warm: newHistogram(), cold: newHistogram(), leastIdle: 1}
 	defer r.starter.Close()
 	defer r.stop()
@@ -98,8 +98,8 @@
 	if err := r.start(ctx); err != nil {
 		return Result{}, err
 	}
-	result := Result{Plan: r.plan.Name, Estimate: r.plan.Estimate(), StartTook: time.Since(r.began).Seconds(),
-		Processes: 2 + len(r.workers) + len(r.fronts) + len(r.gates)}
+	result := Result{Plan: r.plan.Name, Estimate: r.plan.Estimate(), StartSeconds: time.Since(r.startedAt).Seconds(),
+		Processes: 2 + len(r.workers) + len(r.hollowGateways) + len(r.realGateways)}
 	spans, err := r.timeline(ctx)
 	if err != nil {
 		return result, err
@@ -115,13 +115,13 @@
 	if err != nil {
 		return err
 	}
-	r.lines = workers.lines
-	list, err := r.startRole(ctx, RoleList, 1, 1, setup{List: r.lines})
+	r.endpoints = workers.lines
+	list, err := r.startRole(ctx, RoleDiscovery, 1, 1, setup{List: r.endpoints})
 	if err != nil {
 		return err
 	}
-	r.list = list.processes[0]
-	known, err := json.Marshal(discovery.Batch{Position: 1, Events: []discovery.Event{{Position: 1, Update: &discovery.Update{Complete: true, Endpoints: r.lines}}}})
+	r.discovery = list.processes[0]
+	known, err := json.Marshal(discovery.Batch{Position: 1, Events: []discovery.Event{{Position: 1, Update: &discovery.Update{Complete: true, Endpoints: r.endpoints}}}})
 	if err != nil {
 		return err
 	}
@@ -129,14 +129,14 @@
 	if err != nil {
 		return err
 	}
-	fronts, err := r.startRole(ctx, RoleFrontEnds, r.plan.FrontEnds.Processes, r.plan.FrontEnds.Hollow, setup{Config: config})
-	r.fronts = fronts.processes
+	fronts, err := r.startRole(ctx, RoleGateways, r.plan.Gateways.Processes, r.plan.Gateways.Hollow, setup{Config: config})
+	r.hollowGateways = fronts.processes
 	if err != nil {
 		return err
 	}
-	r.rate.Store(rateBits(r.plan.FrontEnds.Rate))
-	for i := range r.plan.FrontEnds.Real {
-		if err := r.startGate(ctx, i, list.addr, known); err != nil {
+	r.rate.Store(rateBits(r.plan.Gateways.Rate))
+	for i := range r.plan.Gateways.Real {
+		if err := r.startRealGateway(ctx, i, list.addr, known); err != nil {
 			return err
 		}
 	}
@@ -167,7 +167,7 @@
 		}
 		all.processes = append(all.processes, p)
 		g.Go(func() error {
-			reply, err := p.pipe.ask(command{Setup: &mine})
+			reply, err := p.pipe.call(command{Setup: &mine})
 			if err != nil {
 				return fmt.Errorf("%s: %w", name, err)
 			}
@@ -183,18 +183,18 @@
 	return all, err
 }
 
-func (r *run) startGate(ctx context.Context, index int, journal string, known json.RawMessage) error {
-	number := r.plan.FrontEnds.Hollow + index
-	g, err := r.starter.startGate(r.options.Gate, r.dir, r.plan, number, journal, known, func(err error) { r.cancel(err) })
+func (r *run) startRealGateway(ctx context.Context, index int, journal string, known json.RawMessage) error {
+	number := r.plan.Gateways.Hollow + index
+	g, err := r.starter.startRealGateway(r.options.GatewayProgram, r.dir, r.plan, number, journal, known, func(err error) { r.cancel(err) })
 	if err != nil {
 		return err
 	}
-	r.gates = append(r.gates, g)
-	conn, err := dialGate(ctx, g.addr)
+	r.realGateways = append(r.realGateways, g)
+	conn, err := dialGateway(ctx, g.addr)
 	if err != nil {
 		return fmt.Errorf("%s: %w", g.name, err)
 	}
-	c := &clients{plan: r.plan, draw: r.plan.Functions.catalog(), random: rand.New(rand.NewPCG(r.plan.Seed, 2<<32+uint64(index))),
+	c := &clients{plan: r.plan, functions: r.plan.Functions.catalog(), random: rand.New(rand.NewPCG(r.plan.Seed, 2<<32+uint64(index))),
 		conn: conn, rate: &r.rate, sent: map[int32]time.Time{}, warm: newHistogram(), cold: newHistogram()}
 	r.clients = append(r.clients, c)
 	r.sending.Go(func() {
@@ -208,16 +208,16 @@
 // timeline plays the rows and samples until the run is over.
 func (r *run) timeline(ctx context.Context) (spans []Span, err error) {
 	start := time.Now()
-	r.enter("steady")
+	r.enterSpan("steady")
 	from, err := r.totals()
 	if err != nil {
 		return nil, err
 	}
 	sample, begin := from, from
-	ticker := time.NewTicker(r.plan.Sample.Std())
+	ticker := time.NewTicker(r.plan.SampleInterval.Std())
 	defer ticker.Stop()
 	rows := r.plan.Timeline
-	end := time.After(r.plan.Lasts.Std())
+	end := time.After(r.plan.Duration.Std())
 	for {
 		var due <-chan time.Time
 		if len(rows) > 0 {
@@ -250,17 +250,17 @@
 			}
 			row := rows[0]
 			rows = rows[1:]
-			r.enter(fmt.Sprintf("%v %s", time.Duration(row.At), row.What))
+			r.enterSpan(fmt.Sprintf("%v %s", time.Duration(row.At), row.Action))
 			r.acting.Go(func() {
-				if err := r.act(ctx, row); err != nil && ctx.Err() == nil {
-					r.cancel(fmt.Errorf("%s: %w", row.What, err))
+				if err := r.runAction(ctx, row); err != nil && ctx.Err() == nil {
+					r.cancel(fmt.Errorf("%s: %w", row.Action, err))
 				}
 			})
 		}
 	}
 }
 
-func (r *run) enter(span string) {
+func (r *run) enterSpan(span string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.span = span
@@ -273,9 +273,9 @@
 		return nil
 	}
 	r.peak, r.leastIdle = max(r.peak, to.allBytes), min(r.leastIdle, s.MachineIdle)
-	r.options.Log.Info("sample", "at", time.Since(r.began).Seconds(), "span", s)
-	if to.allBytes > r.options.MostBytes {
-		return fmt.Errorf("%w: the processes hold %d MiB, at most %d MiB are allowed", ErrTooLarge, to.allBytes>>20, r.options.MostBytes>>20)
+	r.options.Log.Info("sample", "at", time.Since(r.startedAt).Seconds(), "span", s)
+	if to.allBytes > r.options.MaxBytes {
+		return fmt.Errorf("%w: the processes hold %d MiB, at most %d MiB are allowed", ErrTooLarge, to.allBytes>>20, r.options.MaxBytes>>20)
 	}
 	return nil
 }
@@ -283,9 +283,9 @@
 // children are all processes that take commands.
 func (r *run) children() []*process {
 	all := append([]*process{}, r.workers...)
-	all = append(all, r.fronts...)
-	if r.list != nil {
-		all = append(all, r.list)
+	all = append(all, r.hollowGateways...)
+	if r.discovery != nil {
+		all = append(all, r.discovery)
 	}
 	return all
 }
@@ -299,7 +299,7 @@
 	var g errgroup.Group
 	for i, child := range children {
 		g.Go(func() error {
-			reply, err := child.pipe.ask(command{Report: true, Final: final})
+			reply, err := child.pipe.call(command{Report: true, Final: final})
 			reports[i] = reply.Report
 			return err
 		})
@@ -310,12 +310,12 @@
 	t.at = time.Now()
 	for _, report := range reports {
 		t.add(report)
-		r.take(report)
+		r.mergeReport(report)
 		for name, n := range report.Digests {
 			lists[name] += n
 		}
 	}
-	if err := r.addGates(&t); err != nil {
+	if err := r.addRealGateways(&t); err != nil {
 		return t, err
 	}
 	own, err := ownReport()
@@ -326,9 +326,9 @@
 	return t, t.machine()
 }
 
-// addGates adds what the real front ends and their clients have counted.
-func (r *run) addGates(t *totals) error {
-	for i, g := range r.gates {
+// addRealGateways adds what the real front ends and their clients have counted.
+func (r *run) addRealGateways(t *totals) error {
+	for i, g := range r.realGateways {
 		nanos, err := processorOf(g.cmd.Process.Pid)
 		if err != nil {
 			return err
@@ -337,16 +337,16 @@
 		if err != nil {
 			return err
 		}
-		t.gateNanos, t.gateBytes, t.gateFiles, t.allBytes = t.gateNanos+nanos, t.gateBytes+bytes, t.gateFiles+files, t.allBytes+bytes
+		t.realGatewayNanos, t.realGatewayBytes, t.realGatewayFDs, t.allBytes = t.realGatewayNanos+nanos, t.realGatewayBytes+bytes, t.realGatewayFDs+files, t.allBytes+bytes
 		c := r.clients[i]
-		t.gates.add(frontEndCounts{Submitted: c.submitted.Load(), Served: c.served.Load(), Cold: c.coldServed.Load(),
+		t.realGateways.add(gatewayCounts{Submitted: c.submitted.Load(), Served: c.served.Load(), Cold: c.coldServed.Load(),
 			Rejected: c.rejected.Load(), Failed: c.failed.Load()})
 	}
 	return nil
 }
 
-// take takes from a report when changes came into force.
-func (r *run) take(report *childReport) {
+// mergeReport takes from a report when changes came into force.
+func (r *run) mergeReport(report *childReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for position, times := range report.Applied {
@@ -354,26 +354,26 @@
 	}
 	for position, times := range r.early {
 		if change, known := r.published[position]; known { // else the word of its being published is on its way
-			r.inForce(position, change, times)
+			r.recordApplied(position, change, times)
 			delete(r.early, position)
 		}
 	}
 }
 
-// inForce counts how long a change took at some front ends; r.mu is held.
-func (r *run) inForce(position int64, change published, times []application) {
+// recordApplied counts how long a change took at some front ends; r.mu is held.
+func (r *run) recordApplied(position int64, change published, times []application) {
 	h := r.applied[change.span]
 	if h == nil {
 		h = newHistogram()
 		r.applied[change.span] = h
 	}
 	for _, a := range times {
-		if time.Unix(0, a.Since).After(change.at) { // it started later and catches up
+		if time.Unix(0, a.StartedAt).After(change.at) { // it started later and catches up
 			continue
 		}
 		took := max(0, time.Unix(0, a.At).Sub(change.at))
-		r.last[position] = max(r.last[position], took)
-		_ = h.RecordValue(min(max(took.Microseconds(), leastMicros), mostMicros)) // it is in the range
+		r.longestDelay[position] = max(r.longestDelay[position], took)
+		_ = h.RecordValue(min(max(took.Microseconds(), minLatencyMicros), maxLatencyMicros)) // it is in the range
 	}
 }
 
@@ -386,34 +386,34 @@
 		if err != nil {
 			return err
 		}
-		result.Lists, result.ListWanted, result.OutOfOrder, result.Real = lists, t.list.Digest, t.fronts.OutOfOrder, t.gates
-		result.Changes, result.PeakMiB, result.LeastIdle = len(r.published), float64(r.peak)/(1<<20), r.leastIdle
-		if result.AllAgree(r.plan.FrontEnds.Hollow) || time.Now().After(deadline) {
+		result.Lists, result.ExpectedList, result.OutOfOrder, result.Real = lists, t.discovery.Digest, t.gateways.OutOfOrder, t.realGateways
+		result.Changes, result.PeakMiB, result.MinIdle = len(r.published), float64(r.peak)/(1<<20), r.leastIdle
+		if result.AllAgree(r.plan.Gateways.Hollow) || time.Now().After(deadline) {
 			break
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(idleLook):
+		case <-time.After(idlePollInterval):
 		}
 	}
 	if err := r.latencies(result); err != nil {
 		return err
 	}
-	if !result.AllAgree(r.plan.FrontEnds.Hollow) {
-		return fmt.Errorf("%w: %d changes out of order, lists %v, the service's %s", ErrLists, result.OutOfOrder, result.Lists, result.ListWanted)
+	if !result.AllAgree(r.plan.Gateways.Hollow) {
+		return fmt.Errorf("%w: %d changes out of order, lists %v, the service's %s", ErrListMismatch, result.OutOfOrder, result.Lists, result.ExpectedList)
 	}
 	return nil
 }
 
 // latencies adds up what the front ends have measured.
 func (r *run) latencies(result *Result) error {
-	for _, child := range r.fronts {
-		reply, err := child.pipe.ask(command{Report: true})
+	for _, child := range r.hollowGateways {
+		reply, err := child.pipe.call(command{Report: true})
 		if err != nil {
 			return err
 		}
-		r.take(reply.Report)
+		r.mergeReport(reply.Report)
 		if err := errors.Join(decode(r.warm, reply.Report.Warm), decode(r.cold, reply.Report.Cold)); err != nil {
 			return err
 		}
@@ -421,17 +421,17 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	result.Warm, result.Cold = delayOf(r.warm), delayOf(r.cold)
-	result.Applied, result.LastOf = map[string]Delay{}, map[string]Delay{}
+	result.Applied, result.AppliedEverywhere = map[string]Delay{}, map[string]Delay{}
 	lasts := map[string]*hdrhistogram.Histogram{}
-	for position, took := range r.last {
+	for position, took := range r.longestDelay {
 		span := r.published[position].span
 		if lasts[span] == nil {
 			lasts[span] = newHistogram()
 		}
-		_ = lasts[span].RecordValue(min(max(took.Microseconds(), leastMicros), mostMicros)) // it is in the range
+		_ = lasts[span].RecordValue(min(max(took.Microseconds(), minLatencyMicros), maxLatencyMicros)) // it is in the range
 	}
 	for span, h := range r.applied {
-		result.Applied[span], result.LastOf[span] = delayOf(h), delayOf(lasts[span])
+		result.Applied[span], result.AppliedEverywhere[span] = delayOf(h), delayOf(lasts[span])
 	}
 	warm, cold := newHistogram(), newHistogram()
 	for _, c := range r.clients {
@@ -455,7 +455,7 @@
 	for _, p := range r.children() {
 		all.Go(func() { p.stop(ctx) })
 	}
-	for _, g := range r.gates {
+	for _, g := range r.realGateways {
 		all.Go(func() { g.stop(ctx) })
 	}
 	all.Wait()
@@ -466,7 +466,7 @@
 
 // CheckGate tells whether the program of the real front ends is there.
 func (p Plan) CheckGate(program string) error {
-	if p.FrontEnds.Real == 0 {
+	if p.Gateways.Real == 0 {
 		return nil
 	}
 	if program == "" {
--- a/internal/testbed/scale/scale_test.go
+++ b/internal/testbed/scale/scale_test.go
@@ -116,11 +116,11 @@
 }
 
 func options(c *children) scale.Options {
-	return scale.Options{Command: c.command, MostBytes: 4 << 30, Log: slog.New(slog.DiscardHandler)}
+	return scale.Options{Command: c.command, MaxBytes: 4 << 30, Log: slog.New(slog.DiscardHandler)}
 }
 
-// gone tells whether a process has ended; one that waits to be collected has.
-func gone(t *testing.T, pid int) bool {
+// hasExited tells whether a process has ended; one that waits to be collected has.
+func hasExited(t *testing.T, pid int) bool {
 	p, err := procfs.NewProc(pid)
 	if err != nil {
 		return true
@@ -129,12 +129,12 @@
 	return err != nil || stat.State == "Z"
 }
 
-// allGone waits until processes have ended.
-func allGone(t *testing.T, pids []int) {
+// requireExited waits until processes have ended.
+func requireExited(t *testing.T, pids []int) {
 	t.Helper()
 	end := time.Now().Add(time.Minute)
 	for _, pid := range pids {
-		for !gone(t, pid) {
+		for !hasExited(t, pid) {
 			if time.Now().After(end) {
 				t.Fatalf("process %d is left behind", pid)
 			}
@@ -145,14 +145,14 @@
 
 // Whatever the clock does: every front end ends with the list of the service, hears each change once and in its order, also
 // over a service that was away and restarts, and no process is left over.
-func TestEveryFrontEndEndsWithTheSameList(t *testing.T) {
+func TestGatewaysConvergeOnOneList(t *testing.T) {
 	c := &children{}
 	result, err := scale.Run(t.Context(), parse(smallPlan), options(c))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !result.AllAgree(24) {
-		t.Errorf("%d out of order, lists %v, the service's %s", result.OutOfOrder, result.Lists, result.ListWanted)
+		t.Errorf("%d out of order, lists %v, the service's %s", result.OutOfOrder, result.Lists, result.ExpectedList)
 	}
 	if result.Changes != smallChanges {
 		t.Errorf("%d changes, want %d", result.Changes, smallChanges)
@@ -164,7 +164,7 @@
 	if served == 0 || submitted < served || len(result.Spans) != 11 {
 		t.Errorf("%d of %d requests served in %d spans", served, submitted, len(result.Spans))
 	}
-	allGone(t, c.started())
+	requireExited(t, c.started())
 }
 
 // A child that crashes ends the run, which says so and leaves nothing behind.
@@ -182,10 +182,10 @@
 	}), nil))
 	_, err := scale.Run(t.Context(), parse(longPlan), o)
 	<-killed
-	if !errors.Is(err, scale.ErrChild) || !strings.Contains(err.Error(), "workers-0") || !strings.Contains(err.Error(), "killed") {
+	if !errors.Is(err, scale.ErrChildExited) || !strings.Contains(err.Error(), "workers-0") || !strings.Contains(err.Error(), "killed") {
 		t.Error(err)
 	}
-	allGone(t, c.started())
+	requireExited(t, c.started())
 }
 
 // firstWrite calls a function at the first write.
@@ -223,7 +223,7 @@
 	if err := parent.Wait(); err == nil {
 		t.Error("it ended by itself: ", said.String())
 	}
-	allGone(t, pids)
+	requireExited(t, pids)
 }
 
 func childrenOf(t *testing.T, parent int) (pids []int) {
@@ -241,10 +241,10 @@
 }
 
 // A plan that can't fit is refused with its arithmetic, before anything starts.
-func TestTooLargePlanIsRefused(t *testing.T) {
+func TestTooLargePlanIsRejected(t *testing.T) {
 	c := &children{}
 	o := options(c)
-	o.MostBytes = 64 << 20
+	o.MaxBytes = 64 << 20
 	_, err := scale.Run(t.Context(), parse(smallPlan), o)
 	if !errors.Is(err, scale.ErrTooLarge) || !strings.Contains(err.Error(), "24 front ends * (1 MiB + 30 lines * 1700 B)") {
 		t.Error(err)
@@ -267,11 +267,11 @@
 	if _, err := scale.Run(ctx, parse(longPlan), o); !errors.Is(err, context.Canceled) {
 		t.Error(err)
 	}
-	allGone(t, c.started())
+	requireExited(t, c.started())
 }
 
 // A mistake in a plan is one message with file, line and column.
-func TestPlanMistakes(t *testing.T) {
+func TestPlanValidationErrors(t *testing.T) {
 	for change, want := range map[[2]string]string{
 		{"lasts: 4s", "lasts: 4"}:                      "plan.yaml:3:8: ",
 		{"lasts: 4s", "lasts: 9h"}:                     "plan.yaml:3:8: lasts: more than 0s, at most 30m0s",
--- a/internal/testbed/scale/workers.go
+++ b/internal/testbed/scale/workers.go
@@ -17,10 +17,10 @@
 
 // Loopback networks of the roles: every worker has an address of its own, so that ports never run out.
 const (
-	workersNet = 64 // and the ones after it
-	gatesNet   = 32
-	mostWord   = 64 << 10
-	writeLimit = 5 * time.Second
+	workersNet   = 64 // and the ones after it
+	gatewaysNet  = 32
+	maxArgBytes  = 64 << 10
+	writeTimeout = 5 * time.Second
 )
 
 // workerPool are the emulated workers of one process.
@@ -30,16 +30,16 @@
 	workers []*emulatedWorker
 	done    sync.WaitGroup
 
-	accepted, open, requests, loads, orders, probes, kills, refused, controlBytes, requestBytes atomic.Int64
+	accepted, open, requests, loads, loadRequests, probes, cancels, rejected, controlBytes, requestBytes atomic.Int64
 }
 
 // emulatedWorker answers commands from a small model of slots, a queue, loads and cold starts.
 type emulatedWorker struct {
-	pool   *workerPool
-	number int
-	life   int // counts its starts
-	random *rand.Rand
-	line   discovery.Endpoint
+	pool        *workerPool
+	number      int
+	incarnation int // counts its starts
+	random      *rand.Rand
+	endpoint    discovery.Endpoint
 
 	mu       sync.Mutex
 	listener net.Listener // nil: stopped
@@ -53,18 +53,18 @@
 
 // replica is a function loaded, or being loaded, at a worker.
 type replica struct {
-	ready time.Time // when the load ends or ended
-	until time.Time // idle so long, it is gone
+	readyAt   time.Time // when the load ends or ended
+	expiresAt time.Time // idle so long, it is gone
 }
 
 // job is one request at a worker.
 type job struct {
-	conn net.Conn
-	id   string
-	name string // in jobs
-	how  string
-	rep  *replica
-	over bool
+	conn         net.Conn
+	id           string
+	name         string // in jobs
+	replicaState string
+	replica      *replica
+	finished     bool
 }
 
 func newWorkerPool(s setup) (*workerPool, error) {
@@ -89,11 +89,11 @@
 	p.done.Wait()
 }
 
-// lines are the workers' lines of the list.
-func (p *workerPool) lines() []discovery.Endpoint {
+// endpoints are the workers' lines of the list.
+func (p *workerPool) endpoints() []discovery.Endpoint {
 	out := make([]discovery.Endpoint, len(p.workers))
 	for i, w := range p.workers {
-		out[i] = w.line
+		out[i] = w.endpoint
 	}
 	return out
 }
@@ -112,14 +112,14 @@
 		if err := w.start(time.Now().UnixMilli()); err != nil {
 			return r, err
 		}
-		r.Workers = append(r.Workers, w.line)
+		r.Workers = append(r.Workers, w.endpoint)
 	}
 	return r, nil
 }
 
 func (p *workerPool) counts() *workerCounts {
-	return &workerCounts{Accepted: p.accepted.Load(), Open: p.open.Load(), Requests: p.requests.Load(), Loads: p.loads.Load(),
-		Orders: p.orders.Load(), Probes: p.probes.Load(), Kills: p.kills.Load(), Refused: p.refused.Load(),
+	return &workerCounts{Accepted: p.accepted.Load(), OpenConnections: p.open.Load(), Requests: p.requests.Load(), Loads: p.loads.Load(),
+		LoadRequests: p.loadRequests.Load(), Probes: p.probes.Load(), Cancels: p.cancels.Load(), Rejected: p.rejected.Load(),
 		ControlBytes: p.controlBytes.Load(), RequestBytes: p.requestBytes.Load()}
 }
 
@@ -132,9 +132,9 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.life++
+	w.incarnation++
 	zone := w.number % w.pool.plan.Workers.Zones
-	w.line = discovery.Endpoint{Name: fmt.Sprintf("s-%05d-%d", w.number, w.life), Addr: listener.Addr().String(), Zone: fmt.Sprint("zone", zone),
+	w.endpoint = discovery.Endpoint{Name: fmt.Sprintf("s-%05d-%d", w.number, w.incarnation), Addr: listener.Addr().String(), Zone: fmt.Sprint("zone", zone),
 		Kind: "std", Cell: w.number / 8, State: discovery.Up, Size: 1, StartedUnixMilli: born}
 	w.listener, w.conns, w.replicas, w.jobs = listener, map[net.Conn]bool{}, map[string]*replica{}, map[string]*job{}
 	w.running, w.queue, w.silent = 0, nil, false
@@ -156,7 +156,7 @@
 		faultproxy.ResetConn(conn)
 	}
 	for _, j := range w.jobs {
-		j.over = true
+		j.finished = true
 	}
 }
 
@@ -198,18 +198,18 @@
 		w.mu.Lock()
 		delete(w.conns, conn)
 		for _, j := range w.jobs {
-			j.over = j.over || j.conn == conn
+			j.finished = j.finished || j.conn == conn
 		}
 		w.mu.Unlock()
 	}()
-	_ = resp.ReadCommands(conn, mostWord, func(words []string, size int) error { // whatever ends it, the connection is over
-		w.take(conn, words, int64(size))
+	_ = resp.ReadCommands(conn, maxArgBytes, func(words []string, size int) error { // whatever ends it, the connection is over
+		w.handleCommand(conn, words, int64(size))
 		return nil
 	})
 }
 
-// take takes one command.
-func (w *emulatedWorker) take(conn net.Conn, words []string, size int64) {
+// handleCommand takes one command.
+func (w *emulatedWorker) handleCommand(conn net.Conn, words []string, size int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.silent {
@@ -219,18 +219,18 @@
 	case words[0] == "FN" && len(words) == 4:
 		w.pool.requests.Add(1)
 		w.pool.requestBytes.Add(size)
-		w.request(conn, words[1], resp.ParsePairs(words[2])["key"])
+		w.handleAttempt(conn, words[1], resp.ParsePairs(words[2])["key"])
 	case words[0] == "KILL" && len(words) == 2:
-		w.pool.kills.Add(1)
+		w.pool.cancels.Add(1)
 		w.pool.requestBytes.Add(size)
 		if j := w.jobs[jobName(conn, words[1])]; j != nil {
-			j.over = true
+			j.finished = true
 		}
 	case words[0] == "SPAWN" && len(words) == 3:
-		w.pool.orders.Add(1)
+		w.pool.loadRequests.Add(1)
 		w.pool.controlBytes.Add(size)
 		fields := resp.ParsePairs(words[2])
-		w.order(conn, words[1], fields["key"], fields["n"])
+		w.handleLoadRequest(conn, words[1], fields["key"], fields["n"])
 	case words[0] == "TOP" && len(words) == 2:
 		w.pool.probes.Add(1)
 		w.pool.controlBytes.Add(size)
@@ -253,25 +253,25 @@
 	now := time.Now()
 	r = w.replicas[key]
 	switch {
-	case r != nil && now.Before(r.ready):
+	case r != nil && now.Before(r.readyAt):
 		how = "queued"
-	case r != nil && now.Before(r.until):
+	case r != nil && now.Before(r.expiresAt):
 		how = "ready"
 	default:
 		w.pool.loads.Add(1)
-		r = &replica{ready: now.Add(w.around(w.pool.plan.Workers.Load.Std()))}
+		r = &replica{readyAt: now.Add(w.around(w.pool.plan.Workers.MeanLoadTime.Std()))}
 		w.replicas[key] = r
 		w.sweep(now)
 		how = "loaded"
 	}
-	r.until = latest(now, r.ready).Add(w.pool.plan.Workers.Keep.Std())
+	r.expiresAt = latest(now, r.readyAt).Add(w.pool.plan.Workers.ReplicaIdleTimeout.Std())
 	return r, how
 }
 
 // sweep forgets replicas that are gone, so that a worker does not grow for good.
 func (w *emulatedWorker) sweep(now time.Time) {
 	for key, r := range w.replicas {
-		if now.After(r.until) && !r.until.IsZero() {
+		if now.After(r.expiresAt) && !r.expiresAt.IsZero() {
 			delete(w.replicas, key)
 		}
 	}
@@ -289,26 +289,26 @@
 	return mean/2 + time.Duration(w.random.ExpFloat64()*float64(mean/2))
 }
 
-// order loads a replica and answers when it stands.
-func (w *emulatedWorker) order(conn net.Conn, tag, key, n string) {
+// handleLoadRequest loads a replica and answers when it stands.
+func (w *emulatedWorker) handleLoadRequest(conn net.Conn, tag, key, n string) {
 	r, _ := w.replica(key)
 	if n == "" {
 		n = "1"
 	}
-	w.later(time.Until(r.ready), conn, func() { w.control(conn, tag, "ok", "n="+n, "") })
+	w.later(time.Until(r.readyAt), conn, func() { w.control(conn, tag, "ok", "n="+n, "") })
 }
 
-// request runs a request once its replica stands and a slot is free.
-func (w *emulatedWorker) request(conn net.Conn, id, key string) {
-	if len(w.queue) >= w.pool.plan.Workers.Queue+1 {
-		w.pool.refused.Add(1)
+// handleAttempt runs a request once its replica stands and a slot is free.
+func (w *emulatedWorker) handleAttempt(conn net.Conn, id, key string) {
+	if len(w.queue) >= w.pool.plan.Workers.QueueLimit+1 {
+		w.pool.rejected.Add(1)
 		w.answer(conn, id, "refused", "stats="+w.stats(), "")
 		return
 	}
 	r, how := w.replica(key)
-	j := &job{conn: conn, id: id, name: jobName(conn, id), how: how, rep: r}
+	j := &job{conn: conn, id: id, name: jobName(conn, id), replicaState: how, replica: r}
 	w.jobs[j.name] = j
-	w.later(time.Until(r.ready), conn, func() { w.ready(j) })
+	w.later(time.Until(r.readyAt), conn, func() { w.ready(j) })
 }
 
 // later has something done with the worker's lock held, unless its connection is gone by then.
@@ -337,11 +337,11 @@
 
 func (w *emulatedWorker) run(j *job) {
 	w.running++
-	life := w.life
-	time.AfterFunc(w.around(w.pool.plan.Workers.Answer.Std()), func() {
+	life := w.incarnation
+	time.AfterFunc(w.around(w.pool.plan.Workers.MeanRunTime.Std()), func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.life != life {
+		if w.incarnation != life {
 			return
 		}
 		w.finish(j)
@@ -352,13 +352,13 @@
 func (w *emulatedWorker) finish(j *job) {
 	w.running--
 	delete(w.jobs, j.name)
-	if !j.over && !w.silent {
-		w.answer(j.conn, j.id, "ok", "how="+j.how+",stats="+w.stats(), strconv.FormatInt(j.rep.ready.UnixNano(), 10))
+	if !j.finished && !w.silent {
+		w.answer(j.conn, j.id, "ok", "how="+j.replicaState+",stats="+w.stats(), strconv.FormatInt(j.replica.readyAt.UnixNano(), 10))
 	}
 	for len(w.queue) > 0 && w.running < w.pool.plan.Workers.Slots {
 		next := w.queue[0]
 		w.queue = w.queue[1:]
-		if next.over {
+		if next.finished {
 			delete(w.jobs, next.name)
 			continue
 		}
@@ -377,7 +377,7 @@
 // write writes an answer; one that can't be written ends its connection.
 func (w *emulatedWorker) write(conn net.Conn, words []string) int64 {
 	frame := resp.AppendArray(nil, words...)
-	if err := conn.SetWriteDeadline(time.Now().Add(writeLimit)); err != nil {
+	if err := conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0
 	}
 	if _, err := conn.Write(frame); err != nil {
@@ -394,10 +394,10 @@
 			pool.close()
 		}
 	}()
-	return p.answer(func(c command) (r reply, err error) {
+	return p.serve(func(c command) (r reply, err error) {
 		if c.Setup != nil {
 			if pool, err = newWorkerPool(*c.Setup); err == nil {
-				r.Workers = pool.lines()
+				r.Workers = pool.endpoints()
 			}
 			return r, err
 		}
--- a/internal/testbed/scenario/all.go
+++ b/internal/testbed/scenario/all.go
@@ -10,19 +10,19 @@
 	"lupinpond/internal/gateway/fleetconfig"
 )
 
-// All reads every day in files, in the order of their names.
-func All(files fs.FS, f fleetconfig.File) ([]Day, error) {
+// LoadAll reads every day in files, in the order of their names.
+func LoadAll(files fs.FS, f fleetconfig.File) ([]Scenario, error) {
 	names, err := fs.Glob(files, "*.yaml")
 	if err != nil {
 		return nil, err
 	}
-	var days []Day
+	var days []Scenario
 	for _, name := range names {
 		b, err := fs.ReadFile(files, name)
 		if err != nil {
 			return nil, fmt.Errorf("read day: %w", err)
 		}
-		d, err := Read(name, b, f)
+		d, err := Parse(name, b, f)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/testbed/scenario/clients.go
+++ b/internal/testbed/scenario/clients.go
@@ -14,50 +14,56 @@
 	"lupinpond/internal/gateway/invoke"
 )
 
-// clients send events over connections of their own: net/http's client would resend some requests by itself.
-type clients struct {
-	day   Day
-	addrs []string
-	slack time.Duration
+// clientPool send events over connections of their own: net/http's client would resend some requests by itself.
+type clientPool struct {
+	scenario Scenario
+	addrs    []string
+	slack    time.Duration
 
-	mu      sync.Mutex
-	idle    map[string][]*line
-	giveUp  map[string]time.Duration // by tenant: leaves so early and repeats at once
-	results Clientele
+	mu              sync.Mutex
+	idle            map[string][]*clientConn
+	disconnectAfter map[string]time.Duration // by tenant: leaves so early and repeats at once
+	stats           ClientStats
 }
 
-// line is a kept connection.
-type line struct {
-	conn net.Conn
-	read *bufio.Reader
+// clientConn is a kept connection.
+type clientConn struct {
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
-// Clientele is how events ended for their clients.
-type Clientele struct {
-	Events, Served, InTime, Dead, GaveUp, Unanswered, Tries int
-	Took                                                    []time.Duration // of those served, from the first try
+// ClientStats is how events ended for their clients.
+type ClientStats struct {
+	Requests   int `json:"Events"`
+	Served     int
+	InTime     int
+	Failed     int `json:"Dead"`
+	Abandoned  int `json:"GaveUp"`
+	Unanswered int
+	Attempts   int             `json:"Tries"`
+	Latencies  []time.Duration `json:"Took"` // of those served, from the first try
 }
 
-// ending of a try.
-type ending int
+// attemptOutcome of a try.
+type attemptOutcome int
 
 const (
-	served ending = iota
-	deferred
-	dead
-	refused     // not taken
-	unreachable // no connection
-	broken      // the connection broke: it may have been taken
-	unanswered  // the time and the slack are over
-	left        // the client did not wait
+	outcomeServed attemptOutcome = iota
+	outcomeRejected
+	outcomeFailed
+	outcomeNotAccepted    // not taken
+	outcomeUnreachable    // no connection
+	outcomeConnectionLost // the connection broke: it may have been taken
+	outcomeUnanswered     // the time and the slack are over
+	outcomeDisconnected   // the client did not wait
 )
 
 // send makes one try; repeat marks it as one of an event that a front end had before.
-func (c *clients) send(ctx context.Context, addr string, a arrival, try int, repeat bool, patience, leave time.Duration,
-) (ending, time.Duration) {
-	l, err := c.line(addr)
+func (c *clientPool) send(ctx context.Context, addr string, a arrival, try int, repeat bool, patience, leave time.Duration,
+) (attemptOutcome, time.Duration) {
+	l, err := c.acquire(addr)
 	if err != nil {
-		return unreachable, 0
+		return outcomeUnreachable, 0
 	}
 	deadline := time.Now().Add(patience + c.slack + time.Second)
 	if leave > 0 {
@@ -79,22 +85,22 @@
 	_ = l.conn.SetDeadline(deadline)
 	if _, err := l.conn.Write([]byte(head + "\r\n" + body)); err != nil {
 		l.conn.Close()
-		return broken, 0
+		return outcomeConnectionLost, 0
 	}
-	resp, err := http.ReadResponse(l.read, nil)
+	resp, err := http.ReadResponse(l.reader, nil)
 	if err != nil {
 		l.conn.Close()
 		if slow, is := err.(net.Error); is && slow.Timeout() {
 			if leave > 0 {
-				return left, 0
+				return outcomeDisconnected, 0
 			}
-			return unanswered, 0
+			return outcomeUnanswered, 0
 		}
-		return broken, 0
+		return outcomeConnectionLost, 0
 	}
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		l.conn.Close()
-		return broken, 0
+		return outcomeConnectionLost, 0
 	}
 	back := time.Duration(0)
 	if ms, err := strconv.Atoi(resp.Header.Get(invoke.HeaderRetryAfterMillis)); err == nil {
@@ -103,20 +109,20 @@
 	if resp.Close {
 		l.conn.Close()
 	} else {
-		c.keep(addr, l)
+		c.release(addr, l)
 	}
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		return served, 0
+		return outcomeServed, 0
 	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(invoke.HeaderRequestID) != "":
-		return deferred, back
+		return outcomeRejected, back
 	case resp.StatusCode == http.StatusBadGateway:
-		return dead, 0
+		return outcomeFailed, 0
 	}
-	return refused, back
+	return outcomeNotAccepted, back
 }
 
-func (c *clients) line(addr string) (l *line, err error) {
+func (c *clientPool) acquire(addr string) (l *clientConn, err error) {
 	c.mu.Lock()
 	if n := len(c.idle[addr]); n > 0 {
 		l = c.idle[addr][n-1]
@@ -124,22 +130,22 @@
 		c.mu.Unlock()
 		// a connection that the front end closed meanwhile shows it at once
 		_ = l.conn.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
-		_, err := l.read.Peek(1)
+		_, err := l.reader.Peek(1)
 		if slow, is := err.(net.Error); is && slow.Timeout() {
-			return &line{conn: l.conn, read: bufio.NewReader(l.conn)}, nil
+			return &clientConn{conn: l.conn, reader: bufio.NewReader(l.conn)}, nil
 		}
 		l.conn.Close()
-		return c.line(addr)
+		return c.acquire(addr)
 	}
 	c.mu.Unlock()
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return nil, err
 	}
-	return &line{conn: conn, read: bufio.NewReader(conn)}, nil
+	return &clientConn{conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-func (c *clients) keep(addr string, l *line) {
+func (c *clientPool) release(addr string, l *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.idle[addr]) >= 64 {
@@ -149,7 +155,7 @@
 	c.idle[addr] = append(c.idle[addr], l)
 }
 
-func (c *clients) close() {
+func (c *clientPool) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, lines := range c.idle {
@@ -157,69 +163,69 @@
 			l.conn.Close()
 		}
 	}
-	c.idle = map[string][]*line{}
+	c.idle = map[string][]*clientConn{}
 }
 
-// event plays one event from its first try to its end.
-func (c *clients) event(ctx context.Context, a arrival, target, maxAge time.Duration, effect, group string) {
+// runRequest plays one event from its first try to its end.
+func (c *clientPool) runRequest(ctx context.Context, a arrival, target, maxAge time.Duration, effect, group string) {
 	began := time.Now()
-	front := a.front
-	end, tries, reached := unreachable, 0, false
-	for tries < c.day.Clients.Tries && ctx.Err() == nil {
+	front := a.gateway
+	end, tries, reached := outcomeUnreachable, 0, false
+	for tries < c.scenario.Clients.MaxAttempts && ctx.Err() == nil {
 		remains := maxAge - time.Since(began)
 		if remains < 50*time.Millisecond {
 			break
 		}
 		c.mu.Lock()
-		leave := c.giveUp[a.function.Tenant]
+		leave := c.disconnectAfter[a.function.Tenant]
 		c.mu.Unlock()
 		if effect != "redeliverable" {
 			leave = 0 // repeats at once would be the client's own doubles
 		}
 		var back time.Duration
-		end, back = c.send(ctx, c.addrs[front], a, tries, reached, min(a.patience, remains), leave)
+		end, back = c.send(ctx, c.addrs[front], a, tries, reached, min(a.maxWait, remains), leave)
 		tries++
-		reached = reached || end != unreachable && end != refused
+		reached = reached || end != outcomeUnreachable && end != outcomeNotAccepted
 		again := false
 		switch end {
-		case deferred, refused, unreachable:
+		case outcomeRejected, outcomeNotAccepted, outcomeUnreachable:
 			again = true
-		case dead, broken:
+		case outcomeFailed, outcomeConnectionLost:
 			again = effect == "redeliverable" || effect == "keyed" && group == "all"
-		case unanswered, left:
+		case outcomeUnanswered, outcomeDisconnected:
 			again = effect == "redeliverable"
 		}
 		if !again {
 			break
 		}
-		if end == unreachable || end == broken || end == refused {
+		if end == outcomeUnreachable || end == outcomeConnectionLost || end == outcomeNotAccepted {
 			front = (front + 1) % len(c.addrs)
 		}
-		if end != left { // one that did not wait repeats at once
+		if end != outcomeDisconnected { // one that did not wait repeats at once
 			select {
 			case <-ctx.Done():
-			case <-time.After(max(back, c.day.Clients.Pause.Std())):
+			case <-time.After(max(back, c.scenario.Clients.RetryDelay.Std())):
 			}
 		}
 	}
 	took := time.Since(began)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := &c.results
-	r.Events++
-	r.Tries += tries
+	r := &c.stats
+	r.Requests++
+	r.Attempts += tries
 	switch end {
-	case served:
+	case outcomeServed:
 		r.Served++
-		r.Took = append(r.Took, took)
+		r.Latencies = append(r.Latencies, took)
 		if took <= target {
 			r.InTime++
 		}
-	case dead:
-		r.Dead++
-	case unanswered:
+	case outcomeFailed:
+		r.Failed++
+	case outcomeUnanswered:
 		r.Unanswered++
 	default:
-		r.GaveUp++
+		r.Abandoned++
 	}
 }
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -13,19 +13,19 @@
 	"lupinpond/internal/gateway/fleetconfig"
 )
 
-// Day is one rehearsed day, as its YAML file says.
-type Day struct {
-	Name     string                     `yaml:"name"`
-	About    string                     `yaml:"about"`
-	Lasts    config.Duration            `yaml:"lasts"` // of the arrivals
-	Seed     uint64                     `yaml:"seed"`
-	Fronts   int                        `yaml:"fronts"`
-	Workers  Workers                    `yaml:"workers"`
-	Store    int                        `yaml:"store"` // fetches at full speed
-	Work     map[string]config.Duration `yaml:"work"`  // mean time on a core, by function
-	Arrivals []Arrivals                 `yaml:"arrivals"`
-	Clients  Clients                    `yaml:"clients"`
-	Troubles []Trouble                  `yaml:"troubles"`
+// Scenario is one rehearsed day, as its YAML file says.
+type Scenario struct {
+	Name          string                     `yaml:"name"`
+	Description   string                     `yaml:"about"`
+	Duration      config.Duration            `yaml:"lasts"` // of the arrivals
+	Seed          uint64                     `yaml:"seed"`
+	Gateways      int                        `yaml:"fronts"`
+	Workers       Workers                    `yaml:"workers"`
+	StoreCapacity int                        `yaml:"store"` // fetches at full speed
+	Work          map[string]config.Duration `yaml:"work"`  // mean time on a core, by function
+	Arrivals      []Arrivals                 `yaml:"arrivals"`
+	Clients       ClientBehavior             `yaml:"clients"`
+	Faults        []Fault                    `yaml:"troubles"`
 }
 
 // Workers are the day's fleet, named w0, w1 and so on.
@@ -43,30 +43,30 @@
 	Rate     float64         `yaml:"rate"` // a second
 	From     config.Duration `yaml:"from"`
 	Until    config.Duration `yaml:"until"` // 0s: the day's end
-	Patience config.Duration `yaml:"patience"`
+	MaxWait  config.Duration `yaml:"patience"`
 }
 
-// Clients are what clients do by themselves.
-type Clients struct {
-	Tries int             `yaml:"tries"` // most of one event
-	Pause config.Duration `yaml:"pause"` // before another where no time to come back is named
+// ClientBehavior are what clients do by themselves.
+type ClientBehavior struct {
+	MaxAttempts int             `yaml:"tries"` // most of one event
+	RetryDelay  config.Duration `yaml:"pause"` // before another where no time to come back is named
 }
 
-// Trouble is one entry of the time line. What it needs depends on What.
-type Trouble struct {
-	At       config.Duration `yaml:"at"`
-	For      config.Duration `yaml:"for"`
-	What     string          `yaml:"what"`
-	Workers  []int           `yaml:"workers"`
-	Fronts   []int           `yaml:"fronts"`
-	Tenant   string          `yaml:"tenant"`
-	Function string          `yaml:"function"`
-	Factor   float64         `yaml:"factor"`
-	Patience config.Duration `yaml:"patience"`
+// Fault is one entry of the time line. What it needs depends on What.
+type Fault struct {
+	At              config.Duration `yaml:"at"`
+	Duration        config.Duration `yaml:"for"`
+	Kind            string          `yaml:"what"`
+	Workers         []int           `yaml:"workers"`
+	Gateways        []int           `yaml:"fronts"`
+	Tenant          string          `yaml:"tenant"`
+	Function        string          `yaml:"function"`
+	Factor          float64         `yaml:"factor"`
+	DisconnectAfter config.Duration `yaml:"patience"`
 }
 
-// kinds are the troubles there are, and what each needs: workers, fronts, tenant, function, factor, patience, for.
-var kinds = map[string][]string{
+// faultFields are the troubles there are, and what each needs: workers, fronts, tenant, function, factor, patience, for.
+var faultFields = map[string][]string{
 	"hang": {"workers", "for"}, "silence": {"workers", "for"}, "slow": {"workers", "factor", "for"},
 	"errors": {"workers", "for"}, "fail-loads": {"workers", "for"}, "false-reports": {"workers", "factor", "for"},
 	"reset": {"workers"}, "crash": {"workers", "for"}, "drain": {"workers", "for"}, "refuse": {"workers", "tenant", "for"},
@@ -75,19 +75,19 @@
 	"list-down": {"for"},
 }
 
-// Read reads a day; a mistake has file, line and column.
-func Read(name string, b []byte, f fleetconfig.File) (Day, error) {
-	var d Day
+// Parse reads a day; a mistake has file, line and column.
+func Parse(name string, b []byte, f fleetconfig.File) (Scenario, error) {
+	var d Scenario
 	if err := config.DecodeStrict(name, b, &d); err != nil {
 		return d, err
 	}
-	if at, reason := d.contradiction(f); reason != "" {
+	if at, reason := d.firstInvalid(f); reason != "" {
 		return d, config.ErrorAt(name, b, at, reason)
 	}
 	return d, nil
 }
 
-func (d Day) contradiction(f fleetconfig.File) (path, reason string) {
+func (d Scenario) firstInvalid(f fleetconfig.File) (path, reason string) {
 	functions := map[string]bool{}
 	for _, fn := range f.Functions {
 		functions[fn.Name] = true
@@ -95,17 +95,17 @@
 	switch {
 	case d.Name == "":
 		return "$.name", "a day needs a name"
-	case d.Lasts <= 0 || d.Lasts.Std() > time.Hour:
+	case d.Duration <= 0 || d.Duration.Std() > time.Hour:
 		return "$.lasts", "more than 0s, at most an hour"
-	case d.Fronts < 1 || d.Fronts > 100:
+	case d.Gateways < 1 || d.Gateways > 100:
 		return "$.fronts", "from 1 to 100 front ends"
 	case d.Workers.Count < 1 || d.Workers.Count > 1000:
 		return "$.workers.count", "from 1 to 1000 workers"
 	case !(d.Workers.Cores > 0) || d.Workers.Memory <= 0 || d.Workers.Queue < 1 || d.Workers.Zones < 1:
 		return "$.workers", "cores, memory, queue and zones are more than 0"
-	case d.Store < 1:
+	case d.StoreCapacity < 1:
 		return "$.store", "at least one fetch at full speed"
-	case d.Clients.Tries < 1 || d.Clients.Pause <= 0:
+	case d.Clients.MaxAttempts < 1 || d.Clients.RetryDelay <= 0:
 		return "$.clients", "at least one try, and a pause of more than 0s"
 	case len(d.Arrivals) == 0:
 		return "$.arrivals", "a day needs arrivals"
@@ -123,22 +123,22 @@
 			return "$.work", fmt.Sprintf("no work is told for %q", a.Function)
 		}
 	}
-	for i, t := range d.Troubles {
+	for i, t := range d.Faults {
 		at := fmt.Sprintf("$.troubles[%d].", i)
-		needs, known := kinds[t.What]
+		needs, known := faultFields[t.Kind]
 		if !known {
-			return at + "what", fmt.Sprintf("no trouble %q", t.What)
+			return at + "what", fmt.Sprintf("no trouble %q", t.Kind)
 		}
-		has := map[string]bool{"workers": len(t.Workers) > 0, "fronts": len(t.Fronts) > 0, "tenant": t.Tenant != "",
-			"function": t.Function != "", "factor": t.Factor > 0, "patience": t.Patience > 0, "for": t.For > 0}
+		has := map[string]bool{"workers": len(t.Workers) > 0, "fronts": len(t.Gateways) > 0, "tenant": t.Tenant != "",
+			"function": t.Function != "", "factor": t.Factor > 0, "patience": t.DisconnectAfter > 0, "for": t.Duration > 0}
 		for _, need := range needs {
 			if !has[need] {
-				return at + "what", fmt.Sprintf("%s needs %s", t.What, need)
+				return at + "what", fmt.Sprintf("%s needs %s", t.Kind, need)
 			}
 		}
 		for what, is := range has {
 			if is && !slices.Contains(needs, what) {
-				return at + what, fmt.Sprintf("%s has no use for %s", t.What, what)
+				return at + what, fmt.Sprintf("%s has no use for %s", t.Kind, what)
 			}
 		}
 		for _, w := range t.Workers {
@@ -146,8 +146,8 @@
 				return at + "workers", fmt.Sprintf("no worker %d", w)
 			}
 		}
-		for _, n := range t.Fronts {
-			if n < 0 || n >= d.Fronts {
+		for _, n := range t.Gateways {
+			if n < 0 || n >= d.Gateways {
 				return at + "fronts", fmt.Sprintf("no front end %d", n)
 			}
 		}
@@ -160,19 +160,19 @@
 	at       time.Duration
 	name     string // unique in the day
 	function fleetconfig.Function
-	patience time.Duration
+	maxWait  time.Duration
 	work     time.Duration // on a core, where a package runs it; imitation workers draw their own
-	front    int           // of the first try
+	gateway  int           // of the first try
 }
 
-// draw draws all arrivals of a day: the same for the same seed.
-func (d Day) draw(f fleetconfig.File) []arrival {
+// drawArrivals draws all arrivals of a day: the same for the same seed.
+func (d Scenario) drawArrivals(f fleetconfig.File) []arrival {
 	var all []arrival
 	for i, a := range d.Arrivals {
 		src := rand.New(rand.NewPCG(d.Seed, uint64(i)))
 		until := a.Until.Std()
 		if until == 0 {
-			until = d.Lasts.Std()
+			until = d.Duration.Std()
 		}
 		var fn fleetconfig.Function
 		for _, x := range f.Functions {
@@ -182,8 +182,8 @@
 		}
 		t, _ := f.RequestType(fn.Type)
 		patience := t.MaxAge.Std()
-		if a.Patience > 0 {
-			patience = min(patience, a.Patience.Std())
+		if a.MaxWait > 0 {
+			patience = min(patience, a.MaxWait.Std())
 		}
 		for at := a.From.Std(); ; {
 			at += time.Duration(src.ExpFloat64() / a.Rate * float64(time.Second))
@@ -191,7 +191,7 @@
 				break
 			}
 			all = append(all, arrival{at: at, name: fmt.Sprintf("%s-%d-%d", d.Name, i, len(all)), function: fn,
-				patience: patience, front: src.IntN(d.Fronts), work: d.Work[fn.Name].Std()})
+				maxWait: patience, gateway: src.IntN(d.Gateways), work: d.Work[fn.Name].Std()})
 		}
 	}
 	sort.SliceStable(all, func(i, j int) bool { return all[i].at < all[j].at })
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -22,11 +22,11 @@
 
 // Every rehearsed day keeps the five rules, judged from the sockets; every event taken has one ending, no client was
 // left without an answer, no at-most-once event ran twice at the workers, and every core's recording replays alike.
-func TestDaysKeepTheRules(t *testing.T) { play(t, "", nil) }
+func TestScenariosUpholdRules(t *testing.T) { play(t, "", nil) }
 
 // Four of the days on the worker runtime, one after the other: its copies are processes, and the machine is to be late for
 // nobody. lpctl rehearse --all --workers runtime plays them all.
-func TestDaysOnTheWorkerRuntime(t *testing.T) {
+func TestScenariosOnWorkerRuntime(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "payroll")
 	if err := localfleet.Build(binary, "lupinpond/examples/payroll", manifest.Process); err != nil {
 		t.Fatal(err)
@@ -36,8 +36,8 @@
 
 // Three days of a deployment of another shape, by settings alone: workers answer a miss, there are no tenants, reports tell
 // no waiting events, the list tells sizes, and crossing zones costs.
-func TestDaysOfAnotherShape(t *testing.T) {
-	play(t, "", func(f *fleetconfig.File) { localfleet.OtherShape(f, "zone-0") }, "drains", "hang", "quiet")
+func TestScenariosWithAlternateDeployment(t *testing.T) {
+	play(t, "", func(f *fleetconfig.File) { localfleet.AlternateDeployment(f, "zone-0") }, "drains", "hang", "quiet")
 }
 
 func play(t *testing.T, payroll string, change func(*fleetconfig.File), only ...string) {
@@ -49,7 +49,7 @@
 	if change != nil {
 		change(&f)
 	}
-	all, err := scenario.All(scenarios.Files, f)
+	all, err := scenario.LoadAll(scenarios.Files, f)
 	if err != nil || len(all) < 12 {
 		t.Fatalf("%d days: %v", len(all), err)
 	}
@@ -63,32 +63,32 @@
 					t.Parallel()
 				}
 				dir := t.TempDir()
-				r, err := scenario.Play(t.Context(), d, scenario.Options{File: f, Keep: dir, Payroll: payroll})
+				r, err := scenario.Play(t.Context(), d, scenario.Options{Config: f, OutputDir: dir, PayrollBinary: payroll})
 				if err != nil {
 					t.Fatal(err)
 				}
 				v := r.Verdict
-				for _, b := range v.Breaches {
+				for _, b := range v.Violations {
 					t.Error(b)
 				}
-				if len(r.Doubles) > 0 {
-					t.Error("ran twice at the workers: ", r.Doubles)
+				if len(r.DuplicateExecutions) > 0 {
+					t.Error("ran twice at the workers: ", r.DuplicateExecutions)
 				}
-				if v.Tries != v.Handled+v.Deferred+v.Dead+v.Left+v.Lost || v.Tries < r.Arrivals-r.Clients.GaveUp {
-					t.Errorf("%d events taken of %d that arrived: %+v", v.Tries, r.Arrivals, v)
+				if v.Requests != v.Completed+v.Rejected+v.Failed+v.Disconnected+v.Lost || v.Requests < r.Arrivals-r.Clients.Abandoned {
+					t.Errorf("%d events taken of %d that arrived: %+v", v.Requests, r.Arrivals, v)
 				}
-				if r.Clients.Unanswered > 0 || r.Clients.Events != r.Arrivals {
+				if r.Clients.Unanswered > 0 || r.Clients.Requests != r.Arrivals {
 					t.Errorf("clients: %+v", r.Clients)
 				}
 				facts, err := checker.Load(dir)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if again, err := checker.Judge(facts); err != nil || len(again.Breaches) != len(v.Breaches) || again.Tries != v.Tries {
-					t.Errorf("judged from its folder: %d breaches, %d tries, %v", len(again.Breaches), again.Tries, err)
+				if again, err := checker.Check(facts); err != nil || len(again.Violations) != len(v.Violations) || again.Requests != v.Requests {
+					t.Errorf("judged from its folder: %d breaches, %d tries, %v", len(again.Violations), again.Requests, err)
 				}
 				cores, err := filepath.Glob(filepath.Join(dir, "*.core"))
-				if err != nil || len(cores) < d.Fronts {
+				if err != nil || len(cores) < d.Gateways {
 					t.Fatal(cores, err)
 				}
 				for _, name := range cores {
@@ -111,7 +111,7 @@
 }
 
 // A day that can't be played is refused with file, line and column.
-func TestMistakesInADay(t *testing.T) {
+func TestParseErrorsHavePosition(t *testing.T) {
 	f, err := fleetconfig.Default()
 	if err != nil {
 		t.Fatal(err)
@@ -130,7 +130,7 @@
 		{"lasts: 11s", "lasts: 11", "no time with a unit"},
 		{"fronts: 3", "ends: 3", "unknown field"},
 	} {
-		_, err := scenario.Read("d.yaml", []byte(strings.Replace(string(b), c.old, c.new, 1)), f)
+		_, err := scenario.Parse("d.yaml", []byte(strings.Replace(string(b), c.old, c.new, 1)), f)
 		var at *config.Error
 		if !errors.As(err, &at) || at.Line < 2 || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %s", c.new, err, c.want)
--- a/internal/testbed/scenario/up.go
+++ b/internal/testbed/scenario/up.go
@@ -15,8 +15,8 @@
 	"lupinpond/internal/testbed/emulator"
 )
 
-// Up runs front ends, the list and imitation workers in this process until ctx ends; ready is told the addresses.
-func Up(ctx context.Context, f fleetconfig.File, fronts, workers int, log *slog.Logger, ready func(fronts []string, list string)) (err error) {
+// RunLocal runs front ends, the list and imitation workers in this process until ctx ends; ready is told the addresses.
+func RunLocal(ctx context.Context, f fleetconfig.File, fronts, workers int, log *slog.Logger, ready func(fronts []string, list string)) (err error) {
 	if fronts < 1 || workers < 1 {
 		return fmt.Errorf("at least one front end and one worker")
 	}
@@ -32,14 +32,14 @@
 	if err != nil {
 		return err
 	}
-	day := Day{Name: "up", Seed: uint64(time.Now().UnixNano()), Fronts: fronts, Store: 8, Work: map[string]config.Duration{},
+	day := Scenario{Name: "up", Seed: uint64(time.Now().UnixNano()), Gateways: fronts, StoreCapacity: 8, Work: map[string]config.Duration{},
 		Workers: Workers{Count: workers, Cores: 2, Memory: 2 << 30, Queue: 128, Zones: 2}}
 	for _, fn := range f.Functions {
 		day.Work[fn.Name] = config.Duration(20 * time.Millisecond)
 	}
-	s := &stage{day: day, o: Options{File: f, Log: log}, base: time.Now(), store: emulator.NewStore(day.Store),
-		ledger: emulator.NewLedger(), list: list.Host, bare: true, known: map[int]registry.WatchEvent{}}
-	if err := s.fleet(ctx); err != nil {
+	s := &run{scenario: day, options: Options{Config: f, Log: log}, startedAt: time.Now(), store: emulator.NewStore(day.StoreCapacity),
+		executions: emulator.NewExecutionLog(), registryAddr: list.Host, captureDisabled: true, cachedEndpoints: map[int]registry.WatchEvent{}}
+	if err := s.startFleet(ctx); err != nil {
 		return err
 	}
 	defer func() {
@@ -47,11 +47,11 @@
 			w.Stop()
 		}
 	}()
-	defer func() { _ = s.server.Close() }()
+	defer func() { _ = s.registryServer.Close() }()
 	var addrs []string
 	defer func() {
-		for _, l := range s.now {
-			if serr := s.stop(l, true); err == nil {
+		for _, l := range s.running {
+			if serr := s.stopGateway(l, true); err == nil {
 				err = serr
 			}
 		}
@@ -61,12 +61,12 @@
 		if port != 0 {
 			addr = net.JoinHostPort(host, strconv.Itoa(port+i))
 		}
-		if addr, err = s.front(i, addr); err != nil {
+		if addr, err = s.startGateway(i, addr); err != nil {
 			return err
 		}
 		addrs = append(addrs, addr)
 	}
-	ready(addrs, "http://"+s.list)
+	ready(addrs, "http://"+s.registryAddr)
 	<-ctx.Done()
 	return nil
 }
--- a/internal/testbed/soak/client.go
+++ b/internal/testbed/soak/client.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	functions    = 12
-	clientConns  = 4 // of a front end's usual clients
-	dialLimit    = time.Second
-	mostAnswer   = 64 << 10
-	restBetween  = 4 * time.Second // an idle connection is closed by its client then
-	cancelChance = 0.05
-	closeChance  = 0.01
-	leaveWithin  = 300 * time.Millisecond
+	functions             = 12
+	maxClientConns        = 4 // of a front end's usual clients
+	dialTimeout           = time.Second
+	maxResponseBytes      = 64 << 10
+	idleTimeout           = 4 * time.Second // an idle connection is closed by its client then
+	cancelProbability     = 0.05
+	disconnectProbability = 0.01
+	maxDisconnectDelay    = 300 * time.Millisecond
 )
 
 // clients are the usual clients of one front end.
 type clients struct {
-	front  *front
-	ledger *ledger
-	random *rand.Rand
-	done   sync.WaitGroup
+	gateway *gatewayProcess
+	checker *checker
+	random  *rand.Rand
+	done    sync.WaitGroup
 
 	mu    sync.Mutex
 	conns []*clientConn
@@ -56,13 +56,13 @@
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Until(next)):
-			if c.front.takes() {
-				c.send(c.draw(), false)
+			if c.gateway.isAccepting() {
+				c.send(c.newRequest(), false)
 			}
 		}
 	}
-	end := time.Now().Add(longest + 2*answerSlack)
-	for c.opens() > 0 && time.Now().Before(end) {
+	end := time.Now().Add(maxWait + 2*responseSlack)
+	for c.openRequests() > 0 && time.Now().Before(end) {
 		time.Sleep(20 * time.Millisecond)
 	}
 	c.mu.Lock()
@@ -73,17 +73,17 @@
 	c.done.Wait()
 }
 
-// draw draws a request.
-func (c *clients) draw() *request {
+// newRequest draws a request.
+func (c *clients) newRequest() *request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r := &request{id: fmt.Sprintf("%016x", c.random.Uint64()), front: c.front, class: classCall,
-		wait: 200*time.Millisecond + time.Duration(c.random.Int64N(int64(longest-200*time.Millisecond))), body: fmt.Sprintf("body %x", c.random.Uint64())}
+	r := &request{id: fmt.Sprintf("%016x", c.random.Uint64()), gateway: c.gateway, class: classCall,
+		wait: 200*time.Millisecond + time.Duration(c.random.Int64N(int64(maxWait-200*time.Millisecond))), body: fmt.Sprintf("body %x", c.random.Uint64())}
 	switch c.random.IntN(10) {
 	case 0, 1:
-		r.class = classOnce
+		r.class = classAtMostOnce
 	case 2:
-		r.class, r.mark = classKey, fmt.Sprintf("m%x", c.random.Uint64())
+		r.class, r.idempotencyKey = classKeyed, fmt.Sprintf("m%x", c.random.Uint64())
 	}
 	r.wait = r.wait.Truncate(time.Millisecond)
 	return r
@@ -100,13 +100,13 @@
 		return
 	}
 	c.mu.Lock()
-	chance, after := c.random.Float64(), time.Duration(c.random.Int64N(int64(leaveWithin)))
+	chance, after := c.random.Float64(), time.Duration(c.random.Int64N(int64(maxDisconnectDelay)))
 	c.mu.Unlock()
 	switch {
-	case chance < cancelChance:
+	case chance < cancelProbability:
 		time.AfterFunc(after, func() { conn.cancel(r) })
-	case chance < cancelChance+closeChance:
-		time.AfterFunc(after, conn.leave)
+	case chance < cancelProbability+disconnectProbability:
+		time.AfterFunc(after, conn.disconnect)
 	}
 }
 
@@ -118,8 +118,8 @@
 	var found *clientConn
 	for _, conn := range c.conns {
 		conn.mu.Lock()
-		idle := len(conn.open) == 0 && time.Since(conn.used) > restBetween
-		ended, room := conn.ended, len(conn.open) < mostOpen
+		idle := len(conn.open) == 0 && time.Since(conn.used) > idleTimeout
+		ended, room := conn.ended, len(conn.open) < maxOpenRequests
 		conn.mu.Unlock()
 		switch {
 		case ended:
@@ -133,10 +133,10 @@
 		kept = append(kept, conn)
 	}
 	c.conns = kept
-	if found != nil && !fresh && (len(c.conns) >= clientConns || c.random.IntN(4) > 0) {
+	if found != nil && !fresh && (len(c.conns) >= maxClientConns || c.random.IntN(4) > 0) {
 		return found
 	}
-	nc, err := net.DialTimeout("tcp", c.front.clients.Addr(), dialLimit)
+	nc, err := net.DialTimeout("tcp", c.gateway.clientProxy.Addr(), dialTimeout)
 	if err != nil {
 		return nil
 	}
@@ -146,8 +146,8 @@
 	return conn
 }
 
-// opens is the number of open requests.
-func (c *clients) opens() (n int) {
+// openRequests is the number of open requests.
+func (c *clients) openRequests() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.conns {
@@ -167,8 +167,8 @@
 	key := fmt.Sprintf("%016x", uint64(len(r.id))*1000+uint64(r.id[0])%functions)
 	fields := []string{"class", r.class, "id", r.id, "wait", strconv.FormatInt(r.wait.Milliseconds(), 10), "key", key,
 		"facts", "memory_mb:64;lanes:4;load_ms:" + strconv.FormatInt(loadTime.Milliseconds(), 10)}
-	if r.mark != "" {
-		fields = append(fields, "once", r.mark)
+	if r.idempotencyKey != "" {
+		fields = append(fields, "once", r.idempotencyKey)
 	}
 	w.StringMap(1, fields...)
 	w.Binary(2, []byte(r.body))
@@ -176,11 +176,11 @@
 	if again {
 		c.resent[r.id] = true
 	} else {
-		c.clients.ledger.begin(r)
+		c.clients.checker.requestSent(r)
 	}
 	if _, err := c.Write(w.Frame()); err != nil {
 		delete(c.open, c.seq)
-		c.clients.ledger.leave(r, time.Now()) // its last byte was not written
+		c.clients.checker.clientDisconnected(r, time.Now()) // its last byte was not written
 	}
 }
 
@@ -195,15 +195,15 @@
 		w := thrift.NewWriter("cancelRequest", thrift.Oneway, seq)
 		w.I32(1, seq)
 		if _, err := c.Write(w.Frame()); err == nil {
-			c.clients.ledger.leave(r, time.Now())
+			c.clients.checker.clientDisconnected(r, time.Now())
 			delete(c.open, seq)
 		}
 		return
 	}
 }
 
-// leave closes the connection under what is open.
-func (c *clientConn) leave() {
+// disconnect closes the connection under what is open.
+func (c *clientConn) disconnect() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ended {
@@ -211,7 +211,7 @@
 	}
 	c.Close()
 	for _, r := range c.open {
-		c.clients.ledger.leave(r, time.Now())
+		c.clients.checker.clientDisconnected(r, time.Now())
 	}
 	clear(c.open)
 }
@@ -219,10 +219,10 @@
 // read takes answers until the connection ends.
 func (c *clientConn) read() {
 	for {
-		m, err := thrift.ReadMessage(c, mostAnswer)
+		m, err := thrift.ReadMessage(c, maxResponseBytes)
 		at := time.Now()
 		if err != nil {
-			c.broke(at)
+			c.handleDisconnect(at)
 			return
 		}
 		c.mu.Lock()
@@ -234,16 +234,16 @@
 		if r == nil {
 			continue // it crossed a cancel
 		}
-		ending, body := endingOf(m)
+		ending, body := parseOutcome(m)
 		if resent && ending == exception {
-			c.clients.ledger.Violated(RefusedWhileIdle, c.clients.front.name, r.id, "it was read before its connection was closed")
+			c.clients.checker.Violated(ResentRequestRejected, c.clients.gateway.name, r.id, "it was read before its connection was closed")
 		}
-		c.clients.ledger.answer(r, ending, body, at)
+		c.clients.checker.responseReceived(r, ending, body, at)
 	}
 }
 
-// broke ends the connection: what crossed the close is sent again, once.
-func (c *clientConn) broke(at time.Time) {
+// handleDisconnect ends the connection: what crossed the close is sent again, once.
+func (c *clientConn) handleDisconnect(at time.Time) {
 	c.Close()
 	c.mu.Lock()
 	c.ended = true
@@ -256,14 +256,14 @@
 	clear(c.open)
 	c.mu.Unlock()
 	for _, r := range open {
-		if !c.clients.ledger.broke(r, at, resent[r.id]) {
+		if !c.clients.checker.connectionLost(r, at, resent[r.id]) {
 			c.clients.done.Go(func() { c.clients.send(r, true) })
 		}
 	}
 }
 
-// endingOf reads how a request ended, and the body of an answer.
-func endingOf(m thrift.Message) (ending, body string) {
+// parseOutcome reads how a request ended, and the body of an answer.
+func parseOutcome(m thrift.Message) (ending, body string) {
 	field, args, err := m.Result()
 	switch {
 	case err != nil:
@@ -276,7 +276,7 @@
 	return served, string(args.Binaries[1])
 }
 
-func aliveFrame() []byte {
+func healthCheckFrame() []byte {
 	w := thrift.NewWriter("alive", thrift.Call, 1)
 	w.Bool(1, false)
 	return w.Frame()
