--- a/internal/testbed/soak/front.go
+++ b/internal/testbed/soak/front.go
@@ -18,49 +18,49 @@
 	"lupinpond/internal/testbed/faultproxy"
 )
 
-// front is one front end over its lives: a process, the ways to it, and what excuses it.
-type front struct {
-	o       Options
-	index   int
-	name    string
-	listen  string            // where its process listens
-	clients *faultproxy.Proxy // between its clients and it
-	journal *faultproxy.Proxy // the way to the list service that its configuration names
-	ways    []*faultproxy.Proxy
-	ledger  *ledger
-	spawn   func(cmd *exec.Cmd) error // starts a process that ends with this one
-	known   func() ([]discovery.Endpoint, int64)
-	inject  []string // words before the program: what makes its system calls fail
+// gatewayProcess is one front end over its lives: a process, the ways to it, and what excuses it.
+type gatewayProcess struct {
+	options          Options
+	index            int
+	name             string
+	listen           string            // where its process listens
+	clientProxy      *faultproxy.Proxy // between its clients and it
+	discoveryProxy   *faultproxy.Proxy // the way to the list service that its configuration names
+	discoveryProxies []*faultproxy.Proxy
+	checker          *checker
+	spawn            func(cmd *exec.Cmd) error // starts a process that ends with this one
+	endpoints        func() ([]discovery.Endpoint, int64)
+	wrapper          []string // words before the program: what makes its system calls fail
 
-	mu       sync.Mutex
-	life     int
-	process  *exec.Cmd
-	ended    chan struct{}
-	stopping bool  // its end is wished
-	taking   bool  // it takes new requests
-	busy     bool  // a trouble has it in hand
-	excuses  spans // times in which a request may be lost
-	late     spans // times in which its list service was in trouble
-	network  spans // times in which what clients send arrived late
-	log      *logReader
+	mu              sync.Mutex
+	incarnation     int
+	process         *exec.Cmd
+	ended           chan struct{}
+	stopping        bool  // its end is wished
+	accepting       bool  // it takes new requests
+	claimed         bool  // a trouble has it in hand
+	lossExcuses     spans // times in which a request may be lost
+	discoveryDelays spans // times in which its list service was in trouble
+	networkDelays   spans // times in which what clients send arrived late
+	log             *logReader
 }
 
 // logReader takes the lines of a front end's log: those of violated invariants are judged, all are kept in a file.
 type logReader struct {
-	front *front
-	file  *os.File
-	part  []byte
+	gateway *gatewayProcess
+	file    *os.File
+	buffer  []byte
 }
 
 // Write takes a part of the log.
 func (r *logReader) Write(b []byte) (int, error) {
-	r.part = append(r.part, b...)
+	r.buffer = append(r.buffer, b...)
 	for {
-		line, rest, is := bytes.Cut(r.part, []byte("\n"))
+		line, rest, is := bytes.Cut(r.buffer, []byte("\n"))
 		if !is {
 			break
 		}
-		r.part = rest
+		r.buffer = rest
 		r.line(line)
 	}
 	return r.file.Write(b)
@@ -72,54 +72,58 @@
 		return
 	}
 	id, _ := entry["request"].(string)
-	r.front.ledger.Violated(OwnInvariant, r.front.name, id, "%s", line)
+	r.gateway.checker.Violated(InvariantViolated, r.gateway.name, id, "%s", line)
 }
 
-// excuse begins a time in which requests may be lost; the result ends it.
-func (f *front) excuse(why string) (end func()) { return f.begin(&f.excuses, why) }
+// excuseLoss begins a time in which requests may be lost; the result ends it.
+func (f *gatewayProcess) excuseLoss(why string) (end func()) { return f.beginSpan(&f.lossExcuses, why) }
 
-// lateList begins a time in which its list service is in trouble; the result ends it.
-func (f *front) lateList(why string) (end func()) { return f.begin(&f.late, why) }
+// delayDiscovery begins a time in which its list service is in trouble; the result ends it.
+func (f *gatewayProcess) delayDiscovery(why string) (end func()) {
+	return f.beginSpan(&f.discoveryDelays, why)
+}
 
-// lateNetwork begins a time in which what clients send arrives late; the result ends it.
-func (f *front) lateNetwork(why string) (end func()) { return f.begin(&f.network, why) }
+// delayNetwork begins a time in which what clients send arrives late; the result ends it.
+func (f *gatewayProcess) delayNetwork(why string) (end func()) {
+	return f.beginSpan(&f.networkDelays, why)
+}
 
-func (f *front) begin(all *spans, why string) (end func()) {
-	x := &span{from: time.Now(), why: why}
-	f.ledger.mu.Lock()
-	defer f.ledger.mu.Unlock()
+func (f *gatewayProcess) beginSpan(all *spans, why string) (end func()) {
+	x := &span{from: time.Now(), reason: why}
+	f.checker.mu.Lock()
+	defer f.checker.mu.Unlock()
 	*all = append(*all, x)
 	return func() {
-		f.ledger.mu.Lock()
-		defer f.ledger.mu.Unlock()
+		f.checker.mu.Lock()
+		defer f.checker.mu.Unlock()
 		x.to = time.Now()
 	}
 }
 
-// toldAt is when a change counts as told to it that the list service told at a time; the ledger's lock is held.
-func (f *front) toldAt(at time.Time) time.Time {
-	if _, is := f.late.meets(at.Add(-judgeSlack), at.Add(drainGrace)); is {
-		return at.Add(toldAtLatest)
+// notifiedAt is when a change counts as told to it that the list service told at a time; the ledger's lock is held.
+func (f *gatewayProcess) notifiedAt(at time.Time) time.Time {
+	if _, is := f.discoveryDelays.overlaps(at.Add(-checkerSlack), at.Add(drainGrace)); is {
+		return at.Add(maxNotificationDelay)
 	}
 	return at
 }
 
 // start starts its process with a configuration of now, and has clients come once it is ready.
-func (f *front) start(ctx context.Context) error {
+func (f *gatewayProcess) start(ctx context.Context) error {
 	if err := f.configure(nil); err != nil {
 		return err
 	}
 	f.mu.Lock()
-	f.life++
-	file, err := os.Create(f.o.path(fmt.Sprintf("%s-%d.log", f.name, f.life)))
+	f.incarnation++
+	file, err := os.Create(f.options.path(fmt.Sprintf("%s-%d.log", f.name, f.incarnation)))
 	if err != nil {
 		f.mu.Unlock()
 		return err
 	}
-	f.log = &logReader{front: f, file: file}
-	words := append(append([]string{}, f.inject...), f.o.Program, "--log-format", "json", "--log-level", "info")
+	f.log = &logReader{gateway: f, file: file}
+	words := append(append([]string{}, f.wrapper...), f.options.Program, "--log-format", "json", "--log-level", "info")
 	cmd := exec.Command(words[0], words[1:]...)
-	cmd.Env = append(os.Environ(), "GW_CONFIG="+f.o.path(f.name+".json"), "GW_NAME="+f.name, "GW_LISTEN="+f.listen)
+	cmd.Env = append(os.Environ(), "GW_CONFIG="+f.options.path(f.name+".json"), "GW_NAME="+f.name, "GW_LISTEN="+f.listen)
 	cmd.Stderr, cmd.Stdout = f.log, f.log
 	ended := make(chan struct{})
 	f.process, f.ended, f.stopping = cmd, ended, false
@@ -128,30 +132,30 @@
 	if err := f.spawn(cmd); err != nil {
 		return err
 	}
-	f.ledger.count(func(s *Sums) { s.Starts++ })
+	f.checker.count(func(s *Counts) { s.Starts++ })
 	go func() {
 		defer close(ended)
 		err := cmd.Wait()
 		f.mu.Lock()
 		stopping := f.stopping
-		f.taking = false
+		f.accepting = false
 		f.mu.Unlock()
 		if !stopping {
-			f.ledger.Violated(Crashed, f.name, "", "ended by itself: %v", err)
+			f.checker.Violated(Crashed, f.name, "", "ended by itself: %v", err)
 		}
 	}()
-	return f.ready(ctx, began, ended)
+	return f.awaitReady(ctx, began, ended)
 }
 
-// ready waits until it answers alive.
-func (f *front) ready(ctx context.Context, began time.Time, ended chan struct{}) error {
+// awaitReady waits until it answers alive.
+func (f *gatewayProcess) awaitReady(ctx context.Context, began time.Time, ended chan struct{}) error {
 	for ctx.Err() == nil {
-		if alive(f.listen) {
-			if took := time.Since(began); took > readyWithin {
-				f.ledger.Violated(NotReady, f.name, "", "ready after %v", took)
+		if healthy(f.listen) {
+			if took := time.Since(began); took > readyTimeout {
+				f.checker.Violated(NotReady, f.name, "", "ready after %v", took)
 			}
 			f.mu.Lock()
-			f.taking = true
+			f.accepting = true
 			f.mu.Unlock()
 			return nil
 		}
@@ -161,16 +165,16 @@
 		case <-ctx.Done():
 		case <-time.After(20 * time.Millisecond):
 		}
-		if time.Since(began) > 3*readyWithin {
-			f.ledger.Violated(NotReady, f.name, "", "not ready after %v", time.Since(began))
+		if time.Since(began) > 3*readyTimeout {
+			f.checker.Violated(NotReady, f.name, "", "not ready after %v", time.Since(began))
 			return nil
 		}
 	}
 	return nil
 }
 
-// alive asks a front end whether it takes requests.
-func alive(addr string) bool {
+// healthy asks a front end whether it takes requests.
+func healthy(addr string) bool {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return false
@@ -179,25 +183,25 @@
 	if conn.SetDeadline(time.Now().Add(time.Second)) != nil {
 		return false
 	}
-	if _, err := conn.Write(aliveFrame()); err != nil {
+	if _, err := conn.Write(healthCheckFrame()); err != nil {
 		return false
 	}
-	m, err := thrift.ReadMessage(conn, mostAnswer)
+	m, err := thrift.ReadMessage(conn, maxResponseBytes)
 	return err == nil && strings.HasPrefix(m.Name, "alive")
 }
 
 // configure writes its configuration of now; between is called in the middle of the writing.
-func (f *front) configure(between func()) error {
-	known, position := f.known()
-	b, err := config(f.o, f, known, position)
+func (f *gatewayProcess) configure(between func()) error {
+	known, position := f.endpoints()
+	b, err := gatewayConfig(f.options, f, known, position)
 	if err != nil {
 		return err
 	}
-	return write(f.o.path(f.name+".json"), b, between)
+	return writeFile(f.options.path(f.name+".json"), b, between)
 }
 
 // signal sends a signal to the program itself.
-func (f *front) signal(s syscall.Signal) {
+func (f *gatewayProcess) signal(s syscall.Signal) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if pid := f.pid(); pid > 0 {
@@ -206,12 +210,12 @@
 }
 
 // pid is the program's process, which strace may have started; the lock is held.
-func (f *front) pid() int {
+func (f *gatewayProcess) pid() int {
 	if f.process == nil || f.process.Process == nil {
 		return 0
 	}
 	pid := f.process.Process.Pid
-	if len(f.inject) == 0 {
+	if len(f.wrapper) == 0 {
 		return pid
 	}
 	children, err := os.ReadFile(fmt.Sprintf("/proc/%d/task/%d/children", pid, pid))
@@ -224,7 +228,7 @@
 }
 
 // stop ends it by a signal and waits for the end; kill comes after some time.
-func (f *front) stop(s syscall.Signal, within time.Duration) (byItself bool) {
+func (f *gatewayProcess) stop(s syscall.Signal, within time.Duration) (byItself bool) {
 	f.mu.Lock()
 	f.stopping = true
 	ended := f.ended
@@ -248,32 +252,32 @@
 	return false
 }
 
-// takes tells whether clients send to it.
-func (f *front) takes() bool {
+// isAccepting tells whether clients send to it.
+func (f *gatewayProcess) isAccepting() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.taking
+	return f.accepting
 }
 
-func (f *front) rest() {
+func (f *gatewayProcess) stopAccepting() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.taking = false
+	f.accepting = false
 }
 
 // claim has a trouble take it in hand; false: another one has.
-func (f *front) claim() bool {
+func (f *gatewayProcess) claim() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.busy {
+	if f.claimed {
 		return false
 	}
-	f.busy = true
+	f.claimed = true
 	return true
 }
 
-func (f *front) release() {
+func (f *gatewayProcess) release() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.busy = false
+	f.claimed = false
 }
--- a/internal/testbed/soak/ledger.go
+++ b/internal/testbed/soak/ledger.go
@@ -6,48 +6,48 @@
 	"time"
 )
 
-// Kind is a rule that the judge found broken.
-type Kind string
+// Rule is a rule that the judge found broken.
+type Rule string
 
 // The rules, as the sockets show them.
 const (
-	LostRequest      Kind = "lost_request"         // no final answer, or one too late
-	SecondAnswer     Kind = "second_answer"        // to a request that had one
-	ForgedAnswer     Kind = "forged_answer"        // served, with what no worker made for it
-	SentAfterLeaving Kind = "sent_after_leaving"   // an attempt after its client had left
-	Overstated       Kind = "overstated_deadline"  // a worker was told more time than the client had left
-	RanTwice         Kind = "ran_twice"            // a request that must not run twice
-	SentToDrained    Kind = "sent_to_drained"      // an attempt after the drain grace
-	ColdOverrun      Kind = "cold_overrun"         // a cold worker got more than it bears
-	Changed          Kind = "changed"              // a request did not reach the worker as its client sent it
-	NotReady         Kind = "not_ready"            // a front end was not ready in time after a start
-	Crashed          Kind = "crashed"              // a front end ended by itself
-	OwnInvariant     Kind = "front_end_invariant"  // a front end has logged one of its own
-	RefusedWhileIdle Kind = "exception_for_resent" // a request sent again after a crossing was refused as known
+	LostRequest           Rule = "lost_request"         // no final answer, or one too late
+	DuplicateResponse     Rule = "second_answer"        // to a request that had one
+	CorruptResponse       Rule = "forged_answer"        // served, with what no worker made for it
+	SentAfterDisconnect   Rule = "sent_after_leaving"   // an attempt after its client had left
+	OverstatedDeadline    Rule = "overstated_deadline"  // a worker was told more time than the client had left
+	DuplicateExecution    Rule = "ran_twice"            // a request that must not run twice
+	SentToDraining        Rule = "sent_to_drained"      // an attempt after the drain grace
+	SlowStartOverrun      Rule = "cold_overrun"         // a cold worker got more than it bears
+	AlteredRequest        Rule = "changed"              // a request did not reach the worker as its client sent it
+	NotReady              Rule = "not_ready"            // a front end was not ready in time after a start
+	Crashed               Rule = "crashed"              // a front end ended by itself
+	InvariantViolated     Rule = "front_end_invariant"  // a front end has logged one of its own
+	ResentRequestRejected Rule = "exception_for_resent" // a request sent again after a crossing was refused as known
 )
 
 // Violation is one broken rule.
 type Violation struct {
-	Kind   Kind
-	Front  string
-	ID     string
-	Detail string
-	After  time.Duration // since the begin of the run
+	Rule      Rule
+	Gateway   string
+	RequestID string
+	Detail    string
+	Elapsed   time.Duration // since the begin of the run
 }
 
 // span is a time in which something was wrong.
 type span struct {
 	from, to time.Time
-	why      string
+	reason   string
 }
 
 // spans are those of one front end. A span that goes on has no end.
 type spans []*span
 
-func (s spans) meets(from, to time.Time) (why string, is bool) {
+func (s spans) overlaps(from, to time.Time) (why string, is bool) {
 	for _, x := range s {
 		if !x.from.After(to) && (x.to.IsZero() || !x.to.Before(from)) {
-			return x.why, true
+			return x.reason, true
 		}
 	}
 	return "", false
@@ -55,74 +55,74 @@
 
 // request is what the judge knows of one request.
 type request struct {
-	id       string
-	class    string
-	front    *front
-	sent     time.Time // its last byte was written
-	wait     time.Duration
-	left     time.Time // its client cancelled it or closed the connection; zero: it waits
-	answered time.Time
-	excused  string // why no answer is owed
-	runs     int
-	attempts int
-	body     string
-	mark     string
+	id             string
+	class          string
+	gateway        *gatewayProcess
+	sentAt         time.Time // its last byte was written
+	wait           time.Duration
+	disconnectedAt time.Time // its client cancelled it or closed the connection; zero: it waits
+	answeredAt     time.Time
+	excuse         string // why no answer is owed
+	runs           int
+	attempts       int
+	body           string
+	idempotencyKey string
 }
 
-// ledger has all requests and violations of a run.
-type ledger struct {
-	began  time.Time
-	stalls stalls
+// checker has all requests and violations of a run.
+type checker struct {
+	startedAt time.Time
+	stalls    stalls
 
 	mu         sync.Mutex
 	requests   map[string]*request
 	violations []Violation
-	sums       Sums
+	counts     Counts
 }
 
-// Sums count what was judged.
-type Sums struct {
-	Requests, Served, Rejected, Failed, Exceptions, Left, Excused, Attempts, Orders int
-	NotJudged                                                                       int // as the judge itself was late
-	Starts, Troubles, BadClients                                                    int
+// Counts count what was judged.
+type Counts struct {
+	Requests, Served, Rejected, Failed, Exceptions, Disconnected, Excused, Attempts, LoadRequests int
+	NotChecked                                                                                    int // as the judge itself was late
+	Starts, Faults, BadClients                                                                    int
 }
 
-func newLedger() *ledger { return &ledger{began: time.Now(), requests: map[string]*request{}} }
+func newChecker() *checker { return &checker{startedAt: time.Now(), requests: map[string]*request{}} }
 
-// violated notes a broken rule; the lock is held.
-func (l *ledger) violated(kind Kind, front, id, format string, args ...any) {
-	l.violations = append(l.violations, Violation{kind, front, id, fmt.Sprintf(format, args...), time.Since(l.began)})
+// violatedLocked notes a broken rule; the lock is held.
+func (l *checker) violatedLocked(kind Rule, front, id, format string, args ...any) {
+	l.violations = append(l.violations, Violation{kind, front, id, fmt.Sprintf(format, args...), time.Since(l.startedAt)})
 }
 
 // Violated notes a broken rule.
-func (l *ledger) Violated(kind Kind, front, id, format string, args ...any) {
+func (l *checker) Violated(kind Rule, front, id, format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.violated(kind, front, id, format, args...)
+	l.violatedLocked(kind, front, id, format, args...)
 }
 
-func (l *ledger) count(change func(*Sums)) {
+func (l *checker) count(change func(*Counts)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	change(&l.sums)
+	change(&l.counts)
 }
 
-// begin notes a request whose last byte is about to be written.
-func (l *ledger) begin(r *request) {
+// requestSent notes a request whose last byte is about to be written.
+func (l *checker) requestSent(r *request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r.sent = time.Now()
+	r.sentAt = time.Now()
 	l.requests[r.id] = r
-	l.sums.Requests++
+	l.counts.Requests++
 }
 
-// leave notes that the client of a request has left.
-func (l *ledger) leave(r *request, at time.Time) {
+// clientDisconnected notes that the client of a request has left.
+func (l *checker) clientDisconnected(r *request, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if r.left.IsZero() && r.answered.IsZero() {
-		r.left = at
-		l.sums.Left++
+	if r.disconnectedAt.IsZero() && r.answeredAt.IsZero() {
+		r.disconnectedAt = at
+		l.counts.Disconnected++
 	}
 }
 
@@ -134,129 +134,129 @@
 	exception = "exception"
 )
 
-// answer judges a final answer.
-func (l *ledger) answer(r *request, ending, body string, at time.Time) {
+// responseReceived judges a final answer.
+func (l *checker) responseReceived(r *request, ending, body string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case !r.answered.IsZero():
-		l.violated(SecondAnswer, r.front.name, r.id, "%s after an answer %v before", ending, at.Sub(r.answered))
+	case !r.answeredAt.IsZero():
+		l.violatedLocked(DuplicateResponse, r.gateway.name, r.id, "%s after an answer %v before", ending, at.Sub(r.answeredAt))
 		return
-	case !r.left.IsZero():
+	case !r.disconnectedAt.IsZero():
 		return // it crossed the client's leaving
 	}
-	r.answered = at
+	r.answeredAt = at
 	switch ending {
 	case served:
-		l.sums.Served++
-		if body != answerTo(r.id) {
-			l.violated(ForgedAnswer, r.front.name, r.id, "body %q", body)
+		l.counts.Served++
+		if body != expectedBody(r.id) {
+			l.violatedLocked(CorruptResponse, r.gateway.name, r.id, "body %q", body)
 		}
 	case rejected:
-		l.sums.Rejected++
+		l.counts.Rejected++
 	case failed:
-		l.sums.Failed++
+		l.counts.Failed++
 	default:
-		l.sums.Exceptions++
+		l.counts.Exceptions++
 	}
-	if late := at.Sub(r.sent) - r.wait; late > answerSlack {
-		l.judgeLost(r, at, fmt.Sprintf("answered %s %v after its time", ending, late))
+	if late := at.Sub(r.sentAt) - r.wait; late > responseSlack {
+		l.checkLost(r, at, fmt.Sprintf("answered %s %v after its time", ending, late))
 	}
 }
 
-// judgeLost judges a request that got no answer in time; the lock is held.
-func (l *ledger) judgeLost(r *request, at time.Time, how string) {
-	if why, is := r.front.excuses.meets(r.sent, at); is {
-		r.excused = why
-		l.sums.Excused++
+// checkLost judges a request that got no answer in time; the lock is held.
+func (l *checker) checkLost(r *request, at time.Time, how string) {
+	if why, is := r.gateway.lossExcuses.overlaps(r.sentAt, at); is {
+		r.excuse = why
+		l.counts.Excused++
 		return
 	}
-	if l.lateJudge(r.sent, at) {
+	if l.checkerStalled(r.sentAt, at) {
 		return
 	}
-	l.violated(LostRequest, r.front.name, r.id, "class %s, wait %v, %d attempts: %s", r.class, r.wait, r.attempts, how)
+	l.violatedLocked(LostRequest, r.gateway.name, r.id, "class %s, wait %v, %d attempts: %s", r.class, r.wait, r.attempts, how)
 }
 
-// lateJudge tells whether the judge itself did not run in a time, which then can't be judged; the lock is held.
-func (l *ledger) lateJudge(from, to time.Time) bool {
-	if l.stalls.met(from, to) {
-		l.sums.NotJudged++
+// checkerStalled tells whether the judge itself did not run in a time, which then can't be judged; the lock is held.
+func (l *checker) checkerStalled(from, to time.Time) bool {
+	if l.stalls.overlaps(from, to) {
+		l.counts.NotChecked++
 		return true
 	}
 	return false
 }
 
-// broke judges a request on a connection that has ended without its answer; false: it is to be sent again on a new connection, as
+// connectionLost judges a request on a connection that has ended without its answer; false: it is to be sent again on a new connection, as
 // it crossed the close.
-func (l *ledger) broke(r *request, at time.Time, resent bool) (over bool) {
+func (l *checker) connectionLost(r *request, at time.Time, resent bool) (over bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !r.left.IsZero() || !r.answered.IsZero() {
+	if !r.disconnectedAt.IsZero() || !r.answeredAt.IsZero() {
 		return true
 	}
-	if !resent && at.Sub(r.sent) <= crossingWithin {
-		if _, is := r.front.excuses.meets(r.sent, at); !is {
+	if !resent && at.Sub(r.sentAt) <= crossingWindow {
+		if _, is := r.gateway.lossExcuses.overlaps(r.sentAt, at); !is {
 			return false
 		}
 	}
-	r.left = at // nobody waits any more
-	l.judgeLost(r, at, fmt.Sprintf("its connection ended after %v", at.Sub(r.sent)))
+	r.disconnectedAt = at // nobody waits any more
+	l.checkLost(r, at, fmt.Sprintf("its connection ended after %v", at.Sub(r.sentAt)))
 	return true
 }
 
-// attempt judges a request as it came to a worker.
-func (l *ledger) attempt(a attempt) {
+// attemptReceived judges a request as it came to a worker.
+func (l *checker) attemptReceived(a attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sums.Attempts++
+	l.counts.Attempts++
 	r := l.requests[a.id]
 	if r == nil {
 		return // of a bad client
 	}
 	r.attempts++
-	if l.lateJudge(a.came.Add(-judgeSlack), a.came) {
+	if l.checkerStalled(a.receivedAt.Add(-checkerSlack), a.receivedAt) {
 		return
 	}
-	if r.class != a.class || r.body != a.body || r.mark != a.mark {
-		l.violated(Changed, r.front.name, r.id, "class %q, body %q, mark %q came as %q, %q, %q", r.class, r.body, r.mark, a.class, a.body, a.mark)
+	if r.class != a.class || r.body != a.body || r.idempotencyKey != a.idempotencyKey {
+		l.violatedLocked(AlteredRequest, r.gateway.name, r.id, "class %q, body %q, mark %q came as %q, %q, %q", r.class, r.body, r.idempotencyKey, a.class, a.body, a.idempotencyKey)
 	}
-	_, delayed := r.front.network.meets(r.sent, a.came)
+	_, delayed := r.gateway.networkDelays.overlaps(r.sentAt, a.receivedAt)
 	delayed = delayed || a.readLate
-	if !delayed && !r.left.IsZero() && a.came.Sub(r.left) > leftSlack {
-		l.violated(SentAfterLeaving, r.front.name, r.id, "%v after its client had left, %v after it was sent", a.came.Sub(r.left), a.came.Sub(r.sent))
+	if !delayed && !r.disconnectedAt.IsZero() && a.receivedAt.Sub(r.disconnectedAt) > disconnectSlack {
+		l.violatedLocked(SentAfterDisconnect, r.gateway.name, r.id, "%v after its client had left, %v after it was sent", a.receivedAt.Sub(r.disconnectedAt), a.receivedAt.Sub(r.sentAt))
 	}
-	if left := r.wait - a.came.Sub(r.sent); !delayed && a.told > max(left, 0)+deadlineSlack {
-		l.violated(Overstated, r.front.name, r.id, "told %v, the client has %v of %v left", a.told, left, r.wait)
+	if left := r.wait - a.receivedAt.Sub(r.sentAt); !delayed && a.statedTimeLeft > max(left, 0)+deadlineSlack {
+		l.violatedLocked(OverstatedDeadline, r.gateway.name, r.id, "told %v, the client has %v of %v left", a.statedTimeLeft, left, r.wait)
 	}
-	if a.drained.IsZero() || a.readLate {
+	if a.drainedAt.IsZero() || a.readLate {
 		return
 	}
-	if late := a.came.Sub(r.front.toldAt(a.drained)); late > drainSlack {
-		l.violated(SentToDrained, r.front.name, r.id, "worker %s, %v after it counts as told", a.worker, late)
+	if late := a.receivedAt.Sub(r.gateway.notifiedAt(a.drainedAt)); late > drainSlack {
+		l.violatedLocked(SentToDraining, r.gateway.name, r.id, "worker %s, %v after it counts as told", a.worker, late)
 	}
 }
 
-// ran judges that a request runs.
-func (l *ledger) ran(id, worker string) {
+// executionStarted judges that a request runs.
+func (l *checker) executionStarted(id, worker string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.requests[id]
 	if r == nil {
 		return
 	}
-	if r.runs++; r.runs > 1 && r.class == classOnce {
-		l.violated(RanTwice, r.front.name, id, "run %d, at %s", r.runs, worker)
+	if r.runs++; r.runs > 1 && r.class == classAtMostOnce {
+		l.violatedLocked(DuplicateExecution, r.gateway.name, id, "run %d, at %s", r.runs, worker)
 	}
 }
 
-// settle judges what has no answer at the end.
-func (l *ledger) settle() {
+// checkUnanswered judges what has no answer at the end.
+func (l *checker) checkUnanswered() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	for _, r := range l.requests {
-		if r.answered.IsZero() && r.left.IsZero() && r.excused == "" {
-			l.judgeLost(r, r.sent.Add(r.wait+answerSlack), fmt.Sprintf("never answered, %v after it was sent", now.Sub(r.sent)))
+		if r.answeredAt.IsZero() && r.disconnectedAt.IsZero() && r.excuse == "" {
+			l.checkLost(r, r.sentAt.Add(r.wait+responseSlack), fmt.Sprintf("never answered, %v after it was sent", now.Sub(r.sentAt)))
 		}
 	}
 }
--- a/internal/testbed/soak/stalls.go
+++ b/internal/testbed/soak/stalls.go
@@ -13,8 +13,8 @@
 }
 
 const (
-	stallTick  = 5 * time.Millisecond
-	leastStall = 30 * time.Millisecond
+	stallTick = 5 * time.Millisecond
+	minStall  = 30 * time.Millisecond
 )
 
 // watch notes stalls until ctx ends.
@@ -25,7 +25,7 @@
 	for ctx.Err() == nil {
 		<-ticker.C
 		now := time.Now()
-		if now.Sub(last) > leastStall {
+		if now.Sub(last) > minStall {
 			s.mu.Lock()
 			s.all = append(s.all, span{from: last, to: now})
 			s.mu.Unlock()
@@ -34,8 +34,8 @@
 	}
 }
 
-// met tells whether a stall falls into a time.
-func (s *stalls) met(from, to time.Time) bool {
+// overlaps tells whether a stall falls into a time.
+func (s *stalls) overlaps(from, to time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, x := range s.all {
--- a/internal/testbed/soak/troubles.go
+++ b/internal/testbed/soak/troubles.go
@@ -12,48 +12,48 @@
 	"lupinpond/internal/testbed/faultproxy"
 )
 
-// trouble is one kind of what may go wrong. It returns once it is over.
-type trouble struct {
+// fault is one kind of what may go wrong. It returns once it is over.
+type fault struct {
 	name   string
 	weight int
-	play   func(r *run, ctx context.Context, random *rand.Rand)
+	inject func(r *run, ctx context.Context, random *rand.Rand)
 }
 
-// troubles are all kinds.
-func troubles() []trouble {
-	return []trouble{
-		{"stop", 3, atFront((*run).plannedStop)},
-		{"kill", 2, atFront((*run).killFront)},
-		{"pause", 4, atFront((*run).pauseFront)},
-		{"stutter", 2, atFront((*run).stutterFront)},
-		{"move the list", 3, atFront((*run).moveList)},
-		{"stop under reloads", 2, atFront((*run).stopUnderReloads)},
-		{"list service", 4, atFront((*run).listTrouble)},
+// faultKinds are all kinds.
+func faultKinds() []fault {
+	return []fault{
+		{"stop", 3, atGateway((*run).plannedStop)},
+		{"kill", 2, atGateway((*run).crashGateway)},
+		{"pause", 4, atGateway((*run).pauseGateway)},
+		{"stutter", 2, atGateway((*run).stutterGateway)},
+		{"move the list", 3, atGateway((*run).moveDiscovery)},
+		{"stop under reloads", 2, atGateway((*run).stopUnderReloads)},
+		{"list service", 4, atGateway((*run).discoveryFault)},
 		{"replace a worker", 4, (*run).replaceWorker},
 		{"replace many workers", 1, (*run).replaceMany},
-		{"drain under a pause", 2, atFront((*run).drainUnderPause)},
-		{"worker misbehaves", 5, (*run).workerMisbehaves},
+		{"drain under a pause", 2, atGateway((*run).drainUnderPause)},
+		{"worker misbehaves", 5, (*run).misbehavingWorker},
 		{"worker connections", 3, (*run).workerConnections},
 		{"late connections", 3, (*run).lateConnections},
-		{"client network", 3, atFront((*run).clientNetwork)},
-		{"idle clients", 2, atFront((*run).idleClients)},
-		{"bad clients", 3, atFront((*run).badClients)},
-		{"slow readers", 2, atFront((*run).slowReaders)},
+		{"client network", 3, atGateway((*run).clientNetwork)},
+		{"idle clients", 2, atGateway((*run).idleClients)},
+		{"bad clients", 3, atGateway((*run).badClients)},
+		{"slow readers", 2, atGateway((*run).slowReaders)},
 	}
 }
 
-// atFront plays a trouble at a front end that no other trouble has in hand, if there is one.
-func atFront(play func(r *run, ctx context.Context, f *front, random *rand.Rand)) func(*run, context.Context, *rand.Rand) {
+// atGateway plays a trouble at a front end that no other trouble has in hand, if there is one.
+func atGateway(play func(r *run, ctx context.Context, f *gatewayProcess, random *rand.Rand)) func(*run, context.Context, *rand.Rand) {
 	return func(r *run, ctx context.Context, random *rand.Rand) {
-		if f := r.free(random); f != nil {
+		if f := r.claimGateway(random); f != nil {
 			defer f.release()
 			play(r, ctx, f, random)
 		}
 	}
 }
 
-// between draws a time.
-func between(random *rand.Rand, least, most time.Duration) time.Duration {
+// drawDuration draws a time.
+func drawDuration(random *rand.Rand, least, most time.Duration) time.Duration {
 	return least + time.Duration(random.Int64N(int64(most-least)))
 }
 
@@ -65,11 +65,11 @@
 	}
 }
 
-// free draws a front end that no other trouble has in hand, and takes it; nil: there is none.
-func (r *run) free(random *rand.Rand) *front {
-	for range len(r.fronts) {
-		if f := r.fronts[random.IntN(len(r.fronts))]; f.takes() && f.claim() {
-			r.say("  at %s", f.name)
+// claimGateway draws a front end that no other trouble has in hand, and takes it; nil: there is none.
+func (r *run) claimGateway(random *rand.Rand) *gatewayProcess {
+	for range len(r.gateways) {
+		if f := r.gateways[random.IntN(len(r.gateways))]; f.isAccepting() && f.claim() {
+			r.logf("  at %s", f.name)
 			return f
 		}
 	}
@@ -77,82 +77,82 @@
 }
 
 // restart starts a front end again, and ends what excuses it once it is ready.
-func (r *run) restart(ctx context.Context, f *front, excused func()) {
+func (r *run) restart(ctx context.Context, f *gatewayProcess, excused func()) {
 	if err := f.start(ctx); err != nil && ctx.Err() == nil {
-		r.ledger.Violated(NotReady, f.name, "", "%v", err)
+		r.checker.Violated(NotReady, f.name, "", "%v", err)
 	}
 	excused()
 }
 
 // plannedStop ends a front end as planned: it sends SIGTERM, goes on sending requests for some time, and starts the front end again
 // once it has ended.
-func (r *run) plannedStop(ctx context.Context, f *front, random *rand.Rand) {
+func (r *run) plannedStop(ctx context.Context, f *gatewayProcess, random *rand.Rand) {
 	f.mu.Lock()
 	f.stopping = true
 	f.mu.Unlock()
 	f.signal(syscall.SIGTERM)
-	time.Sleep(between(random, 200*time.Millisecond, 400*time.Millisecond))
-	f.rest()
-	if !f.stop(syscall.SIGTERM, max(longest, 3*time.Second)+700*time.Millisecond) {
-		r.say("%s did not end by itself", f.name)
+	time.Sleep(drawDuration(random, 200*time.Millisecond, 400*time.Millisecond))
+	f.stopAccepting()
+	if !f.stop(syscall.SIGTERM, max(maxWait, 3*time.Second)+700*time.Millisecond) {
+		r.logf("%s did not end by itself", f.name)
 	}
-	restarted := f.lateList("restart")
+	restarted := f.delayDiscovery("restart")
 	r.restart(ctx, f, restarted)
 }
 
-// killFront kills a front end and starts it again.
-func (r *run) killFront(ctx context.Context, f *front, random *rand.Rand) {
-	over := f.excuse("killed")
-	f.rest()
+// crashGateway kills a front end and starts it again.
+func (r *run) crashGateway(ctx context.Context, f *gatewayProcess, random *rand.Rand) {
+	over := f.excuseLoss("killed")
+	f.stopAccepting()
 	f.stop(syscall.SIGKILL, time.Second)
-	f.clients.Reset() // as the machine does; the proxy may not have noticed
-	restarted := f.lateList("restart")
+	f.clientProxy.Reset() // as the machine does; the proxy may not have noticed
+	restarted := f.delayDiscovery("restart")
 	r.restart(ctx, f, func() { over(); restarted() })
 }
 
-// pauseFront has a front end stand still.
-func (r *run) pauseFront(ctx context.Context, f *front, random *rand.Rand) {
-	r.pause(ctx, f, between(random, 120*time.Millisecond, 1500*time.Millisecond))
+// pauseGateway has a front end stand still.
+func (r *run) pauseGateway(ctx context.Context, f *gatewayProcess, random *rand.Rand) {
+	r.pause(ctx, f, drawDuration(random, 120*time.Millisecond, 1500*time.Millisecond))
 }
 
 // pause has a front end stand still for a time. What it answers late is excused, nothing else is.
-func (r *run) pause(ctx context.Context, f *front, d time.Duration) {
-	over := f.excuse("paused")
+func (r *run) pause(ctx context.Context, f *gatewayProcess, d time.Duration) {
+	over := f.excuseLoss("paused")
 	f.signal(syscall.SIGSTOP)
 	sleep(ctx, d)
 	f.signal(syscall.SIGCONT)
 	over()
 }
 
-// stutterFront has a front end stand still for moments that are too short to be noticed as a pause, one after the other.
-func (r *run) stutterFront(ctx context.Context, f *front, random *rand.Rand) {
+// stutterGateway has a front end stand still for moments that are too short to be noticed as a pause, one after the other.
+func (r *run) stutterGateway(ctx context.Context, f *gatewayProcess, random *rand.Rand) {
 	for range 10 {
-		r.pause(ctx, f, between(random, 20*time.Millisecond, 90*time.Millisecond))
-		sleep(ctx, between(random, 5*time.Millisecond, 100*time.Millisecond))
+		r.pause(ctx, f, drawDuration(random, 20*time.Millisecond, 90*time.Millisecond))
+		sleep(ctx, drawDuration(random, 5*time.Millisecond, 100*time.Millisecond))
 	}
 }
 
-// moveList moves the list service's address in a front end's configuration: once, in quick succession, there and back, and in a file
+// moveDiscovery moves the list service's address in a front end's configuration: once, in quick succession, there and back, and in a file
 // that is being written as the signal comes.
-func (r *run) moveList(ctx context.Context, f *front, random *rand.Rand) {
+func (r *run) moveDiscovery(ctx context.Context, f *gatewayProcess, random *rand.Rand) {
 	moves := 1 + random.IntN(3)
 	for range moves {
 		r.move(ctx, f, random.IntN(3) == 0)
-		sleep(ctx, between(random, time.Millisecond, 300*time.Millisecond))
+		sleep(ctx, drawDuration(random, time.Millisecond, 300*time.Millisecond))
 	}
 }
 
 // move has the front end follow the list at its other address; the one before ends a little later.
-func (r *run) move(ctx context.Context, f *front, torn bool) {
+func (r *run) move(ctx context.Context, f *gatewayProcess, torn bool) {
 	f.mu.Lock()
-	old := f.journal
-	f.journal = f.ways[0]
-	if old == f.journal {
-		f.journal = f.ways[1]
+	old := f.discoveryProxy
+	f.discoveryProxy = f.discoveryProxies[0]
+	if old == f.discoveryProxy {
+		f.discoveryProxy = f.discoveryProxies[1]
 	}
 	f.mu.Unlock()
-	late := f.lateList("moved")
-	f.journal.Set(faultproxy.Fault{})
+	late := f.delayDiscovery("moved")
+	f.discoveryProxy.SetFault(faultproxy.Fault{})
 	var err error
 	if torn {
 		err = f.configure(func() {
@@ -163,14 +163,14 @@
 		f.signal(syscall.SIGHUP)
 	}
 	if err != nil {
-		r.say("%s: %v", f.name, err)
+		r.logf("%s: %v", f.name, err)
 	}
 	time.AfterFunc(300*time.Millisecond, func() { old.Reset() })
-	time.AfterFunc(movedWithin, late)
+	time.AfterFunc(moveNotificationDelay, late)
 }
 
 // stopUnderReloads has SIGHUP and SIGTERM come in any order, and twice.
-func (r *run) stopUnderReloads(ctx context.Context, f *front, random *rand.Rand) {
+func (r *run) stopUnderReloads(ctx context.Context, f *gatewayProcess, random *rand.Rand) {
 	f.mu.Lock()
 	f.stopping = true
 	f.mu.Unlock()
@@ -182,25 +182,25 @@
 	r.plannedStop(ctx, f, random)
 }
 
-// listTrouble has a front end's way to the list service hang, be slow, cut answers or reset connections.
-func (r *run) listTrouble(ctx context.Context, f *front, random *rand.Rand) {
-	over := f.lateList("list service")
+// discoveryFault has a front end's way to the list service hang, be slow, cut answers or reset connections.
+func (r *run) discoveryFault(ctx context.Context, f *gatewayProcess, random *rand.Rand) {
+	over := f.delayDiscovery("list service")
 	f.mu.Lock()
-	way := f.journal
+	way := f.discoveryProxy
 	f.mu.Unlock()
 	fault := faultproxy.Fault{}
 	switch random.IntN(4) {
 	case 0:
-		fault.Hold = true
+		fault.Blackhole = true
 	case 1:
-		fault.Delay = between(random, 200*time.Millisecond, 1500*time.Millisecond)
+		fault.Delay = drawDuration(random, 200*time.Millisecond, 1500*time.Millisecond)
 	case 2:
-		fault.Cut = 1 + random.IntN(600)
+		fault.CloseAfterBytes = 1 + random.IntN(600)
 	}
-	way.Set(fault)
+	way.SetFault(fault)
 	way.Reset()
-	sleep(ctx, between(random, 300*time.Millisecond, 4*time.Second))
-	way.Set(faultproxy.Fault{})
+	sleep(ctx, drawDuration(random, 300*time.Millisecond, 4*time.Second))
+	way.SetFault(faultproxy.Fault{})
 	way.Reset()
 	time.AfterFunc(2*time.Second, over)
 }
@@ -212,15 +212,15 @@
 
 // replaceMany replaces a third of the workers at once.
 func (r *run) replaceMany(ctx context.Context, random *rand.Rand) {
-	r.replace(ctx, random, len(r.fleet())/3)
+	r.replace(ctx, random, len(r.listedWorkers())/3)
 }
 
 // drainUnderPause has a worker drain while a front end stands still.
-func (r *run) drainUnderPause(ctx context.Context, f *front, random *rand.Rand) {
+func (r *run) drainUnderPause(ctx context.Context, f *gatewayProcess, random *rand.Rand) {
 	paused := make(chan struct{})
 	go func() {
 		defer close(paused)
-		r.pause(ctx, f, between(random, 700*time.Millisecond, 1500*time.Millisecond))
+		r.pause(ctx, f, drawDuration(random, 700*time.Millisecond, 1500*time.Millisecond))
 	}()
 	time.Sleep(50 * time.Millisecond)
 	r.replace(ctx, rand.New(rand.NewPCG(random.Uint64(), 0)), 2)
@@ -229,110 +229,110 @@
 
 // replace drains workers, lets them finish, and starts others.
 func (r *run) replace(ctx context.Context, random *rand.Rand, n int) {
-	old := r.take(random, n)
-	r.tell(old, discovery.Draining)
-	sleep(ctx, between(random, 0, 900*time.Millisecond))
-	r.tell(old, discovery.Removed)
+	old := r.drawWorkers(random, n)
+	r.publishState(old, discovery.Draining)
+	sleep(ctx, drawDuration(random, 0, 900*time.Millisecond))
+	r.publishState(old, discovery.Removed)
 	same := random.IntN(2) == 0
 	for _, w := range old {
-		w.die()
+		w.crash()
 	}
-	sleep(ctx, between(random, time.Millisecond, 300*time.Millisecond))
+	sleep(ctx, drawDuration(random, time.Millisecond, 300*time.Millisecond))
 	for _, w := range old {
 		addr, name := "", ""
 		if same {
-			addr = w.line.Addr
+			addr = w.endpoint.Addr
 		}
 		if same && random.IntN(2) == 0 {
-			name = w.line.Name
+			name = w.endpoint.Name
 		}
-		r.add(random, name, addr, random.IntN(4) != 0)
+		r.addWorker(random, name, addr, random.IntN(4) != 0)
 	}
 }
 
-// workerMisbehaves has a worker be slow, hang, fail, refuse, spoil its answers or answer twice.
-func (r *run) workerMisbehaves(ctx context.Context, random *rand.Rand) {
-	workers := r.fleet()
+// misbehavingWorker has a worker be slow, hang, fail, refuse, spoil its answers or answer twice.
+func (r *run) misbehavingWorker(ctx context.Context, random *rand.Rand) {
+	workers := r.listedWorkers()
 	w := workers[random.IntN(len(workers))]
-	moods := []mood{{mute: true}, {slow: between(random, 100*time.Millisecond, 2*time.Second)}, {fails: true}, {refuses: true},
-		{spoils: true}, {twice: true}, {breaks: true}}
-	w.set(moods[random.IntN(len(moods))])
-	sleep(ctx, between(random, 300*time.Millisecond, 3*time.Second))
-	w.set(mood{})
+	moods := []misbehavior{{silent: true}, {extraDelay: drawDuration(random, 100*time.Millisecond, 2*time.Second)}, {fails: true}, {refuses: true},
+		{corrupts: true}, {duplicates: true}, {resets: true}}
+	w.setMisbehavior(moods[random.IntN(len(moods))])
+	sleep(ctx, drawDuration(random, 300*time.Millisecond, 3*time.Second))
+	w.setMisbehavior(misbehavior{})
 }
 
 // workerConnections resets the connections of a worker, some more than once.
 func (r *run) workerConnections(ctx context.Context, random *rand.Rand) {
-	workers := r.fleet()
+	workers := r.listedWorkers()
 	w := workers[random.IntN(len(workers))]
 	for range 1 + random.IntN(3) {
 		w.resetAll()
-		sleep(ctx, between(random, time.Millisecond, 200*time.Millisecond))
+		sleep(ctx, drawDuration(random, time.Millisecond, 200*time.Millisecond))
 	}
 }
 
 // lateConnections has connections to a worker come up late, or not in time.
 func (r *run) lateConnections(ctx context.Context, random *rand.Rand) {
-	workers := r.fleet()
+	workers := r.listedWorkers()
 	w := workers[random.IntN(len(workers))]
-	w.hold(true)
+	w.pauseAccept(true)
 	w.resetAll()
-	sleep(ctx, between(random, 100*time.Millisecond, 1500*time.Millisecond))
-	w.hold(false)
+	sleep(ctx, drawDuration(random, 100*time.Millisecond, 1500*time.Millisecond))
+	w.pauseAccept(false)
 }
 
 // clientNetwork has what passes between a front end and its clients stand still, come late, or be reset.
-func (r *run) clientNetwork(ctx context.Context, f *front, random *rand.Rand) {
-	over, arrived := f.excuse("client network"), f.lateNetwork("client network")
+func (r *run) clientNetwork(ctx context.Context, f *gatewayProcess, random *rand.Rand) {
+	over, arrived := f.excuseLoss("client network"), f.delayNetwork("client network")
 	switch random.IntN(3) {
 	case 0:
-		f.clients.Set(faultproxy.Fault{Hold: true})
+		f.clientProxy.SetFault(faultproxy.Fault{Blackhole: true})
 	case 1:
-		f.clients.Set(faultproxy.Fault{Delay: between(random, 5*time.Millisecond, 300*time.Millisecond)})
+		f.clientProxy.SetFault(faultproxy.Fault{Delay: drawDuration(random, 5*time.Millisecond, 300*time.Millisecond)})
 	case 2:
-		f.clients.Reset()
+		f.clientProxy.Reset()
 	}
-	sleep(ctx, between(random, 100*time.Millisecond, 1500*time.Millisecond))
-	f.clients.Set(faultproxy.Fault{})
+	sleep(ctx, drawDuration(random, 100*time.Millisecond, 1500*time.Millisecond))
+	f.clientProxy.SetFault(faultproxy.Fault{})
 	time.AfterFunc(time.Second, func() { over(); arrived() })
 }
 
 // idleClients has connections come that ask whether the front end is alive and then rest, more than it can hold.
-func (r *run) idleClients(ctx context.Context, f *front, random *rand.Rand) {
+func (r *run) idleClients(ctx context.Context, f *gatewayProcess, random *rand.Rand) {
 	var conns []net.Conn
-	for range sockets {
-		conn, err := net.DialTimeout("tcp", f.listen, dialLimit)
+	for range maxSockets {
+		conn, err := net.DialTimeout("tcp", f.listen, dialTimeout)
 		if err != nil {
 			break
 		}
 		conns = append(conns, conn)
 		if random.IntN(2) == 0 {
-			_, _ = conn.Write(aliveFrame()) // it may have been closed
+			_, _ = conn.Write(healthCheckFrame()) // it may have been closed
 		}
 	}
-	sleep(ctx, between(random, 200*time.Millisecond, 2*time.Second))
+	sleep(ctx, drawDuration(random, 200*time.Millisecond, 2*time.Second))
 	for _, conn := range conns {
 		conn.Close()
 	}
 }
 
 // badClients sends what can't be read, stops in the middle, and closes under what it has asked.
-func (r *run) badClients(ctx context.Context, f *front, random *rand.Rand) {
+func (r *run) badClients(ctx context.Context, f *gatewayProcess, random *rand.Rand) {
 	for range 20 {
-		conn, err := net.DialTimeout("tcp", f.listen, dialLimit)
+		conn, err := net.DialTimeout("tcp", f.listen, dialTimeout)
 		if err != nil {
 			return
 		}
-		r.ledger.count(func(s *Sums) { s.BadClients++ })
+		r.checker.count(func(s *Counts) { s.BadClients++ })
 		go badClient(ctx, conn, rand.New(rand.NewPCG(random.Uint64(), 1)))
-		sleep(ctx, between(random, time.Millisecond, 30*time.Millisecond))
+		sleep(ctx, drawDuration(random, time.Millisecond, 30*time.Millisecond))
 	}
 }
 
 // badClient plays one bad client.
 func badClient(ctx context.Context, conn net.Conn, random *rand.Rand) {
 	defer conn.Close()
-	frame := aliveFrame()
+	frame := healthCheckFrame()
 	switch random.IntN(5) {
 	case 0:
 		frame = []byte{0x7f, 0xff, 0xff, 0xff, 1, 2, 3}
@@ -344,18 +344,18 @@
 		frame = []byte(fmt.Sprintf("GET / HTTP/1.1\r\nHost: %x\r\n\r\n", random.Uint64()))
 	case 4:
 		for range 40 {
-			frame = append(frame, aliveFrame()...)
+			frame = append(frame, healthCheckFrame()...)
 		}
 	}
 	_, _ = conn.Write(frame) // it may have been closed
-	sleep(ctx, between(random, time.Millisecond, 1500*time.Millisecond))
+	sleep(ctx, drawDuration(random, time.Millisecond, 1500*time.Millisecond))
 }
 
 // slowReaders has the answers of a front end pass to its clients a little at a time.
-func (r *run) slowReaders(ctx context.Context, f *front, random *rand.Rand) {
-	over, arrived := f.excuse("slow readers"), f.lateNetwork("slow readers")
-	f.clients.Set(faultproxy.Fault{Delay: between(random, 20*time.Millisecond, 120*time.Millisecond)})
-	sleep(ctx, between(random, 200*time.Millisecond, 1500*time.Millisecond))
-	f.clients.Set(faultproxy.Fault{})
+func (r *run) slowReaders(ctx context.Context, f *gatewayProcess, random *rand.Rand) {
+	over, arrived := f.excuseLoss("slow readers"), f.delayNetwork("slow readers")
+	f.clientProxy.SetFault(faultproxy.Fault{Delay: drawDuration(random, 20*time.Millisecond, 120*time.Millisecond)})
+	sleep(ctx, drawDuration(random, 200*time.Millisecond, 1500*time.Millisecond))
+	f.clientProxy.SetFault(faultproxy.Fault{})
 	time.AfterFunc(time.Second, func() { over(); arrived() })
 }
--- a/internal/testbed/soak/worker.go
+++ b/internal/testbed/soak/worker.go
@@ -20,91 +20,91 @@
 
 // attempt is a request as it came to a worker.
 type attempt struct {
-	id, class, body, mark string
-	told                  time.Duration
-	came                  time.Time // its last byte was read
-	worker                string
-	drained               time.Time // when the list told that the worker drains; zero: it does not
-	readLate              bool      // the worker let the connection wait: it can't judge when the request was written
+	id, class, body, idempotencyKey string
+	statedTimeLeft                  time.Duration
+	receivedAt                      time.Time // its last byte was read
+	worker                          string
+	drainedAt                       time.Time // when the list told that the worker drains; zero: it does not
+	readLate                        bool      // the worker let the connection wait: it can't judge when the request was written
 }
 
-// mood is how a worker misbehaves. The zero value is well.
-type mood struct {
-	mute    bool          // it reads and answers nothing
-	slow    time.Duration // every run takes that much more
-	fails   bool          // it answers with errors
-	refuses bool          // it is full
-	spoils  bool          // answers can't be read
-	twice   bool          // answers come a second time a little later
-	breaks  bool          // it runs the request, then resets the connection
+// misbehavior is how a worker misbehaves. The zero value is well.
+type misbehavior struct {
+	silent     bool          // it reads and answers nothing
+	extraDelay time.Duration // every run takes that much more
+	fails      bool          // it answers with errors
+	refuses    bool          // it is full
+	corrupts   bool          // answers can't be read
+	duplicates bool          // answers come a second time a little later
+	resets     bool          // it runs the request, then resets the connection
 }
 
 // worker is one life of an emulated worker.
 type worker struct {
-	ledger   *ledger
-	line     discovery.Endpoint
-	born     time.Time // zero: long ago
-	listener net.Listener
-	done     sync.WaitGroup
-
-	mu       sync.Mutex
-	random   *rand.Rand
-	mood     mood
-	conns    map[net.Conn]bool
-	replicas map[string]time.Time // by function: when its load ends
-	running  int
-	queue    []*job
-	given    map[string]bool // requests given up, by connection and id
-	drained  time.Time       // when the list told that it drains or is gone; zero: it does not
-	lately   []time.Time     // requests of the last fallWithin
-	held     bool            // no connection is accepted
-	freed    time.Time       // when that ended last
+	checker   *checker
+	endpoint  discovery.Endpoint
+	startedAt time.Time // zero: long ago
+	listener  net.Listener
+	done      sync.WaitGroup
+
+	mu              sync.Mutex
+	random          *rand.Rand
+	misbehavior     misbehavior
+	conns           map[net.Conn]bool
+	replicas        map[string]time.Time // by function: when its load ends
+	running         int
+	queue           []*job
+	cancelled       map[string]bool // requests given up, by connection and id
+	drainedAt       time.Time       // when the list told that it drains or is gone; zero: it does not
+	recentRequests  []time.Time     // requests of the last fallWithin
+	acceptPaused    bool            // no connection is accepted
+	acceptResumedAt time.Time       // when that ended last
 }
 
 // job is a request at a worker.
 type job struct {
-	conn     net.Conn
-	id, name string
-	slow     bool // of a function whose runs are long
-	how      string
-	ready    time.Time
+	conn           net.Conn
+	id, name       string
+	slow           bool // of a function whose runs are long
+	replicaState   string
+	replicaReadyAt time.Time
 }
 
 const (
-	slots      = 8
-	mostQueued = 32
-	meanRun    = 8 * time.Millisecond
-	longRun    = 200 * time.Millisecond // more, of a function whose runs are long
-	loadTime   = 60 * time.Millisecond
-	mostWord   = 64 << 10
-	writeLimit = 2 * time.Second
+	slots        = 8
+	maxQueued    = 32
+	meanRunTime  = 8 * time.Millisecond
+	extraRunTime = 200 * time.Millisecond // more, of a function whose runs are long
+	loadTime     = 60 * time.Millisecond
+	maxArgBytes  = 64 << 10
+	writeTimeout = 2 * time.Second
 )
 
 // newWorker starts a worker at an address; an empty one is a free port.
-func newWorker(l *ledger, name, addr string, zone int, born time.Time, seed uint64) (*worker, error) {
+func newWorker(l *checker, name, addr string, zone int, born time.Time, seed uint64) (*worker, error) {
 	if addr == "" {
 		addr = "127.0.0.1:0"
 	}
-	listener, err := listenCrowded(addr)
+	listener, err := listenShortBacklog(addr)
 	if err != nil {
 		return nil, fmt.Errorf("worker %s: %w", name, err)
 	}
-	w := &worker{ledger: l, born: born, listener: listener, random: rand.New(rand.NewPCG(seed, seed)), conns: map[net.Conn]bool{},
-		replicas: map[string]time.Time{}, given: map[string]bool{}}
-	w.line = discovery.Endpoint{Name: name, Addr: listener.Addr().String(), Zone: fmt.Sprint("zone", zone), Kind: "std", State: discovery.Up, Size: 1}
+	w := &worker{checker: l, startedAt: born, listener: listener, random: rand.New(rand.NewPCG(seed, seed)), conns: map[net.Conn]bool{},
+		replicas: map[string]time.Time{}, cancelled: map[string]bool{}}
+	w.endpoint = discovery.Endpoint{Name: name, Addr: listener.Addr().String(), Zone: fmt.Sprint("zone", zone), Kind: "std", State: discovery.Up, Size: 1}
 	if !born.IsZero() {
-		w.line.StartedUnixMilli = born.UnixMilli()
+		w.endpoint.StartedUnixMilli = born.UnixMilli()
 	}
 	w.done.Add(1)
 	go w.accept()
 	return w, nil
 }
 
-// listenQueue is how many connections wait to be accepted.
-const listenQueue = 4
+// listenBacklog is how many connections wait to be accepted.
+const listenBacklog = 4
 
-// listenCrowded listens at an address of loopback with a short queue.
-func listenCrowded(addr string) (net.Listener, error) {
+// listenShortBacklog listens at an address of loopback with a short queue.
+func listenShortBacklog(addr string) (net.Listener, error) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, err
@@ -121,15 +121,15 @@
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()}); err != nil {
 		return nil, os.NewSyscallError("bind", err)
 	}
-	if err := syscall.Listen(fd, listenQueue); err != nil {
+	if err := syscall.Listen(fd, listenBacklog); err != nil {
 		return nil, os.NewSyscallError("listen", err)
 	}
 	return net.FileListener(file)
 }
 
-// die ends it as a process that dies does: its connections are reset, new ones refused.
-func (w *worker) die() {
-	w.hold(false)
+// crash ends it as a process that dies does: its connections are reset, new ones refused.
+func (w *worker) crash() {
+	w.pauseAccept(false)
 	w.listener.Close()
 	w.resetAll()
 	w.done.Wait()
@@ -143,41 +143,41 @@
 	}
 }
 
-func (w *worker) set(m mood) {
+func (w *worker) setMisbehavior(m misbehavior) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.mood = m
+	w.misbehavior = m
 }
 
-// drain notes that the list tells it as draining or gone.
-func (w *worker) drain(at time.Time) {
+// markDrained notes that the list tells it as draining or gone.
+func (w *worker) markDrained(at time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.drained.IsZero() {
-		w.drained = at
+	if w.drainedAt.IsZero() {
+		w.drainedAt = at
 	}
 }
 
-// hold has it accept no connection: those that find no room in its short queue come up late, or never.
-func (w *worker) hold(on bool) {
+// pauseAccept has it accept no connection: those that find no room in its short queue come up late, or never.
+func (w *worker) pauseAccept(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.held = on
+	w.acceptPaused = on
 	if !on {
-		w.freed = time.Now()
+		w.acceptResumedAt = time.Now()
 	}
 }
 
-func (w *worker) holds() bool {
+func (w *worker) isAcceptPaused() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.held
+	return w.acceptPaused
 }
 
 func (w *worker) accept() {
 	defer w.done.Done()
 	for {
-		for w.holds() {
+		for w.isAcceptPaused() {
 			time.Sleep(5 * time.Millisecond)
 		}
 		conn, err := w.listener.Accept()
@@ -190,21 +190,21 @@
 		}
 		w.mu.Lock()
 		w.conns[conn] = true
-		waited := !w.freed.IsZero() && time.Since(w.freed) < freedWithin
+		waited := !w.acceptResumedAt.IsZero() && time.Since(w.acceptResumedAt) < resumeWindow
 		w.mu.Unlock()
 		w.done.Add(1)
 		go w.serve(conn, waited)
 	}
 }
 
-// freedWithin is how long after it accepts again connections come that may have waited.
-const freedWithin = 100 * time.Millisecond
+// resumeWindow is how long after it accepts again connections come that may have waited.
+const resumeWindow = 100 * time.Millisecond
 
 func (w *worker) serve(conn net.Conn, waited bool) {
 	defer w.done.Done()
 	accepted := time.Now()
-	_ = resp.ReadCommands(conn, mostWord, func(words []string, _ int) error { // whatever ends it, the connection is over
-		return w.take(conn, words, waited && time.Since(accepted) < freedWithin)
+	_ = resp.ReadCommands(conn, maxArgBytes, func(words []string, _ int) error { // whatever ends it, the connection is over
+		return w.handleCommand(conn, words, waited && time.Since(accepted) < resumeWindow)
 	})
 	conn.Close()
 	w.mu.Lock()
@@ -212,35 +212,35 @@
 	w.mu.Unlock()
 }
 
-var errCommand = errors.New("soak: no command")
+var errUnknownCommand = errors.New("soak: no command")
 
-// take takes one command.
-func (w *worker) take(conn net.Conn, words []string, readLate bool) error {
+// handleCommand takes one command.
+func (w *worker) handleCommand(conn net.Conn, words []string, readLate bool) error {
 	now := time.Now()
 	switch {
 	case words[0] == "FN" && len(words) == 4:
 		fields := resp.ParsePairs(words[2])
 		w.mu.Lock()
-		drained := w.drained
+		drained := w.drainedAt
 		w.mu.Unlock()
 		wait, _ := strconv.ParseInt(fields["wait"], 10, 64)
-		w.ledger.attempt(attempt{id: words[1], class: fields["class"], body: words[3], mark: fields["once"],
-			told: time.Duration(wait) * time.Millisecond, came: now, worker: w.line.Name, drained: drained, readLate: readLate})
-		w.request(conn, words[1], fields["key"], now)
+		w.checker.attemptReceived(attempt{id: words[1], class: fields["class"], body: words[3], idempotencyKey: fields["once"],
+			statedTimeLeft: time.Duration(wait) * time.Millisecond, receivedAt: now, worker: w.endpoint.Name, drainedAt: drained, readLate: readLate})
+		w.handleAttempt(conn, words[1], fields["key"], now)
 	case words[0] == "KILL" && len(words) == 2:
 		w.mu.Lock()
-		w.given[jobName(conn, words[1])] = true
+		w.cancelled[jobName(conn, words[1])] = true
 		w.mu.Unlock()
 	case words[0] == "SPAWN" && len(words) == 3:
-		w.ledger.count(func(s *Sums) { s.Orders++ })
-		w.order(conn, words[1], resp.ParsePairs(words[2])["key"], now)
+		w.checker.count(func(s *Counts) { s.LoadRequests++ })
+		w.handleLoadRequest(conn, words[1], resp.ParsePairs(words[2])["key"], now)
 	case words[0] == "TOP" && len(words) == 2:
 		w.mu.Lock()
 		w.answer(conn, words[1], "yes", "stats="+w.stats(), "")
 		w.mu.Unlock()
 	case words[0] == "REAP":
 	default:
-		return errCommand
+		return errUnknownCommand
 	}
 	return nil
 }
@@ -266,7 +266,7 @@
 	return ready, how
 }
 
-func (w *worker) order(conn net.Conn, tag, key string, now time.Time) {
+func (w *worker) handleLoadRequest(conn net.Conn, tag, key string, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ready, _ := w.replica(key, now)
@@ -277,24 +277,24 @@
 	})
 }
 
-// request takes a request: it runs, waits, or is turned away.
-func (w *worker) request(conn net.Conn, id, key string, now time.Time) {
+// handleAttempt takes a request: it runs, waits, or is turned away.
+func (w *worker) handleAttempt(conn net.Conn, id, key string, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.judgeCold(now)
+	w.checkSlowStart(now)
 	switch {
-	case w.mood.mute:
+	case w.misbehavior.silent:
 		return
-	case w.mood.refuses || len(w.queue) >= mostQueued:
+	case w.misbehavior.refuses || len(w.queue) >= maxQueued:
 		w.answer(conn, id, "refused", "stats="+w.stats(), "")
 		return
-	case w.mood.fails:
-		w.ledger.ran(id, w.line.Name)
+	case w.misbehavior.fails:
+		w.checker.executionStarted(id, w.endpoint.Name)
 		w.answer(conn, id, "error", "stats="+w.stats(), "")
 		return
 	}
 	ready, how := w.replica(key, now)
-	j := &job{conn: conn, id: id, name: jobName(conn, id), slow: longRuns(key), how: how, ready: ready}
+	j := &job{conn: conn, id: id, name: jobName(conn, id), slow: longRuns(key), replicaState: how, replicaReadyAt: ready}
 	if w.running < slots {
 		w.run(j, now)
 	} else {
@@ -302,22 +302,22 @@
 	}
 }
 
-// judgeCold judges what came to a worker that has just started; the lock is held.
-func (w *worker) judgeCold(now time.Time) {
-	w.lately = append(w.lately, now)
-	for len(w.lately) > 0 && now.Sub(w.lately[0]) > fallWithin {
-		w.lately = w.lately[1:]
+// checkSlowStart judges what came to a worker that has just started; the lock is held.
+func (w *worker) checkSlowStart(now time.Time) {
+	w.recentRequests = append(w.recentRequests, now)
+	for len(w.recentRequests) > 0 && now.Sub(w.recentRequests[0]) > crashWindow {
+		w.recentRequests = w.recentRequests[1:]
 	}
-	age := now.Sub(w.born)
-	if w.born.IsZero() || age >= warmAfter {
+	age := now.Sub(w.startedAt)
+	if w.startedAt.IsZero() || age >= warmUpTime {
 		return
 	}
-	warm := coldFrom + (1-coldFrom)*float64(age)/float64(warmAfter)
-	n := fallMultiple * warm * slots * float64(fallWithin) / float64(meanRun+loadTime/4)
+	warm := initialShare + (1-initialShare)*float64(age)/float64(warmUpTime)
+	n := crashMultiple * warm * slots * float64(crashWindow) / float64(meanRunTime+loadTime/4)
 	most := n + 2*math.Sqrt(n) + 2
-	if got := float64(len(w.lately)); got > most {
-		w.ledger.Violated(ColdOverrun, "", "", "worker %s, %v old, got %v of %.0f requests", w.line.Name, age, got, most)
-		w.lately = nil
+	if got := float64(len(w.recentRequests)); got > most {
+		w.checker.Violated(SlowStartOverrun, "", "", "worker %s, %v old, got %v of %.0f requests", w.endpoint.Name, age, got, most)
+		w.recentRequests = nil
 	}
 }
 
@@ -327,16 +327,16 @@
 // run runs a request; the lock is held.
 func (w *worker) run(j *job, now time.Time) {
 	w.running++
-	takes := max(0, j.ready.Sub(now)) + meanRun/2 + time.Duration(w.random.ExpFloat64()*float64(meanRun/2)) + w.mood.slow
+	takes := max(0, j.replicaReadyAt.Sub(now)) + meanRunTime/2 + time.Duration(w.random.ExpFloat64()*float64(meanRunTime/2)) + w.misbehavior.extraDelay
 	if j.slow {
-		takes += longRun/2 + time.Duration(w.random.Int64N(int64(longRun)))
+		takes += extraRunTime/2 + time.Duration(w.random.Int64N(int64(extraRunTime)))
 	}
-	time.AfterFunc(max(0, j.ready.Sub(now)), func() {
+	time.AfterFunc(max(0, j.replicaReadyAt.Sub(now)), func() {
 		w.mu.Lock()
-		over := w.given[j.name]
+		over := w.cancelled[j.name]
 		w.mu.Unlock()
 		if !over {
-			w.ledger.ran(j.id, w.line.Name)
+			w.checker.executionStarted(j.id, w.endpoint.Name)
 		}
 	})
 	time.AfterFunc(takes, func() { w.finish(j) })
@@ -347,30 +347,30 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.running--
-	if !w.given[j.name] {
+	if !w.cancelled[j.name] {
 		w.reply(j)
 	}
-	delete(w.given, j.name)
+	delete(w.cancelled, j.name)
 	for len(w.queue) > 0 && w.running < slots {
 		next := w.queue[0]
 		w.queue = w.queue[1:]
-		if !w.given[next.name] {
+		if !w.cancelled[next.name] {
 			w.run(next, time.Now())
 		}
-		delete(w.given, next.name)
+		delete(w.cancelled, next.name)
 	}
 }
 
 // reply answers a request as the mood is; the lock is held.
 func (w *worker) reply(j *job) {
-	words := []string{j.id, "ok", "how=" + j.how + ",stats=" + w.stats(), answerTo(j.id)}
+	words := []string{j.id, "ok", "how=" + j.replicaState + ",stats=" + w.stats(), expectedBody(j.id)}
 	switch {
-	case w.mood.mute:
-	case w.mood.breaks:
+	case w.misbehavior.silent:
+	case w.misbehavior.resets:
 		faultproxy.ResetConn(j.conn)
-	case w.mood.spoils:
+	case w.misbehavior.corrupts:
 		w.write(j.conn, []byte("*4\r\n$16\r\nnoise\r\n$-1\r\n"))
-	case w.mood.twice:
+	case w.misbehavior.duplicates:
 		w.answer(j.conn, words...)
 		time.AfterFunc(3*time.Millisecond, func() { w.write(j.conn, resp.AppendArray(nil, words...)) })
 	default:
@@ -379,14 +379,14 @@
 }
 
 func (w *worker) answer(conn net.Conn, words ...string) {
-	if !w.mood.mute {
+	if !w.misbehavior.silent {
 		w.write(conn, resp.AppendArray(nil, words...))
 	}
 }
 
 // write writes an answer; one that can't be written ends its connection.
 func (w *worker) write(conn net.Conn, frame []byte) {
-	if conn.SetWriteDeadline(time.Now().Add(writeLimit)) != nil {
+	if conn.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil {
 		return
 	}
 	if _, err := conn.Write(frame); err != nil {
@@ -396,6 +396,6 @@
 
 // number is the number in its name, which orders workers.
 func (w *worker) number() (n int64) {
-	_, _ = fmt.Sscanf(w.line.Name, "w%d", &n) // names are given by the run
+	_, _ = fmt.Sscanf(w.endpoint.Name, "w%d", &n) // names are given by the run
 	return n
 }
--- a/internal/testbed/workload/workload.go
+++ b/internal/testbed/workload/workload.go
@@ -7,24 +7,24 @@
 	"sort"
 )
 
-// offset flattens the head of the Zipf law, so that no function has most of the calls.
-const offset = 3.0
+// headOffset flattens the head of the Zipf law, so that no function has most of the calls.
+const headOffset = 3.0
 
 // Catalog is a number of functions that are called by a Zipf law.
-type Catalog struct{ sums []float64 }
+type Catalog struct{ cumulativeWeights []float64 }
 
 // New makes a catalog of at least one function; skew is the exponent of the law, 0 calls them evenly.
 func New(functions int, skew float64) *Catalog {
-	c := &Catalog{sums: make([]float64, functions)}
+	c := &Catalog{cumulativeWeights: make([]float64, functions)}
 	sum := 0.0
-	for i := range c.sums {
-		sum += math.Pow(float64(i)+offset, -skew)
-		c.sums[i] = sum
+	for i := range c.cumulativeWeights {
+		sum += math.Pow(float64(i)+headOffset, -skew)
+		c.cumulativeWeights[i] = sum
 	}
 	return c
 }
 
 // Draw gives the number of a function, counted from 1.
 func (c *Catalog) Draw(random *rand.Rand) uint64 {
-	return uint64(sort.SearchFloat64s(c.sums, random.Float64()*c.sums[len(c.sums)-1])) + 1
+	return uint64(sort.SearchFloat64s(c.cumulativeWeights, random.Float64()*c.cumulativeWeights[len(c.cumulativeWeights)-1])) + 1
 }
--- a/internal/worker/bench_test.go
+++ b/internal/worker/bench_test.go
@@ -183,7 +183,7 @@
 							b.Fatal(err)
 						}
 					}
-					own, err := localfleet.OpenStore(b.TempDir(), localfleet.Easy)
+					own, err := localfleet.OpenStore(b.TempDir(), localfleet.AmpleCapacity)
 					if err == nil {
 						err = own.PublishAll(b.Context(), many)
 					}
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -58,7 +58,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	s, err := localfleet.OpenStore(filepath.Join(dir, ".store"), localfleet.Easy)
+	s, err := localfleet.OpenStore(filepath.Join(dir, ".store"), localfleet.AmpleCapacity)
 	if err == nil {
 		err = s.PublishAll(context.Background(), dir)
 	}
@@ -103,7 +103,7 @@
 	if err != nil {
 		panic(err)
 	}
-	giver, err := localfleet.NewGiver("w", folder, base, 2*time.Second, nil, nil)
+	giver, err := localfleet.NewChunkServer("w", folder, base, 2*time.Second, nil, nil)
 	if err != nil {
 		panic(err)
 	}
@@ -238,7 +238,7 @@
 // Corrupt content and manifests are refused with a reason; the events that waited never ran.
 func TestCorruptPackages(t *testing.T) {
 	broken := t.TempDir()
-	own, err := localfleet.OpenStore(broken, localfleet.Easy)
+	own, err := localfleet.OpenStore(broken, localfleet.AmpleCapacity)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -603,7 +603,7 @@
 // A version that is replaced while it is busy finishes what it runs; what comes next runs on the new one. Orders that cross
 // (load two, none, one) end with what the last one asked for, and each is answered.
 func TestReleaseReplacedWhileBusyAndOverlappingLoadRequests(t *testing.T) {
-	own, err := localfleet.OpenStore(t.TempDir(), localfleet.Easy)
+	own, err := localfleet.OpenStore(t.TempDir(), localfleet.AmpleCapacity)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/scheduler/mutants_test.go
+++ b/scheduler/mutants_test.go
@@ -32,7 +32,7 @@
 	for _, m := range mutants {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			out, passed, err := mutationtest.Test(t.Context(), t.TempDir(), m.file, m.text, m.instead, "TestFleetViewIsWhatAWalkFinds",
+			out, passed, err := mutationtest.RunTests(t.Context(), t.TempDir(), m.file, m.text, m.instead, "TestFleetViewIsWhatAWalkFinds",
 				"-rapid.nofailfile", "-rapid.checks=1000", "-rapid.seed=1")
 			if err != nil {
 				t.Fatal(err)
