--- a/internal/docs_test.go
+++ b/internal/docs_test.go
@@ -62,6 +62,35 @@
 	}
 }
 
+// TestPagesNameWhatExists fails for a quoted path, or an exported name qualified by a package of the module, that is not in the source,
+// on every page below docs but those of incidents, which stay as they were written.
+func TestPagesNameWhatExists(t *testing.T) {
+	source := parseSource(t)
+	pages := 0
+	for _, pattern := range []string{"docs/*.md", "docs/design/*.md", "docs/operate/*.md"} {
+		files, err := filepath.Glob(filepath.Join(repositoryRoot, pattern))
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, file := range files {
+			pages++
+			page := strings.TrimPrefix(filepath.ToSlash(file), repositoryRoot+"/")
+			for _, span := range codeSpans(readPage(t, page)) {
+				parts := qualifiedName.FindStringSubmatch(span)
+				switch {
+				case isPath(t, span) && !exists(span):
+					t.Errorf("%s names the path %s, which does not exist", page, span)
+				case parts != nil && ast.IsExported(parts[2]) && source[parts[1]] != nil && !source.declares(parts[1], parts[2], parts[3]):
+					t.Errorf("%s names %s, which the source does not declare", page, span)
+				}
+			}
+		}
+	}
+	if pages < 10 {
+		t.Errorf("%d pages found, at least 10 expected", pages)
+	}
+}
+
 // TestReadmeLayoutNamesWhatExists fails for a path of the README's layout that does not exist, and for a package that the layout
 // leaves out; examples are one folder there. A line begins with the folder that the line is about; what follows may be below it.
 func TestReadmeLayoutNamesWhatExists(t *testing.T) {
