--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -7,32 +7,32 @@
 
 // UpdateMembership takes news of the list; where it is whole, workers that it does not name are gone. An
 // update costs its own size.
-func (c *Scheduler) UpdateMembership(now time.Duration, whole bool, news []Member) {
-	c.updateCount++
-	for _, l := range news {
-		l.Weight = plausibleOrZero(l.Weight, maxPlausibleValue)
-		c.updateMember(l, now)
+func (s *Scheduler) UpdateMembership(now time.Duration, whole bool, members []Member) {
+	s.updateCount++
+	for _, member := range members {
+		member.Weight = plausibleOrZero(member.Weight, maxPlausibleValue)
+		s.updateMember(member, now)
 	}
 	if whole {
-		for _, w := range c.members.All() {
-			if w.lastUpdate != c.updateCount {
-				c.unlist(w, now)
+		for _, w := range s.members.All() {
+			if w.lastUpdate != s.updateCount {
+				s.unlist(w, now)
 			}
 		}
 	}
-	c.forgetUnlisted()
-	c.updateMeanWeight()
-	if c.fleetLimit.limit == 0 {
-		c.fleetLimit = c.newLimit(initialWorkerLimit*float64(c.members.Len()), minFleetLimit)
-		c.loadLimit = c.newLimit(initialWorkerLimit*float64(c.gateways), minWorkerLimit)
+	s.forgetUnlisted()
+	s.updateMeanWeight()
+	if s.fleetLimit.limit == 0 {
+		s.fleetLimit = s.newLimit(initialWorkerLimit*float64(s.members.Len()), minFleetLimit)
+		s.loadLimit = s.newLimit(initialWorkerLimit*float64(s.gateways), minWorkerLimit)
 	}
-	if c.subscribeAt > 0 { // the list of the start is no answer
-		c.subscribeAt = math.MaxInt64
+	if s.subscribeAt > 0 { // the list of the start is no answer
+		s.subscribeAt = math.MaxInt64
 	}
 }
 
 // countersOf tells what a worker counts for now, and until when that holds if nothing happens.
-func (c *Scheduler) countersOf(w *worker, now time.Duration) (t counters, until time.Duration) {
+func (s *Scheduler) countersOf(w *worker, now time.Duration) (counts counters, until time.Duration) {
 	until = math.MaxInt64
 	before := func(deadline time.Duration) bool {
 		if now < deadline {
@@ -41,87 +41,87 @@
 		return now < deadline
 	}
 	out, queued := before(w.ejectedUntil), before(w.backloggedUntil)
-	room := w.acceptsNew() && float64(len(w.attempts)) < w.limit && !queued
-	t.set(eligible, w.acceptsNew())
-	t.set(ejected, out || w.halfOpen)
-	t.set(withCapacityOrEjected, room)
-	t.set(withCapacity, room && !out && (!w.halfOpen || len(w.attempts) == 0))
-	if w.reportedAt > 0 && before(w.reportedAt+2*c.longestObjective) {
-		t.set(recentlyReported, true)
-		t.set(withoutQueue, w.queueDepth <= float64(len(w.attempts)))
+	hasCapacity := w.acceptsNew() && float64(len(w.attempts)) < w.limit && !queued
+	counts.set(eligible, w.acceptsNew())
+	counts.set(ejected, out || w.halfOpen)
+	counts.set(withCapacityOrEjected, hasCapacity)
+	counts.set(withCapacity, hasCapacity && !out && (!w.halfOpen || len(w.attempts) == 0))
+	if w.reportedAt > 0 && before(w.reportedAt+2*s.longestObjective) {
+		counts.set(recentlyReported, true)
+		counts.set(withoutQueue, w.queueDepth <= float64(len(w.attempts)))
 	}
 	if !w.halfOpen { // what is in flight for long waits there: its work is still to do
-		t[attemptsInFlight] = int32(len(w.attempts))
+		counts[attemptsInFlight] = int32(len(w.attempts))
 	}
-	return t, until
+	return counts, until
 }
 
 // updateFleetState tells attempts in flight, whether ejections are believed, and whether few workers have room: an
 // overload.
-func (c *Scheduler) updateFleetState(now time.Duration) {
-	c.expireDeadlines(now)
-	t := &c.counters
-	c.inFlight, c.limitRounding = int(t[attemptsInFlight]), float64(c.rng.IntN(1000))/1000
-	withRoom := t[withCapacity]
-	if c.ejectionsIgnored {
-		withRoom = t[withCapacityOrEjected]
-	}
-	c.ejectionsIgnored = float64(t[ejected]) > maxEjectedShare*float64(t[eligible])
-	c.overloaded = c.atFleetLimit() || float64(withRoom) < overloadCapacityShare*float64(max(t[eligible], 1)) ||
-		t[recentlyReported] >= minOverloadReports && float64(t[withoutQueue]) < overloadCapacityShare*float64(t[recentlyReported])
+func (s *Scheduler) updateFleetState(now time.Duration) {
+	s.expireDeadlines(now)
+	counts := &s.counters
+	s.inFlight, s.limitRounding = int(counts[attemptsInFlight]), float64(s.rng.IntN(1000))/1000
+	withRoom := counts[withCapacity]
+	if s.ejectionsIgnored {
+		withRoom = counts[withCapacityOrEjected]
+	}
+	s.ejectionsIgnored = float64(counts[ejected]) > maxEjectedShare*float64(counts[eligible])
+	s.overloaded = s.atFleetLimit() || float64(withRoom) < overloadCapacityShare*float64(max(counts[eligible], 1)) ||
+		counts[recentlyReported] >= minOverloadReports && float64(counts[withoutQueue]) < overloadCapacityShare*float64(counts[recentlyReported])
 }
 
 // usable: not drained nor gone (rule 3), nor ejected unless most are, which must not leave us without any.
-func (c *Scheduler) usable(w *worker, now time.Duration) bool {
+func (s *Scheduler) usable(w *worker, now time.Duration) bool {
 	admitted := now >= w.ejectedUntil && (!w.halfOpen || len(w.attempts) == 0)
-	return w.acceptsNew() && (admitted || c.ejectionsIgnored)
+	return w.acceptsNew() && (admitted || s.ejectionsIgnored)
 }
 
-func (c *Scheduler) hasCapacity(w *worker, now time.Duration) bool {
-	return c.usable(w, now) && float64(len(w.attempts)) < w.limit
+func (s *Scheduler) hasCapacity(w *worker, now time.Duration) bool {
+	return s.usable(w, now) && float64(len(w.attempts)) < w.limit
 }
 
 // atFleetLimit rounds the limit by chance: a front end among many has less than one attempt of the fleet's to
 // itself.
-func (c *Scheduler) atFleetLimit() bool {
-	return float64(c.inFlight)+c.limitRounding >= c.fleetLimit.limit
+func (s *Scheduler) atFleetLimit() bool {
+	return float64(s.inFlight)+s.limitRounding >= s.fleetLimit.limit
 }
 
 // recordFailure counts a failure; enough in a row eject the worker, for longer each time.
-func (c *Scheduler) recordFailure(w *worker, now time.Duration) {
+func (s *Scheduler) recordFailure(w *worker, now time.Duration) {
 	w.consecutiveFailures++
 	if (w.consecutiveFailures >= ejectionFailures || w.halfOpen) && now >= w.ejectedUntil {
-		w.ejectionDuration = min(max(2*w.ejectionDuration, c.longestObjective), maxEjectionFactor*c.longestObjective)
-		w.ejectedUntil = now + w.ejectionDuration + time.Duration(c.rng.IntN(int(w.ejectionDuration/2)))
+		w.ejectionDuration = min(max(2*w.ejectionDuration, s.longestObjective), maxEjectionFactor*s.longestObjective)
+		w.ejectedUntil = now + w.ejectionDuration + time.Duration(s.rng.IntN(int(w.ejectionDuration/2)))
 		w.halfOpen, w.limit = true, minWorkerLimit
-		c.cancelCandidates = append(c.cancelCandidates, w.attempts...)
-		c.updateCounters(w, now)
+		s.cancelCandidates = append(s.cancelCandidates, w.attempts...)
+		s.updateCounters(w, now)
 	}
 }
 
 // ejectUnresponsive ejects a worker from which nothing comes; each attempt that waits adds to the silence.
-func (c *Scheduler) ejectUnresponsive(now time.Duration) {
-	for _, w := range c.busy.All() {
+func (s *Scheduler) ejectUnresponsive(now time.Duration) {
+	for _, w := range s.busy.All() {
 		silence := 0.0
-		for _, e := range w.attempts {
-			usual := float64(max(e.typ.meanLatency, e.typ.Objective/10)) / c.warmUpShare(w, now)
-			silence += float64(now-max(e.sentAt, w.lastSuccess)) / usual
+		for _, request := range w.attempts {
+			usual := float64(max(request.typ.meanLatency, request.typ.Objective/10)) / s.warmUpShare(w, now)
+			silence += float64(now-max(request.sentAt, w.lastSuccess)) / usual
 		}
 		if silence > silenceThreshold && now >= w.ejectedUntil && !w.halfOpen {
 			w.consecutiveFailures = ejectionFailures
-			c.recordFailure(w, now)
+			s.recordFailure(w, now)
 		}
 	}
 }
 
 // ensureFreshReport tells whether a load was reported lately; else, with fewer workers than front ends, it probes.
-func (c *Scheduler) ensureFreshReport(w *worker, now time.Duration) bool {
-	if !c.probesEnabled || c.gateways <= c.members.Len() || now < w.reportedAt+fractionOf(reportValidityShare, c.longestObjective) {
+func (s *Scheduler) ensureFreshReport(w *worker, now time.Duration) bool {
+	if !s.probesEnabled || s.gateways <= s.members.Len() || now < w.reportedAt+fractionOf(reportValidityShare, s.longestObjective) {
 		return true
 	}
 	if !w.probeInFlight {
 		w.probeInFlight, w.probedAt = true, now
-		c.pendingProbes = append(c.pendingProbes, w.Worker)
+		s.pendingProbes = append(s.pendingProbes, w.Worker)
 	}
 	return now >= w.probedAt+initialLatency
 }
@@ -138,55 +138,55 @@
 }
 
 // ProbeCompleted takes the answer to a probe.
-func (c *Scheduler) ProbeCompleted(now time.Duration, name string, r Result, l LoadReport, took time.Duration) {
-	if w := c.workers[name]; w != nil {
+func (s *Scheduler) ProbeCompleted(now time.Duration, name string, result Result, report LoadReport, duration time.Duration) {
+	if w := s.workers[name]; w != nil {
 		w.probeInFlight = false
-		if r == Completed {
-			l.QueueDepth, l.Reported = plausibleOrZero(l.QueueDepth, maxPlausibleValue)+c.estimateQueueDepth(w, took), true
+		if result == Completed {
+			report.QueueDepth, report.Reported = plausibleOrZero(report.QueueDepth, maxPlausibleValue)+s.estimateQueueDepth(w, duration), true
 		}
-		c.applyReport(w, l, now)
-		switch w.unresponsive = r != Completed && r != Full; r {
+		s.applyReport(w, report, now)
+		switch w.unresponsive = result != Completed && result != Full; result {
 		case Full: // so many ask that it takes no more probes: it lives, and requests wait there
-			w.reportedAt, w.backloggedUntil, w.queueDepth = now, now+fractionOf(reportValidityShare, c.longestObjective), max(1, w.queueDepth)
-			c.updateCounters(w, now)
+			w.reportedAt, w.backloggedUntil, w.queueDepth = now, now+fractionOf(reportValidityShare, s.longestObjective), max(1, w.queueDepth)
+			s.updateCounters(w, now)
 		case Unreachable:
-			c.recordFailure(w, now)
+			s.recordFailure(w, now)
 		}
 	}
 }
 
 // applyReport takes a load report that can be believed, and says whether it was one. Where more requests wait
 // than ours, others take the slots; ours obey the limit.
-func (c *Scheduler) applyReport(w *worker, l LoadReport, now time.Duration) bool {
-	if !l.Reported || !(l.QueueDepth >= 0 && l.QueueDepth < maxPlausibleValue) {
+func (s *Scheduler) applyReport(w *worker, report LoadReport, now time.Duration) bool {
+	if !report.Reported || !(report.QueueDepth >= 0 && report.QueueDepth < maxPlausibleValue) {
 		return false
 	}
-	w.reportedAt, w.backloggedUntil, w.queueDepth = now, 0, l.QueueDepth
+	w.reportedAt, w.backloggedUntil, w.queueDepth = now, 0, report.QueueDepth
 	if w.queueDepth > float64(len(w.attempts)) {
-		w.backloggedUntil = now + fractionOf(reportValidityShare, c.longestObjective)
+		w.backloggedUntil = now + fractionOf(reportValidityShare, s.longestObjective)
 	}
-	c.updateCounters(w, now)
+	s.updateCounters(w, now)
 	return true
 }
 
 // estimateQueueDepth is how crowded a worker is by a probe's time, in requests that wait there: what it took over
 // the shortest of its zone, against the mean of that. It is fresh where reports are late, and stands in for
 // them. Where it hardly varies, probes are answered beside the queue and tell nothing.
-func (c *Scheduler) estimateQueueDepth(w *worker, took time.Duration) float64 {
-	z := c.probeLatencies[w.Zone]
-	if z == nil {
-		z = &probeLatency{minimum: took}
-		c.probeLatencies[w.Zone] = z
-	}
-	z.minimum = min(z.minimum, took)
-	over := min(float64(took)/float64(max(1, z.minimum))-1, maxProbeExcess)
-	if z.meanExcess += (over - z.meanExcess) / functionSamples; z.meanExcess < minProbeExcess {
+func (s *Scheduler) estimateQueueDepth(w *worker, duration time.Duration) float64 {
+	latency := s.probeLatencies[w.Zone]
+	if latency == nil {
+		latency = &probeLatency{minimum: duration}
+		s.probeLatencies[w.Zone] = latency
+	}
+	latency.minimum = min(latency.minimum, duration)
+	over := min(float64(duration)/float64(max(1, latency.minimum))-1, maxProbeExcess)
+	if latency.meanExcess += (over - latency.meanExcess) / functionSamples; latency.meanExcess < minProbeExcess {
 		return 0
 	}
-	return queuedPerProbeExcess * max(0, over/z.meanExcess-1)
+	return queuedPerProbeExcess * max(0, over/latency.meanExcess-1)
 }
 
 // WatchFailed says that asking for the list failed: ask again a little later, each front end at its own time.
-func (c *Scheduler) WatchFailed(now time.Duration) {
-	c.subscribeAt = now + c.subscribeInterval/2 + time.Duration(c.rng.IntN(int(c.subscribeInterval)))
+func (s *Scheduler) WatchFailed(now time.Duration) {
+	s.subscribeAt = now + s.subscribeInterval/2 + time.Duration(s.rng.IntN(int(s.subscribeInterval)))
 }
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -17,10 +17,10 @@
 	const tick, warmUp, rate = 10 * ms, 12 * time.Second, 300.0 // events a second of all front ends
 	for _, peers := range []int{1, 4, 20, 30, 100, 300} {
 		for seed := range uint64(3) {
-			chance := rand.New(rand.NewPCG(seed, uint64(peers)))
-			fronts, weight, all := make([]*harness, peers), make([]float64, peers), 0.0
-			for i := range fronts {
-				fronts[i] = newFleet(i, peers, 2)
+			random := rand.New(rand.NewPCG(seed, uint64(peers)))
+			gateways, weight, all := make([]*harness, peers), make([]float64, peers), 0.0
+			for i := range gateways {
+				gateways[i] = newFleet(i, peers, 2)
 				weight[i] = 1
 				if i%7 == 3 {
 					weight[i] = 5
@@ -34,16 +34,16 @@
 			}
 			var out []running
 			var sent []time.Duration // to the cold worker, by those that were told of its start
-			told := map[*harness]bool{}
+			notified := map[*harness]bool{}
 			served := 0
 			start := time.Hour + warmUp
-			act := func(b *harness, answers []scheduler.Decision) {
-				for _, a := range answers {
-					if a.Action != scheduler.Send {
+			act := func(h *harness, decisions []scheduler.Decision) {
+				for _, decision := range decisions {
+					if decision.Action != scheduler.Send {
 						continue
 					}
-					if out = append(out, running{b, a.Request, b.now + 100*ms}); told[b] && a.Worker == "w0" {
-						sent = append(sent, b.now-start)
+					if out = append(out, running{h, decision.Request, h.now + 100*ms}); notified[h] && decision.Worker == "w0" {
+						sent = append(sent, h.now-start)
 					}
 				}
 			}
@@ -60,20 +60,20 @@
 					act(r.b, []scheduler.Decision{r.b.Complete(now, r.e, scheduler.Outcome{Result: scheduler.Completed, Duration: 100 * ms, Final: true})})
 				}
 				out = left
-				for i, b := range fronts {
-					b.now = now
+				for i, h := range gateways {
+					h.now = now
 					if late := time.Duration(i%3) * 500 * ms; now == start+late {
-						told[b] = true
-						b.UpdateMembership(now, false, []scheduler.Member{{Worker: "w0", Started: start}, {Worker: "w1", Condition: scheduler.Draining}})
+						notified[h] = true
+						h.UpdateMembership(now, false, []scheduler.Member{{Worker: "w0", Started: start}, {Worker: "w1", Condition: scheduler.Draining}})
 					}
-					for mean := rate * tick.Seconds() * weight[i] / all; chance.Float64() < mean; mean-- {
-						e := &scheduler.Request{ID: fmt.Sprint(now, i, mean), Type: "redeliverable", Function: uint64(chance.IntN(5)),
+					for mean := rate * tick.Seconds() * weight[i] / all; random.Float64() < mean; mean-- {
+						request := &scheduler.Request{ID: fmt.Sprint(now, i, mean), Type: "redeliverable", Function: uint64(random.IntN(5)),
 							TimeLeft: 3000 * ms, Concurrency: 4, LoadTime: 400 * ms}
-						act(b, []scheduler.Decision{b.Submit(now, e)})
+						act(h, []scheduler.Decision{h.Submit(now, request)})
 					}
-					st := b.Tick(now)
-					act(b, st.Decisions)
-					b.completeLoads(st)
+					due := h.Tick(now)
+					act(h, due.Decisions)
+					h.completeLoads(due)
 				}
 			}
 			mean := float64(served) / warmUp.Seconds() / 2 // of a worker, in a second
--- a/scheduler/loads.go
+++ b/scheduler/loads.go
@@ -7,38 +7,38 @@
 )
 
 // expireAssumptions lets what is assumed expire and forgets replica sets without any.
-func (c *Scheduler) expireAssumptions(f *function, now time.Duration) {
-	f.replicaSets = slices.DeleteFunc(f.replicaSets, func(s *replicaSet) bool {
-		if now > s.assumedUntil && s.inFlight == 0 {
-			s.replicas = 0
+func (s *Scheduler) expireAssumptions(f *function, now time.Duration) {
+	f.replicaSets = slices.DeleteFunc(f.replicaSets, func(replicas *replicaSet) bool {
+		if now > replicas.assumedUntil && replicas.inFlight == 0 {
+			replicas.replicas = 0
 		}
-		if now > s.loadDeadline {
-			s.loading = 0
+		if now > replicas.loadDeadline {
+			replicas.loading = 0
 		}
-		return s.replicas == 0 && s.loading == 0 && s.inFlight == 0 && now >= s.rejectingUntil
+		return replicas.replicas == 0 && replicas.loading == 0 && replicas.inFlight == 0 && now >= replicas.rejectingUntil
 	})
 }
 
-func (c *Scheduler) tickInterval(f *function) time.Duration {
-	return max(fractionOf(tickIntervalShare, f.typ.Objective), c.minTickInterval, 1)
+func (s *Scheduler) tickInterval(f *function) time.Duration {
+	return max(fractionOf(tickIntervalShare, f.typ.Objective), s.minTickInterval, 1)
 }
 
 // scaleUp is the four-condition rule. It advances only for a queue that is not empty or after arrivals.
-func (c *Scheduler) scaleUp(f *function, now time.Duration, st *TickResult) time.Duration {
+func (s *Scheduler) scaleUp(f *function, now time.Duration, due *TickResult) time.Duration {
 	if len(f.queue) == 0 {
 		return math.MaxInt64
 	} else if now < f.nextTick {
 		return f.nextTick
 	}
 	have, under, short, queued := 0, 0, 0, len(f.queue)
-	for _, s := range f.replicaSets { // what stands at a worker that can't be used is no instance
-		if c.usable(s.worker, now) && !s.worker.probeOverdue(now) && now >= max(s.rejectingUntil, s.worker.rejections[f.tenant].until) {
-			have, under = have+s.replicas, under+s.loading
+	for _, replicas := range f.replicaSets { // what stands at a worker that can't be used is no instance
+		if s.usable(replicas.worker, now) && !replicas.worker.probeOverdue(now) && now >= max(replicas.rejectingUntil, replicas.worker.rejections[f.tenant].until) {
+			have, under = have+replicas.replicas, under+replicas.loading
 		}
 	}
 	total := have + under
 	// a slot runs one request at least, however long answers take against the tick
-	power := max(1, float64(c.tickInterval(f))/float64(f.meanRunTime())) * float64(f.concurrency)
+	power := max(1, float64(s.tickInterval(f))/float64(f.meanRunTime())) * float64(f.concurrency)
 	required := int(math.Ceil(float64(queued) / power))
 	switch {
 	case total == 0:
@@ -51,11 +51,11 @@
 	case float64(f.arrivalsSinceTick) >= power*float64(total):
 		short = required - total
 	}
-	if f.nextTick = now + c.tickInterval(f); have > 0 {
+	if f.nextTick = now + s.tickInterval(f); have > 0 {
 		f.arrivalsSinceTick = 0 // during first loads arrivals add up
 	}
 	for range min(short, queued) {
-		if !c.requestLoad(f, total == 0, now, st) {
+		if !s.requestLoad(f, total == 0, now, due) {
 			break
 		}
 		total++
@@ -65,60 +65,60 @@
 
 // requestLoad requests one replica; where none may be sent the oldest request goes there itself to bring
 // it.
-func (c *Scheduler) requestLoad(f *function, first bool, now time.Duration, st *TickResult) bool {
-	if !first && c.overloaded || float64(c.loadsInFlight) >= c.loadLimit.limit {
+func (s *Scheduler) requestLoad(f *function, first bool, now time.Duration, due *TickResult) bool {
+	if !first && s.overloaded || float64(s.loadsInFlight) >= s.loadLimit.limit {
 		return false
 	}
-	w := c.placeReplica(f, first, now)
+	w := s.placeReplica(f, first, now)
 	if w == nil {
 		return false
 	}
-	c.ensureFreshReport(w, now)
-	s := f.replicaSetAt(w)
-	if c.loadRequestsEnabled && c.loadAllowed(now) && s.replicas+s.loading < 16 {
-		s.loading++
-		s.loadDeadline = now + min(fractionOf(loadTimeoutFactor*max(1, c.loadSlowdown), f.expectedLoadTime()), c.loadTimeout)
-		c.loadsSent.Add(now, 1)
-		c.loadsInFlight++
-		st.LoadRequests = append(st.LoadRequests, LoadRequest{Worker: w.Worker, Function: f.id, Replicas: s.replicas + s.loading})
+	s.ensureFreshReport(w, now)
+	replicas := f.replicaSetAt(w)
+	if s.loadRequestsEnabled && s.loadAllowed(now) && replicas.replicas+replicas.loading < 16 {
+		replicas.loading++
+		replicas.loadDeadline = now + min(fractionOf(loadTimeoutFactor*max(1, s.loadSlowdown), f.expectedLoadTime()), s.loadTimeout)
+		s.loadsSent.Add(now, 1)
+		s.loadsInFlight++
+		due.LoadRequests = append(due.LoadRequests, LoadRequest{Worker: w.Worker, Function: f.id, Replicas: replicas.replicas + replicas.loading})
 		return true
 	}
-	if !first || !c.loadsOnMiss && c.loadRequestsEnabled || len(f.queue) == 0 || !c.mayRunOn(f.queue[0], w, now) ||
-		!c.slowStartAllows(w, f.queue[0], now) {
+	if !first || !s.loadsOnMiss && s.loadRequestsEnabled || len(f.queue) == 0 || !s.mayRunOn(f.queue[0], w, now) ||
+		!s.slowStartAllows(w, f.queue[0], now) {
 		return false
 	}
-	e := f.queue[0]
+	request := f.queue[0]
 	f.queue = f.queue[1:]
-	st.Decisions = append(st.Decisions, c.send(e, s, true, now))
+	due.Decisions = append(due.Decisions, s.send(request, replicas, true, now))
 	return true
 }
 
 // loadAllowed keeps load requests rate-limited (rule 5), this one included, counted to the safe side.
-func (c *Scheduler) loadAllowed(now time.Duration) bool {
-	return !c.loadRateLimited || c.loadsSent.UpperSum(now)+1 <= c.loadBurst+c.loadsPerRequest*c.submitted.LowerSum(now)
+func (s *Scheduler) loadAllowed(now time.Duration) bool {
+	return !s.loadRateLimited || s.loadsSent.UpperSum(now)+1 <= s.loadBurst+s.loadsPerRequest*s.submitted.LowerSum(now)
 }
 
 // LoadCompleted takes the answer to a load request.
-func (c *Scheduler) LoadCompleted(now time.Duration, o LoadRequest, r Result, took time.Duration) {
-	w, f := c.workers[o.Worker], c.functions[o.Function]
-	if c.loadsInFlight--; w == nil || f == nil {
+func (s *Scheduler) LoadCompleted(now time.Duration, load LoadRequest, result Result, duration time.Duration) {
+	w, f := s.workers[load.Worker], s.functions[load.Function]
+	if s.loadsInFlight--; w == nil || f == nil {
 		return
 	}
 	usual := f.expectedLoadTime()
-	if r != Completed {
-		took = max(took, fractionOf(loadTimeoutFactor, usual))
+	if result != Completed {
+		duration = max(duration, fractionOf(loadTimeoutFactor, usual))
 	}
-	if took > usual/4 { // else the replicas stood; a crowded store shows in loads that fail or take long
-		c.adjustLimit(&c.loadLimit, now, took, slowLoadFactor*float64(usual), c.loadsInFlight, 1)
-		c.loadSlowdown += (float64(took)/float64(usual) - c.loadSlowdown) / functionSamples
+	if duration > usual/4 { // else the replicas stood; a crowded store shows in loads that fail or take long
+		s.adjustLimit(&s.loadLimit, now, duration, slowLoadFactor*float64(usual), s.loadsInFlight, 1)
+		s.loadSlowdown += (float64(duration)/float64(usual) - s.loadSlowdown) / functionSamples
 	}
-	s := f.replicaSetAt(w)
-	if s.loading = max(0, s.loading-1); r == Completed || r == Full || r == Failed { // else nothing was heard
-		s.replicas, s.assumedUntil = o.Replicas, now+c.replicaIdleTimeout
+	replicas := f.replicaSetAt(w)
+	if replicas.loading = max(0, replicas.loading-1); result == Completed || result == Full || result == Failed { // else nothing was heard
+		replicas.replicas, replicas.assumedUntil = load.Replicas, now+s.replicaIdleTimeout
 	}
-	if r == Full {
-		s.rejectingUntil = now + usual
-	} else if r == Unreachable || r == ConnectionLost {
-		c.recordFailure(w, now)
+	if result == Full {
+		replicas.rejectingUntil = now + usual
+	} else if result == Unreachable || result == ConnectionLost {
+		s.recordFailure(w, now)
 	}
 }
--- a/scheduler/members.go
+++ b/scheduler/members.go
@@ -12,35 +12,35 @@
 )
 
 // updateMember takes one line of the list.
-func (c *Scheduler) updateMember(l Member, now time.Duration) {
-	w := c.workers[l.Worker]
-	if w != nil && l.Started != w.Started { // a worker that starts anew is empty and cold: another one
-		c.forgetMember(w)
+func (s *Scheduler) updateMember(member Member, now time.Duration) {
+	w := s.workers[member.Worker]
+	if w != nil && member.Started != w.Started { // a worker that starts anew is empty and cold: another one
+		s.forgetMember(w)
 		w = nil
 	}
-	if w == nil && l.Condition == Removed {
+	if w == nil && member.Condition == Removed {
 		return
 	}
 	if w == nil {
-		w = c.addMember(l.Worker, now)
+		w = s.addMember(member.Worker, now)
 	}
-	w.lastUpdate = c.updateCount
-	if w.kind != nil && w.Member == l && w.listed {
+	w.lastUpdate = s.updateCount
+	if w.kind != nil && w.Member == member && w.listed {
 		return
 	}
-	c.removeFromKind(w)
-	w.Member, w.listed = l, true
-	c.addToKind(w)
-	if l.Condition == Removed {
-		c.unlist(w, now)
+	s.removeFromKind(w)
+	w.Member, w.listed = member, true
+	s.addToKind(w)
+	if member.Condition == Removed {
+		s.unlist(w, now)
 	}
-	c.updateCounters(w, now)
+	s.updateCounters(w, now)
 }
 
 // Members gives the workers on the list, in the order of their names.
-func (c *Scheduler) Members() []Member {
+func (s *Scheduler) Members() []Member {
 	var listed []Member
-	for _, w := range c.members.All() {
+	for _, w := range s.members.All() {
 		if w.listed {
 			listed = append(listed, w.Member)
 		}
@@ -50,59 +50,59 @@
 }
 
 // addMember makes a worker a member of the fleet.
-func (c *Scheduler) addMember(name string, now time.Duration) *worker {
-	w := &worker{hash: random.Hash(name), adaptiveLimit: c.newLimit(initialWorkerLimit, minWorkerLimit),
-		lastSlowStartSend: now, slowStartPauseShare: float64(c.rng.IntN(1000)) / 1000}
+func (s *Scheduler) addMember(name string, now time.Duration) *worker {
+	w := &worker{hash: random.Hash(name), adaptiveLimit: s.newLimit(initialWorkerLimit, minWorkerLimit),
+		lastSlowStartSend: now, slowStartPauseShare: float64(s.rng.IntN(1000)) / 1000}
 	w.countersDeadline.Member = w
-	c.workers[name] = w
-	c.members.Add(w, &w.memberSlot)
+	s.workers[name] = w
+	s.members.Add(w, &w.memberSlot)
 	return w
 }
 
 // unlist takes a worker off the list. It stays a member while attempts there are under way.
-func (c *Scheduler) unlist(w *worker, now time.Duration) {
+func (s *Scheduler) unlist(w *worker, now time.Duration) {
 	if !w.listed {
 		return
 	}
-	c.removeFromKind(w)
+	s.removeFromKind(w)
 	w.listed = false
-	c.addToKind(w)
-	c.unlisted = append(c.unlisted, w)
-	c.updateCounters(w, now)
+	s.addToKind(w)
+	s.unlisted = append(s.unlisted, w)
+	s.updateCounters(w, now)
 }
 
 // forgetUnlisted forgets those off the list at which nothing is under way.
-func (c *Scheduler) forgetUnlisted() {
-	c.unlisted = slices.DeleteFunc(c.unlisted, func(w *worker) bool {
+func (s *Scheduler) forgetUnlisted() {
+	s.unlisted = slices.DeleteFunc(s.unlisted, func(w *worker) bool {
 		over := !w.listed && len(w.attempts) == 0
 		if over && w.memberSlot.In() {
-			c.forgetMember(w)
+			s.forgetMember(w)
 		}
 		return over || w.listed || !w.memberSlot.In()
 	})
 }
 
 // forgetMember takes a member out of all that is counted.
-func (c *Scheduler) forgetMember(w *worker) {
-	c.removeFromKind(w)
-	c.counters.replace(w.counters, counters{})
-	c.deadlines.Clear(&w.countersDeadline)
-	c.busy.Remove(&w.busySlot)
-	c.members.Remove(&w.memberSlot)
+func (s *Scheduler) forgetMember(w *worker) {
+	s.removeFromKind(w)
+	s.counters.replace(w.counters, counters{})
+	s.deadlines.Clear(&w.countersDeadline)
+	s.busy.Remove(&w.busySlot)
+	s.members.Remove(&w.memberSlot)
 	w.listed = false
-	delete(c.workers, w.Worker)
+	delete(s.workers, w.Worker)
 }
 
 // addToKind counts a member among those of its kind. Those that may get something new are in the shared order.
-func (c *Scheduler) addToKind(w *worker) {
-	w.kind = c.kindFor(w.Kind)
+func (s *Scheduler) addToKind(w *worker) {
+	w.kind = s.kindFor(w.Kind)
 	w.kind.weightSum, w.kind.workerCount = w.kind.weightSum+w.listedWeight(), w.kind.workerCount+1
 	if w.acceptsNew() {
 		w.ringNode = w.kind.ring.Ring.Add(w, w.hash)
 	}
 }
 
-func (c *Scheduler) removeFromKind(w *worker) {
+func (s *Scheduler) removeFromKind(w *worker) {
 	if w.kind == nil {
 		return
 	}
@@ -117,66 +117,66 @@
 }
 
 // updateMeanWeight takes the mean size after the list or an answer has changed one.
-func (c *Scheduler) updateMeanWeight() {
-	c.meanWeight = 0
-	for _, k := range c.orderedKinds {
-		c.meanWeight += k.weightSum / k.slowness / float64(max(1, c.members.Len()))
+func (s *Scheduler) updateMeanWeight() {
+	s.meanWeight = 0
+	for _, kind := range s.orderedKinds {
+		s.meanWeight += kind.weightSum / kind.slowness / float64(max(1, s.members.Len()))
 	}
 }
 
 // updateCounters brings the counts of the fleet up to date after something of a worker has changed that they depend on, and has it
 // looked at again when time alone changes them.
-func (c *Scheduler) updateCounters(w *worker, now time.Duration) {
+func (s *Scheduler) updateCounters(w *worker, now time.Duration) {
 	if !w.memberSlot.In() { // another one has its name by now
 		return
 	}
-	t, until := c.countersOf(w, now)
-	c.counters.replace(w.counters, t)
-	w.counters = t
+	counts, until := s.countersOf(w, now)
+	s.counters.replace(w.counters, counts)
+	w.counters = counts
 	if until < math.MaxInt64 {
-		c.deadlines.Set(&w.countersDeadline, until)
+		s.deadlines.Set(&w.countersDeadline, until)
 	} else {
-		c.deadlines.Clear(&w.countersDeadline)
+		s.deadlines.Clear(&w.countersDeadline)
 	}
 	if working := len(w.attempts) > 0; working && !w.busySlot.In() {
-		c.busy.Add(w, &w.busySlot)
+		s.busy.Add(w, &w.busySlot)
 	} else if !working {
-		c.busy.Remove(&w.busySlot)
+		s.busy.Remove(&w.busySlot)
 	}
 }
 
 // expireDeadlines counts anew the workers of which time alone has changed something.
-func (c *Scheduler) expireDeadlines(now time.Duration) {
-	if c.countersStale {
-		c.countersStale = false
-		for _, w := range c.members.All() {
-			c.updateCounters(w, now)
+func (s *Scheduler) expireDeadlines(now time.Duration) {
+	if s.countersStale {
+		s.countersStale = false
+		for _, w := range s.members.All() {
+			s.updateCounters(w, now)
 		}
 	}
 	for {
-		w, found := c.deadlines.PopExpired(now)
+		w, found := s.deadlines.PopExpired(now)
 		if !found {
 			return
 		}
-		c.updateCounters(w, now)
+		s.updateCounters(w, now)
 	}
 }
 
 // functionFor is what is known of a request's function, from now on if not before.
-func (c *Scheduler) functionFor(e *Request, now time.Duration) *function {
-	f := c.functions[e.Function]
+func (s *Scheduler) functionFor(request *Request, now time.Duration) *function {
+	f := s.functions[request.Function]
 	if f == nil {
-		if len(c.functions) >= 2*c.functionsAfterCleanup+functionSamples { // functions long idle are forgotten
-			maps.DeleteFunc(c.functions, func(_ uint64, g *function) bool {
-				c.expireAssumptions(g, now)
+		if len(s.functions) >= 2*s.functionsAfterCleanup+functionSamples { // functions long idle are forgotten
+			maps.DeleteFunc(s.functions, func(_ uint64, g *function) bool {
+				s.expireAssumptions(g, now)
 				return len(g.replicaSets)+len(g.queue) == 0 && g.arrivals.UpperSum(now) == 0
 			})
-			c.functionsAfterCleanup = len(c.functions)
+			s.functionsAfterCleanup = len(s.functions)
 		}
-		f = &function{id: e.Function, tenant: e.Tenant, arrivals: window.New(4 * trafficWindow)}
-		c.functions[e.Function] = f
+		f = &function{id: request.Function, tenant: request.Tenant, arrivals: window.New(4 * trafficWindow)}
+		s.functions[request.Function] = f
 	}
-	if f.tenant != e.Tenant { // it serves many: a rejection says nothing of one of them
+	if f.tenant != request.Tenant { // it serves many: a rejection says nothing of one of them
 		f.tenant = ""
 	}
 	return f
--- a/scheduler/observe.go
+++ b/scheduler/observe.go
@@ -21,13 +21,13 @@
 func (r Reason) String() string { return reasonNames[r] }
 
 // Reason is why the request was given up, if it was.
-func (e *Request) Reason() Reason { return e.reason }
+func (request *Request) Reason() Reason { return request.reason }
 
 var resultNames = [...]string{Completed: "completed", Failed: "failed", Full: "full", TimedOut: "timed_out", Unreachable: "unreached",
 	ConnectionLost: "broken", Cancelled: "cancelled", Withheld: "too_late", NotFound: "missing"}
 
 // String is the result's name in logs and metrics.
-func (r Result) String() string { return resultNames[r] }
+func (result Result) String() string { return resultNames[result] }
 
 // FleetState is what the Scheduler makes of its fleet at its last decision.
 type FleetState struct {
@@ -39,7 +39,7 @@
 }
 
 // FleetState tells it.
-func (c *Scheduler) FleetState() FleetState {
-	t := &c.counters
-	return FleetState{Workers: int(t[eligible]), Ejected: int(t[ejected]), WithCapacity: int(t[withCapacity]), InFlight: int(t[attemptsInFlight]), Overloaded: c.overloaded}
+func (s *Scheduler) FleetState() FleetState {
+	counts := &s.counters
+	return FleetState{Workers: int(counts[eligible]), Ejected: int(counts[ejected]), WithCapacity: int(counts[withCapacity]), InFlight: int(counts[attemptsInFlight]), Overloaded: s.overloaded}
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -69,258 +69,258 @@
 
 func (f *function) meanRunTime() time.Duration { return max(1, f.runTimes.Mean(initialLatency)) }
 
-func (c *Scheduler) expectedDuration(f *function) time.Duration {
+func (s *Scheduler) expectedDuration(f *function) time.Duration {
 	return max(f.meanRunTime(), f.typ.meanLatency/2)
 }
 
 // Submit answers where to send a request that has just come.
-func (c *Scheduler) Submit(now time.Duration, e *Request) Decision {
-	t := c.typeFor(e)
-	c.updateFleetState(now)
-	f := c.functionFor(e, now)
-	c.recordArrival(e, f, t, now)
-	if !c.withinQuota(e, now) {
-		return c.rejectOrFail(e, QuotaExceeded, now)
+func (s *Scheduler) Submit(now time.Duration, request *Request) Decision {
+	stats := s.typeFor(request)
+	s.updateFleetState(now)
+	f := s.functionFor(request, now)
+	s.recordArrival(request, f, stats, now)
+	if !s.withinQuota(request, now) {
+		return s.rejectOrFail(request, QuotaExceeded, now)
 	}
 	if len(f.queue) == 0 {
-		c.expireAssumptions(f, now)
-		if s := c.findWarmReplica(f, e, false, now); s != nil && now < s.worker.backloggedUntil {
-			c.rebalanceCandidates = append(c.rebalanceCandidates, f)
-		} else if s != nil && c.ensureFreshReport(s.worker, now) {
-			return c.send(e, s, false, now)
+		s.expireAssumptions(f, now)
+		if replicas := s.findWarmReplica(f, request, false, now); replicas != nil && now < replicas.worker.backloggedUntil {
+			s.rebalanceCandidates = append(s.rebalanceCandidates, f)
+		} else if replicas != nil && s.ensureFreshReport(replicas.worker, now) {
+			return s.send(request, replicas, false, now)
 		}
 	}
-	return c.enqueue(e)
+	return s.enqueue(request)
 }
 
-func (c *Scheduler) typeFor(e *Request) *typeStats {
-	if c.types[e.Type] == nil { // the settings did not name it: nothing is known to be safe
-		c.AddType(RequestType{Name: e.Type, Effect: AtMostOnce, Objective: e.TimeLeft})
+func (s *Scheduler) typeFor(request *Request) *typeStats {
+	if s.types[request.Type] == nil { // the settings did not name it: nothing is known to be safe
+		s.AddType(RequestType{Name: request.Type, Effect: AtMostOnce, Objective: request.TimeLeft})
 	}
-	return c.types[e.Type]
+	return s.types[request.Type]
 }
 
 // recordArrival notes what a request tells of itself and of its function, and counts it.
-func (c *Scheduler) recordArrival(e *Request, f *function, t *typeStats, now time.Duration) {
-	f.typ, f.concurrency, f.replicaMemory = t, max(1, e.Concurrency), plausibleOrZero(e.Memory, maxPlausibleMemory)
-	f.loadTime = min(max(0, e.LoadTime), time.Hour)
-	t.maxTimeLeft = max(t.maxTimeLeft, e.TimeLeft)
-	e.typ, e.function, e.submittedAt, e.deadline = t, f, now, now+e.TimeLeft
-	e.objectiveDeadline = now + t.Objective - (t.maxTimeLeft - e.TimeLeft) // less time left than the most seen is age
+func (s *Scheduler) recordArrival(request *Request, f *function, stats *typeStats, now time.Duration) {
+	f.typ, f.concurrency, f.replicaMemory = stats, max(1, request.Concurrency), plausibleOrZero(request.Memory, maxPlausibleMemory)
+	f.loadTime = min(max(0, request.LoadTime), time.Hour)
+	stats.maxTimeLeft = max(stats.maxTimeLeft, request.TimeLeft)
+	request.typ, request.function, request.submittedAt, request.deadline = stats, f, now, now+request.TimeLeft
+	request.objectiveDeadline = now + stats.Objective - (stats.maxTimeLeft - request.TimeLeft) // less time left than the most seen is age
 	f.arrivals.Add(now, 1)
-	c.arrivals.Add(now, 1)
-	if now >= c.nextPlacementEstimate {
-		c.estimatePlacement(now)
+	s.arrivals.Add(now, 1)
+	if now >= s.nextPlacementEstimate {
+		s.estimatePlacement(now)
 	}
 	if now >= f.nextTick && len(f.queue) == 0 && len(f.replicaSets) > 0 { // a tick without a queue advances too
-		f.nextTick, f.arrivalsSinceTick = now+c.tickInterval(f), 0
-		if c.preferredCount(f, now) > 1 {
-			c.rebalanceCandidates = append(c.rebalanceCandidates, f)
+		f.nextTick, f.arrivalsSinceTick = now+s.tickInterval(f), 0
+		if s.preferredCount(f, now) > 1 {
+			s.rebalanceCandidates = append(s.rebalanceCandidates, f)
 		}
 	}
 	f.arrivalsSinceTick++
-	if c.submitted.Add(now, 1); !e.Retry {
-		c.originalRequests.Add(now, 1)
+	if s.submitted.Add(now, 1); !request.Retry {
+		s.originalRequests.Add(now, 1)
 	}
 }
 
 // withinQuota tells whether a request is taken: its tenant's retries are limited, in an overload its share
 // too.
-func (c *Scheduler) withinQuota(e *Request, now time.Duration) bool {
-	if n := c.tenants[e.Tenant]; n != nil {
-		within := n.quota * c.trafficShare(now) * trafficWindow.Seconds() // few come here: more than chance is over
-		if e.overQuota = n.arrivals.UpperSum(now) >= within+max(1, quotaDeviations*math.Sqrt(within)); !e.overQuota {
-			n.arrivals.Add(now, 1)
+func (s *Scheduler) withinQuota(request *Request, now time.Duration) bool {
+	if usage := s.tenants[request.Tenant]; usage != nil {
+		within := usage.quota * s.trafficShare(now) * trafficWindow.Seconds() // few come here: more than chance is over
+		if request.overQuota = usage.arrivals.UpperSum(now) >= within+max(1, quotaDeviations*math.Sqrt(within)); !request.overQuota {
+			usage.arrivals.Add(now, 1)
 		}
-		if e.Retry && n.retries.UpperSum(now) >= retryBurst+retriesPerRequest*c.originalRequests.UpperSum(now) {
+		if request.Retry && usage.retries.UpperSum(now) >= retryBurst+retriesPerRequest*s.originalRequests.UpperSum(now) {
 			return false
-		} else if e.Retry {
-			n.retries.Add(now, 1)
+		} else if request.Retry {
+			usage.retries.Add(now, 1)
 		}
 	}
-	return !e.overQuota || !c.overloaded
+	return !request.overQuota || !s.overloaded
 }
 
-func (c *Scheduler) enqueue(e *Request) Decision {
-	f := e.function
-	i, _ := slices.BinarySearchFunc(f.queue, e.submittedAt+1, func(x *Request, t time.Duration) int {
-		return cmp.Compare(x.submittedAt, t)
+func (s *Scheduler) enqueue(request *Request) Decision {
+	f := request.function
+	i, _ := slices.BinarySearchFunc(f.queue, request.submittedAt+1, func(other *Request, t time.Duration) int {
+		return cmp.Compare(other.submittedAt, t)
 	})
-	f.queue = slices.Insert(f.queue, i, e)
+	f.queue = slices.Insert(f.queue, i, request)
 	if !f.active {
 		f.active = true
-		c.activeFunctions = append(c.activeFunctions, f)
+		s.activeFunctions = append(s.activeFunctions, f)
 	}
-	return Decision{Request: e, Action: Enqueue}
+	return Decision{Request: request, Action: Enqueue}
 }
 
 // mustNotRunAgain tells that a request may have run and must not run again, wherever.
-func (c *Scheduler) mustNotRunAgain(e *Request, now time.Duration) bool {
-	late := e.typ.Effect == IdempotencyKey && now+c.minTickInterval >= e.mayHaveRunSince+e.typ.DedupWindow
-	return e.mayHaveRun != nil && (late || e.typ.Effect == AtMostOnce)
+func (s *Scheduler) mustNotRunAgain(request *Request, now time.Duration) bool {
+	late := request.typ.Effect == IdempotencyKey && now+s.minTickInterval >= request.mayHaveRunSince+request.typ.DedupWindow
+	return request.mayHaveRun != nil && (late || request.typ.Effect == AtMostOnce)
 }
 
 // mayRunOn keeps effects from happening twice (rule 2): a request that may have run goes again only as its
 // type allows, a keyed one inside its group and window.
-func (c *Scheduler) mayRunOn(e *Request, w *worker, now time.Duration) bool {
-	return !c.mustNotRunAgain(e, now) && (e.mayHaveRun == nil || e.typ.retryableAnywhere() ||
-		w.Zone == e.mayHaveRun.Zone && (e.typ.DedupScope == ScopeZone || w.Cell == e.mayHaveRun.Cell))
+func (s *Scheduler) mayRunOn(request *Request, w *worker, now time.Duration) bool {
+	return !s.mustNotRunAgain(request, now) && (request.mayHaveRun == nil || request.typ.retryableAnywhere() ||
+		w.Zone == request.mayHaveRun.Zone && (request.typ.DedupScope == ScopeZone || w.Cell == request.mayHaveRun.Cell))
 }
 
-func (c *Scheduler) expectedWork(e *Request) float64 {
-	return float64(max(e.typ.meanLatency, initialLatency))
+func (s *Scheduler) expectedWork(request *Request) float64 {
+	return float64(max(request.typ.meanLatency, initialLatency))
 }
 
-func (c *Scheduler) send(e *Request, s *replicaSet, cold bool, now time.Duration) Decision {
-	e.sentCold, e.sentAt, e.target, e.avoid = cold, now, s, nil
-	e.attempts, s.inFlight, e.queuedAhead = e.attempts+1, s.inFlight+1, s.worker.knownQueueDepth(now)
-	s.worker.attempts = append(s.worker.attempts, e)
-	c.inFlight++
-	c.updateCounters(s.worker, now)
-	s.worker.lastSlowStartSend, s.worker.slowStartPauseShare = now, 1
+func (s *Scheduler) send(request *Request, replicas *replicaSet, cold bool, now time.Duration) Decision {
+	request.sentCold, request.sentAt, request.target, request.avoid = cold, now, replicas, nil
+	request.attempts, replicas.inFlight, request.queuedAhead = request.attempts+1, replicas.inFlight+1, replicas.worker.knownQueueDepth(now)
+	replicas.worker.attempts = append(replicas.worker.attempts, request)
+	s.inFlight++
+	s.updateCounters(replicas.worker, now)
+	replicas.worker.lastSlowStartSend, replicas.worker.slowStartPauseShare = now, 1
 	if cold {
-		s.loading = max(s.loading, 1)
-		s.loadDeadline = now + fractionOf(loadTimeoutFactor, e.function.expectedLoadTime())
+		replicas.loading = max(replicas.loading, 1)
+		replicas.loadDeadline = now + fractionOf(loadTimeoutFactor, request.function.expectedLoadTime())
 	}
-	return Decision{Request: e, Action: Send, Worker: s.worker.Worker}
+	return Decision{Request: request, Action: Send, Worker: replicas.worker.Worker}
 }
 
 // rejectOrFail ends a request as its type allows: rejected where another try is harmless, else failed.
-func (c *Scheduler) rejectOrFail(e *Request, reason Reason, now time.Duration) Decision {
-	e.closed, e.reason = true, reason
-	if c.mustNotRunAgain(e, now) || e.mayHaveRun != nil && !e.typ.retryableAnywhere() {
-		return Decision{Request: e, Action: Fail}
+func (s *Scheduler) rejectOrFail(request *Request, reason Reason, now time.Duration) Decision {
+	request.closed, request.reason = true, reason
+	if s.mustNotRunAgain(request, now) || request.mayHaveRun != nil && !request.typ.retryableAnywhere() {
+		return Decision{Request: request, Action: Fail}
 	}
-	back := min(c.maxRetryAfter, e.typ.Objective/2)
-	return Decision{Request: e, Action: Reject, RetryAfter: back/2 + time.Duration(c.rng.IntN(int(back/2)+1))}
+	back := min(s.maxRetryAfter, request.typ.Objective/2)
+	return Decision{Request: request, Action: Reject, RetryAfter: back/2 + time.Duration(s.rng.IntN(int(back/2)+1))}
 }
 
 // Complete answers what to do after the outcome of an attempt.
-func (c *Scheduler) Complete(now time.Duration, e *Request, o Outcome) Decision {
-	s := e.target
-	if s == nil {
-		return Decision{Request: e, Action: NoAction}
+func (s *Scheduler) Complete(now time.Duration, request *Request, outcome Outcome) Decision {
+	replicas := request.target
+	if replicas == nil {
+		return Decision{Request: request, Action: NoAction}
 	}
-	w := s.worker
-	c.updateFleetState(now)
-	hasRoom := c.applyReport(w, o.Report, now) && o.Report.QueueDepth < 1
-	if o.Duration >= e.typ.Objective && len(w.attempts) == 1 {
-		w.slowUntil = now + c.longestObjective
+	w := replicas.worker
+	s.updateFleetState(now)
+	hasRoom := s.applyReport(w, outcome.Report, now) && outcome.Report.QueueDepth < 1
+	if outcome.Duration >= request.typ.Objective && len(w.attempts) == 1 {
+		w.slowUntil = now + s.longestObjective
 	}
-	e.target, s.inFlight = nil, s.inFlight-1
-	w.attempts = slices.DeleteFunc(w.attempts, func(x *Request) bool { return x == e })
-	c.recordOutcome(e, s, o, hasRoom, now)
-	c.updateCounters(w, now)
-	if e.mayHaveRun == nil && slices.Contains([]Result{Failed, TimedOut, ConnectionLost, Cancelled}, o.Result) {
-		e.mayHaveRun, e.mayHaveRunSince = w, e.sentAt
+	request.target, replicas.inFlight = nil, replicas.inFlight-1
+	w.attempts = slices.DeleteFunc(w.attempts, func(other *Request) bool { return other == request })
+	s.recordOutcome(request, replicas, outcome, hasRoom, now)
+	s.updateCounters(w, now)
+	if request.mayHaveRun == nil && slices.Contains([]Result{Failed, TimedOut, ConnectionLost, Cancelled}, outcome.Result) {
+		request.mayHaveRun, request.mayHaveRunSince = w, request.sentAt
 	}
-	if o.Final || e.closed {
-		e.closed = true
-		return Decision{Request: e, Action: NoAction}
+	if outcome.Final || request.closed {
+		request.closed = true
+		return Decision{Request: request, Action: NoAction}
 	}
-	e.avoid = w
+	request.avoid = w
 	switch {
-	case o.Result == Withheld:
-		return c.rejectOrFail(e, AttemptWithheld, now)
-	case c.mustNotRunAgain(e, now):
-		return c.rejectOrFail(e, NotRetryable, now)
-	case e.attempts >= c.maxAttempts:
-		return c.rejectOrFail(e, AttemptsExhausted, now)
-	case now+c.deadlineMargin(e) >= e.deadline:
-		return c.rejectOrFail(e, NoTimeLeft, now)
+	case outcome.Result == Withheld:
+		return s.rejectOrFail(request, AttemptWithheld, now)
+	case s.mustNotRunAgain(request, now):
+		return s.rejectOrFail(request, NotRetryable, now)
+	case request.attempts >= s.maxAttempts:
+		return s.rejectOrFail(request, AttemptsExhausted, now)
+	case now+s.deadlineMargin(request) >= request.deadline:
+		return s.rejectOrFail(request, NoTimeLeft, now)
 	}
-	return c.enqueue(e)
+	return s.enqueue(request)
 }
 
 // recordOutcome takes what an outcome tells of the worker, of the replicas there and of the function.
-func (c *Scheduler) recordOutcome(e *Request, s *replicaSet, o Outcome, hasRoom bool, now time.Duration) {
-	w, f := s.worker, e.function
-	switch o.Result {
+func (s *Scheduler) recordOutcome(request *Request, replicas *replicaSet, outcome Outcome, hasRoom bool, now time.Duration) {
+	w, f := replicas.worker, request.function
+	switch outcome.Result {
 	case Completed:
-		c.completedWork.Add(now, c.expectedWork(e))
+		s.completedWork.Add(now, s.expectedWork(request))
 		w.recordSuccess(now)
-		s.replicas, s.assumedUntil = max(1, s.replicas), now+c.replicaIdleTimeout
-		delete(w.rejections, e.Tenant)
-		if o.ReplicaState == ReplicaWarm || o.ReplicaState == ReplicaUnknown && !e.sentCold {
-			f.runTimes.Add(o.Duration, functionSamples)
-			c.adaptLimits(w, e, o.Duration, now)
+		replicas.replicas, replicas.assumedUntil = max(1, replicas.replicas), now+s.replicaIdleTimeout
+		delete(w.rejections, request.Tenant)
+		if outcome.ReplicaState == ReplicaWarm || outcome.ReplicaState == ReplicaUnknown && !request.sentCold {
+			f.runTimes.Add(outcome.Duration, functionSamples)
+			s.adaptLimits(w, request, outcome.Duration, now)
 		}
 	case Full: // whatever the reason, a tenant rejected again and again is served elsewhere; others stay
-		r := rejection{consecutive: min(w.rejections[e.Tenant].consecutive+1, maxRejectionDoublings)}
-		s.rejectingUntil = now + fractionOf(rejectionBackoffShare, f.typ.Objective)<<r.consecutive
+		r := rejection{consecutive: min(w.rejections[request.Tenant].consecutive+1, maxRejectionDoublings)}
+		replicas.rejectingUntil = now + fractionOf(rejectionBackoffShare, f.typ.Objective)<<r.consecutive
 		w.limit = max(minWorkerLimit, w.limit*rejectionLimitFactor)
 		if f.tenant != "" && hasRoom {
-			r.until = s.rejectingUntil
+			r.until = replicas.rejectingUntil
 		}
-		w.recordRejection(e.Tenant, r)
+		w.recordRejection(request.Tenant, r)
 	case Unreachable, ConnectionLost: // a process that died comes back with a new start; a broken line does not
-		c.recordFailure(w, now)
+		s.recordFailure(w, now)
 	case TimedOut:
-		if c.adaptLimits(w, e, o.Duration, now); e.sentAt >= w.lastSuccess {
-			c.recordFailure(w, now)
+		if s.adaptLimits(w, request, outcome.Duration, now); request.sentAt >= w.lastSuccess {
+			s.recordFailure(w, now)
 		}
 	case Failed, NotFound:
-		if s.replicas = 0; o.Result == Failed && o.ReplicaState != ReplicaLoadFailed {
-			c.recordFailure(w, now)
+		if replicas.replicas = 0; outcome.Result == Failed && outcome.ReplicaState != ReplicaLoadFailed {
+			s.recordFailure(w, now)
 		}
 	}
 }
 
 // deadlineMargin is how long before the client gives up a request is given up: an answer is not to be had then.
-func (c *Scheduler) deadlineMargin(e *Request) time.Duration {
-	return max(2*c.minTickInterval, min(2*c.expectedDuration(e.function), e.TimeLeft/2))
+func (s *Scheduler) deadlineMargin(request *Request) time.Duration {
+	return max(2*s.minTickInterval, min(2*s.expectedDuration(request.function), request.TimeLeft/2))
 }
 
 // Tick answers what is due now, and how long to wait until something else is.
-func (c *Scheduler) Tick(now time.Duration) TickResult {
-	var st TickResult
-	if now >= c.subscribeAt {
-		st.Subscribe, c.subscribeAt = true, now+8*c.subscribeInterval
+func (s *Scheduler) Tick(now time.Duration) TickResult {
+	var due TickResult
+	if now >= s.subscribeAt {
+		due.Subscribe, s.subscribeAt = true, now+8*s.subscribeInterval
 	}
-	c.updateFleetState(now)
-	c.ejectUnresponsive(now)
-	for _, e := range c.cancelCandidates {
-		if c.cancelEnabled && e.target != nil && !e.closed && e.typ.retryableAnywhere() && e.attempts < c.maxAttempts &&
-			now+c.deadlineMargin(e) < e.deadline {
-			st.Decisions = append(st.Decisions, Decision{Request: e, Action: Cancel, Attempt: e.attempts - 1})
+	s.updateFleetState(now)
+	s.ejectUnresponsive(now)
+	for _, request := range s.cancelCandidates {
+		if s.cancelEnabled && request.target != nil && !request.closed && request.typ.retryableAnywhere() && request.attempts < s.maxAttempts &&
+			now+s.deadlineMargin(request) < request.deadline {
+			due.Decisions = append(due.Decisions, Decision{Request: request, Action: Cancel, Attempt: request.attempts - 1})
 		}
 	}
-	c.cancelCandidates = c.cancelCandidates[:0]
-	for _, f := range c.activeFunctions {
-		c.expireAssumptions(f, now)
-		c.releaseQueue(f, false, now, &st)
+	s.cancelCandidates = s.cancelCandidates[:0]
+	for _, f := range s.activeFunctions {
+		s.expireAssumptions(f, now)
+		s.releaseQueue(f, false, now, &due)
 	}
-	for _, f := range c.rebalanceCandidates {
-		w := c.placeReplica(f, true, now)
-		if w != nil && now >= w.backloggedUntil && !c.overloaded && f.replicaSetAt(w).empty() {
-			c.requestLoad(f, true, now, &st)
+	for _, f := range s.rebalanceCandidates {
+		w := s.placeReplica(f, true, now)
+		if w != nil && now >= w.backloggedUntil && !s.overloaded && f.replicaSetAt(w).empty() {
+			s.requestLoad(f, true, now, &due)
 		}
 	}
-	c.rebalanceCandidates = c.rebalanceCandidates[:0]
-	wake := c.subscribeAt
-	for _, f := range c.activeFunctions {
-		wake = min(wake, c.releaseQueue(f, true, now, &st), c.scaleUp(f, now, &st))
+	s.rebalanceCandidates = s.rebalanceCandidates[:0]
+	wake := s.subscribeAt
+	for _, f := range s.activeFunctions {
+		wake = min(wake, s.releaseQueue(f, true, now, &due), s.scaleUp(f, now, &due))
 	}
-	c.activeFunctions = slices.DeleteFunc(c.activeFunctions, func(f *function) bool {
+	s.activeFunctions = slices.DeleteFunc(s.activeFunctions, func(f *function) bool {
 		f.active = len(f.queue) > 0
 		return !f.active
 	})
-	st.Probes, c.pendingProbes = c.pendingProbes, nil
-	if c.busy.Len() > 0 {
-		wake = min(wake, now+c.longestObjective/8) // to notice silence
+	due.Probes, s.pendingProbes = s.pendingProbes, nil
+	if s.busy.Len() > 0 {
+		wake = min(wake, now+s.longestObjective/8) // to notice silence
 	}
 	if wake < math.MaxInt64 {
-		st.Next = max(wake-now, c.minTickInterval, time.Microsecond)
+		due.Next = max(wake-now, s.minTickInterval, time.Microsecond)
 	}
-	return st
+	return due
 }
 
 // unservableReason tells why a held request can't be served any more, if it can't; last is when it is too late.
-func (c *Scheduler) unservableReason(e *Request, last, now time.Duration) Reason {
+func (s *Scheduler) unservableReason(request *Request, last, now time.Duration) Reason {
 	switch {
 	case now >= last:
 		return NoTimeLeft
-	case c.mustNotRunAgain(e, now):
+	case s.mustNotRunAgain(request, now):
 		return NotRetryable
 	}
 	return NoReason
@@ -328,33 +328,33 @@
 
 // releaseQueue releases a function's held requests, oldest first, and gives up those past hope (rule 1: in time).
 // Those that can't make their latency objective come after all that can: old must not make young late.
-func (c *Scheduler) releaseQueue(f *function, late bool, now time.Duration, st *TickResult) time.Duration {
+func (s *Scheduler) releaseQueue(f *function, late bool, now time.Duration, due *TickResult) time.Duration {
 	wake := time.Duration(math.MaxInt64)
 	kept := f.queue[:0]
-	for _, e := range f.queue {
-		if e.closed {
+	for _, request := range f.queue {
+		if request.closed {
 			continue
 		}
-		var s *replicaSet
-		last := e.deadline - c.deadlineMargin(e)
-		reason := c.unservableReason(e, last, now)
-		if reason == NoReason && late == (now+c.expectedDuration(f) > e.objectiveDeadline) {
-			s = c.findWarmReplica(f, e, false, now) // where requests wait, a replica elsewhere may be heard of in a moment
-			if s != nil && (!c.ensureFreshReport(s.worker, now) || now < min(s.worker.backloggedUntil, e.submittedAt+initialLatency)) {
-				s, wake = nil, min(wake, now+initialLatency)
-			} else if s == nil && now >= e.submittedAt+fractionOf(spillWaitShare, e.typ.Objective) {
-				s = c.findWarmReplica(f, e, true, now)
-				if s == nil && e.mayHaveRun == nil && (late || e.overQuota) && c.overloaded {
+		var replicas *replicaSet
+		last := request.deadline - s.deadlineMargin(request)
+		reason := s.unservableReason(request, last, now)
+		if reason == NoReason && late == (now+s.expectedDuration(f) > request.objectiveDeadline) {
+			replicas = s.findWarmReplica(f, request, false, now) // where requests wait, a replica elsewhere may be heard of in a moment
+			if replicas != nil && (!s.ensureFreshReport(replicas.worker, now) || now < min(replicas.worker.backloggedUntil, request.submittedAt+initialLatency)) {
+				replicas, wake = nil, min(wake, now+initialLatency)
+			} else if replicas == nil && now >= request.submittedAt+fractionOf(spillWaitShare, request.typ.Objective) {
+				replicas = s.findWarmReplica(f, request, true, now)
+				if replicas == nil && request.mayHaveRun == nil && (late || request.overQuota) && s.overloaded {
 					reason = FleetOverloaded
 				}
 			}
 		}
 		if reason != NoReason {
-			st.Decisions = append(st.Decisions, c.rejectOrFail(e, reason, now))
-		} else if s != nil {
-			st.Decisions = append(st.Decisions, c.send(e, s, false, now))
+			due.Decisions = append(due.Decisions, s.rejectOrFail(request, reason, now))
+		} else if replicas != nil {
+			due.Decisions = append(due.Decisions, s.send(request, replicas, false, now))
 		} else {
-			kept, wake = append(kept, e), min(wake, last)
+			kept, wake = append(kept, request), min(wake, last)
 		}
 	}
 	f.queue = kept
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -10,16 +10,16 @@
 
 // The ordinary path: held, one first load, released to the warm slot, the second waits for the slot.
 func Example_ordinaryPath() {
-	b := newHarness(1)
-	e1 := b.submit("e1", "redeliverable", 9)
-	st := b.advance(0)
-	b.now += 400 * ms
-	b.completeLoads(st)
-	b.advance(0)
-	b.submit("e2", "redeliverable", 9)
-	b.now += 100 * ms
-	b.complete(e1, scheduler.Completed, 100*ms)
-	b.advance(0)
+	h := newHarness(1)
+	e1 := h.submit("e1", "redeliverable", 9)
+	due := h.advance(0)
+	h.now += 400 * ms
+	h.completeLoads(due)
+	h.advance(0)
+	h.submit("e2", "redeliverable", 9)
+	h.now += 100 * ms
+	h.complete(e1, scheduler.Completed, 100*ms)
+	h.advance(0)
 	// Output:
 	// 0s e1 hold
 	// 0s load 9 x1 on c
@@ -31,11 +31,11 @@
 
 // Rule 1: a request that nothing can serve is answered before its client gives up.
 func Example_answeredBeforeDeadline() {
-	b := newHarness(1)
-	b.UpdateMembership(b.now, true, nil)
-	b.submit("e1", "at-most-once", 9)
+	h := newHarness(1)
+	h.UpdateMembership(h.now, true, nil)
+	h.submit("e1", "at-most-once", 9)
 	for range 30 {
-		b.advance(100 * ms)
+		h.advance(100 * ms)
 	}
 	// Output:
 	// 0s e1 hold
@@ -44,14 +44,14 @@
 
 // Rule 2: what may have run goes again only as its type allows; an attempt that never ran may go again.
 func Example_retrySafety() {
-	for _, r := range []scheduler.Result{scheduler.Full, scheduler.ConnectionLost} {
-		b := newHarness(1)
+	for _, result := range []scheduler.Result{scheduler.Full, scheduler.ConnectionLost} {
+		h := newHarness(1)
 		for i, kind := range []string{"redeliverable", "keyed", "at-most-once"} {
-			e := b.submit(kind, kind, uint64(i))
-			b.completeLoads(b.advance(0))
-			b.advance(10 * ms)
-			b.now += 50 * ms
-			b.complete(e, r, 50*ms)
+			request := h.submit(kind, kind, uint64(i))
+			h.completeLoads(h.advance(0))
+			h.advance(10 * ms)
+			h.now += 50 * ms
+			h.complete(request, result, 50*ms)
 		}
 	}
 	// Output:
@@ -83,12 +83,12 @@
 
 // Rule 2: outside its window a keyed request that may have run is failed.
 func Example_dedupWindow() {
-	b := newHarness(1)
-	e := b.submit("e1", "keyed", 9)
-	b.completeLoads(b.advance(0))
-	b.advance(10 * ms)
-	b.now += 2100 * ms
-	b.complete(e, scheduler.TimedOut, 2100*ms)
+	h := newHarness(1)
+	request := h.submit("e1", "keyed", 9)
+	h.completeLoads(h.advance(0))
+	h.advance(10 * ms)
+	h.now += 2100 * ms
+	h.complete(request, scheduler.TimedOut, 2100*ms)
 	// Output:
 	// 0s e1 hold
 	// 0s load 9 x1 on c
@@ -98,15 +98,15 @@
 
 // Rule 3: a drained worker gets nothing new, neither attempts nor loads.
 func Example_drain() {
-	b := newHarness(1)
-	b.UpdateMembership(b.now, false, []scheduler.Member{
+	h := newHarness(1)
+	h.UpdateMembership(h.now, false, []scheduler.Member{
 		{Worker: "a", Condition: scheduler.Draining}, {Worker: "b", Condition: scheduler.Removed}})
 	for i := range 4 {
-		b.submit(fmt.Sprint("e", i), "redeliverable", uint64(i))
+		h.submit(fmt.Sprint("e", i), "redeliverable", uint64(i))
 	}
-	b.completeLoads(b.advance(0))
-	b.UpdateMembership(b.now, false, []scheduler.Member{{Worker: "c", Condition: scheduler.Draining}})
-	b.advance(10 * ms)
+	h.completeLoads(h.advance(0))
+	h.UpdateMembership(h.now, false, []scheduler.Member{{Worker: "c", Condition: scheduler.Draining}})
+	h.advance(10 * ms)
 	// Output:
 	// 0s e0 hold
 	// 0s e1 hold
@@ -121,18 +121,18 @@
 // Rule 4: a worker that has just started gets a trickle, a warm one all.
 func Example_coldWorker() {
 	for _, started := range []time.Duration{0, time.Hour} {
-		b := newHarness(1)
-		b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a", Started: started}})
-		b.submit("e0", "redeliverable", 9)
-		b.completeLoads(b.advance(0))
-		b.advance(1000 * ms)
+		h := newHarness(1)
+		h.UpdateMembership(h.now, true, []scheduler.Member{{Worker: "a", Started: started}})
+		h.submit("e0", "redeliverable", 9)
+		h.completeLoads(h.advance(0))
+		h.advance(1000 * ms)
 		launched := 0
 		for i := range 20 {
-			e := &scheduler.Request{ID: fmt.Sprint(i), Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 32}
-			if b.Submit(b.now, e).Action == scheduler.Send {
+			request := &scheduler.Request{ID: fmt.Sprint(i), Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 32}
+			if h.Submit(h.now, request).Action == scheduler.Send {
 				launched++
 			}
-			b.now += 10 * ms
+			h.now += 10 * ms
 		}
 		fmt.Println("launched", launched)
 	}
@@ -149,16 +149,16 @@
 
 // Rule 5: no more orders than the rate limit, however many functions are new.
 func Example_quota() {
-	b := newHarness(1)
-	b.SetLoadPolicy(true, false, 10000*ms, 5000*ms, 5000*ms, 2, 0.1)
+	h := newHarness(1)
+	h.SetLoadPolicy(true, false, 10000*ms, 5000*ms, 5000*ms, 2, 0.1)
 	orders := 0
 	for i := range 100 {
-		e := &scheduler.Request{ID: fmt.Sprint(i), Type: "redeliverable", Function: uint64(i), TimeLeft: 3000 * ms}
-		b.Submit(b.now, e)
-		st := b.Tick(b.now)
-		orders += len(st.LoadRequests)
-		b.completeLoads(st)
-		b.now += 10 * ms
+		request := &scheduler.Request{ID: fmt.Sprint(i), Type: "redeliverable", Function: uint64(i), TimeLeft: 3000 * ms}
+		h.Submit(h.now, request)
+		due := h.Tick(h.now)
+		orders += len(due.LoadRequests)
+		h.completeLoads(due)
+		h.now += 10 * ms
 	}
 	fmt.Println("orders", orders, "of at most", 2+100/10)
 	// Output:
@@ -167,19 +167,19 @@
 
 // A worker that answers nothing is ejected: what may go again is cancelled and goes elsewhere.
 func Example_silentWorker() {
-	b := newHarness(1)
+	h := newHarness(1)
 	var events []*scheduler.Request
 	for i := range 3 {
-		events = append(events, b.submit(fmt.Sprint("e", i), "redeliverable", 9))
+		events = append(events, h.submit(fmt.Sprint("e", i), "redeliverable", 9))
 	}
 	for range 7 {
-		b.completeLoads(b.advance(200 * ms))
+		h.completeLoads(h.advance(200 * ms))
 	}
-	for _, e := range events {
-		b.complete(e, scheduler.Cancelled, 600*ms)
+	for _, request := range events {
+		h.complete(request, scheduler.Cancelled, 600*ms)
 	}
-	b.completeLoads(b.advance(200 * ms))
-	b.advance(0)
+	h.completeLoads(h.advance(200 * ms))
+	h.advance(0)
 	// Output:
 	// 0s e0 hold
 	// 0s e1 hold
@@ -202,12 +202,12 @@
 
 // A function that a worker refuses, quickly and again and again, is loaded and sent elsewhere (i94baea).
 func Example_rejected() {
-	b := newHarness(1)
-	e := b.submit("e", "redeliverable", 9)
+	h := newHarness(1)
+	request := h.submit("e", "redeliverable", 9)
 	for range 16 {
-		b.completeLoads(b.advance(100 * ms))
-		if e.InFlight() {
-			b.complete(e, scheduler.Full, 0)
+		h.completeLoads(h.advance(100 * ms))
+		if request.InFlight() {
+			h.complete(request, scheduler.Full, 0)
 		}
 	}
 	// Output:
@@ -227,25 +227,25 @@
 
 // Settings that make no sense lead to safe decisions, not to a panic.
 func Example_impossibleSettings() {
-	c := scheduler.New(0, 0, 0, 0)
-	c.AddType(scheduler.RequestType{Name: "t"})
-	c.AddTenant("n", 0)
-	c.SetAttemptPolicy(0, false, false, 0)
-	c.SetLoadPolicy(false, false, 0, 0, 0, 0, 0)
-	c.SetSlowStart(0, 0, 0, 0)
-	c.SetSubscribeInterval(0)
-	c.UpdateMembership(1, true, []scheduler.Member{{Worker: "a", Started: 1}})
+	s := scheduler.New(0, 0, 0, 0)
+	s.AddType(scheduler.RequestType{Name: "t"})
+	s.AddTenant("n", 0)
+	s.SetAttemptPolicy(0, false, false, 0)
+	s.SetLoadPolicy(false, false, 0, 0, 0, 0, 0)
+	s.SetSlowStart(0, 0, 0, 0)
+	s.SetSubscribeInterval(0)
+	s.UpdateMembership(1, true, []scheduler.Member{{Worker: "a", Started: 1}})
 	for i, kind := range []string{"t", "t", "unknown"} {
-		e := &scheduler.Request{ID: fmt.Sprint("e", i), Type: kind, Tenant: "n"}
-		a := c.Submit(2, e)
-		fmt.Print(a.Action, " ")
-		for _, a := range c.Tick(2).Decisions {
-			fmt.Print(a.Request.ID, " ", a.Action, " ", a.Worker, "; ")
+		request := &scheduler.Request{ID: fmt.Sprint("e", i), Type: kind, Tenant: "n"}
+		decision := s.Submit(2, request)
+		fmt.Print(decision.Action, " ")
+		for _, decision := range s.Tick(2).Decisions {
+			fmt.Print(decision.Request.ID, " ", decision.Action, " ", decision.Worker, "; ")
 		}
 	}
-	c.UpdateMembership(3, true, nil)
-	c.WatchFailed(3)
-	fmt.Println(len(c.Tick(3).Decisions))
+	s.UpdateMembership(3, true, nil)
+	s.WatchFailed(3)
+	fmt.Println(len(s.Tick(3).Decisions))
 	// Output:
 	// 0 e0 2 ; 0 e1 2 ; 0 e2 2 ; 0
 }
@@ -270,18 +270,18 @@
 func Example_coldWorkerOfManyGateways() {
 	launched := 0
 	for self := range 100 {
-		b := newFleet(self, 100, 1)
-		b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "n", Started: b.now}})
+		h := newFleet(self, 100, 1)
+		h.UpdateMembership(h.now, true, []scheduler.Member{{Worker: "n", Started: h.now}})
 		for range 20 {
-			b.Submit(b.now, &scheduler.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 32})
-			st := b.Tick(b.now)
-			b.completeLoads(st)
-			for _, a := range append(st.Decisions, b.Tick(b.now).Decisions...) {
-				if a.Action == scheduler.Send {
+			h.Submit(h.now, &scheduler.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 32})
+			due := h.Tick(h.now)
+			h.completeLoads(due)
+			for _, decision := range append(due.Decisions, h.Tick(h.now).Decisions...) {
+				if decision.Action == scheduler.Send {
 					launched++
 				}
 			}
-			b.now += 50 * ms
+			h.now += 50 * ms
 		}
 	}
 	fmt.Println("in the first second", launched)
@@ -291,13 +291,13 @@
 
 // Clients that leave early and retry at once: a few of a tenant's marked retries are taken, the rest rejected.
 func Example_retries() {
-	b := newHarness(1)
-	b.AddTenant("n", 1000)
+	h := newHarness(1)
+	h.AddTenant("n", 1000)
 	for _, repeat := range []bool{false, true} {
 		held := 0
 		for range 40 {
-			e := &scheduler.Request{Type: "redeliverable", Tenant: "n", Function: 9, TimeLeft: 300 * ms, Retry: repeat}
-			if b.Submit(b.now, e).Action == scheduler.Enqueue {
+			request := &scheduler.Request{Type: "redeliverable", Tenant: "n", Function: 9, TimeLeft: 300 * ms, Retry: repeat}
+			if h.Submit(h.now, request).Action == scheduler.Enqueue {
 				held++
 			}
 		}
@@ -311,10 +311,10 @@
 // A worker where others' requests wait comes last: a first replica goes to the next of the order.
 func Example_backlog() {
 	for _, waiting := range []float64{0, 9} {
-		b := newHarness(1)
-		b.ProbeCompleted(b.now, "c", scheduler.Completed, scheduler.LoadReport{Reported: true, QueueDepth: waiting}, ms)
-		b.submit("e", "redeliverable", 9)
-		b.advance(0)
+		h := newHarness(1)
+		h.ProbeCompleted(h.now, "c", scheduler.Completed, scheduler.LoadReport{Reported: true, QueueDepth: waiting}, ms)
+		h.submit("e", "redeliverable", 9)
+		h.advance(0)
 	}
 	// Output:
 	// 0s e hold
@@ -325,16 +325,16 @@
 
 // A first replica ordered at a worker that then leaves a probe unanswered does not stand in for one elsewhere.
 func Example_unansweredProbe() {
-	b := newHarness(9) // more front ends than workers
-	b.SetAttemptPolicy(4, true, true, 500*ms)
-	b.submit("e", "redeliverable", 9)
-	st := b.advance(0)
-	fmt.Println("probe", st.Probes)
-	b.ProbeCompleted(b.now, st.Probes[0], scheduler.TimedOut, scheduler.LoadReport{}, ms)
-	st = b.advance(250 * ms)
-	b.ProbeCompleted(b.now, st.Probes[0], scheduler.Completed, scheduler.LoadReport{Reported: true}, ms)
-	b.completeLoads(st)
-	b.advance(0)
+	h := newHarness(9) // more front ends than workers
+	h.SetAttemptPolicy(4, true, true, 500*ms)
+	h.submit("e", "redeliverable", 9)
+	due := h.advance(0)
+	fmt.Println("probe", due.Probes)
+	h.ProbeCompleted(h.now, due.Probes[0], scheduler.TimedOut, scheduler.LoadReport{}, ms)
+	due = h.advance(250 * ms)
+	h.ProbeCompleted(h.now, due.Probes[0], scheduler.Completed, scheduler.LoadReport{Reported: true}, ms)
+	h.completeLoads(due)
+	h.advance(0)
 	// Output:
 	// 0s e hold
 	// 0s load 9 x1 on c
@@ -345,15 +345,15 @@
 
 // A worker with room that is full for one tenant stays open to the others.
 func Example_tenantRejected() {
-	b := newHarness(1)
-	b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a"}})
+	h := newHarness(1)
+	h.UpdateMembership(h.now, true, []scheduler.Member{{Worker: "a"}})
 	for i, tenant := range []string{"m", "m", "n"} {
-		e := &scheduler.Request{ID: fmt.Sprint("e", i), Type: "redeliverable", Tenant: tenant, Function: uint64(i),
+		request := &scheduler.Request{ID: fmt.Sprint("e", i), Type: "redeliverable", Tenant: tenant, Function: uint64(i),
 			TimeLeft: 3000 * ms, Concurrency: 1}
-		b.print(b.Submit(b.now, e))
-		b.completeLoads(b.advance(0))
-		if b.advance(0); e.InFlight() && i == 0 {
-			b.print(b.Complete(b.now, e, scheduler.Outcome{Result: scheduler.Full, Report: scheduler.LoadReport{Reported: true}}))
+		h.print(h.Submit(h.now, request))
+		h.completeLoads(h.advance(0))
+		if h.advance(0); request.InFlight() && i == 0 {
+			h.print(h.Complete(h.now, request, scheduler.Outcome{Result: scheduler.Full, Report: scheduler.LoadReport{Reported: true}}))
 		}
 	}
 	// Output:
@@ -370,20 +370,20 @@
 // A rejection of a function that serves many tenants, or none, keeps no other function away from the worker.
 func Example_manyTenants() {
 	for _, tenants := range [][]string{{"m", "n"}, {"", ""}} {
-		b := newHarness(1)
-		b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a"}})
+		h := newHarness(1)
+		h.UpdateMembership(h.now, true, []scheduler.Member{{Worker: "a"}})
 		for i, tenant := range tenants {
-			b.Submit(b.now, &scheduler.Request{Type: "redeliverable", Tenant: tenant, Function: 1, TimeLeft: 3000 * ms, Concurrency: 2})
+			h.Submit(h.now, &scheduler.Request{Type: "redeliverable", Tenant: tenant, Function: 1, TimeLeft: 3000 * ms, Concurrency: 2})
 			if i == 1 {
-				b.completeLoads(b.Tick(b.now))
+				h.completeLoads(h.Tick(h.now))
 			}
 		}
-		for _, a := range b.Tick(b.now).Decisions {
-			b.Complete(b.now, a.Request, scheduler.Outcome{Result: scheduler.Full, Report: scheduler.LoadReport{Reported: true}})
+		for _, decision := range h.Tick(h.now).Decisions {
+			h.Complete(h.now, decision.Request, scheduler.Outcome{Result: scheduler.Full, Report: scheduler.LoadReport{Reported: true}})
 		}
-		b.Submit(b.now, &scheduler.Request{Type: "redeliverable", Tenant: tenants[1], Function: 2, TimeLeft: 3000 * ms, Concurrency: 2})
-		for _, o := range b.Tick(b.now).LoadRequests {
-			fmt.Printf("load %d on %s\n", o.Function, o.Worker)
+		h.Submit(h.now, &scheduler.Request{Type: "redeliverable", Tenant: tenants[1], Function: 2, TimeLeft: 3000 * ms, Concurrency: 2})
+		for _, load := range h.Tick(h.now).LoadRequests {
+			fmt.Printf("load %d on %s\n", load.Function, load.Worker)
 		}
 	}
 	// Output:
@@ -393,31 +393,31 @@
 
 // A front end among many that sees only slow answers lowers what it has in flight at all workers together.
 func Example_fleetLimit() {
-	for _, took := range []time.Duration{100 * ms, 900 * ms} {
-		b := newFleet(0, 50, 20)
+	for _, duration := range []time.Duration{100 * ms, 900 * ms} {
+		h := newFleet(0, 50, 20)
 		for i := range 400 {
-			e := &scheduler.Request{Type: "redeliverable", Function: uint64(i % 20), TimeLeft: 3000 * ms, Concurrency: 4}
-			b.Submit(b.now, e)
-			st := b.Tick(b.now)
-			b.completeLoads(st)
-			b.completeAll(append(append(st.Decisions, b.Tick(b.now).Decisions...), scheduler.Decision{Request: e}), took)
-			b.now += 20 * ms
+			request := &scheduler.Request{Type: "redeliverable", Function: uint64(i % 20), TimeLeft: 3000 * ms, Concurrency: 4}
+			h.Submit(h.now, request)
+			due := h.Tick(h.now)
+			h.completeLoads(due)
+			h.completeAll(append(append(due.Decisions, h.Tick(h.now).Decisions...), scheduler.Decision{Request: request}), duration)
+			h.now += 20 * ms
 		}
 		out := 0
 		for i := range 40 {
-			e := &scheduler.Request{Type: "redeliverable", Function: uint64(i % 20), TimeLeft: 3000 * ms, Concurrency: 4}
-			if b.Submit(b.now, e).Action == scheduler.Send {
+			request := &scheduler.Request{Type: "redeliverable", Function: uint64(i % 20), TimeLeft: 3000 * ms, Concurrency: 4}
+			if h.Submit(h.now, request).Action == scheduler.Send {
 				out++
 			}
 		}
 		for range 40 { // the limit is rounded by chance
-			for _, a := range b.Tick(b.now).Decisions {
-				if a.Action == scheduler.Send {
+			for _, decision := range h.Tick(h.now).Decisions {
+				if decision.Action == scheduler.Send {
 					out++
 				}
 			}
 		}
-		fmt.Println("answers of", took, "in flight at once", out)
+		fmt.Println("answers of", duration, "in flight at once", out)
 	}
 	// Output:
 	// answers of 100ms in flight at once 7
@@ -426,18 +426,18 @@
 
 // The time of a probe tells of a crowd where it varies: the warm replica there is left for another.
 func Example_probeLatency() {
-	for _, took := range []time.Duration{ms, 9 * ms} {
-		b := newHarness(9) // more front ends than workers
-		b.SetAttemptPolicy(4, true, true, 500*ms)
+	for _, duration := range []time.Duration{ms, 9 * ms} {
+		h := newHarness(9) // more front ends than workers
+		h.SetAttemptPolicy(4, true, true, 500*ms)
 		for range 12 { // what is usual
 			for i, worker := range []string{"a", "b", "c"} {
-				b.ProbeCompleted(b.now, worker, scheduler.Completed, scheduler.LoadReport{}, time.Duration(i+1)*ms)
+				h.ProbeCompleted(h.now, worker, scheduler.Completed, scheduler.LoadReport{}, time.Duration(i+1)*ms)
 			}
 		}
-		b.now += time.Second
-		b.submit("e", "redeliverable", 9)
-		b.ProbeCompleted(b.now, "c", scheduler.Completed, scheduler.LoadReport{}, took)
-		b.advance(0)
+		h.now += time.Second
+		h.submit("e", "redeliverable", 9)
+		h.ProbeCompleted(h.now, "c", scheduler.Completed, scheduler.LoadReport{}, duration)
+		h.advance(0)
 	}
 	// Output:
 	// 1s e hold
@@ -448,13 +448,13 @@
 
 // A probe turned away as full is a sign of life: the load there counts, no other is ordered.
 func Example_probeRejected() {
-	b := newHarness(9)
-	b.SetAttemptPolicy(4, true, true, 500*ms)
-	b.submit("e", "redeliverable", 9)
-	st := b.advance(0)
-	b.ProbeCompleted(b.now, st.Probes[0], scheduler.Full, scheduler.LoadReport{}, ms)
-	b.advance(250 * ms)
-	b.advance(250 * ms)
+	h := newHarness(9)
+	h.SetAttemptPolicy(4, true, true, 500*ms)
+	h.submit("e", "redeliverable", 9)
+	due := h.advance(0)
+	h.ProbeCompleted(h.now, due.Probes[0], scheduler.Full, scheduler.LoadReport{}, ms)
+	h.advance(250 * ms)
+	h.advance(250 * ms)
 	// Output:
 	// 0s e hold
 	// 0s load 9 x1 on c
@@ -462,13 +462,13 @@
 
 // A worker of three times the size gets first replicas of about three times as many functions.
 func Example_weights() {
-	b := newHarness(1)
-	b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "big", Kind: "b", Weight: 3}, {Worker: "small", Kind: "s", Weight: 1}})
+	h := newHarness(1)
+	h.UpdateMembership(h.now, true, []scheduler.Member{{Worker: "big", Kind: "b", Weight: 3}, {Worker: "small", Kind: "s", Weight: 1}})
 	orders := map[string]int{}
 	for fn := range uint64(200) {
-		e := &scheduler.Request{Type: "redeliverable", Function: fn, TimeLeft: 3000 * ms, Concurrency: 1, LoadTime: 400 * ms}
-		for _, o := range b.serve(e, 10*ms) {
-			orders[o.Worker]++
+		request := &scheduler.Request{Type: "redeliverable", Function: fn, TimeLeft: 3000 * ms, Concurrency: 1, LoadTime: 400 * ms}
+		for _, load := range h.serve(request, 10*ms) {
+			orders[load.Worker]++
 		}
 	}
 	fmt.Println(orders["big"]/10*10, orders["small"]/10*10)
@@ -479,23 +479,23 @@
 // Where answers outlast a tick, one request that waits for a slot does not ask for two more; three that come together
 // get one load.
 func Example_slowAnswers() {
-	b := newHarness(1)
-	b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a"}})
-	b.submitQuietly(9)
-	b.submitQuietly(9)
-	b.submitQuietly(9)
-	b.advance(100 * ms)
-	b.advance(300 * ms)
-	b.LoadCompleted(b.now, scheduler.LoadRequest{Worker: "a", Function: 9, Replicas: 1}, scheduler.Completed, 400*ms)
+	h := newHarness(1)
+	h.UpdateMembership(h.now, true, []scheduler.Member{{Worker: "a"}})
+	h.submitQuietly(9)
+	h.submitQuietly(9)
+	h.submitQuietly(9)
+	h.advance(100 * ms)
+	h.advance(300 * ms)
+	h.LoadCompleted(h.now, scheduler.LoadRequest{Worker: "a", Function: 9, Replicas: 1}, scheduler.Completed, 400*ms)
 	for range 3 { // one lane, one after the other
-		for _, a := range b.Tick(b.now).Decisions {
-			b.now += 300 * ms
-			b.Complete(b.now, a.Request, scheduler.Outcome{Result: scheduler.Completed, Duration: 300 * ms, Final: true})
+		for _, decision := range h.Tick(h.now).Decisions {
+			h.now += 300 * ms
+			h.Complete(h.now, decision.Request, scheduler.Outcome{Result: scheduler.Completed, Duration: 300 * ms, Final: true})
 		}
 	}
-	fmt.Println(b.submit("runs", "redeliverable", 9).InFlight())
-	b.submit("waits", "redeliverable", 9)
-	b.advance(240 * ms)
+	fmt.Println(h.submit("runs", "redeliverable", 9).InFlight())
+	h.submit("waits", "redeliverable", 9)
+	h.advance(240 * ms)
 	// Output:
 	// 100ms load 9 x1 on a
 	// 1.3s runs launch on a
@@ -525,14 +525,14 @@
 	for _, zone := range []string{"", "x"} {
 		own := 0
 		for fn := range uint64(100) {
-			b := newHarness(1)
-			b.PreferZone(zone)
-			b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a", Zone: "x"}, {Worker: "b", Zone: "y"}, {Worker: "c", Zone: "z"}})
-			b.submitQuietly(fn)
+			h := newHarness(1)
+			h.PreferZone(zone)
+			h.UpdateMembership(h.now, true, []scheduler.Member{{Worker: "a", Zone: "x"}, {Worker: "b", Zone: "y"}, {Worker: "c", Zone: "z"}})
+			h.submitQuietly(fn)
 			for _, w := range []string{"a", "b", "c"} { // a copy at each
-				b.LoadCompleted(b.now, scheduler.LoadRequest{Worker: w, Function: fn, Replicas: 1}, scheduler.Completed, 400*ms)
+				h.LoadCompleted(h.now, scheduler.LoadRequest{Worker: w, Function: fn, Replicas: 1}, scheduler.Completed, 400*ms)
 			}
-			if a := b.Tick(b.now).Decisions; len(a) > 0 && a[0].Worker == "a" {
+			if a := h.Tick(h.now).Decisions; len(a) > 0 && a[0].Worker == "a" {
 				own++
 			}
 		}
@@ -546,23 +546,23 @@
 // A front end that hears of few workers judges an overload by those: what is late then is rejected, not held to the end.
 func Example_reportedOverload() {
 	for _, waiting := range []float64{0, 9} {
-		b := newFleet(0, 100, 40)
-		b.SetAttemptPolicy(4, true, true, 500*ms)
+		h := newFleet(0, 100, 40)
+		h.SetAttemptPolicy(4, true, true, 500*ms)
 		for i := range 4 {
-			b.ProbeCompleted(b.now, fmt.Sprint("w", i), scheduler.Completed, scheduler.LoadReport{Reported: true, QueueDepth: waiting}, ms)
+			h.ProbeCompleted(h.now, fmt.Sprint("w", i), scheduler.Completed, scheduler.LoadReport{Reported: true, QueueDepth: waiting}, ms)
 		}
-		e := &scheduler.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 1, LoadTime: 900 * ms}
-		b.Submit(b.now, e)
+		request := &scheduler.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 1, LoadTime: 900 * ms}
+		h.Submit(h.now, request)
 		deferred := 0
 		for range 13 {
-			b.now += 100 * ms
+			h.now += 100 * ms
 			for i := range 4 {
-				b.ProbeCompleted(b.now, fmt.Sprint("w", i), scheduler.Completed, scheduler.LoadReport{Reported: true, QueueDepth: waiting}, ms)
+				h.ProbeCompleted(h.now, fmt.Sprint("w", i), scheduler.Completed, scheduler.LoadReport{Reported: true, QueueDepth: waiting}, ms)
 			}
-			for _, a := range b.Tick(b.now).Decisions {
-				if a.Action == scheduler.Reject {
+			for _, decision := range h.Tick(h.now).Decisions {
+				if decision.Action == scheduler.Reject {
 					deferred++
-					fmt.Println("at", b.now-time.Hour, "of 3s, with a time to come back", a.RetryAfter > 0)
+					fmt.Println("at", h.now-time.Hour, "of 3s, with a time to come back", decision.RetryAfter > 0)
 				}
 			}
 		}
@@ -576,30 +576,30 @@
 
 // Once attempts have shown what requests ahead cost, none goes to where they make it late.
 func Example_queuedAhead() {
-	b := newHarness(1)
-	b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a"}})
+	h := newHarness(1)
+	h.UpdateMembership(h.now, true, []scheduler.Member{{Worker: "a"}})
 	told := func(waiting float64) {
-		b.ProbeCompleted(b.now, "a", scheduler.Completed, scheduler.LoadReport{Reported: true, QueueDepth: waiting}, ms)
+		h.ProbeCompleted(h.now, "a", scheduler.Completed, scheduler.LoadReport{Reported: true, QueueDepth: waiting}, ms)
 	}
 	for range 8 {
-		e := b.submitQuietly(9)
-		b.completeLoads(b.Tick(b.now))
+		request := h.submitQuietly(9)
+		h.completeLoads(h.Tick(h.now))
 		told(8)
-		b.now += 20 * ms
-		b.Tick(b.now)
-		b.now += 900 * ms
-		b.Complete(b.now, e, scheduler.Outcome{Result: scheduler.Completed, Duration: 900 * ms, Final: true, ReplicaState: scheduler.ReplicaWarm})
+		h.now += 20 * ms
+		h.Tick(h.now)
+		h.now += 900 * ms
+		h.Complete(h.now, request, scheduler.Outcome{Result: scheduler.Completed, Duration: 900 * ms, Final: true, ReplicaState: scheduler.ReplicaWarm})
 	}
 	for _, waiting := range []float64{20, 1} {
 		told(waiting)
-		e := b.submitQuietly(9)
-		b.now += 20 * ms
-		b.Tick(b.now)
-		fmt.Println("waiting", waiting, "launched", e.InFlight())
-		b.now += 10 * ms
+		request := h.submitQuietly(9)
+		h.now += 20 * ms
+		h.Tick(h.now)
+		fmt.Println("waiting", waiting, "launched", request.InFlight())
+		h.now += 10 * ms
 		told(0)
-		b.Tick(b.now)
-		b.Complete(b.now, e, scheduler.Outcome{Result: scheduler.Completed, Duration: 100 * ms, Final: true, ReplicaState: scheduler.ReplicaWarm})
+		h.Tick(h.now)
+		h.Complete(h.now, request, scheduler.Outcome{Result: scheduler.Completed, Duration: 100 * ms, Final: true, ReplicaState: scheduler.ReplicaWarm})
 	}
 	// Output:
 	// waiting 20 launched false
@@ -625,16 +625,16 @@
 // Sizes, memory and reports that are absurd or no numbers count as not told.
 func Example_implausibleValues() {
 	for _, v := range []float64{math.NaN(), math.Inf(1), -1, 1e300, 0} {
-		b := newHarness(9)
-		b.SetAttemptPolicy(4, true, true, 500*ms)
-		b.AddWorkerKind("k", v)
-		b.UpdateMembership(b.now, true, []scheduler.Member{{Worker: "a", Kind: "k", Weight: v}, {Worker: "b", Kind: "l", Weight: 1}})
+		h := newHarness(9)
+		h.SetAttemptPolicy(4, true, true, 500*ms)
+		h.AddWorkerKind("k", v)
+		h.UpdateMembership(h.now, true, []scheduler.Member{{Worker: "a", Kind: "k", Weight: v}, {Worker: "b", Kind: "l", Weight: 1}})
 		orders := map[string]int{}
 		for fn := range uint64(100) {
-			b.ProbeCompleted(b.now, "a", scheduler.Completed, scheduler.LoadReport{Reported: true, QueueDepth: v}, ms)
-			e := &scheduler.Request{Type: "redeliverable", Function: fn, TimeLeft: 3000 * ms, Concurrency: 1, Memory: v}
-			for _, o := range b.serve(e, 10*ms) {
-				orders[o.Worker]++
+			h.ProbeCompleted(h.now, "a", scheduler.Completed, scheduler.LoadReport{Reported: true, QueueDepth: v}, ms)
+			request := &scheduler.Request{Type: "redeliverable", Function: fn, TimeLeft: 3000 * ms, Concurrency: 1, Memory: v}
+			for _, load := range h.serve(request, 10*ms) {
+				orders[load.Worker]++
 			}
 		}
 		fmt.Println(v, "both are used", orders["a"] > 20 && orders["b"] > 20)
@@ -651,27 +651,27 @@
 // waits it is slow or has slow functions, and less in flight would not make it faster.
 func Example_slowWorker() {
 	for _, waiting := range []float64{0, 3} {
-		b := newFleet(0, 2, 1)
+		h := newFleet(0, 2, 1)
 		for i := range 400 {
-			took := 50 * ms
+			duration := 50 * ms
 			if i >= 100 {
-				took = 150 * ms
+				duration = 150 * ms
 			}
-			e := &scheduler.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 64}
-			answers := []scheduler.Decision{b.Submit(b.now, e)}
-			st := b.Tick(b.now)
-			b.completeLoads(st)
-			for _, a := range append(append(answers, st.Decisions...), b.Tick(b.now).Decisions...) {
-				if a.Request.InFlight() {
-					b.Complete(b.now, a.Request, scheduler.Outcome{Result: scheduler.Completed, Duration: took, Final: true,
+			request := &scheduler.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 64}
+			decisions := []scheduler.Decision{h.Submit(h.now, request)}
+			due := h.Tick(h.now)
+			h.completeLoads(due)
+			for _, decision := range append(append(decisions, due.Decisions...), h.Tick(h.now).Decisions...) {
+				if decision.Request.InFlight() {
+					h.Complete(h.now, decision.Request, scheduler.Outcome{Result: scheduler.Completed, Duration: duration, Final: true,
 						Report: scheduler.LoadReport{Reported: true, QueueDepth: waiting}})
 				}
 			}
-			b.now += 20 * ms
+			h.now += 20 * ms
 		}
 		out := 0
 		for range 40 {
-			if b.Submit(b.now, &scheduler.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 64}).Action == scheduler.Send {
+			if h.Submit(h.now, &scheduler.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 64}).Action == scheduler.Send {
 				out++
 			}
 		}
--- a/scheduler/types.go
+++ b/scheduler/types.go
@@ -71,7 +71,7 @@
 }
 
 // InFlight tells whether an attempt of the request still has no outcome.
-func (e *Request) InFlight() bool { return e.target != nil }
+func (request *Request) InFlight() bool { return request.target != nil }
 
 // Action is what to do with a request.
 type Action int
@@ -212,7 +212,7 @@
 }
 
 // empty tells that no replica is assumed there, nor being loaded.
-func (s *replicaSet) empty() bool { return s.replicas+s.loading == 0 }
+func (replicas *replicaSet) empty() bool { return replicas.replicas+replicas.loading == 0 }
 
 // counters is what one worker counts for, or all of them together.
 type counters [counterCount]int32
@@ -229,16 +229,16 @@
 	counterCount
 )
 
-func (t *counters) set(what int, counts bool) {
-	if counts {
-		t[what] = 1
+func (counts *counters) set(what int, counted bool) {
+	if counted {
+		counts[what] = 1
 	}
 }
 
 // replace takes one worker's part out of the sums and puts another in.
-func (t *counters) replace(old, now counters) {
-	for what := range t {
-		t[what] += now[what] - old[what]
+func (counts *counters) replace(old, now counters) {
+	for what := range counts {
+		counts[what] += now[what] - old[what]
 	}
 }
 
@@ -375,20 +375,22 @@
 }
 
 // ClientDisconnected says that the client of a request is gone.
-func (c *Scheduler) ClientDisconnected(e *Request) { e.closed = true }
+func (s *Scheduler) ClientDisconnected(request *Request) { request.closed = true }
 
 // LimitDeadline says that a request must have its final answer by a time before its client gives up.
-func (c *Scheduler) LimitDeadline(e *Request, by time.Duration) { e.deadline = min(e.deadline, by) }
+func (s *Scheduler) LimitDeadline(request *Request, by time.Duration) {
+	request.deadline = min(request.deadline, by)
+}
 
 // kindFor is what is known of a kind, from now on if not before.
-func (c *Scheduler) kindFor(name string) *workerKind {
-	if c.kinds[name] == nil {
-		k := &workerKind{slowness: 1}
-		k.ring.Scale = k.effectiveWeight
-		c.kinds[name], c.orderedKinds = k, append(c.orderedKinds, k)
-		c.sharedOrder.Add(&k.ring)
+func (s *Scheduler) kindFor(name string) *workerKind {
+	if s.kinds[name] == nil {
+		kind := &workerKind{slowness: 1}
+		kind.ring.Scale = kind.effectiveWeight
+		s.kinds[name], s.orderedKinds = kind, append(s.orderedKinds, kind)
+		s.sharedOrder.Add(&kind.ring)
 	}
-	return c.kinds[name]
+	return s.kinds[name]
 }
 
 // acceptsNew tells whether the list lets a worker have anything new (rule 3).
@@ -412,7 +414,7 @@
 
 // replicaSetAt is what is believed of the function at a worker, from now on if not before.
 func (f *function) replicaSetAt(w *worker) *replicaSet {
-	i := slices.IndexFunc(f.replicaSets, func(s *replicaSet) bool { return s.worker == w })
+	i := slices.IndexFunc(f.replicaSets, func(replicas *replicaSet) bool { return replicas.worker == w })
 	if i < 0 {
 		i = len(f.replicaSets)
 		f.replicaSets = append(f.replicaSets, &replicaSet{worker: w})
@@ -447,10 +449,12 @@
 	return rank
 }
 
-func (k *workerKind) effectiveWeight() float64 { return k.weightSum / k.workerCount / k.slowness }
+func (kind *workerKind) effectiveWeight() float64 {
+	return kind.weightSum / kind.workerCount / kind.slowness
+}
 
 func (f *function) expectedLoadTime() time.Duration { return cmp.Or(f.loadTime, f.typ.Objective) }
 
-func (t *typeStats) retryableAnywhere() bool {
-	return t.Effect == Idempotent || t.Effect == IdempotencyKey && t.DedupScope == ScopeAll
+func (stats *typeStats) retryableAnywhere() bool {
+	return stats.Effect == Idempotent || stats.Effect == IdempotencyKey && stats.DedupScope == ScopeAll
 }
