--- a/internal/gateway/core/core.go
+++ b/internal/gateway/core/core.go
@@ -52,24 +52,11 @@
 	Memory float64 `cbor:"2,keyasint"`
 }
 
-// LoadPolicy is how functions come to workers; see scheduler.Scheduler.Loading.
-type LoadPolicy struct {
-	RequestLoads       bool          `cbor:"1,keyasint"`
-	LoadOnMiss         bool          `cbor:"2,keyasint"` // workers load on a miss
-	ReplicaIdleTimeout time.Duration `cbor:"3,keyasint"` // an idle replica stays so long
-	RequestTimeout     time.Duration `cbor:"4,keyasint"` // an order unanswered by then is lost
-	RateWindow         time.Duration `cbor:"5,keyasint"` // window of the rate limit of orders; 0: no rate limit
-	RateBurst          float64       `cbor:"6,keyasint"` // orders in the window in any case
-	RatePerRequest     float64       `cbor:"7,keyasint"` // and so many for each request
-}
-
-// SlowStart is what a worker that has just started stands; see scheduler.Scheduler.ColdStarts.
-type SlowStart struct {
-	InitialShare  float64       `cbor:"1,keyasint"` // least part of its capacity at the start
-	WarmUpTime    time.Duration `cbor:"2,keyasint"`
-	CrashMultiple float64       `cbor:"3,keyasint"` // of its present capacity: more makes it fall; 0: cold starts do not matter
-	CrashWindow   time.Duration `cbor:"4,keyasint"` // when so much is sent for so long
-}
+// LoadPolicy and SlowStart are the scheduler's: recordings hold them as a part of the settings.
+type (
+	LoadPolicy = scheduler.LoadPolicy
+	SlowStart  = scheduler.SlowStart
+)
 
 // Settings is all that a core is started with.
 type Settings struct {
@@ -133,10 +120,14 @@
 		c.AddWorkerKind(k.Name, k.Memory)
 	}
 	c.PreferZone(f.Zone)
-	c.SetAttemptPolicy(f.MaxAttempts, f.Cancel, f.Probe, f.MaxRetryAfter)
-	l := f.LoadPolicy
-	c.SetLoadPolicy(l.RequestLoads, l.LoadOnMiss, l.ReplicaIdleTimeout, l.RequestTimeout, l.RateWindow, l.RateBurst, l.RatePerRequest)
-	c.SetSlowStart(f.SlowStart.InitialShare, f.SlowStart.WarmUpTime, f.SlowStart.CrashMultiple, f.SlowStart.CrashWindow)
+	c.SetAttemptPolicy(scheduler.AttemptPolicy{
+		MaxAttempts:   f.MaxAttempts,
+		Cancel:        f.Cancel,
+		Probe:         f.Probe,
+		MaxRetryAfter: f.MaxRetryAfter,
+	})
+	c.SetLoadPolicy(f.LoadPolicy)
+	c.SetSlowStart(f.SlowStart)
 	if f.SubscribeInterval > 0 {
 		c.SetSubscribeInterval(f.SubscribeInterval)
 	}
@@ -152,10 +143,16 @@
 // FleetState is what the scheduler makes of its fleet.
 func (c *Core) FleetState() scheduler.FleetState { return c.scheduler.FleetState() }
 
-// UpdateMembership tells news of the list; where it is whole, workers that it does not name are gone.
-func (c *Core) UpdateMembership(now time.Duration, whole bool, news []scheduler.Member) {
-	c.record(Input{Op: OpUpdateMembership, Now: now, Complete: whole, Members: news})
-	c.scheduler.UpdateMembership(now, whole, news)
+// UpdateMembership takes changes of the worker registry.
+func (c *Core) UpdateMembership(now time.Duration, changes []scheduler.Member) {
+	c.record(Input{Op: OpUpdateMembership, Now: now, Members: changes})
+	c.scheduler.UpdateMembership(now, changes)
+}
+
+// ReplaceMembership takes the complete worker registry: workers that it does not name are removed.
+func (c *Core) ReplaceMembership(now time.Duration, members []scheduler.Member) {
+	c.record(Input{Op: OpUpdateMembership, Now: now, Complete: true, Members: members})
+	c.scheduler.ReplaceMembership(now, members)
 }
 
 // WatchFailed tells that asking for the list failed or that a subscription broke.
--- a/internal/gateway/core/core_test.go
+++ b/internal/gateway/core/core_test.go
@@ -77,7 +77,7 @@
 // startRequest has request e of a type sent.
 func startRequest(a core.Actor, kind string) (*core.Core, time.Duration) {
 	c, now := core.New(testSettings(), a), time.Hour
-	c.UpdateMembership(now, true, workers)
+	c.ReplaceMembership(now, workers)
 	e := &scheduler.Request{ID: "e", Type: kind, Function: 1, TimeLeft: 2 * time.Second, Concurrency: 1}
 	fmt.Println(c.Submit(now, e), c.Submit(now, e))
 	c.ProcessDue(now)
@@ -133,7 +133,7 @@
 		var tape bytes.Buffer
 		c, rec := replay.Start(testSettings(), a, &tape)
 		now := time.Hour
-		c.UpdateMembership(now, true, workers)
+		c.ReplaceMembership(now, workers)
 		left := map[string]bool{}
 		n := 0
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -162,7 +162,11 @@
 				i := rapid.IntRange(0, 2).Draw(t, "worker")
 				l := workers[i]
 				l.Condition = scheduler.Condition(rapid.IntRange(0, 2).Draw(t, "condition"))
-				c.UpdateMembership(now, rapid.Bool().Draw(t, "whole"), []scheduler.Member{l})
+				if members := []scheduler.Member{l}; rapid.Bool().Draw(t, "complete") {
+					c.ReplaceMembership(now, members)
+				} else {
+					c.UpdateMembership(now, members)
+				}
 			case 6:
 				c.ShutdownBy(now, now+time.Duration(rapid.IntRange(0, 5000).Draw(t, "end"))*ms)
 			}
@@ -203,7 +207,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a := newRecordingActor(false)
 		c, now := core.New(testSettings(), a), time.Hour
-		c.UpdateMembership(now, true, workers[:rapid.IntRange(0, 3).Draw(t, "workers")])
+		c.ReplaceMembership(now, workers[:rapid.IntRange(0, 3).Draw(t, "workers")])
 		n := 0
 		came := func() {
 			e := &scheduler.Request{ID: fmt.Sprint(n), Type: rapid.SampledFrom([]string{"free", "once", "zone"}).Draw(t, "type"),
@@ -249,7 +253,7 @@
 func FuzzReplay(f *testing.F) {
 	var tape bytes.Buffer
 	c, _ := replay.Start(testSettings(), newRecordingActor(false), &tape)
-	c.UpdateMembership(time.Hour, true, workers)
+	c.ReplaceMembership(time.Hour, workers)
 	c.ProcessDue(time.Hour)
 	f.Add(tape.Bytes())
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -264,7 +268,7 @@
 func TestOutcomeOfAnEarlierAttempt(t *testing.T) {
 	a := newRecordingActor(false)
 	c, now := core.New(testSettings(), a), time.Hour
-	c.UpdateMembership(now, true, workers)
+	c.ReplaceMembership(now, workers)
 	if err := c.Submit(now, &scheduler.Request{ID: "e", Type: "free", Function: 1, TimeLeft: 20 * time.Second, Concurrency: 1}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/core/entry.go
+++ b/internal/gateway/core/entry.go
@@ -61,7 +61,11 @@
 	}
 	switch e.Op {
 	case OpUpdateMembership:
-		c.UpdateMembership(e.Now, e.Complete, e.Members)
+		if e.Complete {
+			c.ReplaceMembership(e.Now, e.Members)
+		} else {
+			c.UpdateMembership(e.Now, e.Members)
+		}
 	case OpWatchFailed:
 		c.WatchFailed(e.Now)
 	case OpSubmit:
--- a/internal/gateway/invariants_test.go
+++ b/internal/gateway/invariants_test.go
@@ -265,14 +265,14 @@
 	{"NoTimeLeft", "departure.go", "if now >= d.deadline {", "if false {", invariant.AttemptAfterDeadline},
 	{"SlowDeparture", "departure.go", "d.statedTimeLeft = d.deadline - now", "d.statedTimeLeft = d.deadline - d.decidedAt", invariant.DeadlineOverstated},
 	{"SecondOutcome", "core/core.go", "h == nil || launch != h.attempts-1 ||", "h == nil ||", invariant.AttemptInParallel},
-	{"AtMostOnce", "../../scheduler/scheduler.go", "(late || e.typ.Effect == AtMostOnce)", "late", invariant.RetryOfAtMostOnce},
-	{"WindowOver", "../../scheduler/scheduler.go", "late := e.typ.Effect == IdempotencyKey &&", "late := false &&", invariant.RetryOutsideWindow},
+	{"AtMostOnce", "../../scheduler/request.go", "(late || request.typ.Effect == AtMostOnce)", "late", invariant.RetryOfAtMostOnce},
+	{"WindowOver", "../../scheduler/request.go", "late := request.typ.Effect == IdempotencyKey &&", "late := false &&", invariant.RetryOutsideWindow},
 	{"NoOutcome", "core/core.go", "h := heap.Pop(&c.deadlines).(*trackedRequest)\n\t\tif h.request.InFlight() {", "h := heap.Pop(&c.deadlines).(*trackedRequest)\n\t\tif false {",
 		invariant.AnsweredLate},
 	{"Rejected", "core/core.go", "c.actor.Reject(a.Request, a.RetryAfter, h.mayHaveRun)", "c.actor.Reject(a.Request, a.RetryAfter, h.mayHaveRun); c.actor.Reject(a.Request, 0, false)",
 		invariant.AnsweredTwice},
 	{"Rejected", "core/core.go", "c.actor.Reject(a.Request, a.RetryAfter, h.mayHaveRun)", "", invariant.NeverAnswered},
-	{"ManyLoads", "../../scheduler/loads.go", "return !c.loadRateLimited ||", "return true ||", invariant.LoadOverLimit},
+	{"ManyLoads", "../../scheduler/loads.go", "return !s.loadRateLimited ||", "return true ||", invariant.LoadOverLimit},
 }
 
 // With its guard taken out, each invariant is seen to be violated.
--- a/internal/gateway/owner.go
+++ b/internal/gateway/owner.go
@@ -185,7 +185,11 @@
 // core's decisions are for the workers that it knew before.
 func (o *EventLoop) UpdateMembership(whole bool, news []scheduler.Member, adopted func()) {
 	o.mailbox.put(func(now time.Duration) {
-		o.core.UpdateMembership(now, whole, news)
+		if whole {
+			o.core.ReplaceMembership(now, news)
+		} else {
+			o.core.UpdateMembership(now, news)
+		}
 		if adopted != nil {
 			adopted()
 		}
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -234,10 +234,13 @@
 		}
 		news = append(news, l)
 	}
-	if kind == "broken" {
+	switch kind {
+	case "broken":
 		in.WatchFailed(h.now)
-	} else {
-		in.UpdateMembership(h.now, kind != "patch", news)
+	case "patch":
+		in.UpdateMembership(h.now, news)
+	default:
+		in.ReplaceMembership(h.now, news)
 	}
 	h.markDirty(in)
 	return nil
--- a/internal/testbed/costmodel/core.go
+++ b/internal/testbed/costmodel/core.go
@@ -41,7 +41,7 @@
 	f := newFleet(l)
 	lines := members(l.Workers)
 	before := heapBytes()
-	f.core.UpdateMembership(f.now, true, lines)
+	f.core.ReplaceMembership(f.now, lines)
 	figures.WorkerBytes = (heapBytes() - before) / float64(l.Workers)
 	figures.IdleTickMicros = f.measureIdleTick()
 	figures.ChangeMicros = f.measureChange(lines)
@@ -87,7 +87,7 @@
 		f.now += 10 * time.Millisecond
 		for _, condition := range []scheduler.Condition{scheduler.Draining, scheduler.Up} {
 			line.Condition = condition
-			f.timed(func() { f.core.UpdateMembership(f.now, false, []scheduler.Member{line}) })
+			f.timed(func() { f.core.UpdateMembership(f.now, []scheduler.Member{line}) })
 		}
 	}
 	return micros(f.spent) / (2 * changes)
@@ -97,7 +97,7 @@
 func (f *fleet) measureCompleteList(lines []scheduler.Member) float64 {
 	f.spent = 0
 	for range completeLists {
-		f.timed(func() { f.core.UpdateMembership(f.now, true, lines) })
+		f.timed(func() { f.core.ReplaceMembership(f.now, lines) })
 	}
 	return micros(f.spent) / completeLists / 1000
 }
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -10,9 +10,10 @@
 	"lupinpond/scheduler"
 )
 
-// What front ends send a worker that has just started, all together, stays under what pushes it over (rule 4): N that the
-// settings allow it in their time, and 2 x root of N + 2 that chance adds. Nothing else takes requests then, some front ends
-// see several times the mean, and some are told of the start late: what is counted is what those send that were told.
+// What front ends send a worker that has just started, all together, stays under what pushes it over (rule 4): N that
+// the settings allow it in their time, and 2 x root of N + 2 that chance adds. Nothing else takes requests then, some
+// front ends see several times the mean, and some are told of the start late: what is counted is what those send that
+// were told.
 func TestColdWorkerOfAFleet(t *testing.T) {
 	const tick, warmUp, rate = 10 * ms, 12 * time.Second, 300.0 // events a second of all front ends
 	for _, peers := range []int{1, 4, 20, 30, 100, 300} {
@@ -64,7 +65,7 @@
 					h.now = now
 					if late := time.Duration(i%3) * 500 * ms; now == start+late {
 						notified[h] = true
-						h.UpdateMembership(now, false, []scheduler.Member{{Worker: "w0", Started: start}, {Worker: "w1", Condition: scheduler.Draining}})
+						h.UpdateMembership(now, []scheduler.Member{{Worker: "w0", Started: start}, {Worker: "w1", Condition: scheduler.Draining}})
 					}
 					for mean := rate * tick.Seconds() * weight[i] / all; random.Float64() < mean; mean-- {
 						request := &scheduler.Request{ID: fmt.Sprint(now, i, mean), Type: "redeliverable", Function: uint64(random.IntN(5)),
--- a/scheduler/growth_test.go
+++ b/scheduler/growth_test.go
@@ -9,17 +9,17 @@
 func Example_forgotten() {
 	s := New(1, 0, 2, time.Millisecond)
 	s.AddType(RequestType{Name: "t", Objective: time.Second})
-	s.SetLoadPolicy(true, true, 8*time.Second, 10*time.Second, 0, 0, 0)
+	s.SetLoadPolicy(LoadPolicy{RequestLoads: true, LoadOnMiss: true, ReplicaIdleTimeout: 8 * time.Second, RequestTimeout: 10 * time.Second})
 	now := time.Hour
 	for i := range 5000 {
-		s.UpdateMembership(now, true, []Member{{Worker: fmt.Sprint("w", i/100)}})
+		s.ReplaceMembership(now, []Member{{Worker: fmt.Sprint("w", i/100)}})
 		s.Submit(now, &Request{Type: "t", Function: uint64(i), TimeLeft: time.Second})
 		s.Tick(now)
 		now += 100 * time.Millisecond
 	}
-	s.UpdateMembership(now, true, nil)
+	s.ReplaceMembership(now, nil)
 	empty := len(s.workers)
-	s.UpdateMembership(now, true, []Member{{Worker: "w"}})
+	s.ReplaceMembership(now, []Member{{Worker: "w"}})
 	fmt.Println("few functions", len(s.functions) < 1000, "workers", empty, len(s.workers), "held", len(s.activeFunctions) < 20)
 	// Output:
 	// few functions true workers 0 1 held true
--- a/scheduler/help_test.go
+++ b/scheduler/help_test.go
@@ -22,10 +22,10 @@
 		h.AddType(scheduler.RequestType{Name: name, Effect: scheduler.Effect(i), DedupScope: scheduler.ScopeCell,
 			DedupWindow: 2000 * ms, Objective: 1000 * ms})
 	}
-	h.SetAttemptPolicy(4, true, false, 500*ms)
-	h.SetLoadPolicy(true, true, 10000*ms, 5000*ms, 0, 0, 0)
-	h.SetSlowStart(0.2, 10000*ms, 2, 1000*ms)
-	h.UpdateMembership(h.now, true, []scheduler.Member{
+	h.SetAttemptPolicy(scheduler.AttemptPolicy{MaxAttempts: 4, Cancel: true, MaxRetryAfter: 500 * ms})
+	h.SetLoadPolicy(scheduler.LoadPolicy{RequestLoads: true, LoadOnMiss: true, ReplicaIdleTimeout: 10000 * ms, RequestTimeout: 5000 * ms})
+	h.SetSlowStart(scheduler.SlowStart{InitialShare: 0.2, WarmUpTime: 10000 * ms, CrashMultiple: 2, CrashWindow: 1000 * ms})
+	h.ReplaceMembership(h.now, []scheduler.Member{
 		{Worker: "a", Cell: "1"}, {Worker: "b", Cell: "1"}, {Worker: "c", Cell: "2"}})
 	return h
 }
@@ -88,8 +88,8 @@
 	}
 }
 
-// serve does what is due for a new request: loads are answered, and what they let go is completed after so long. It gives
-// the orders.
+// serve does what is due for a new request: loads are answered, and what they let go is completed after so long. It
+// gives the orders.
 func (h *harness) serve(request *scheduler.Request, duration time.Duration) []scheduler.LoadRequest {
 	h.Submit(h.now, request)
 	due := h.Tick(h.now)
@@ -102,18 +102,19 @@
 func newFleet(self, peers, workers int) *harness {
 	h := &harness{Scheduler: scheduler.New(uint64(self), self, peers, 2*ms), now: time.Hour}
 	h.AddType(scheduler.RequestType{Name: "redeliverable", Objective: 1000 * ms})
-	h.SetAttemptPolicy(4, true, false, 500*ms)
-	h.SetLoadPolicy(true, true, 10000*ms, 5000*ms, 0, 0, 0)
-	h.SetSlowStart(0.2, 10000*ms, 2, 1000*ms)
+	h.SetAttemptPolicy(scheduler.AttemptPolicy{MaxAttempts: 4, Cancel: true, MaxRetryAfter: 500 * ms})
+	h.SetLoadPolicy(scheduler.LoadPolicy{RequestLoads: true, LoadOnMiss: true, ReplicaIdleTimeout: 10000 * ms, RequestTimeout: 5000 * ms})
+	h.SetSlowStart(scheduler.SlowStart{InitialShare: 0.2, WarmUpTime: 10000 * ms, CrashMultiple: 2, CrashWindow: 1000 * ms})
 	var members []scheduler.Member
 	for i := range workers {
 		members = append(members, scheduler.Member{Worker: fmt.Sprint("w", i)})
 	}
-	h.UpdateMembership(h.now, true, members)
+	h.ReplaceMembership(h.now, members)
 	return h
 }
 
-// firstReplicaWorkers counts the workers with first replicas of function 9 after 50 requests at each of 40 front ends of 20 workers.
+// firstReplicaWorkers counts the workers with first replicas of function 9 after 50 requests at each of 40 front ends
+// of 20 workers.
 func firstReplicaWorkers(memory float64, function func(i int) uint64) int {
 	found := map[string]bool{}
 	for self := range 40 {
--- a/scheduler/members.go
+++ b/scheduler/members.go
@@ -1,20 +1,94 @@
 package scheduler
 
 import (
-	"maps"
-	"math"
 	"slices"
 	"strings"
 	"time"
 
 	"lupinpond/internal/base/random"
-	"lupinpond/internal/base/window"
 )
 
-// updateMember takes one line of the list.
+// Condition is a worker's state in the registry.
+type Condition int
+
+// The conditions.
+const (
+	Up Condition = iota
+	Draining
+	Removed
+)
+
+// Member is one worker as the registry lists it.
+type Member struct {
+	Worker    string
+	Zone      string
+	Cell      string
+	Kind      string
+	Weight    float64 `cbor:"Size"` // its capacity, relative to others; 0: unknown
+	Condition Condition
+	Started   time.Duration // 0: long ago
+}
+
+// UpdateMembership takes changes of the worker registry. It costs what changes.
+func (s *Scheduler) UpdateMembership(now time.Duration, changes []Member) {
+	s.applyChanges(changes, now)
+	s.finishUpdate()
+}
+
+// ReplaceMembership takes the complete worker registry: workers that it does not name are removed.
+func (s *Scheduler) ReplaceMembership(now time.Duration, members []Member) {
+	s.applyChanges(members, now)
+	for _, w := range s.members.All() {
+		if w.lastUpdate != s.updateCount {
+			s.unlist(w, now)
+		}
+	}
+	s.finishUpdate()
+}
+
+func (s *Scheduler) applyChanges(members []Member, now time.Duration) {
+	s.updateCount++
+	for _, member := range members {
+		member.Weight = plausibleOrZero(member.Weight, maxPlausibleValue)
+		s.updateMember(member, now)
+	}
+}
+
+// finishUpdate brings up to date what depends on all members.
+func (s *Scheduler) finishUpdate() {
+	s.forgetUnlisted()
+	s.updateMeanWeight()
+	if s.fleetLimit.limit == 0 {
+		s.fleetLimit = s.newLimit(initialWorkerLimit*float64(s.members.Len()), minFleetLimit)
+		s.loadLimit = s.newLimit(initialWorkerLimit*float64(s.gateways), minWorkerLimit)
+	}
+	if s.subscribeAt > 0 { // at 0 nothing has been asked: the members of the start are no answer
+		s.subscribeAt = never
+	}
+}
+
+// WatchFailed notes that a subscription failed or was lost. The next attempt comes at a random time, not with those of
+// all gateways.
+func (s *Scheduler) WatchFailed(now time.Duration) {
+	s.subscribeAt = now + s.subscribeInterval/2 + time.Duration(s.rng.IntN(int(s.subscribeInterval)))
+}
+
+// Members gives the workers that the registry lists, in the order of their names.
+func (s *Scheduler) Members() []Member {
+	var listed []Member
+	for _, w := range s.members.All() {
+		if w.listed {
+			listed = append(listed, w.Member)
+		}
+	}
+	slices.SortFunc(listed, func(a, b Member) int { return strings.Compare(a.Worker, b.Worker) })
+	return listed
+}
+
+// updateMember takes one worker of a membership update.
 func (s *Scheduler) updateMember(member Member, now time.Duration) {
 	w := s.workers[member.Worker]
-	if w != nil && member.Started != w.Started { // a worker that starts anew is empty and cold: another one
+	if w != nil && member.Started != w.Started { // a restarted worker is empty and cold: a new one
 		s.forgetMember(w)
 		w = nil
 	}
@@ -29,7 +103,8 @@
 		return
 	}
 	s.removeFromKind(w)
-	w.Member, w.listed = member, true
+	w.Member = member
+	w.listed = true
 	s.addToKind(w)
 	if member.Condition == Removed {
 		s.unlist(w, now)
@@ -37,29 +112,22 @@
 	s.updateCounters(w, now)
 }
 
-// Members gives the workers on the list, in the order of their names.
-func (s *Scheduler) Members() []Member {
-	var listed []Member
-	for _, w := range s.members.All() {
-		if w.listed {
-			listed = append(listed, w.Member)
-		}
-	}
-	slices.SortFunc(listed, func(a, b Member) int { return strings.Compare(a.Worker, b.Worker) })
-	return listed
-}
-
-// addMember makes a worker a member of the fleet.
+// addMember makes a worker a member of the fleet. Its slow start begins with a random part of the pause: not all
+// gateways that learn of its start send at once.
 func (s *Scheduler) addMember(name string, now time.Duration) *worker {
-	w := &worker{hash: random.Hash(name), adaptiveLimit: s.newLimit(initialWorkerLimit, minWorkerLimit),
-		lastSlowStartSend: now, slowStartPauseShare: float64(s.rng.IntN(1000)) / 1000}
+	w := &worker{
+		hash:                random.Hash(name),
+		adaptiveLimit:       s.newLimit(initialWorkerLimit, minWorkerLimit),
+		lastSlowStartSend:   now,
+		slowStartPauseShare: float64(s.rng.IntN(1000)) / 1000,
+	}
 	w.countersDeadline.Member = w
 	s.workers[name] = w
 	s.members.Add(w, &w.memberSlot)
 	return w
 }
 
-// unlist takes a worker off the list. It stays a member while attempts there are under way.
+// unlist marks a worker as no longer listed. It stays a member while attempts there are in flight.
 func (s *Scheduler) unlist(w *worker, now time.Duration) {
 	if !w.listed {
 		return
@@ -71,7 +139,7 @@
 	s.updateCounters(w, now)
 }
 
-// forgetUnlisted forgets those off the list at which nothing is under way.
+// forgetUnlisted forgets workers no longer listed at which no attempt is in flight.
 func (s *Scheduler) forgetUnlisted() {
 	s.unlisted = slices.DeleteFunc(s.unlisted, func(w *worker) bool {
 		over := !w.listed && len(w.attempts) == 0
@@ -82,7 +150,7 @@
 	})
 }
 
-// forgetMember takes a member out of all that is counted.
+// forgetMember takes a member out of all indexes and counters.
 func (s *Scheduler) forgetMember(w *worker) {
 	s.removeFromKind(w)
 	s.counters.replace(w.counters, counters{})
@@ -92,92 +160,3 @@
 	w.listed = false
 	delete(s.workers, w.Worker)
 }
-
-// addToKind counts a member among those of its kind. Those that may get something new are in the shared order.
-func (s *Scheduler) addToKind(w *worker) {
-	w.kind = s.kindFor(w.Kind)
-	w.kind.weightSum, w.kind.workerCount = w.kind.weightSum+w.listedWeight(), w.kind.workerCount+1
-	if w.acceptsNew() {
-		w.ringNode = w.kind.ring.Ring.Add(w, w.hash)
-	}
-}
-
-func (s *Scheduler) removeFromKind(w *worker) {
-	if w.kind == nil {
-		return
-	}
-	w.kind.weightSum, w.kind.workerCount = w.kind.weightSum-w.listedWeight(), w.kind.workerCount-1
-	if w.kind.workerCount == 0 { // no rounding is left behind
-		w.kind.weightSum = 0
-	}
-	if w.ringNode != nil {
-		w.kind.ring.Ring.Remove(w.ringNode)
-	}
-	w.ringNode = nil
-}
-
-// updateMeanWeight takes the mean size after the list or an answer has changed one.
-func (s *Scheduler) updateMeanWeight() {
-	s.meanWeight = 0
-	for _, kind := range s.orderedKinds {
-		s.meanWeight += kind.weightSum / kind.slowness / float64(max(1, s.members.Len()))
-	}
-}
-
-// updateCounters brings the counts of the fleet up to date after something of a worker has changed that they depend on, and has it
-// looked at again when time alone changes them.
-func (s *Scheduler) updateCounters(w *worker, now time.Duration) {
-	if !w.memberSlot.In() { // another one has its name by now
-		return
-	}
-	counts, until := s.countersOf(w, now)
-	s.counters.replace(w.counters, counts)
-	w.counters = counts
-	if until < math.MaxInt64 {
-		s.deadlines.Set(&w.countersDeadline, until)
-	} else {
-		s.deadlines.Clear(&w.countersDeadline)
-	}
-	if working := len(w.attempts) > 0; working && !w.busySlot.In() {
-		s.busy.Add(w, &w.busySlot)
-	} else if !working {
-		s.busy.Remove(&w.busySlot)
-	}
-}
-
-// expireDeadlines counts anew the workers of which time alone has changed something.
-func (s *Scheduler) expireDeadlines(now time.Duration) {
-	if s.countersStale {
-		s.countersStale = false
-		for _, w := range s.members.All() {
-			s.updateCounters(w, now)
-		}
-	}
-	for {
-		w, found := s.deadlines.PopExpired(now)
-		if !found {
-			return
-		}
-		s.updateCounters(w, now)
-	}
-}
-
-// functionFor is what is known of a request's function, from now on if not before.
-func (s *Scheduler) functionFor(request *Request, now time.Duration) *function {
-	f := s.functions[request.Function]
-	if f == nil {
-		if len(s.functions) >= 2*s.functionsAfterCleanup+functionSamples { // functions long idle are forgotten
-			maps.DeleteFunc(s.functions, func(_ uint64, g *function) bool {
-				s.expireAssumptions(g, now)
-				return len(g.replicaSets)+len(g.queue) == 0 && g.arrivals.UpperSum(now) == 0
-			})
-			s.functionsAfterCleanup = len(s.functions)
-		}
-		f = &function{id: request.Function, tenant: request.Tenant, arrivals: window.New(4 * trafficWindow)}
-		s.functions[request.Function] = f
-	}
-	if f.tenant != request.Tenant { // it serves many: a rejection says nothing of one of them
-		f.tenant = ""
-	}
-	return f
-}
--- a/scheduler/mutants_test.go
+++ b/scheduler/mutants_test.go
@@ -7,24 +7,30 @@
 	"lupinpond/internal/testbed/mutationtest"
 )
 
-// Each mutant is a text of a source file and what stands in its place: a mistake in keeping up the view of the fleet.
-var mutants = []struct{ name, file, text, instead string }{
-	{"the counts of a forgotten worker stay", "members.go", "c.counters.replace(w.counters, counters{})", ""},
-	{"a sum is not lowered by what a worker counted for", "members.go", "c.counters.replace(w.counters, t)", "c.counters.replace(counters{}, t)"},
-	{"a deadline is forgotten", "members.go", "c.deadlines.Set(&w.countersDeadline, until)", ""},
-	{"expired deadlines are not looked at", "members.go", "w, found := c.deadlines.PopExpired(now)", "w, found := (*worker)(nil), false"},
-	{"a removed worker is kept", "members.go", "delete(c.workers, w.Worker)", ""},
-	{"a removed worker stays among the members", "members.go", "c.members.Remove(&w.memberSlot)", ""},
-	{"a worker off the list is never forgotten", "members.go", "c.unlisted = append(c.unlisted, w)", ""},
+// A mutant replaces a text of a source file: a bug in keeping up the view of the fleet.
+var mutants = []struct{ name, file, text, replacement string }{
+	{"the counters of a forgotten worker stay", "members.go", "s.counters.replace(w.counters, counters{})", ""},
+	{"a sum keeps the old counters of a worker", "fleet.go",
+		"s.counters.replace(w.counters, counts)", "s.counters.replace(counters{}, counts)"},
+	{"a deadline is not set", "fleet.go", "s.deadlines.Set(&w.countersDeadline, until)", ""},
+	{"expired deadlines are not looked at", "fleet.go",
+		"w, found := s.deadlines.PopExpired(now)", "w, found := (*worker)(nil), false"},
+	{"a removed worker stays known", "members.go", "delete(s.workers, w.Worker)", ""},
+	{"a removed worker stays among the members", "members.go", "s.members.Remove(&w.memberSlot)", ""},
+	{"a worker that is no longer listed is never forgotten", "members.go", "s.unlisted = append(s.unlisted, w)", ""},
 	{"a worker that was replaced stays listed", "members.go", "\tw.listed = false\n\tdelete", "\tdelete"},
-	{"a drained worker stays in the shared order", "members.go", "w.kind.ring.Ring.Remove(w.ringNode)", ""},
-	{"the size of a worker that left its kind still counts", "members.go", "w.kind.weightSum-w.listedWeight()", "w.kind.weightSum"},
-	{"a worker without attempts is still looked at for silence", "members.go", "} else if !working {\n\t\tc.busy.Remove(&w.busySlot)", "} else if !working {"},
-	{"an attempt is not counted", "scheduler.go", "\tc.updateCounters(s.worker, now)\n", ""},
-	{"the end of an attempt is not counted", "scheduler.go", "\tc.updateCounters(w, now)\n\tif e.mayHaveRun", "\tif e.mayHaveRun"},
-	{"an ejection is not counted", "fleet.go", "c.cancelCandidates = append(c.cancelCandidates, w.attempts...)\n\t\tc.updateCounters(w, now)", "c.cancelCandidates = append(c.cancelCandidates, w.attempts...)"},
-	{"a report is not counted", "fleet.go", "\t}\n\tc.updateCounters(w, now)\n\treturn true", "\t}\n\treturn true"},
-	{"a longer target does not renew the reports", "settings.go", "c.countersStale = true", ""},
+	{"a draining worker stays in the shared order", "kinds.go", "w.kind.ring.Ring.Remove(w.ringNode)", ""},
+	{"the weight of a worker that left its kind still counts", "kinds.go", "w.kind.weightSum -= w.listedWeight()", ""},
+	{"a worker without attempts is still checked for silence", "fleet.go",
+		"} else if !busy {\n\t\ts.busy.Remove(&w.busySlot)", "} else if !busy {"},
+	{"an attempt is not counted", "submit.go", "\ts.updateCounters(w, now)\n", ""},
+	{"the end of an attempt is not counted", "complete.go",
+		"\ts.updateCounters(w, now)\n\tif request.mayHaveRun", "\tif request.mayHaveRun"},
+	{"an ejection is not counted", "ejection.go",
+		"s.cancelCandidates = append(s.cancelCandidates, w.attempts...)\n\ts.updateCounters(w, now)",
+		"s.cancelCandidates = append(s.cancelCandidates, w.attempts...)"},
+	{"a report is not counted", "probes.go", "\t}\n\ts.updateCounters(w, now)\n\treturn true", "\t}\n\treturn true"},
+	{"a longer objective does not renew the reports", "settings.go", "s.countersStale = true", ""},
 }
 
 // Every mutant fails the comparison with the reference, on drawn sequences that are the same every time.
@@ -32,8 +38,8 @@
 	for _, m := range mutants {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			out, passed, err := mutationtest.RunTests(t.Context(), t.TempDir(), m.file, m.text, m.instead, "TestFleetViewIsWhatAWalkFinds",
-				"-rapid.nofailfile", "-rapid.checks=1000", "-rapid.seed=1")
+			out, passed, err := mutationtest.RunTests(t.Context(), t.TempDir(), m.file, m.text, m.replacement,
+				"TestFleetViewIsWhatAWalkFinds", "-rapid.nofailfile", "-rapid.checks=1000", "-rapid.seed=1")
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/scheduler/reference_test.go
+++ b/scheduler/reference_test.go
@@ -14,8 +14,8 @@
 	"lupinpond/internal/base/random"
 )
 
-// The reference: what the fleet's view must tell, worked out by walking all members and scoring them all. It reads the facts
-// of each worker and none of the counts, orders and deadlines that are kept beside them.
+// The reference: what the fleet's view must tell, worked out by walking all members and scoring them all. It reads
+// the facts of each worker and none of the counts, orders and deadlines that are kept beside them.
 
 // walkedCounters counts all members anew.
 func walkedCounters(s *Scheduler, now time.Duration) (counts counters) {
@@ -23,7 +23,7 @@
 		in := w.listed && w.Condition == Up
 		ejectedNow, backlogged := now < w.ejectedUntil, now < w.backloggedUntil
 		hasCapacity := in && float64(len(w.attempts)) < w.limit && !backlogged
-		for what, counted := range map[int]bool{eligible: in, ejected: ejectedNow || w.halfOpen, withCapacityOrEjected: hasCapacity,
+		for what, counted := range map[counter]bool{eligible: in, ejected: ejectedNow || w.halfOpen, withCapacityOrEjected: hasCapacity,
 			withCapacity: hasCapacity && !ejectedNow && (!w.halfOpen || len(w.attempts) == 0)} {
 			if counted {
 				counts[what]++
@@ -124,9 +124,9 @@
 	m := &fleetModel{T: t, scheduler: New(rapid.Uint64().Draw(t, "seed"), 0, peers, 2*time.Millisecond), now: time.Hour, listed: map[string]Member{}}
 	m.scheduler.AddType(RequestType{Name: "free", Objective: time.Second})
 	m.scheduler.AddType(RequestType{Name: "once", Effect: AtMostOnce, Objective: time.Second})
-	m.scheduler.SetAttemptPolicy(4, true, true, 500*time.Millisecond)
-	m.scheduler.SetLoadPolicy(true, true, 3*time.Second, 2*time.Second, 0, 0, 0)
-	m.scheduler.SetSlowStart(0.2, 10*time.Second, 2, time.Second)
+	m.scheduler.SetAttemptPolicy(AttemptPolicy{MaxAttempts: 4, Cancel: true, Probe: true, MaxRetryAfter: 500 * time.Millisecond})
+	m.scheduler.SetLoadPolicy(LoadPolicy{RequestLoads: true, LoadOnMiss: true, ReplicaIdleTimeout: 3 * time.Second, RequestTimeout: 2 * time.Second})
+	m.scheduler.SetSlowStart(SlowStart{InitialShare: 0.2, WarmUpTime: 10 * time.Second, CrashMultiple: 2, CrashWindow: time.Second})
 	var members []Member
 	for i := range workers {
 		members = append(members, m.member(i))
@@ -149,7 +149,11 @@
 			delete(m.listed, member.Worker)
 		}
 	}
-	m.scheduler.UpdateMembership(m.now, whole, members)
+	if whole {
+		m.scheduler.ReplaceMembership(m.now, members)
+	} else {
+		m.scheduler.UpdateMembership(m.now, members)
+	}
 	for name := range m.scheduler.workers { // after news, who is off the list and has nothing under way is forgotten
 		underWay := slices.ContainsFunc(m.inFlight, func(request *Request) bool { return request.target.worker == m.scheduler.workers[name] })
 		if m.listed[name].Worker == "" && !underWay {
@@ -319,7 +323,7 @@
 	for id := range uint64(2) {
 		f := s.functions[id+1]
 		if f == nil {
-			f = &function{id: id + 1, typ: s.types["free"], arrivals: m.scheduler.arrivals}
+			f = &function{id: id + 1, typ: s.types["free"], arrivals: s.arrivals}
 		}
 		if got, want := names(walkedOrder(s, f)), names(sortedOrder(s, f)); !slices.Equal(got, want) {
 			m.Fatalf("function %d: order %v, sorted %v", f.id, got, want)
@@ -366,8 +370,8 @@
 	}
 }
 
-// Through drawn sequences of news, failures, loads, outcomes and time, the view that is kept up as facts come tells what a
-// walk through all workers tells: count for count, and first copies worker for worker.
+// Through drawn sequences of news, failures, loads, outcomes and time, the view that is kept up as facts come tells
+// what a walk through all workers tells: count for count, and first copies worker for worker.
 func TestFleetViewIsWhatAWalkFinds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newFleetModel(t, rapid.IntRange(0, 20).Draw(t, "workers"))
@@ -378,8 +382,8 @@
 	})
 }
 
-// The order of a fleet too large to be walked for every request is the sorted one, and front ends whose lists differ by some
-// workers order those that both know alike.
+// The order of a fleet too large to be walked for every request is the sorted one, and front ends whose lists differ
+// by some workers order those that both know alike.
 func TestSharedOrderOfALargeFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := newFleetModel(t, 400), newFleetModel(t, 400)
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -32,7 +32,7 @@
 // Rule 1: a request that nothing can serve is answered before its client gives up.
 func Example_answeredBeforeDeadline() {
 	h := newHarness(1)
-	h.UpdateMembership(h.now, true, nil)
+	h.ReplaceMembership(h.now, nil)
 	h.submit("e1", "at-most-once", 9)
 	for range 30 {
 		h.advance(100 * ms)
@@ -99,13 +99,13 @@
 // Rule 3: a drained worker gets nothing new, neither attempts nor loads.
 func Example_drain() {
 	h := newHarness(1)
-	h.UpdateMembership(h.now, false, []scheduler.Member{
+	h.UpdateMembership(h.now, []scheduler.Member{
 		{Worker: "a", Condition: scheduler.Draining}, {Worker: "b", Condition: scheduler.Removed}})
 	for i := range 4 {
 		h.submit(fmt.Sprint("e", i), "redeliverable", uint64(i))
 	}
 	h.completeLoads(h.advance(0))
-	h.UpdateMembership(h.now, false, []scheduler.Member{{Worker: "c", Condition: scheduler.Draining}})
+	h.UpdateMembership(h.now, []scheduler.Member{{Worker: "c", Condition: scheduler.Draining}})
 	h.advance(10 * ms)
 	// Output:
 	// 0s e0 hold
@@ -122,7 +122,7 @@
 func Example_coldWorker() {
 	for _, started := range []time.Duration{0, time.Hour} {
 		h := newHarness(1)
-		h.UpdateMembership(h.now, true, []scheduler.Member{{Worker: "a", Started: started}})
+		h.ReplaceMembership(h.now, []scheduler.Member{{Worker: "a", Started: started}})
 		h.submit("e0", "redeliverable", 9)
 		h.completeLoads(h.advance(0))
 		h.advance(1000 * ms)
@@ -150,7 +150,7 @@
 // Rule 5: no more orders than the rate limit, however many functions are new.
 func Example_quota() {
 	h := newHarness(1)
-	h.SetLoadPolicy(true, false, 10000*ms, 5000*ms, 5000*ms, 2, 0.1)
+	h.SetLoadPolicy(scheduler.LoadPolicy{RequestLoads: true, ReplicaIdleTimeout: 10000 * ms, RequestTimeout: 5000 * ms, RateWindow: 5000 * ms, RateBurst: 2, RatePerRequest: 0.1})
 	orders := 0
 	for i := range 100 {
 		request := &scheduler.Request{ID: fmt.Sprint(i), Type: "redeliverable", Function: uint64(i), TimeLeft: 3000 * ms}
@@ -230,11 +230,11 @@
 	s := scheduler.New(0, 0, 0, 0)
 	s.AddType(scheduler.RequestType{Name: "t"})
 	s.AddTenant("n", 0)
-	s.SetAttemptPolicy(0, false, false, 0)
-	s.SetLoadPolicy(false, false, 0, 0, 0, 0, 0)
-	s.SetSlowStart(0, 0, 0, 0)
+	s.SetAttemptPolicy(scheduler.AttemptPolicy{MaxAttempts: 0, MaxRetryAfter: 0})
+	s.SetLoadPolicy(scheduler.LoadPolicy{})
+	s.SetSlowStart(scheduler.SlowStart{})
 	s.SetSubscribeInterval(0)
-	s.UpdateMembership(1, true, []scheduler.Member{{Worker: "a", Started: 1}})
+	s.ReplaceMembership(1, []scheduler.Member{{Worker: "a", Started: 1}})
 	for i, kind := range []string{"t", "t", "unknown"} {
 		request := &scheduler.Request{ID: fmt.Sprint("e", i), Type: kind, Tenant: "n"}
 		decision := s.Submit(2, request)
@@ -243,7 +243,7 @@
 			fmt.Print(decision.Request.ID, " ", decision.Action, " ", decision.Worker, "; ")
 		}
 	}
-	s.UpdateMembership(3, true, nil)
+	s.ReplaceMembership(3, nil)
 	s.WatchFailed(3)
 	fmt.Println(len(s.Tick(3).Decisions))
 	// Output:
@@ -271,7 +271,7 @@
 	launched := 0
 	for self := range 100 {
 		h := newFleet(self, 100, 1)
-		h.UpdateMembership(h.now, true, []scheduler.Member{{Worker: "n", Started: h.now}})
+		h.ReplaceMembership(h.now, []scheduler.Member{{Worker: "n", Started: h.now}})
 		for range 20 {
 			h.Submit(h.now, &scheduler.Request{Type: "redeliverable", Function: 9, TimeLeft: 3000 * ms, Concurrency: 32})
 			due := h.Tick(h.now)
@@ -326,7 +326,7 @@
 // A first replica ordered at a worker that then leaves a probe unanswered does not stand in for one elsewhere.
 func Example_unansweredProbe() {
 	h := newHarness(9) // more front ends than workers
-	h.SetAttemptPolicy(4, true, true, 500*ms)
+	h.SetAttemptPolicy(scheduler.AttemptPolicy{MaxAttempts: 4, Cancel: true, Probe: true, MaxRetryAfter: 500 * ms})
 	h.submit("e", "redeliverable", 9)
 	due := h.advance(0)
 	fmt.Println("probe", due.Probes)
@@ -346,7 +346,7 @@
 // A worker with room that is full for one tenant stays open to the others.
 func Example_tenantRejected() {
 	h := newHarness(1)
-	h.UpdateMembership(h.now, true, []scheduler.Member{{Worker: "a"}})
+	h.ReplaceMembership(h.now, []scheduler.Member{{Worker: "a"}})
 	for i, tenant := range []string{"m", "m", "n"} {
 		request := &scheduler.Request{ID: fmt.Sprint("e", i), Type: "redeliverable", Tenant: tenant, Function: uint64(i),
 			TimeLeft: 3000 * ms, Concurrency: 1}
@@ -371,7 +371,7 @@
 func Example_manyTenants() {
 	for _, tenants := range [][]string{{"m", "n"}, {"", ""}} {
 		h := newHarness(1)
-		h.UpdateMembership(h.now, true, []scheduler.Member{{Worker: "a"}})
+		h.ReplaceMembership(h.now, []scheduler.Member{{Worker: "a"}})
 		for i, tenant := range tenants {
 			h.Submit(h.now, &scheduler.Request{Type: "redeliverable", Tenant: tenant, Function: 1, TimeLeft: 3000 * ms, Concurrency: 2})
 			if i == 1 {
@@ -428,7 +428,7 @@
 func Example_probeLatency() {
 	for _, duration := range []time.Duration{ms, 9 * ms} {
 		h := newHarness(9) // more front ends than workers
-		h.SetAttemptPolicy(4, true, true, 500*ms)
+		h.SetAttemptPolicy(scheduler.AttemptPolicy{MaxAttempts: 4, Cancel: true, Probe: true, MaxRetryAfter: 500 * ms})
 		for range 12 { // what is usual
 			for i, worker := range []string{"a", "b", "c"} {
 				h.ProbeCompleted(h.now, worker, scheduler.Completed, scheduler.LoadReport{}, time.Duration(i+1)*ms)
@@ -449,7 +449,7 @@
 // A probe turned away as full is a sign of life: the load there counts, no other is ordered.
 func Example_probeRejected() {
 	h := newHarness(9)
-	h.SetAttemptPolicy(4, true, true, 500*ms)
+	h.SetAttemptPolicy(scheduler.AttemptPolicy{MaxAttempts: 4, Cancel: true, Probe: true, MaxRetryAfter: 500 * ms})
 	h.submit("e", "redeliverable", 9)
 	due := h.advance(0)
 	h.ProbeCompleted(h.now, due.Probes[0], scheduler.Full, scheduler.LoadReport{}, ms)
@@ -463,7 +463,7 @@
 // A worker of three times the size gets first replicas of about three times as many functions.
 func Example_weights() {
 	h := newHarness(1)
-	h.UpdateMembership(h.now, true, []scheduler.Member{{Worker: "big", Kind: "b", Weight: 3}, {Worker: "small", Kind: "s", Weight: 1}})
+	h.ReplaceMembership(h.now, []scheduler.Member{{Worker: "big", Kind: "b", Weight: 3}, {Worker: "small", Kind: "s", Weight: 1}})
 	orders := map[string]int{}
 	for fn := range uint64(200) {
 		request := &scheduler.Request{Type: "redeliverable", Function: fn, TimeLeft: 3000 * ms, Concurrency: 1, LoadTime: 400 * ms}
@@ -480,7 +480,7 @@
 // get one load.
 func Example_slowAnswers() {
 	h := newHarness(1)
-	h.UpdateMembership(h.now, true, []scheduler.Member{{Worker: "a"}})
+	h.ReplaceMembership(h.now, []scheduler.Member{{Worker: "a"}})
 	h.submitQuietly(9)
 	h.submitQuietly(9)
 	h.submitQuietly(9)
@@ -527,7 +527,7 @@
 		for fn := range uint64(100) {
 			h := newHarness(1)
 			h.PreferZone(zone)
-			h.UpdateMembership(h.now, true, []scheduler.Member{{Worker: "a", Zone: "x"}, {Worker: "b", Zone: "y"}, {Worker: "c", Zone: "z"}})
+			h.ReplaceMembership(h.now, []scheduler.Member{{Worker: "a", Zone: "x"}, {Worker: "b", Zone: "y"}, {Worker: "c", Zone: "z"}})
 			h.submitQuietly(fn)
 			for _, w := range []string{"a", "b", "c"} { // a copy at each
 				h.LoadCompleted(h.now, scheduler.LoadRequest{Worker: w, Function: fn, Replicas: 1}, scheduler.Completed, 400*ms)
@@ -543,11 +543,12 @@
 	// own zone "x": over half stay true
 }
 
-// A front end that hears of few workers judges an overload by those: what is late then is rejected, not held to the end.
+// A front end that hears of few workers judges an overload by those: what is late then is rejected, not held to the
+// end.
 func Example_reportedOverload() {
 	for _, waiting := range []float64{0, 9} {
 		h := newFleet(0, 100, 40)
-		h.SetAttemptPolicy(4, true, true, 500*ms)
+		h.SetAttemptPolicy(scheduler.AttemptPolicy{MaxAttempts: 4, Cancel: true, Probe: true, MaxRetryAfter: 500 * ms})
 		for i := range 4 {
 			h.ProbeCompleted(h.now, fmt.Sprint("w", i), scheduler.Completed, scheduler.LoadReport{Reported: true, QueueDepth: waiting}, ms)
 		}
@@ -577,7 +578,7 @@
 // Once attempts have shown what requests ahead cost, none goes to where they make it late.
 func Example_queuedAhead() {
 	h := newHarness(1)
-	h.UpdateMembership(h.now, true, []scheduler.Member{{Worker: "a"}})
+	h.ReplaceMembership(h.now, []scheduler.Member{{Worker: "a"}})
 	told := func(waiting float64) {
 		h.ProbeCompleted(h.now, "a", scheduler.Completed, scheduler.LoadReport{Reported: true, QueueDepth: waiting}, ms)
 	}
@@ -626,9 +627,9 @@
 func Example_implausibleValues() {
 	for _, v := range []float64{math.NaN(), math.Inf(1), -1, 1e300, 0} {
 		h := newHarness(9)
-		h.SetAttemptPolicy(4, true, true, 500*ms)
+		h.SetAttemptPolicy(scheduler.AttemptPolicy{MaxAttempts: 4, Cancel: true, Probe: true, MaxRetryAfter: 500 * ms})
 		h.AddWorkerKind("k", v)
-		h.UpdateMembership(h.now, true, []scheduler.Member{{Worker: "a", Kind: "k", Weight: v}, {Worker: "b", Kind: "l", Weight: 1}})
+		h.ReplaceMembership(h.now, []scheduler.Member{{Worker: "a", Kind: "k", Weight: v}, {Worker: "b", Kind: "l", Weight: 1}})
 		orders := map[string]int{}
 		for fn := range uint64(100) {
 			h.ProbeCompleted(h.now, "a", scheduler.Completed, scheduler.LoadReport{Reported: true, QueueDepth: v}, ms)
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -1,66 +1,109 @@
 package scheduler
 
 import (
-	"math"
 	"time"
 
-	"lupinpond/internal/base/random"
 	"lupinpond/internal/base/window"
 )
 
-// New starts the Scheduler of front end self of peers; quantum is the least time between two calls.
-func New(seed uint64, self, peers int, quantum time.Duration) *Scheduler {
-	return &Scheduler{rng: random.New(seed), index: self, gateways: max(1, peers),
-		minTickInterval: max(quantum, 0), types: map[string]*typeStats{}, tenants: map[string]*tenant{},
-		workers: map[string]*worker{}, functions: map[uint64]*function{}, longestObjective: time.Second,
-		kinds: map[string]*workerKind{}, probeLatencies: map[string]*probeLatency{},
-		maxAttempts: 1, placementWidth: maxPlacementWidth, subscribeAt: math.MaxInt64,
-		loadsSent: window.New(0), submitted: window.New(0), completedWork: window.New(0),
-		originalRequests: window.New(trafficWindow), arrivals: window.New(4 * trafficWindow)}
+// AttemptPolicy is what the gateway may do for a request.
+type AttemptPolicy struct {
+	MaxAttempts   int
+	Cancel        bool          // attempts at ejected workers may be cancelled
+	Probe         bool          // workers may be probed
+	MaxRetryAfter time.Duration // longest Retry-After that clients honour; 0: none is named
 }
 
+// LoadPolicy is how functions are loaded by workers.
+type LoadPolicy struct {
+	RequestLoads       bool          `cbor:"1,keyasint"` // the gateway may send load requests
+	LoadOnMiss         bool          `cbor:"2,keyasint"` // workers load a function that a request does not find
+	ReplicaIdleTimeout time.Duration `cbor:"3,keyasint"` // an idle replica stays so long
+	RequestTimeout     time.Duration `cbor:"4,keyasint"` // a load request without an answer by then is lost
+	RateWindow         time.Duration `cbor:"5,keyasint"` // window of the rate limit of load requests; 0: no limit
+	RateBurst          float64       `cbor:"6,keyasint"` // load requests in the window in any case
+	RatePerRequest     float64       `cbor:"7,keyasint"` // load requests in the window for each request
+}
+
+// SlowStart is what a worker that has just started can stand.
+type SlowStart struct {
+	InitialShare  float64       `cbor:"1,keyasint"` // least share of its capacity at its start
+	WarmUpTime    time.Duration `cbor:"2,keyasint"` // until it has all of its capacity
+	CrashMultiple float64       `cbor:"3,keyasint"` // so much of its present capacity makes it crash; 0: no slow start
+	CrashWindow   time.Duration `cbor:"4,keyasint"` // when it is sent for so long
+}
+
+// tenant is what is known of one tenant's requests.
+type tenant struct {
+	quota    float64        // requests a second, at all gateways
+	arrivals *window.Window // those within the quota
+	retries  *window.Window // marked retries that were accepted
+}
+
+// AddType adds a request type.
 func (s *Scheduler) AddType(requestType RequestType) {
 	requestType.Objective = max(requestType.Objective, time.Millisecond)
-	s.types[requestType.Name] = &typeStats{RequestType: requestType, sampleCount: 1, meanLatency: fractionOf(initialLatencyShare, requestType.Objective)}
+	s.types[requestType.Name] = &typeStats{
+		RequestType: requestType,
+		sampleCount: 1,
+		meanLatency: fractionOf(initialLatencyShare, requestType.Objective),
+	}
 	if requestType.Objective > s.longestObjective { // reports are believed for longer
 		s.longestObjective = requestType.Objective
 		s.countersStale = true
 	}
 }
 
-// AddTenant tells of a tenant and of the requests a second within its share, at all front ends together.
+// AddTenant adds a tenant and its quota: requests a second at all gateways together.
 func (s *Scheduler) AddTenant(name string, quota float64) {
 	s.totalQuota += quota
-	s.tenants[name] = &tenant{quota: quota, arrivals: window.New(trafficWindow), retries: window.New(trafficWindow)}
+	s.tenants[name] = &tenant{
+		quota:    quota,
+		arrivals: window.New(trafficWindow),
+		retries:  window.New(trafficWindow),
+	}
 }
 
-// SetSlowStart tells what a worker that has just started stands.
-func (s *Scheduler) SetSlowStart(from float64, warmAfter time.Duration, multiple float64, fall time.Duration) {
-	s.slowStartInitialShare, s.warmUpTime, s.crashMultiple, s.crashWindow = from, warmAfter, multiple, max(fall, time.Millisecond)
-	s.completedWork = window.New(8 * s.crashWindow)
+// AddWorkerKind sets the memory of a worker of one kind, in the unit of the requests' memory.
+func (s *Scheduler) AddWorkerKind(name string, memory float64) {
+	s.kindFor(name).workerMemory = plausibleOrZero(memory, maxPlausibleMemory)
 }
 
-// SetSubscribeInterval says that the list of workers must be asked for, at least so often unless subscribed.
-func (s *Scheduler) SetSubscribeInterval(within time.Duration) {
-	s.subscribeAt, s.subscribeInterval = 0, max(within/8, time.Millisecond)
+// SetAttemptPolicy sets what the gateway may do for a request.
+func (s *Scheduler) SetAttemptPolicy(policy AttemptPolicy) {
+	s.maxAttempts = max(1, policy.MaxAttempts)
+	s.cancelEnabled = policy.Cancel
+	s.probesEnabled = policy.Probe
+	s.maxRetryAfter = policy.MaxRetryAfter
 }
 
-// AddWorkerKind tells the memory of a worker of one kind, in the unit of the requests' memory.
-func (s *Scheduler) AddWorkerKind(name string, memory float64) {
-	s.kindFor(name).workerMemory = plausibleOrZero(memory, maxPlausibleMemory)
+// SetLoadPolicy sets how functions are loaded by workers.
+func (s *Scheduler) SetLoadPolicy(policy LoadPolicy) {
+	s.loadRequestsEnabled = policy.RequestLoads
+	s.loadsOnMiss = policy.LoadOnMiss
+	s.replicaIdleTimeout = policy.ReplicaIdleTimeout
+	s.loadTimeout = policy.RequestTimeout
+	s.loadRateLimited = policy.RateWindow > 0
+	s.loadBurst = policy.RateBurst
+	s.loadsPerRequest = policy.RatePerRequest
+	s.loadsSent = window.New(policy.RateWindow)
+	s.submitted = window.New(policy.RateWindow)
 }
 
-// SetAttemptPolicy tells what the front end may do; back is the longest time to come back that clients honour, or 0.
-func (s *Scheduler) SetAttemptPolicy(launches int, cancel, probe bool, back time.Duration) {
-	s.maxAttempts, s.cancelEnabled, s.probesEnabled, s.maxRetryAfter = max(1, launches), cancel, probe, back
+// SetSlowStart sets what a worker that has just started can stand.
+func (s *Scheduler) SetSlowStart(slowStart SlowStart) {
+	s.slowStartInitialShare = slowStart.InitialShare
+	s.warmUpTime = slowStart.WarmUpTime
+	s.crashMultiple = slowStart.CrashMultiple
+	s.crashWindow = max(slowStart.CrashWindow, time.Millisecond)
+	s.completedWork = window.New(completedWorkWindows * s.crashWindow)
 }
 
-// SetLoadPolicy tells how functions come to workers, how long replicas and orders last, and the rate limit of orders.
-func (s *Scheduler) SetLoadPolicy(orders, onMiss bool, keep, limit, within time.Duration, free, share float64) {
-	s.loadRequestsEnabled, s.loadsOnMiss, s.replicaIdleTimeout, s.loadTimeout = orders, onMiss, keep, limit
-	s.loadRateLimited, s.loadBurst, s.loadsPerRequest = within > 0, free, share
-	s.loadsSent, s.submitted = window.New(within), window.New(within)
+// SetSubscribeInterval has Tick ask for a subscription to the worker registry, at least so often until it is answered.
+func (s *Scheduler) SetSubscribeInterval(interval time.Duration) {
+	s.subscribeAt = 0
+	s.subscribeInterval = max(interval/subscribeRetries, time.Millisecond)
 }
 
-// PreferZone says that attempts to other zones than this one cost something.
-func (s *Scheduler) PreferZone(own string) { s.zone = own }
+// PreferZone says that attempts to zones other than this one cost something.
+func (s *Scheduler) PreferZone(zone string) { s.zone = zone }
