--- a/scheduler/limits.go
+++ b/scheduler/limits.go
@@ -8,86 +8,87 @@
 	"lupinpond/internal/base/window"
 )
 
-func (c *Scheduler) newLimit(first, least float64) adaptiveLimit {
-	return adaptiveLimit{minimum: least, limit: max(least, first/float64(c.gateways))}
+// adaptiveLimit is a limit of what is in flight, and the latencies that move it.
+type adaptiveLimit struct {
+	limit            float64
+	minimum          float64
+	latencies        *window.Window // seen; nil: none
+	allowedLatencies *window.Window // acceptable for the same outcomes
 }
 
-// adaptLimits moves a worker's in-flight limit by the ratio of the shortest answer time to the present one.
-func (c *Scheduler) adaptLimits(w *worker, e *Request, took, now time.Duration) {
-	t, k := e.typ, w.kind
-	if e.queuedAhead > 0 { // the time that each request ahead costs: little, until it is seen
-		c.queuedAheadSum += e.queuedAhead
-		c.queueDelaySum += float64(max(0, took-t.minLatency))
-		c.delayPerQueued = c.queueDelaySum / (functionSamples + c.queuedAheadSum)
-		c.queuedAheadSum, c.queueDelaySum = c.queuedAheadSum*queuedAheadDecay, c.queueDelaySum*queuedAheadDecay
-	}
-	k.sampleCount = min(k.sampleCount+1, typeSamples)
-	k.slowness += (min(float64(took)/float64(e.function.meanRunTime()), maxSlowdown) - k.slowness) / (functionSamples + k.sampleCount)
-	c.updateMeanWeight()
-	t.sampleCount = min(t.sampleCount+1, typeSamples)
-	if t.meanLatency += (took - t.meanLatency) / t.sampleCount; t.sampleCount < 3*functionSamples {
+// newLimit makes a limit that starts at a value for all gateways together. minimum is for each of them.
+func (s *Scheduler) newLimit(initial, minimum float64) adaptiveLimit {
+	return adaptiveLimit{minimum: minimum, limit: max(minimum, initial/float64(s.gateways))}
+}
+
+// adaptLimits takes the latency of an attempt: it moves the worker's limit by the ratio of the shortest latency to the
+// present one, and the fleet's by what the objective accepts.
+func (s *Scheduler) adaptLimits(w *worker, request *Request, latency, now time.Duration) {
+	stats := request.typ
+	s.recordQueueDelay(request, latency)
+	s.recordSlowness(w.kind, request.function, latency)
+	stats.recordLatency(latency)
+	if stats.sampleCount < minLatencySamples {
 		return
 	}
-	if t.minLatency += t.minLatency / minLatencyDecaySamples; t.minLatency == 0 || t.meanLatency < t.minLatency {
-		t.minLatency = t.meanLatency
-	}
-	may, portion := latencyTolerance*float64(t.minLatency), c.trafficShare(now)
-	alone := may
-	if w.reportedAt == now && w.queueDepth < 1 { // none waits there: it is slow, not crowded
-		alone = max(may, uncrowdedLatencyShare*float64(t.Objective))
+	stats.updateMinLatency()
+	allowed := latencyTolerance * float64(stats.minLatency)
+	share := s.trafficShare(now)
+	allowedHere := allowed
+	if w.reportedAt == now && w.queueDepth < 1 { // no request waits there: it is slow, not crowded
+		allowedHere = max(allowed, uncrowdedLatencyShare*float64(stats.Objective))
 	}
-	c.adjustLimit(&w.adaptiveLimit, now, took, alone, len(w.attempts), portion)
-	c.adjustLimit(&c.fleetLimit, now, min(took, t.Objective), acceptableLatencyShare*float64(t.Objective), c.inFlight, portion)
+	s.adjustLimit(&w.adaptiveLimit, now, latency, allowedHere, len(w.attempts), share)
+	s.adjustLimit(&s.fleetLimit, now, min(latency, stats.Objective),
+		acceptableLatencyShare*float64(stats.Objective), s.inFlight, share)
 }
 
-// adjustLimit moves a limit by what answers may take to what they take. That of all workers is for a front end
-// among many: it meets each worker too seldom to judge it, and the least limits of all of them add up.
-func (c *Scheduler) adjustLimit(l *adaptiveLimit, now, took time.Duration, may float64, out int, portion float64) {
-	if l.latencies == nil { // most workers of a large fleet never answer this front end
-		l.latencies, l.allowedLatencies = window.New(2*c.longestObjective), window.New(2*c.longestObjective)
-	}
-	l.latencies.Add(now, float64(took))
-	l.allowedLatencies.Add(now, may)
-	ratio := min(1, l.allowedLatencies.UpperSum(now)/l.latencies.UpperSum(now))
-	if ratio == 1 {
-		portion = max(portion, minGrowthShare)
-	}
-	aim := l.limit*ratio + math.Sqrt(l.limit*portion)
-	if aim < l.limit || 2*float64(out+1) > l.limit {
-		l.limit = max(l.minimum, l.limit+(aim-l.limit)/max(1, l.limit))
-	}
+// recordSlowness takes the latency of a function's request at a worker into the slowness of the worker's kind.
+func (s *Scheduler) recordSlowness(kind *workerKind, f *function, latency time.Duration) {
+	kind.sampleCount = min(kind.sampleCount+1, typeSamples)
+	slowdown := min(float64(latency)/float64(f.meanRunTime()), maxSlowdown)
+	kind.slowness += (slowdown - kind.slowness) / (functionSamples + kind.sampleCount)
+	s.updateMeanWeight()
 }
 
-// trafficShare is this front end's part of all traffic: an even split, or what it sees of the tenants'
-// shares.
-func (c *Scheduler) trafficShare(now time.Duration) float64 {
-	seen := c.originalRequests.UpperSum(now) / trafficWindow.Seconds() / cmp.Or(c.totalQuota, math.Inf(1))
-	return min(1, max(1/float64(c.gateways), seen))
+// recordLatency takes a latency into the mean.
+func (t *typeStats) recordLatency(latency time.Duration) {
+	t.sampleCount = min(t.sampleCount+1, typeSamples)
+	t.meanLatency += (latency - t.meanLatency) / t.sampleCount
 }
 
-// warmUpShare is the least part of its capacity that a worker has by now.
-func (c *Scheduler) warmUpShare(w *worker, now time.Duration) float64 {
-	warm := float64(max(0, now-w.Started)) / float64(max(1, c.warmUpTime))
-	if w.Started <= 0 || warm >= 1 {
-		return 1
+// updateMinLatency raises the shortest mean latency a little, so that an old one is forgotten, or lowers it to the
+// present mean.
+func (t *typeStats) updateMinLatency() {
+	t.minLatency += t.minLatency / minLatencyDecaySamples
+	if t.minLatency == 0 || t.meanLatency < t.minLatency {
+		t.minLatency = t.meanLatency
 	}
-	return c.slowStartInitialShare + (1-c.slowStartInitialShare)*warm
 }
 
-// slowStartPause keeps a cold worker from being pushed over (rule 4): least time between two attempts to it.
-// Its capacity is not told: the mean work seen completed is taken. Attempts of many front ends bunch by
-// chance.
-func (c *Scheduler) slowStartPause(w *worker, weight float64, now time.Duration) time.Duration {
-	most := time.Duration(c.gateways) * c.crashWindow // with nothing known all front ends together send one in c.fall
-	mean := c.completedWork.LowerSum(now) / 8 / float64(max(1, c.members.Len()))
-	all := slowStartBudgetShare * c.crashMultiple * c.warmUpShare(w, now) * mean * min(1, c.relativeWeight(w))
-	all = all / c.trafficShare(now) / weight
-	all = max(all-slowStartDeviations*math.Sqrt(min(all, float64(c.gateways))), all/4)
-	return time.Duration(min(float64(c.crashWindow)/max(all*c.trafficShare(now), 1e-9), float64(most)))
+// adjustLimit moves a limit by the ratio of acceptable latencies to those seen; share is this gateway's share of what
+// is limited. The fleet's limit is what holds for a gateway among many: it meets each worker too seldom to judge it,
+// and the minimums of all workers add up.
+func (s *Scheduler) adjustLimit(limit *adaptiveLimit, now, latency time.Duration, allowed float64, inFlight int,
+	share float64) {
+	if limit.latencies == nil { // most workers of a large fleet never answer this gateway
+		limit.latencies = window.New(limitWindowObjectives * s.longestObjective)
+		limit.allowedLatencies = window.New(limitWindowObjectives * s.longestObjective)
+	}
+	limit.latencies.Add(now, float64(latency))
+	limit.allowedLatencies.Add(now, allowed)
+	ratio := min(1, limit.allowedLatencies.UpperSum(now)/limit.latencies.UpperSum(now))
+	if ratio == 1 {
+		share = max(share, minGrowthShare)
+	}
+	target := limit.limit*ratio + math.Sqrt(limit.limit*share)
+	if target < limit.limit || 2*float64(inFlight+1) > limit.limit { // one that is hardly used does not grow
+		limit.limit = max(limit.minimum, limit.limit+(target-limit.limit)/max(1, limit.limit))
+	}
 }
 
-// slowStartAllows begins with a random part of the pause: not all that hear of a start send at once.
-func (c *Scheduler) slowStartAllows(w *worker, e *Request, now time.Duration) bool {
-	return c.crashMultiple <= 0 || c.warmUpShare(w, now) >= 1 ||
-		now >= w.lastSlowStartSend+fractionOf(w.slowStartPauseShare, c.slowStartPause(w, c.expectedWork(e), now))
+// trafficShare is this gateway's share of all traffic: an even split, or what it sees of the tenants' quotas.
+func (s *Scheduler) trafficShare(now time.Duration) float64 {
+	seen := s.originalRequests.UpperSum(now) / trafficWindow.Seconds() / cmp.Or(s.totalQuota, math.Inf(1))
+	return min(1, max(1/float64(s.gateways), seen))
 }
