--- /dev/null
+++ b/internal/gateway/actor.go
@@ -0,0 +1,158 @@
+package gateway
+
+import (
+	"time"
+
+	"lupinpond/internal/gateway/core"
+	"lupinpond/internal/gateway/invoke"
+	"lupinpond/scheduler"
+)
+
+var _ core.Actor = (*EventLoop)(nil)
+
+// The methods of core.Actor carry out the core's decisions. Only the event loop's goroutine calls them, from within
+// the core.
+
+// Send sends an attempt to a worker. Where the client has disconnected meanwhile, the attempt is withheld.
+func (l *EventLoop) Send(scheduled *scheduler.Request, attempt int, worker string) {
+	request := l.requests[scheduled.ID]
+	if request.disconnectedAt.Load() != 0 {
+		l.mailbox.put(func(now time.Duration) {
+			withheld := scheduler.Outcome{Worker: worker, Result: scheduler.Withheld}
+			l.core.CompleteAttempt(now, scheduled.ID, attempt, withheld)
+		})
+		return
+	}
+	l.checkAttempt(request, attempt, worker)
+	l.counts.Attempts++
+	if request.attempts++; request.attempts > 1 {
+		l.stats.Retries.Add(1)
+	}
+	l.logRequest("attempt sent", request, "attempt", attempt, "worker", worker)
+	sentAt := time.Now()
+	permit := &SendPermit{loop: l, request: request, decidedAt: l.Now(),
+		deadline: min(request.submittedAt+scheduled.TimeLeft, l.shutdownDeadline)}
+	inFlight := l.transport.Send(request, attempt, worker, permit, func(outcome scheduler.Outcome, body []byte) {
+		l.mailbox.put(func(now time.Duration) {
+			outcome.Worker, outcome.Duration = worker, time.Since(sentAt)
+			l.completeAttempt(now, request, attempt, outcome, body)
+		})
+	})
+	if inFlight != nil {
+		request.inFlight[attempt] = inFlight
+	}
+}
+
+func (l *EventLoop) completeAttempt(now time.Duration, request *Request, attempt int, outcome scheduler.Outcome,
+	body []byte) {
+	delete(request.inFlight, attempt)
+	request.checks.attemptEnded(attempt, outcome.Result)
+	l.logRequest("attempt completed", request, "attempt", attempt, "worker", outcome.Worker,
+		"result", outcome.Result.String(), "duration", outcome.Duration)
+	if outcome.Result == scheduler.Completed {
+		request.responseBody = body
+	}
+	if !l.core.CompleteAttempt(now, request.Scheduled.ID, attempt, outcome) {
+		l.counts.LateOutcomes++
+	}
+}
+
+// Complete answers a request with the result of an attempt.
+func (l *EventLoop) Complete(scheduled *scheduler.Request, attempt int) {
+	l.counts.Completed++
+	request := l.requests[scheduled.ID]
+	l.reply(request, invoke.Response{Outcome: invoke.Completed, Attempts: attempt + 1, Body: request.responseBody})
+}
+
+// Reject answers a request that the client may safely retry.
+func (l *EventLoop) Reject(scheduled *scheduler.Request, retryAfter time.Duration, _ bool) {
+	l.counts.Rejected++
+	request := l.requests[scheduled.ID]
+	l.reply(request, invoke.Response{Outcome: invoke.Rejected, Attempts: request.attempts, RetryAfter: retryAfter,
+		Reason: "not handled in time; trying again does no harm"})
+}
+
+// Fail answers a request whose type allows no further attempt.
+func (l *EventLoop) Fail(scheduled *scheduler.Request, attempts int, mayHaveRun bool) {
+	l.counts.Failed++
+	l.reply(l.requests[scheduled.ID], invoke.Response{Outcome: invoke.Failed, Attempts: attempts, MayHaveRun: mayHaveRun,
+		Reason: "not handled; its type allows no other try"})
+}
+
+// Cancel cancels an attempt; its outcome arrives later.
+func (l *EventLoop) Cancel(scheduled *scheduler.Request, attempt int, _ string) {
+	if inFlight := l.requests[scheduled.ID].inFlight[attempt]; inFlight != nil {
+		inFlight.Cancel()
+	}
+}
+
+// Closed forgets a request and cancels its attempts in flight.
+func (l *EventLoop) Closed(scheduled *scheduler.Request, _ int, _ core.CloseReason) {
+	request := l.requests[scheduled.ID]
+	l.checkClosed(request)
+	for _, attempt := range request.inFlight {
+		attempt.Cancel()
+	}
+	delete(l.duplicateKeys, request.DuplicateKey)
+	delete(l.requests, scheduled.ID)
+	request.done()
+}
+
+// RequestLoad sends a load request. One without a result within the timeout is cancelled.
+func (l *EventLoop) RequestLoad(load scheduler.LoadRequest) {
+	l.counts.LoadRequests++
+	l.checkLoad(load)
+	sentAt, completed := time.Now(), false
+	complete := func(replicas int, result scheduler.Result) {
+		l.mailbox.put(func(now time.Duration) {
+			if completed {
+				return
+			}
+			completed = true
+			load.Replicas = replicas
+			l.core.LoadCompleted(now, load, result, time.Since(sentAt))
+		})
+	}
+	requested := load.Replicas
+	inFlight := l.transport.Load(load, complete)
+	time.AfterFunc(l.loadTimeout, func() {
+		complete(requested, scheduler.TimedOut)
+		cancel(inFlight)
+	})
+}
+
+// Probe asks a worker for a load report. A probe without a reply within the timeout is cancelled.
+func (l *EventLoop) Probe(worker string) {
+	l.counts.Probes++
+	sentAt, completed := time.Now(), false
+	complete := func(result scheduler.Result, report scheduler.LoadReport) {
+		l.mailbox.put(func(now time.Duration) {
+			if completed {
+				return
+			}
+			completed = true
+			l.core.ProbeCompleted(now, worker, result, report, time.Since(sentAt))
+		})
+	}
+	inFlight := l.transport.Probe(worker, complete)
+	time.AfterFunc(l.probeTimeout, func() {
+		complete(scheduler.TimedOut, scheduler.LoadReport{})
+		cancel(inFlight)
+	})
+}
+
+// cancel cancels a call that may never be answered: else it would occupy its connection for good.
+func cancel(inFlight Canceller) {
+	if inFlight != nil {
+		inFlight.Cancel()
+	}
+}
+
+// Subscribe asks the transport for the endpoint list.
+func (l *EventLoop) Subscribe() { l.transport.Subscribe() }
+
+// SetTimer has the core called after a time. The core only asks for a timer that fires before all those pending.
+func (l *EventLoop) SetTimer(after time.Duration) {
+	l.timerTimes = append(l.timerTimes, time.Now().Add(after))
+	l.timer.Reset(after)
+}
--- /dev/null
+++ b/internal/gateway/harness_test.go
@@ -0,0 +1,211 @@
+package gateway_test
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+
+	"lupinpond/internal/artifact/manifest"
+	"lupinpond/internal/gateway"
+	"lupinpond/internal/gateway/fleetconfig"
+	"lupinpond/internal/registry"
+	"lupinpond/internal/testbed/localfleet"
+	"lupinpond/internal/worker/admission"
+	"lupinpond/internal/worker/faultinject"
+)
+
+var payroll string // path of the built example package, which TestMain builds once
+
+func TestMain(m *testing.M) {
+	dir, err := os.MkdirTemp("", "payroll")
+	if err == nil {
+		payroll = filepath.Join(dir, "payroll")
+		err = localfleet.Build(payroll, "lupinpond/examples/payroll", manifest.Process)
+	}
+	if err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
+	goleak.VerifyTestMain(m, goleak.Cleanup(func(code int) {
+		os.RemoveAll(dir)
+		os.Exit(code)
+	}))
+}
+
+// harness runs one gateway, the registry and two workers of the worker runtime.
+type harness struct {
+	t         *testing.T
+	config    fleetconfig.File
+	gateway   *gateway.Gateway
+	addr      string
+	registry  *registry.Registry
+	workers   []localfleet.Worker
+	entries   []registry.Entry
+	effects   string // path of the file in which the replicas log what ran
+	recording bytes.Buffer
+	drain     context.CancelFunc
+	kill      context.CancelFunc
+	done      chan struct{} // closed once the gateway has stopped
+}
+
+// startHarness starts a harness that stops when the test ends; change, which may be nil, edits the default settings.
+func startHarness(t *testing.T, change func(*fleetconfig.File)) *harness {
+	t.Helper()
+	config, err := fleetconfig.Default()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if change != nil {
+		change(&config)
+	}
+	r := &harness{t: t, config: config, registry: registry.New(nil), done: make(chan struct{})}
+	registryServer := httptest.NewServer(r.registry.Handler())
+	t.Cleanup(registryServer.Close)
+	r.config.Gateway.RegistryURL = registryServer.URL
+	r.startWorkers()
+	r.startGateway()
+	return r
+}
+
+// startWorkers starts two workers and registers them.
+func (r *harness) startWorkers() {
+	r.t.Helper()
+	dir := r.t.TempDir()
+	releases, err := localfleet.NewReleases(filepath.Join(dir, "store"), payroll, r.config, localfleet.AmpleCapacity)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	r.t.Cleanup(func() { releases.Close() })
+	r.effects = filepath.Join(dir, "effects")
+	effects, err := os.OpenFile(r.effects, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	r.t.Cleanup(func() { effects.Close() })
+	limits := admission.Limits{MemoryBytes: 16 * 64 << 20, MaxRunning: 8, MaxWaiting: 100, MaxLoads: 4,
+		IdleTimeout: time.Minute, LoadOnMiss: r.config.Fleet.LoadPolicy.OnMiss == "load"}
+	for i := range 2 {
+		name := fmt.Sprint("w", i)
+		worker := localfleet.NewRuntime(localfleet.RuntimeOptions{Name: name, Folder: filepath.Join(dir, name),
+			Releases: releases, ExecutionLog: effects, Limits: limits})
+		addr, started, err := worker.Start("", true)
+		if err != nil {
+			r.t.Fatal(err)
+		}
+		r.t.Cleanup(worker.Stop)
+		entry := registry.Entry{Name: worker.Name(), Addr: addr, Zone: "z", Kind: "box", Cores: 4, State: registry.InService,
+			Started: started}
+		r.workers, r.entries = append(r.workers, worker), append(r.entries, entry)
+		r.registry.Set(entry)
+	}
+}
+
+// startGateway starts the gateway, which records its core.
+func (r *harness) startGateway() {
+	r.t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	r.addr = listener.Addr().String()
+	options := gateway.Options{Name: "f", Config: r.config, Listener: listener, Seed: 1, Record: &r.recording}
+	r.gateway, err = gateway.New(options)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	ctx, drain := context.WithCancel(context.Background())
+	killed, kill := context.WithCancel(context.Background())
+	r.drain, r.kill = drain, kill
+	go func() {
+		defer close(r.done)
+		if err := r.gateway.Run(ctx, killed); err != nil {
+			r.t.Error(err)
+		}
+	}()
+	r.t.Cleanup(func() {
+		kill()
+		<-r.done
+		drain()
+	})
+}
+
+// post sends a request with a client id and returns the response and its body.
+func (r *harness) post(ctx context.Context, function, id string, wait time.Duration) (*http.Response, string, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.addr+"/v1/functions/"+function+"/invocations",
+		strings.NewReader(function+"/"+id+" 5ms"))
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	req.GetBody = nil
+	req.Header.Set("ce-id", id)
+	req.Header.Set("ce-source", "test")
+	req.Header.Set("Prefer", fmt.Sprintf("wait=%.3f", wait.Seconds()))
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	resp, err := client.Do(req)
+	if err != nil {
+		return nil, "", err
+	}
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
+	return resp, string(body), err
+}
+
+// wantResponse posts a request and compares the status and a part of the response.
+func (r *harness) wantResponse(function, id string, wait time.Duration, status int, part string) *http.Response {
+	r.t.Helper()
+	resp, body, err := r.post(context.Background(), function, id, wait)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	if resp.StatusCode != status || !strings.Contains(body, part) {
+		r.t.Errorf("%s %s: status %d, %s; want %d, %s", function, id, resp.StatusCode, body, status, part)
+	}
+	return resp
+}
+
+// waitFor waits for a condition.
+func (r *harness) waitFor(condition string, isTrue func() bool) {
+	r.t.Helper()
+	for deadline := time.Now().Add(20 * time.Second); !isTrue(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			r.t.Fatal("never so: ", condition)
+		}
+	}
+}
+
+// injectFaults changes the faults of all workers.
+func (r *harness) injectFaults(change func(*faultinject.Faults)) {
+	for _, worker := range r.workers {
+		worker.InjectFault(change)
+	}
+}
+
+// executions returns how many requests of a type have run at the workers.
+func (r *harness) executions(requestType string) int {
+	r.t.Helper()
+	runs, err := localfleet.CountExecutions(r.effects)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	n := 0
+	for name, times := range runs {
+		function, _, _ := strings.Cut(name, "/")
+		for _, configured := range r.config.Functions {
+			if configured.Name == function && configured.Type == requestType {
+				n += times
+			}
+		}
+	}
+	return n
+}
--- a/internal/gateway/invariants_test.go
+++ b/internal/gateway/invariants_test.go
@@ -17,38 +17,48 @@
 	"lupinpond/scheduler"
 )
 
-// pendingAttempt is one attempt that came to the test's way out.
+// pendingAttempt is one attempt that a manualTransport was asked to send.
 type pendingAttempt struct {
 	permit *gateway.SendPermit
 	report func(scheduler.Outcome, []byte)
 }
 
-// leave has the attempt leave, if it may.
-func (s pendingAttempt) leave() {
-	if _, leaves := s.permit.TimeLeft(); leaves {
-		s.permit.Written()
+// write has the attempt sent, if it may be.
+func (a pendingAttempt) write() {
+	if _, ok := a.permit.TimeLeft(); ok {
+		a.permit.Written()
 	}
 }
 
-// complete ends the attempt.
-func (s pendingAttempt) complete(r scheduler.Result) { s.report(scheduler.Outcome{Result: r}, nil) }
+// complete reports the attempt's outcome.
+func (a pendingAttempt) complete(result scheduler.Result) {
+	a.report(scheduler.Outcome{Result: result}, nil)
+}
 
-// manualTransport is a way out whose attempts and load requests the test carries on.
+// manualTransport is a transport whose attempts and load requests the test carries out.
 type manualTransport struct {
 	attempts      chan pendingAttempt
 	loadRequests  chan scheduler.LoadRequest
-	completeLoads bool // load requests are carried out at once
+	completeLoads bool // load requests are completed at once
+}
+
+func newManualTransport(queue int) *manualTransport {
+	return &manualTransport{
+		attempts:     make(chan pendingAttempt, queue),
+		loadRequests: make(chan scheduler.LoadRequest, queue),
+	}
 }
 
-func (m *manualTransport) Send(_ *gateway.Request, _ int, _ string, d *gateway.SendPermit, done func(scheduler.Outcome, []byte)) gateway.Canceller {
-	m.attempts <- pendingAttempt{d, done}
+func (m *manualTransport) Send(_ *gateway.Request, _ int, _ string, permit *gateway.SendPermit,
+	done func(scheduler.Outcome, []byte)) gateway.Canceller {
+	m.attempts <- pendingAttempt{permit, done}
 	return nil
 }
 
-func (m *manualTransport) Load(o scheduler.LoadRequest, done func(int, scheduler.Result)) gateway.Canceller {
-	m.loadRequests <- o
+func (m *manualTransport) Load(load scheduler.LoadRequest, done func(int, scheduler.Result)) gateway.Canceller {
+	m.loadRequests <- load
 	if m.completeLoads {
-		done(o.Replicas, scheduler.Completed)
+		done(load.Replicas, scheduler.Completed)
 	}
 	return nil
 }
@@ -56,9 +66,10 @@
 func (m *manualTransport) Probe(string, func(scheduler.Result, scheduler.LoadReport)) gateway.Canceller {
 	return nil
 }
+
 func (m *manualTransport) Subscribe() {}
 
-// scenario is an owner with a few workers and a way out that the test carries on.
+// scenario is an event loop with three workers and a transport that the test carries out.
 type scenario struct {
 	*manualTransport
 	t         *testing.T
@@ -67,161 +78,172 @@
 	pending   sync.WaitGroup
 }
 
-func newScenario(t *testing.T, kind scheduler.RequestType, loading core.LoadPolicy) *scenario {
-	kind.Name, kind.Objective = "call", 100*time.Millisecond
-	s := &scenario{manualTransport: &manualTransport{attempts: make(chan pendingAttempt, 100), loadRequests: make(chan scheduler.LoadRequest, 100)}, t: t,
-		responses: make(chan invoke.Response, 100)}
-	s.loop = gateway.NewEventLoop(gateway.EventLoopOptions{Core: core.Settings{Seed: 1, Gateways: 1, MinTickInterval: time.Millisecond, MaxAttempts: 5, EnforceDeadlines: true,
-		LoadPolicy: loading, Types: []scheduler.RequestType{kind}}, Transport: s, LoadTimeout: time.Minute, ProbeTimeout: time.Minute,
-		Monitor: invariant.NewMonitor(slog.New(slog.DiscardHandler))})
+func newScenario(t *testing.T, requestType scheduler.RequestType, policy core.LoadPolicy) *scenario {
+	t.Helper()
+	requestType.Name, requestType.Objective = "call", 100*time.Millisecond
+	s := &scenario{
+		manualTransport: newManualTransport(100),
+		t:               t,
+		responses:       make(chan invoke.Response, 100),
+	}
+	s.loop = gateway.NewEventLoop(gateway.EventLoopOptions{
+		Core: core.Settings{Seed: 1, Gateways: 1, MinTickInterval: time.Millisecond, MaxAttempts: 5, EnforceDeadlines: true,
+			LoadPolicy: policy, Types: []scheduler.RequestType{requestType}},
+		Transport:    s,
+		LoadTimeout:  time.Minute,
+		ProbeTimeout: time.Minute,
+		Monitor:      invariant.NewMonitor(slog.New(slog.DiscardHandler)),
+	})
 	runLoop(t, s.loop)
 	s.loop.UpdateMembership(true, []scheduler.Member{{Worker: "a"}, {Worker: "b"}, {Worker: "c"}}, nil)
 	return s
 }
 
-// loadOnMiss is loading by the requests themselves.
-var loadOnMiss = core.LoadPolicy{LoadOnMiss: true, ReplicaIdleTimeout: time.Minute}
+// missLoading has workers load on a miss; no load request times out.
+var missLoading = core.LoadPolicy{LoadOnMiss: true, ReplicaIdleTimeout: time.Minute}
 
 // submit submits a request of a function.
-func (s *scenario) submit(id string, function uint64, left time.Duration) *gateway.Request {
-	e := &gateway.Request{Scheduled: &scheduler.Request{ID: id, Type: "call", Function: function, TimeLeft: left, Concurrency: 1},
-		Reply: func(a invoke.Response) { s.responses <- a }}
+func (s *scenario) submit(id string, function uint64, timeLeft time.Duration) *gateway.Request {
+	request := newCall(id, function, timeLeft, func(r invoke.Response) { s.responses <- r })
 	s.pending.Add(1)
-	e.Done = s.pending.Done
-	s.loop.Submit(e)
-	return e
+	request.Done = s.pending.Done
+	s.loop.Submit(request)
+	return request
 }
 
-// next is the next attempt, if one comes within a time.
-func (s *scenario) next(within time.Duration) (x pendingAttempt, came bool) {
+// next returns the next attempt, if there is one within a time.
+func (s *scenario) next(within time.Duration) (attempt pendingAttempt, ok bool) {
 	select {
-	case x = <-s.attempts:
-		return x, true
+	case attempt = <-s.attempts:
+		return attempt, true
 	case <-time.After(within):
-		return x, false
+		return attempt, false
 	}
 }
 
-// mustNext is the next attempt, which must come.
+// mustNext returns the next attempt.
 func (s *scenario) mustNext() pendingAttempt {
 	s.t.Helper()
-	x, came := s.next(20 * time.Second)
-	if !came {
+	attempt, ok := s.next(20 * time.Second)
+	if !ok {
 		s.t.Fatal("no attempt")
 	}
-	return x
+	return attempt
 }
 
-// scenarios are crossings in which a guard keeps an invariant. Each ends with all requests ended.
+// scenarios are races in which a guard keeps an invariant. At the end of each all requests are closed.
 var scenarios = map[string]func(t *testing.T) *scenario{
 	"ClientLeft": func(t *testing.T) *scenario {
-		s := newScenario(t, scheduler.RequestType{}, loadOnMiss)
-		e := s.submit("e", 1, 10*time.Second)
-		x := s.mustNext()
-		s.loop.ClientDisconnected(e)
+		s := newScenario(t, scheduler.RequestType{}, missLoading)
+		request := s.submit("e", 1, 10*time.Second)
+		first := s.mustNext()
+		s.loop.ClientDisconnected(request)
 		time.Sleep(150 * time.Millisecond)
-		x.leave()
-		x.complete(scheduler.Withheld)
+		first.write()
+		first.complete(scheduler.Withheld)
 		return s
 	},
 	"NoTimeLeft": func(t *testing.T) *scenario {
-		s := newScenario(t, scheduler.RequestType{}, loadOnMiss)
+		s := newScenario(t, scheduler.RequestType{}, missLoading)
 		s.submit("e", 1, 100*time.Millisecond)
-		x := s.mustNext()
+		first := s.mustNext()
 		time.Sleep(400 * time.Millisecond)
-		x.leave()
-		x.complete(scheduler.Withheld)
+		first.write()
+		first.complete(scheduler.Withheld)
 		return s
 	},
-	"SlowDeparture": func(t *testing.T) *scenario {
-		s := newScenario(t, scheduler.RequestType{}, loadOnMiss)
+	"SlowWrite": func(t *testing.T) *scenario {
+		s := newScenario(t, scheduler.RequestType{}, missLoading)
 		s.submit("e", 1, 10*time.Second)
-		x := s.mustNext()
+		first := s.mustNext()
 		time.Sleep(250 * time.Millisecond)
-		x.leave()
-		x.complete(scheduler.Completed)
+		first.write()
+		first.complete(scheduler.Completed)
 		return s
 	},
 	"SecondOutcome": func(t *testing.T) *scenario {
-		s := newScenario(t, scheduler.RequestType{}, core.LoadPolicy{RequestLoads: true, ReplicaIdleTimeout: time.Minute, RequestTimeout: time.Minute})
+		s := newScenario(t, scheduler.RequestType{},
+			core.LoadPolicy{RequestLoads: true, ReplicaIdleTimeout: time.Minute, RequestTimeout: time.Minute})
 		s.completeLoads = true
 		const others = 6 // have replicas loaded at all workers
-		var all []pendingAttempt
+		var parallel []pendingAttempt
 		for i := range others {
 			s.submit(fmt.Sprint("e", i), 1, 10*time.Second)
 		}
 		for {
-			x, came := s.next(300 * time.Millisecond)
-			if !came {
+			attempt, ok := s.next(300 * time.Millisecond)
+			if !ok {
 				break
 			}
-			all = append(all, x)
+			parallel = append(parallel, attempt)
 		}
-		for _, x := range all {
-			x.complete(scheduler.Completed)
+		for _, attempt := range parallel {
+			attempt.complete(scheduler.Completed)
 		}
-		for range others - len(all) {
+		for range others - len(parallel) {
 			s.mustNext().complete(scheduler.Completed)
 		}
 		s.submit("e", 1, 10*time.Second)
-		x := s.mustNext()
-		x.complete(scheduler.Full)
-		y := s.mustNext()
-		x.complete(scheduler.Full)
-		z, came := s.next(300 * time.Millisecond)
-		y.complete(scheduler.Completed)
-		if came {
-			z.complete(scheduler.Completed)
+		first := s.mustNext()
+		first.complete(scheduler.Full)
+		second := s.mustNext()
+		first.complete(scheduler.Full)
+		third, ok := s.next(300 * time.Millisecond)
+		second.complete(scheduler.Completed)
+		if ok {
+			third.complete(scheduler.Completed)
 		}
 		return s
 	},
 	"AtMostOnce": func(t *testing.T) *scenario {
-		s := newScenario(t, scheduler.RequestType{Effect: scheduler.AtMostOnce}, loadOnMiss)
+		s := newScenario(t, scheduler.RequestType{Effect: scheduler.AtMostOnce}, missLoading)
 		s.submit("e", 1, time.Second)
 		s.mustNext().complete(scheduler.ConnectionLost)
-		if x, came := s.next(500 * time.Millisecond); came {
-			x.complete(scheduler.Completed)
+		if retry, ok := s.next(500 * time.Millisecond); ok {
+			retry.complete(scheduler.Completed)
 		}
 		return s
 	},
 	"WindowOver": func(t *testing.T) *scenario {
-		s := newScenario(t, scheduler.RequestType{Effect: scheduler.IdempotencyKey, DedupWindow: 100 * time.Millisecond}, loadOnMiss)
+		keyed := scheduler.RequestType{Effect: scheduler.IdempotencyKey, DedupWindow: 100 * time.Millisecond}
+		s := newScenario(t, keyed, missLoading)
 		s.submit("e", 1, 2*time.Second)
-		x := s.mustNext()
+		first := s.mustNext()
 		time.Sleep(150 * time.Millisecond)
-		x.complete(scheduler.ConnectionLost)
-		if x, came := s.next(500 * time.Millisecond); came {
-			x.complete(scheduler.Completed)
+		first.complete(scheduler.ConnectionLost)
+		if retry, ok := s.next(500 * time.Millisecond); ok {
+			retry.complete(scheduler.Completed)
 		}
 		return s
 	},
 	"NoOutcome": func(t *testing.T) *scenario {
-		s := newScenario(t, scheduler.RequestType{}, loadOnMiss)
+		s := newScenario(t, scheduler.RequestType{}, missLoading)
 		s.submit("e", 1, 100*time.Millisecond)
-		x := s.mustNext()
+		first := s.mustNext()
 		time.Sleep(800 * time.Millisecond)
-		x.complete(scheduler.Full)
+		first.complete(scheduler.Full)
 		for {
-			y, came := s.next(200 * time.Millisecond)
-			if !came {
+			retry, ok := s.next(200 * time.Millisecond)
+			if !ok {
 				return s
 			}
-			y.complete(scheduler.Full)
+			retry.complete(scheduler.Full)
 		}
 	},
 	"Rejected": func(t *testing.T) *scenario {
-		s := newScenario(t, scheduler.RequestType{}, loadOnMiss)
+		s := newScenario(t, scheduler.RequestType{}, missLoading)
 		s.submit("e", 1, 200*time.Millisecond)
 		for {
-			x, came := s.next(400 * time.Millisecond)
-			if !came {
+			attempt, ok := s.next(400 * time.Millisecond)
+			if !ok {
 				return s
 			}
-			x.complete(scheduler.Full)
+			attempt.complete(scheduler.Full)
 		}
 	},
 	"ManyLoads": func(t *testing.T) *scenario {
-		s := newScenario(t, scheduler.RequestType{}, core.LoadPolicy{RequestLoads: true, ReplicaIdleTimeout: time.Minute, RequestTimeout: time.Minute, RateWindow: 10 * time.Second, RateBurst: 2})
+		s := newScenario(t, scheduler.RequestType{}, core.LoadPolicy{RequestLoads: true, ReplicaIdleTimeout: time.Minute,
+			RequestTimeout: time.Minute, RateWindow: 10 * time.Second, RateBurst: 2})
 		for function := range uint64(10) {
 			s.submit(fmt.Sprint("e", function), function, 300*time.Millisecond)
 		}
@@ -229,41 +251,43 @@
 	},
 }
 
-// No crossing violates an invariant.
+// No race violates an invariant.
 func TestInvariantsHold(t *testing.T) {
-	for name, play := range scenarios {
+	for name, run := range scenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := play(t)
-			ended := make(chan struct{})
+			s := run(t)
+			closed := make(chan struct{})
 			go func() {
 				s.pending.Wait()
-				close(ended)
+				close(closed)
 			}()
 			select {
-			case <-ended:
+			case <-closed:
 			case <-time.After(20 * time.Second):
-				t.Error("a request does not end")
+				t.Error("a request is never closed")
 			}
-			s.loop.Pause(0) // it has heard all
+			s.loop.Pause(0) // it has taken all messages
 			if counts := s.loop.Monitor().Counts(); len(counts) > 0 {
 				t.Errorf("violated: %v", counts)
 			}
-			if stats := s.loop.Counts(context.Background()); stats.Accepted == 0 {
-				t.Error("nothing was taken")
+			if counts := s.loop.Counts(context.Background()); counts.Accepted == 0 {
+				t.Error("nothing was accepted")
 			}
 		})
 	}
 }
 
-// guardMutations are guards taken out, by the scene in which that shows, and the invariant that counts it.
+// guardMutations take out guards, each with the scenario in which that shows and the invariant that counts it.
 var guardMutations = []struct {
-	scene, file, text, instead string
-	kind                       invariant.Kind
+	scenario, file, text, instead string
+	kind                          invariant.Kind
 }{
-	{"ClientLeft", "departure.go", "if d.request.disconnectedAt.Load() != 0 {", "if false {", invariant.AttemptAfterClientLeft},
-	{"NoTimeLeft", "departure.go", "if now >= d.deadline {", "if false {", invariant.AttemptAfterDeadline},
-	{"SlowDeparture", "departure.go", "d.statedTimeLeft = d.deadline - now", "d.statedTimeLeft = d.deadline - d.decidedAt", invariant.DeadlineOverstated},
+	{"ClientLeft", "sendpermit.go", "if p.request.disconnectedAt.Load() != 0 {", "if false {",
+		invariant.AttemptAfterClientLeft},
+	{"NoTimeLeft", "sendpermit.go", "if now >= p.deadline {", "if false {", invariant.AttemptAfterDeadline},
+	{"SlowWrite", "sendpermit.go", "p.statedTimeLeft = p.deadline - now", "p.statedTimeLeft = p.deadline - p.decidedAt",
+		invariant.DeadlineOverstated},
 	{"SecondOutcome", "core/core.go", "h == nil || launch != h.attempts-1 ||", "h == nil ||", invariant.AttemptInParallel},
 	{"AtMostOnce", "../../scheduler/scheduler.go", "(late || e.typ.Effect == AtMostOnce)", "late", invariant.RetryOfAtMostOnce},
 	{"WindowOver", "../../scheduler/scheduler.go", "late := e.typ.Effect == IdempotencyKey &&", "late := false &&", invariant.RetryOutsideWindow},
@@ -275,16 +299,18 @@
 	{"ManyLoads", "../../scheduler/loads.go", "return !c.loadRateLimited ||", "return true ||", invariant.LoadOverLimit},
 }
 
-// With its guard taken out, each invariant is seen to be violated.
+// Without its guard, each invariant is violated, and that is counted.
 func TestMutatedGuardsViolateInvariants(t *testing.T) {
-	for _, u := range guardMutations {
-		t.Run(u.kind.String(), func(t *testing.T) {
+	for _, mutation := range guardMutations {
+		t.Run(mutation.kind.String(), func(t *testing.T) {
 			t.Parallel()
-			out, passed, err := mutationtest.RunTests(t.Context(), t.TempDir(), u.file, u.text, u.instead, "^TestInvariantsHold$/^"+u.scene+"$")
+			pattern := "^TestInvariantsHold$/^" + mutation.scenario + "$"
+			out, passed, err := mutationtest.RunTests(t.Context(), t.TempDir(),
+				mutation.file, mutation.text, mutation.instead, pattern)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if passed || !strings.Contains(out, "violated: ") || !strings.Contains(out, u.kind.String()) {
+			if passed || !strings.Contains(out, "violated: ") || !strings.Contains(out, mutation.kind.String()) {
 				t.Errorf("not counted:\n%s", out)
 			}
 		})
--- /dev/null
+++ b/internal/gateway/starttimes.go
@@ -0,0 +1,53 @@
+package gateway
+
+import (
+	"math"
+	"time"
+)
+
+// UnboundedAge is the bound of a worker's age where nothing is known of it.
+const UnboundedAge = time.Duration(math.MaxInt64)
+
+// StartTimes converts workers' start times from the wall clock, which may step, to the core's clock. The age of a
+// worker is taken once, when it is first reported, and is bounded by the time within which it must have started.
+// StartTimes is not safe for concurrent use.
+type StartTimes struct {
+	now   func() time.Duration
+	known map[string]startTime
+}
+
+type startTime struct {
+	reported time.Time     // by the wall clock
+	started  time.Duration // by the core's clock
+}
+
+// NewStartTimes creates the StartTimes of one endpoint list.
+func (l *EventLoop) NewStartTimes() *StartTimes { return &StartTimes{l.Now, map[string]startTime{}} }
+
+// Started returns when a worker started by the core's clock that reports a wall-clock start time; zero: long ago. A
+// worker that is new in the list has started within a time.
+func (s *StartTimes) Started(worker string, reported time.Time, within time.Duration) time.Duration {
+	if reported.IsZero() {
+		delete(s.known, worker)
+		return 0
+	}
+	if known, ok := s.known[worker]; ok && known.reported.Equal(reported) {
+		return known.started
+	}
+	age := min(max(0, time.Since(reported)), within)
+	started := max(0, s.now()-age)
+	s.known[worker] = startTime{reported, started}
+	return started
+}
+
+// Forget forgets a worker that is removed from the list.
+func (s *StartTimes) Forget(worker string) { delete(s.known, worker) }
+
+// Retain forgets all workers but those that listed holds.
+func (s *StartTimes) Retain(listed map[string]bool) {
+	for worker := range s.known {
+		if !listed[worker] {
+			delete(s.known, worker)
+		}
+	}
+}
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -9,46 +9,64 @@
 	"lupinpond/scheduler"
 )
 
-// Stats are an owner's numbers that may be read at any time.
+// Counts are a gateway's numbers since its start. They are printed as JSON under the names of an earlier version.
+type Counts struct {
+	Accepted            int `json:"Taken"`
+	Completed           int
+	Rejected            int
+	Failed              int
+	ClientsDisconnected int `json:"ClientsLeft"`
+	NotAccepted         int `json:"NotTaken"` // over a limit, or while draining
+	InvalidRequests     int `json:"Refused"`
+	Attempts            int
+	LoadRequests        int
+	Probes              int
+	LateOutcomes        int `json:"LateAnswers"` // of attempts that had an outcome before
+	UnmatchedResponses  int `json:"Stray"`       // of workers, to no call
+	Connections         int // made to workers
+}
+
+// Stats are an event loop's numbers that may be read at any time by any goroutine.
 type Stats struct {
-	Retries              atomic.Int64                        // attempts of requests that had one before
-	ReadAfterStall       atomic.Int64                        // requests that were read right after the process had not run
-	WithheldDisconnected atomic.Int64                        // attempts that did not leave as their client had left
-	WithheldExpired      atomic.Int64                        // or had no time left
-	WithheldStalled      atomic.Int64                        // or the process had not run since the decision
-	Unserved             [scheduler.ReasonCount]atomic.Int64 // requests answered without being served, by reason
+	Retries              atomic.Int64 // attempts of requests that had one before
+	ReadAfterStall       atomic.Int64 // requests that were read right after the process had not run
+	WithheldDisconnected atomic.Int64 // attempts not sent as their client had disconnected
+	WithheldExpired      atomic.Int64 // attempts not sent as their request had no time left
+	WithheldStalled      atomic.Int64 // attempts not sent as the process had not run since the decision
+	// Unserved are the requests answered without being served, by reason.
+	Unserved [scheduler.ReasonCount]atomic.Int64
 }
 
-// Stats gives the owner's numbers.
-func (o *EventLoop) Stats() *Stats { return &o.stats }
+// Stats returns the event loop's numbers.
+func (l *EventLoop) Stats() *Stats { return &l.stats }
 
-// Monitor gives what counts violated invariants; nil where nothing does.
-func (o *EventLoop) Monitor() *invariant.Monitor { return o.monitor }
+// Monitor returns what counts violated invariants; nil where nothing does.
+func (l *EventLoop) Monitor() *invariant.Monitor { return l.monitor }
 
-// Counts asks the owner for its numbers, also once it has ended; zero where it does not tell them before ctx ends.
-func (o *EventLoop) Counts(ctx context.Context) (c Counts) {
-	if o.query(ctx, func() { c = o.counts }) {
-		return c
+// Counts returns the event loop's numbers, also after it has stopped; zero where ctx ends before it answers.
+func (l *EventLoop) Counts(ctx context.Context) (counts Counts) {
+	if l.query(ctx, func() { counts = l.counts }) {
+		return counts
 	}
 	select {
-	case <-o.stopped:
-		return o.counts
+	case <-l.stopped:
+		return l.counts
 	default:
 		return Counts{}
 	}
 }
 
-// FleetState asks the owner what the core makes of its fleet; zero where it does not tell before ctx ends.
-func (o *EventLoop) FleetState(ctx context.Context) (f scheduler.FleetState) {
-	if !o.query(ctx, func() { f = o.core.FleetState() }) {
+// FleetState returns the core's view of its fleet; zero where ctx ends before the event loop answers.
+func (l *EventLoop) FleetState(ctx context.Context) (state scheduler.FleetState) {
+	if !l.query(ctx, func() { state = l.core.FleetState() }) {
 		return scheduler.FleetState{}
 	}
-	return f
+	return state
 }
 
-// logRequest logs a step in the life of a request.
-func (o *EventLoop) logRequest(what string, e *Request, state ...any) {
-	if o.log.Enabled(context.Background(), slog.LevelDebug) {
-		o.log.Debug(what, append([]any{"request", e.Scheduled.ID}, state...)...)
+// logRequest logs a step of a request at debug level.
+func (l *EventLoop) logRequest(step string, request *Request, attributes ...any) {
+	if l.log.Enabled(context.Background(), slog.LevelDebug) {
+		l.log.Debug(step, append([]any{"request", request.Scheduled.ID}, attributes...)...)
 	}
 }
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -194,11 +194,11 @@
 
 // A front end whose guard of departures is taken out breaks rules that the judge sees, and logs that its invariants are violated.
 func TestSoakDetectsGatewayWithoutGuard(t *testing.T) {
-	source, err := filepath.Abs("../../gateway/departure.go")
+	source, err := filepath.Abs("../../gateway/sendpermit.go")
 	if err != nil {
 		t.Fatal(err)
 	}
-	program := build(t, overlayOf(t, source, "d.statedTimeLeft = d.deadline - now", "d.statedTimeLeft = d.deadline - now + time.Second"))
+	program := build(t, overlayOf(t, source, "p.statedTimeLeft = p.deadline - now", "p.statedTimeLeft = p.deadline - now + time.Second"))
 	report, err := Run(context.Background(), Options{Seed: 1, Gateways: 2, Workers: 3, Rate: 20, WarmUp: 2 * time.Second, Duration: time.Millisecond,
 		Program: program, Dir: t.TempDir()})
 	if err != nil {
