--- a/internal/gateway/platform/clock_test.go
+++ b/internal/gateway/platform/clock_test.go
@@ -7,21 +7,23 @@
 	"time"
 )
 
-// A worker that has just started is cold, whatever the wall clock of who tells it says: one that is an hour behind does not make it
-// old, one that is an hour ahead not unborn.
+// A worker that has just started is warming up, whatever the wall clock of the discovery service says: one that is an
+// hour behind does not make it old, and with one that is an hour ahead it has started all the same.
 func TestEndpointStartTimesWithSkewedClock(t *testing.T) {
-	r := start(t)
-	awaitPoll(t, r)
+	h := start(t)
+	awaitPoll(t, h)
 	ms := func(off time.Duration) string { return strconv.FormatInt(time.Now().Add(off).UnixMilli(), 10) }
-	addr := r.worker.Addr().String()
-	began := r.gateway.Now()
-	r.batches <- batchJSON(2, false, hostStartedAt("behind", addr, "up", ms(-time.Hour)), hostStartedAt("ahead", addr, "up", ms(time.Hour)),
+	addr := h.worker.Addr().String()
+	before := h.gateway.Now()
+	h.batches <- batchJSON(2, false,
+		hostStartedAt("behind", addr, "up", ms(-time.Hour)),
+		hostStartedAt("ahead", addr, "up", ms(time.Hour)),
 		hostStartedAt("right", addr, "up", ms(0)))
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		members, _ := r.gateway.Members(context.Background())
+		members, _ := h.gateway.Members(context.Background())
 		if len(members) < 4 {
 			if time.Now().After(end) {
-				t.Fatal("the list is not heard of")
+				t.Fatal("the event is not applied")
 			}
 			continue
 		}
@@ -29,8 +31,8 @@
 			if m.Worker == "w" {
 				continue
 			}
-			if m.Started < began-5*time.Second || m.Started > r.gateway.Now() {
-				t.Errorf("%s: started at %v, it is %v", m.Worker, m.Started, r.gateway.Now())
+			if m.Started < before-5*time.Second || m.Started > h.gateway.Now() {
+				t.Errorf("%s: started at %v, it is %v", m.Worker, m.Started, h.gateway.Now())
 			}
 		}
 		return
--- a/internal/gateway/platform/config.go
+++ b/internal/gateway/platform/config.go
@@ -1,11 +1,9 @@
-// Package platform is a front end on the operators' platform: its configuration, readiness and signals, and the ways in
-// and out that its protocol asks for, around the owner of the core that all front ends have. Clients speak Thrift,
-// workers RESP, and a journal service tells the list. It decides nothing about events, launches or loads.
 package platform
 
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -17,19 +15,25 @@
 	"lupinpond/internal/gateway/settings"
 )
 
-// Config is what the platform tells a front end.
+// Config is the configuration that the platform gives a gateway.
 type Config struct {
-	Name, Listen, DiscoveryAddr string
-	Cores                       float64
-	Memory                      int64 // bytes
-	Sockets                     int
-	KnownEndpoints              discovery.Batch
-	Settings                    settings.Values
-	Core                        core.Settings
+	Name           string
+	Listen         string // address for clients
+	DiscoveryAddr  string // address of the discovery service
+	Cores          float64
+	Memory         int64 // bytes
+	Sockets        int   // descriptors that the process may have open
+	KnownEndpoints discovery.Batch
+	Settings       settings.Values
+	Core           core.Settings
 }
 
+// maxConfigBytes is the longest configuration file that is read.
 const maxConfigBytes = 16 << 20
 
+// defaultMaxAge is the maximum age of a request whose class names none.
+const defaultMaxAge = time.Minute
+
 // Read reads a configuration file.
 func Read(path string) (Config, error) {
 	info, err := os.Stat(path)
@@ -43,66 +47,104 @@
 	if err != nil {
 		return Config{}, fmt.Errorf("configuration: %w", err)
 	}
-	c, err := Parse(b)
+	config, err := Parse(b)
 	if err != nil {
 		return Config{}, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	return c, nil
+	return config, nil
 }
 
-// Parse reads a configuration.
+// configFile is the form of a configuration file. Field names without a tag are the keys of the file.
+type configFile struct {
+	Name, Listen, Seed, Journal string
+	Limits                      struct {
+		Cores   float64 `json:"cores"`
+		Memory  float64 `json:"memory_mb"`
+		Sockets int     `json:"sockets"`
+	}
+	Known    json.RawMessage
+	Settings map[string]any
+}
+
+// Parse parses and checks a configuration.
 func Parse(b []byte) (Config, error) {
-	var file struct {
-		Name, Listen, Seed, Journal string
-		Limits                      struct {
-			Cores   float64 `json:"cores"`
-			Memory  float64 `json:"memory_mb"`
-			Sockets int     `json:"sockets"`
-		}
-		Known    json.RawMessage
-		Settings map[string]any
+	var file configFile
+	decoder := json.NewDecoder(bytes.NewReader(b))
+	decoder.UseNumber()
+	if err := decoder.Decode(&file); err != nil {
+		return Config{}, err
+	}
+	config := Config{
+		Name:          file.Name,
+		Listen:        file.Listen,
+		DiscoveryAddr: file.Journal,
+		Cores:         file.Limits.Cores,
+		Memory:        int64(file.Limits.Memory * (1 << 20)),
+		Sockets:       file.Limits.Sockets,
 	}
-	decode := json.NewDecoder(bytes.NewReader(b))
-	decode.UseNumber()
-	if err := decode.Decode(&file); err != nil {
+	if err := checkAddress("listen", config.Listen); err != nil {
 		return Config{}, err
 	}
-	c := Config{Name: file.Name, Listen: file.Listen, DiscoveryAddr: file.Journal, Cores: file.Limits.Cores,
-		Memory: int64(file.Limits.Memory * (1 << 20)), Sockets: file.Limits.Sockets}
-	for key, addr := range map[string]string{"listen": c.Listen, "journal": c.DiscoveryAddr} {
-		if _, _, err := net.SplitHostPort(addr); err != nil {
-			return Config{}, fmt.Errorf("%s: %w", key, err)
-		}
+	if err := checkAddress("journal", config.DiscoveryAddr); err != nil {
+		return Config{}, err
 	}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
 		return Config{}, fmt.Errorf("seed: %w", err)
 	}
-	if !(c.Cores > 0) || c.Memory <= 0 || c.Sockets < minSockets {
+	if !(config.Cores > 0) || config.Memory <= 0 || config.Sockets < minSockets {
 		return Config{}, fmt.Errorf("limits: cores and memory_mb above 0 and at least %d sockets are needed", minSockets)
 	}
 	if len(file.Known) > 0 {
-		if c.KnownEndpoints, err = discovery.Parse(file.Known); err != nil {
+		if config.KnownEndpoints, err = discovery.Parse(file.Known); err != nil {
 			return Config{}, fmt.Errorf("known: %w", err)
 		}
 	}
-	c.Settings = settings.Flatten(file.Settings)
-	c.Core = c.Settings.Core(seed)
-	c.Core.EnforceDeadlines = true
-	if len(c.Core.Types) == 0 {
-		return Config{}, fmt.Errorf("settings: request_classes: there is none")
+	config.Settings = settings.Flatten(file.Settings)
+	config.Core = config.Settings.Core(seed)
+	config.Core.EnforceDeadlines = true
+	if len(config.Core.Types) == 0 {
+		return Config{}, errors.New("settings: request_classes: there is none")
 	}
-	return c, nil
+	return config, nil
 }
 
-const minSockets = 3 * reservedSockets
+func checkAddress(key, address string) error {
+	if _, _, err := net.SplitHostPort(address); err != nil {
+		return fmt.Errorf("%s: %w", key, err)
+	}
+	return nil
+}
 
-// maxAges tells the max age of each event type, and the longest.
+// maxAges returns the maximum age of each request type, and the longest.
 func (c Config) maxAges() (ages map[string]time.Duration, longest time.Duration) {
 	ages = map[string]time.Duration{}
 	for i, t := range c.Core.Types {
-		ages[t.Name] = c.Settings.Duration("request_classes."+strconv.Itoa(i)+".give_up", time.Minute)
+		ages[t.Name] = c.Settings.Duration("request_classes."+strconv.Itoa(i)+".give_up", defaultMaxAge)
 		longest = max(longest, ages[t.Name])
 	}
 	return ages, longest
 }
+
+// dialTimeout is how long a connection to a worker may take.
+func (c Config) dialTimeout() time.Duration {
+	return max(c.Settings.Duration("policy_limits.dial_timeout", defaultDialTimeout), time.Millisecond)
+}
+
+// connIdleTimeout is how long a connection may be open without a request.
+func (c Config) connIdleTimeout() time.Duration {
+	return c.Settings.Duration("policy_limits.conn_idle", defaultConnIdle)
+}
+
+// drainGrace is how long requests may still go to a draining worker.
+func (c Config) drainGrace() time.Duration {
+	return c.Settings.Duration("rules.stop_sending_within", defaultDrainGrace)
+}
+
+// maxCallsPerConn is the number of calls that a connection to a worker carries at a time.
+func (c Config) maxCallsPerConn() int {
+	return max(1, int(c.Settings.Number("policy_limits.max_streams", defaultMaxStreams)))
+}
+
+// peerSockets is the number of descriptors for clients and workers.
+func (c Config) peerSockets() int { return c.Sockets - reservedSockets }
--- a/internal/gateway/platform/deadline_test.go
+++ b/internal/gateway/platform/deadline_test.go
@@ -9,14 +9,15 @@
 	"time"
 )
 
-// congestedListener listens with a queue for a single connection, and fills it: a connection to it comes up only when the
-// kernel tries again a second after accept has made room.
+// congestedListener listens with a backlog of a single connection, and fills it: a connection to it is established only
+// when the kernel retries, a second after accept has made room.
 type congestedListener struct {
 	fd   int
 	addr string
 }
 
 func newCongestedListener(t *testing.T) *congestedListener {
+	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +46,7 @@
 	return l
 }
 
-// accept takes the next connection; the first is the one that fills the queue.
+// accept accepts the next connection; the first is the one that fills the backlog.
 func (l *congestedListener) accept(t *testing.T) int {
 	t.Helper()
 	fd, _, err := syscall.Accept(l.fd)
@@ -55,39 +56,41 @@
 	return fd
 }
 
-// startWithCongestedWorker starts a front end whose only worker is at a crowded listener: what goes there is requests alone.
+// startWithCongestedWorker starts a gateway whose only worker has a congested listener, and gets nothing but requests.
 func startWithCongestedWorker(t *testing.T) (*congestedListener, *harness) {
+	t.Helper()
 	slow := newCongestedListener(t)
-	r := start(t, `"dial_timeout":0.25`, `"dial_timeout":5`, `"orders":true`, `"orders":false`, `"probing":true`, `"probing":false`)
-	r.batches <- batchJSON(2, false, hostJSON("slow", slow.addr, "up")+","+hostJSON("w", r.worker.Addr().String(), "removed"))
-	awaitPoll(t, r)
-	return slow, r
+	h := start(t, `"dial_timeout":0.25`, `"dial_timeout":5`, `"orders":true`, `"orders":false`,
+		`"probing":true`, `"probing":false`)
+	h.batches <- batchJSON(2, false,
+		hostJSON("slow", slow.addr, "up")+","+hostJSON("w", h.worker.Addr().String(), "removed"))
+	awaitPoll(t, h)
+	return slow, h
 }
 
-// The time that a worker is told is what the client has left when the request leaves, however long the connection took to
-// come up.
+// The time left that a worker gets is what the client has left when the request is written, however long the connection
+// took.
 func TestDeadlineAfterSlowConnection(t *testing.T) {
-	slow, r := startWithCongestedWorker(t)
-	c := r.dial()
+	slow, h := startWithCongestedWorker(t)
+	c := h.dial()
 	sent := time.Now()
 	c.dispatch("a", fields(id(1))...)
-	time.Sleep(50 * time.Millisecond) // the first try to connect finds no room
+	time.Sleep(50 * time.Millisecond) // the first try to connect fails on the full backlog
 	syscall.Close(slow.accept(t))
 	fd := slow.accept(t)
 	defer syscall.Close(fd)
-	took := time.Since(sent)
-	if took < 500*time.Millisecond {
-		t.Fatalf("the connection came up after %v: the test shows nothing", took)
+	if connecting := time.Since(sent); connecting < 500*time.Millisecond {
+		t.Fatalf("connected after %v: the test shows nothing", connecting)
 	}
-	have := make([]byte, 4096)
+	buffer := make([]byte, 4096)
 	for {
-		n, err := syscall.Read(fd, have)
+		n, err := syscall.Read(fd, buffer)
 		if err != nil || n == 0 {
-			t.Fatal("no request came:", n, err)
+			t.Fatal("no request arrives:", n, err)
 		}
-		_, rest, is := strings.Cut(string(have[:n]), "wait=")
-		if !is {
-			continue // an order to load, or a probe
+		_, rest, found := strings.Cut(string(buffer[:n]), "wait=")
+		if !found {
+			continue // a load request, or a probe
 		}
 		digits, _, _ := strings.Cut(rest, "\r")
 		wait, err := strconv.Atoi(digits)
@@ -95,41 +98,43 @@
 			t.Fatal(err)
 		}
 		left := 2500*time.Millisecond - time.Since(sent)
-		if told := time.Duration(wait) * time.Millisecond; told > left+150*time.Millisecond {
-			t.Errorf("%v after the client sent it, a worker is told %v, the client has %v left", took, told, left)
+		if stated := time.Duration(wait) * time.Millisecond; stated > left+150*time.Millisecond {
+			t.Errorf("the worker gets %v, the client has %v left", stated, left)
 		}
 		return
 	}
 }
 
-// A client that leaves while its attempt waits for a connection gets none, though the owner stands still and has not heard of it.
+// For a client that disconnects while its attempt waits for a connection the attempt is not sent, though the event loop
+// stalls and does not know of it yet.
 func TestClientLeavesWhileConnectingAndOwnerStalls(t *testing.T) {
-	slow, r := startWithCongestedWorker(t)
-	c := r.dial()
+	slow, h := startWithCongestedWorker(t)
+	c := h.dial()
 	c.dispatch("a", fields(id(1))...)
-	time.Sleep(50 * time.Millisecond) // the first try to connect finds no room
-	r.gateway.Pause(3 * time.Second)
+	time.Sleep(50 * time.Millisecond) // the first try to connect fails on the full backlog
+	h.gateway.Pause(3 * time.Second)
 	c.Close()
 	syscall.Close(slow.accept(t))
 	fd := slow.accept(t)
 	defer syscall.Close(fd)
-	if err := syscall.SetsockoptTimeval(fd, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &syscall.Timeval{Sec: 1}); err != nil {
+	timeout := &syscall.Timeval{Sec: 1}
+	if err := syscall.SetsockoptTimeval(fd, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, timeout); err != nil {
 		t.Fatal(err)
 	}
-	have := make([]byte, 4096)
-	if n, _ := syscall.Read(fd, have); n > 0 {
-		t.Errorf("an attempt for a client that has left: %q", have[:n])
+	buffer := make([]byte, 4096)
+	if n, _ := syscall.Read(fd, buffer); n > 0 {
+		t.Errorf("an attempt for a client that has disconnected: %q", buffer[:n])
 	}
 }
 
-// awaitPoll returns when the front end has asked for what comes after the answers given so far.
-func awaitPoll(t *testing.T, r *harness) {
+// awaitPoll returns when the gateway has polled for what follows the batches so far.
+func awaitPoll(t *testing.T, h *harness) {
 	t.Helper()
 	for range 2 {
 		select {
-		case <-r.pollWaits:
+		case <-h.pollWaits:
 		case <-time.After(20 * time.Second):
-			t.Fatal("the journal is not asked")
+			t.Fatal("the discovery service is not polled")
 		}
 	}
 }
--- /dev/null
+++ b/internal/gateway/platform/dispatch.go
@@ -0,0 +1,71 @@
+package platform
+
+import (
+	"fmt"
+	"time"
+
+	"lupinpond/internal/gateway"
+	"lupinpond/internal/gateway/invoke"
+	"lupinpond/internal/gateway/thrift"
+	"lupinpond/scheduler"
+)
+
+// handle handles one message of a client.
+func (g *Gateway) handle(conn *thrift.Conn, message thrift.Message) {
+	args, err := thrift.ReadArgs(message.Args)
+	reject := func(code int32, reason string) {
+		conn.Send(thrift.EncodeException(message.Name, message.SeqID, code, reason))
+		conn.Close()
+	}
+	switch {
+	case err != nil:
+		reject(thrift.ProtocolError, err.Error())
+	case message.Name == methodDispatch && message.Type == thrift.Call:
+		g.dispatch(conn, message.SeqID, args, reject)
+	case message.Name == methodCancel && (message.Type == thrift.Oneway || message.Type == thrift.Call):
+		conn.CancelCall(args.Ints[1])
+	case message.Name == methodAlive && message.Type == thrift.Call:
+		conn.Send(encodeReply(methodAlive, message.SeqID, nil, !g.draining.Load()))
+	default:
+		reject(thrift.UnknownMethod, fmt.Sprintf("no method %q", message.Name))
+	}
+}
+
+// dispatch submits a client's request to the event loop, or answers it at once where it is invalid or there is no memory
+// for its body.
+func (g *Gateway) dispatch(conn *thrift.Conn, seqID int32, args thrift.Args, reject func(int32, string)) {
+	decoded, err := g.decoder.decode(args)
+	if err != nil {
+		decoded = clientRequest{fact: &scheduler.Request{}}
+	}
+	request := &gateway.Request{
+		Scheduled: decoded.fact,
+		Body:      decoded.body,
+		Call:      invoke.Call{IdempotencyKey: decoded.idempotencyKey},
+		Reply:     func(response invoke.Response) { conn.Reply(seqID, encodeResponse(seqID, response)) },
+	}
+	// The sequence ID comes first: an answer under one that is open would be the answer to another request.
+	if !conn.BeginCall(seqID, func() { g.ClientDisconnected(request) }) {
+		reject(thrift.BadSequenceID, "a number that is not new, or too many requests at a time")
+		return
+	}
+	invalid := func(reason string) {
+		conn.Reply(seqID, thrift.EncodeException(methodDispatch, seqID, thrift.InternalError, reason))
+	}
+	if err != nil {
+		invalid(err.Error())
+		return
+	}
+	if !g.recentIDs.add(decoded.numericID, time.Now()) { // every request has an ID of its own, a client's retry too
+		invalid("an event of this id came before")
+		return
+	}
+	size := int64(len(decoded.body)) + 1
+	if g.bodyBytes.Add(size) > g.config.Memory/bodyMemoryDivisor {
+		g.bodyBytes.Add(-size)
+		conn.Reply(seqID, encodeException(seqID, resultThrottled))
+		return
+	}
+	request.Done = func() { g.bodyBytes.Add(-size) }
+	g.Submit(request)
+}
--- a/internal/gateway/platform/golden_test.go
+++ b/internal/gateway/platform/golden_test.go
@@ -28,7 +28,7 @@
 var goldenConfig string
 
 // The configuration with every key gives these values.
-const goldenRead = "{n0 127.0.0.1:7002 127.0.0.1:7001 1.5 67108864 256 {1 []} map[family_info.keep:5 family_info.load_part:0.1 " +
+const goldenValues = "{n0 127.0.0.1:7002 127.0.0.1:7001 1.5 67108864 256 {1 []} map[family_info.keep:5 family_info.load_part:0.1 " +
 	"family_info.loads_anyway:20 family_info.loads_within:10 family_info.machine_mb:1000 family_info.machine_mb.count:1 " +
 	"family_info.miss_mode:load family_info.order_limit:4 family_info.orders:true index:0 instances:1 kinds:k kinds.count:1 " +
 	"locality:z orgs: orgs.0.name:acme orgs.0.quota_per_s:100 orgs.count:1 policy_limits.cancel:true " +
@@ -54,14 +54,14 @@
 		list += fmt.Sprint(e.Position, *e.Update)
 	}
 	c.KnownEndpoints.Events = nil
-	if got := fmt.Sprintf("%v %s", c, list); got != goldenRead {
-		t.Errorf("\n got %s\nwant %s", got, goldenRead)
+	if got := fmt.Sprintf("%v %s", c, list); got != goldenValues {
+		t.Errorf("\n got %s\nwant %s", got, goldenValues)
 	}
 }
 
 // Each key at the top, and of limits, is read under this name: without it the configuration is another, or is refused so.
 func TestGoldenConfigKeys(t *testing.T) {
-	whole, err := platform.Parse([]byte(goldenConfig))
+	complete, err := platform.Parse([]byte(goldenConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,13 +92,13 @@
 		switch {
 		case err != nil && err.Error() != want, err == nil && want != "":
 			t.Errorf("without %s:\n got %v\nwant %s", key, err, want)
-		case err == nil && fmt.Sprint(c) == fmt.Sprint(whole):
+		case err == nil && fmt.Sprint(c) == fmt.Sprint(complete):
 			t.Errorf("without %s: got the same configuration, want another", key)
 		}
 	}
 }
 
-// rawFrame reads one array of bulk strings and gives its bytes as they came, and its words.
+// rawFrame reads one array of bulk strings and returns its bytes as they came, and its elements.
 func rawFrame(in *bufio.Reader) (raw string, words []string, err error) {
 	number := func(mark byte) int {
 		line, lineErr := in.ReadString('\n')
@@ -125,14 +125,14 @@
 	return raw, words, err
 }
 
-// goldenRig is a front end whose worker, clients and list service are bytes of the test.
-type goldenRig struct {
-	t    *testing.T
-	saw  chan string // requests that came to the worker, as bytes
-	addr string
+// goldenHarness is a gateway whose worker, clients and discovery service are bytes of the test.
+type goldenHarness struct {
+	t        *testing.T
+	received chan string // commands that the worker received, as bytes
+	addr     string
 }
 
-func goldenStart(t *testing.T, instances int) *goldenRig {
+func startGolden(t *testing.T, instances int) *goldenHarness {
 	listen := func() net.Listener {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -140,20 +140,20 @@
 		}
 		return l
 	}
-	worker, journal, front := listen(), listen(), listen()
-	text := strings.NewReplacer("127.0.0.1:7000", worker.Addr().String(), "127.0.0.1:7001", journal.Addr().String(),
-		"127.0.0.1:7002", front.Addr().String(), `"instances": 1`, fmt.Sprintf(`"instances": %d`, instances)).Replace(goldenConfig)
+	worker, service, clients := listen(), listen(), listen()
+	text := strings.NewReplacer("127.0.0.1:7000", worker.Addr().String(), "127.0.0.1:7001", service.Addr().String(),
+		"127.0.0.1:7002", clients.Addr().String(), `"instances": 1`, fmt.Sprintf(`"instances": %d`, instances)).Replace(goldenConfig)
 	c, err := platform.Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &goldenRig{t: t, saw: make(chan string, 1000), addr: front.Addr().String()}
-	f := platform.New(c, front, slog.New(slog.DiscardHandler), nil)
+	h := &goldenHarness{t: t, received: make(chan string, 1000), addr: clients.Addr().String()}
+	f := platform.New(c, clients, slog.New(slog.DiscardHandler), nil)
 	ctx, stop := context.WithCancel(context.Background())
 	ended, served := make(chan error, 1), make(chan bool, 1)
 	go func() { ended <- f.Run(ctx) }()
 	go func() {
-		r.work(worker)
+		h.work(worker)
 		served <- true
 	}()
 	t.Cleanup(func() {
@@ -162,14 +162,14 @@
 			t.Error(err)
 		}
 		worker.Close()
-		journal.Close()
+		service.Close()
 		<-served
 	})
-	return r
+	return h
 }
 
-// work plays the worker until its listener is closed; the body of a request says what is answered.
-func (r *goldenRig) work(l net.Listener) {
+// work plays the worker until its listener is closed; the body of a request chooses the response.
+func (h *goldenHarness) work(l net.Listener) {
 	done := make(chan bool, 100)
 	n := 0
 	for {
@@ -187,7 +187,7 @@
 				if err != nil {
 					return
 				}
-				r.saw <- raw
+				h.received <- raw
 				answer := ""
 				switch words[0] {
 				case "FN":
@@ -215,49 +215,51 @@
 	}
 }
 
-// next is the next request of one word at the worker; the time left, which is volatile, is replaced.
-func (r *goldenRig) next(word string) string {
-	r.t.Helper()
+// next is the next command of a name at the worker; the time left, which is volatile, is replaced.
+func (h *goldenHarness) next(name string) string {
+	h.t.Helper()
 	for {
 		select {
-		case raw := <-r.saw:
-			if strings.Contains(raw, "\r\n"+word+"\r\n") {
+		case raw := <-h.received:
+			if strings.Contains(raw, "\r\n"+name+"\r\n") {
 				return regexp.MustCompile(`wait=[0-9]{6}\b`).ReplaceAllString(raw, "wait=NNNNNN")
 			}
 		case <-time.After(20 * time.Second):
-			r.t.Fatal("never came: ", word)
+			h.t.Fatal("never received: ", name)
 		}
 	}
 }
 
-func (r *goldenRig) dial() net.Conn {
-	conn, err := net.Dial("tcp", r.addr)
+func (h *goldenHarness) dial() net.Conn {
+	conn, err := net.Dial("tcp", h.addr)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { conn.Close() })
+	h.t.Cleanup(func() { conn.Close() })
 	if err := conn.SetDeadline(time.Now().Add(30 * time.Second)); err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return conn
 }
 
 // str is a string as the strict binary protocol has it.
-func str(s string) string { return "\x00\x00" + string([]byte{byte(len(s) >> 8), byte(len(s))}) + s }
+func sizedString(s string) string {
+	return "\x00\x00" + string([]byte{byte(len(s) >> 8), byte(len(s))}) + s
+}
 
 // message is a framed message; kind 1 is a call, 2 a reply, 3 an exception, 4 a oneway call.
-func message(kind byte, name string, seq byte, args string) string {
-	return str("\x80\x01\x00" + string([]byte{kind}) + str(name) + "\x00\x00\x00" + string([]byte{seq}) + args)
+func messageFrame(kind byte, name string, seq byte, args string) string {
+	return sizedString("\x80\x01\x00" + string([]byte{kind}) + sizedString(name) + "\x00\x00\x00" + string([]byte{seq}) + args)
 }
 
 // dispatched is a dispatch with the usual fields; pairs are changes.
-func dispatched(seq byte, id, body string, pairs ...string) string {
+func dispatchFrame(seq byte, id, body string, pairs ...string) string {
 	m := fields(id, append([]string{"wait", "500000"}, pairs...)...)
 	args := "\x0d\x00\x01\x0b\x0b\x00\x00\x00" + string([]byte{byte(len(m) / 2)})
 	for _, s := range m {
-		args += str(s)
+		args += sizedString(s)
 	}
-	return message(1, "dispatch", seq, args+"\x0b\x00\x02"+str(body)+"\x00")
+	return messageFrame(1, "dispatch", seq, args+"\x0b\x00\x02"+sizedString(body)+"\x00")
 }
 
 // exchange sends bytes and wants these bytes back.
@@ -277,55 +279,55 @@
 	}
 }
 
-func refused(name string, seq, code byte, reason string) string {
-	return message(3, name, seq, "\x0b\x00\x01"+str(reason)+"\x08\x00\x02\x00\x00\x00"+string([]byte{code})+"\x00")
+func exceptionFrame(name string, seq, code byte, reason string) string {
+	return messageFrame(3, name, seq, "\x0b\x00\x01"+sizedString(reason)+"\x08\x00\x02\x00\x00\x00"+string([]byte{code})+"\x00")
 }
 
-// Every form of answer to clients, and every request to workers, is to the byte what it was.
+// Every form of answer to clients, and every command to workers, is to the byte what it was.
 func TestGoldenConversation(t *testing.T) {
-	r := goldenStart(t, 1)
-	conn := r.dial()
+	h := startGolden(t, 1)
+	conn := h.dial()
 	const one, two, three = "00000000000000a1", "00000000000000a2", "00000000000000a3"
-	exchange(t, conn, "alive", message(1, "alive", 1, "\x00"), "\x00\x00\x00\x2a\x80\x01\x00\x02\x00\x00\x00\x05alive\x00\x00\x00\x01"+
+	exchange(t, conn, "alive", messageFrame(1, "alive", 1, "\x00"), "\x00\x00\x00\x2a\x80\x01\x00\x02\x00\x00\x00\x05alive\x00\x00\x00\x01"+
 		"\x0c\x00\x00\x0b\x00\x01\x00\x00\x00\x00\x0d\x00\x02\x0b\x0b\x00\x00\x00\x00\x02\x00\x03\x01\x00\x00")
-	exchange(t, conn, "handled", dispatched(1, one, "ok"), "\x00\x00\x00\x33\x80\x01\x00\x02\x00\x00\x00\x08dispatch\x00\x00\x00\x01"+
+	exchange(t, conn, "handled", dispatchFrame(1, one, "ok"), "\x00\x00\x00\x33\x80\x01\x00\x02\x00\x00\x00\x08dispatch\x00\x00\x00\x01"+
 		"\x0c\x00\x00\x0b\x00\x01\x00\x00\x00\x06done\r\n\x0d\x00\x02\x0b\x0b\x00\x00\x00\x00\x02\x00\x03\x01\x00\x00")
-	if got, want := r.next("FN"), "*4\r\n$2\r\nFN\r\n$16\r\n"+one+"\r\n$43\r\nclass=call,key=7f3a9c21e0b4d655,wait=NNNNNN\r\n$2\r\nok\r\n"; got != want {
+	if got, want := h.next("FN"), "*4\r\n$2\r\nFN\r\n$16\r\n"+one+"\r\n$43\r\nclass=call,key=7f3a9c21e0b4d655,wait=NNNNNN\r\n$2\r\nok\r\n"; got != want {
 		t.Errorf("\n got %q\nwant %q", got, want)
 	}
-	exchange(t, conn, "broken", dispatched(2, two, "error", "class", "pay"), "\x00\x00\x00\x22\x80\x01\x00\x02\x00\x00\x00\x08dispatch"+
+	exchange(t, conn, "broken", dispatchFrame(2, two, "error", "class", "pay"), "\x00\x00\x00\x22\x80\x01\x00\x02\x00\x00\x00\x08dispatch"+
 		"\x00\x00\x00\x02\x0c\x00\x02\x0d\x00\x01\x0b\x0b\x00\x00\x00\x00\x00\x00")
-	r.next("FN")
-	exchange(t, conn, "an id that came before", dispatched(3, one, "ok"), refused("dispatch", 3, 6, "an event of this id came before"))
-	exchange(t, conn, "bad field", dispatched(4, three, "ok", "class", "none"), refused("dispatch", 4, 6, `class: "none" is not known`))
-	if _, err := io.WriteString(conn, dispatched(5, three, "hang", "class", "keyed", "once", "m1")); err != nil {
+	h.next("FN")
+	exchange(t, conn, "an id that came before", dispatchFrame(3, one, "ok"), exceptionFrame("dispatch", 3, 6, "an event of this id came before"))
+	exchange(t, conn, "bad field", dispatchFrame(4, three, "ok", "class", "none"), exceptionFrame("dispatch", 4, 6, `class: "none" is not known`))
+	if _, err := io.WriteString(conn, dispatchFrame(5, three, "hang", "class", "keyed", "once", "m1")); err != nil {
 		t.Fatal(err)
 	}
 	want := "*4\r\n$2\r\nFN\r\n$16\r\n" + three + "\r\n$52\r\nclass=keyed,key=7f3a9c21e0b4d655,wait=NNNNNN,once=m1\r\n$4\r\nhang\r\n"
-	if got := r.next("FN"); got != want {
+	if got := h.next("FN"); got != want {
 		t.Errorf("\n got %q\nwant %q", got, want)
 	}
-	if _, err := io.WriteString(conn, message(4, "cancelRequest", 0, "\x08\x00\x01\x00\x00\x00\x05\x00")); err != nil {
+	if _, err := io.WriteString(conn, messageFrame(4, "cancelRequest", 0, "\x08\x00\x01\x00\x00\x00\x05\x00")); err != nil {
 		t.Fatal(err)
 	}
-	if got, want := r.next("KILL"), "*2\r\n$4\r\nKILL\r\n$16\r\n"+three+"\r\n"; got != want {
+	if got, want := h.next("KILL"), "*2\r\n$4\r\nKILL\r\n$16\r\n"+three+"\r\n"; got != want {
 		t.Errorf("\n got %q\nwant %q", got, want)
 	}
-	exchange(t, conn, "number not new", dispatched(5, "00000000000000a4", "ok"),
-		refused("dispatch", 5, 4, "a number that is not new, or too many requests at a time"))
+	exchange(t, conn, "number not new", dispatchFrame(5, "00000000000000a4", "ok"),
+		exceptionFrame("dispatch", 5, 4, "a number that is not new, or too many requests at a time"))
 	if n, err := conn.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Errorf("after a refusal: got %d bytes, %v, want EOF", n, err)
 	}
-	exchange(t, r.dial(), "unknown method", message(1, "other", 1, "\x00"), refused("other", 1, 1, `no method "other"`))
-	exchange(t, r.dial(), "arguments cut off", message(1, "alive", 1, "\x02\x00"),
-		refused("alive", 1, 7, "thrift: malformed: a value longer than its frame"))
+	exchange(t, h.dial(), "unknown method", messageFrame(1, "other", 1, "\x00"), exceptionFrame("other", 1, 1, `no method "other"`))
+	exchange(t, h.dial(), "arguments cut off", messageFrame(1, "alive", 1, "\x02\x00"),
+		exceptionFrame("alive", 1, 7, "thrift: malformed: a value longer than its frame"))
 }
 
-// An event whose time is over comes back as throttled, with a time to come back in milliseconds (volatile: replaced) or none.
+// A request whose time is over is throttled, with a time until a retry in milliseconds (volatile: replaced) or none.
 func TestGoldenThrottled(t *testing.T) {
-	r := goldenStart(t, 1)
-	conn := r.dial()
-	if _, err := io.WriteString(conn, dispatched(1, "00000000000000a1", "hang", "wait", "200")); err != nil {
+	h := startGolden(t, 1)
+	conn := h.dial()
+	if _, err := io.WriteString(conn, dispatchFrame(1, "00000000000000a1", "hang", "wait", "200")); err != nil {
 		t.Fatal(err)
 	}
 	var head [4]byte
@@ -341,19 +343,19 @@
 	}
 }
 
-// Load requests and probes are to the byte what they were; of their tags the number is replaced. With more front ends than
+// Load requests and probes are to the byte what they were; of their tags the number is replaced. With more gateways than
 // workers the core probes.
-func TestGoldenOrders(t *testing.T) {
-	for word, want := range map[string]string{
+func TestGoldenLoadRequests(t *testing.T) {
+	for name, want := range map[string]string{
 		"SPAWN": "*3\r\n$5\r\nSPAWN\r\n$2\r\ntN\r\n$24\r\nkey=7f3a9c21e0b4d655,n=1\r\n",
 		"TOP":   "*2\r\n$3\r\nTOP\r\n$2\r\ntN\r\n",
 	} {
-		r := goldenStart(t, 10)
-		conn := r.dial()
-		if _, err := io.WriteString(conn, dispatched(1, "00000000000000a1", "ok")+dispatched(2, "00000000000000a2", "hang")); err != nil {
+		h := startGolden(t, 10)
+		conn := h.dial()
+		if _, err := io.WriteString(conn, dispatchFrame(1, "00000000000000a1", "ok")+dispatchFrame(2, "00000000000000a2", "hang")); err != nil {
 			t.Fatal(err)
 		}
-		if got := regexp.MustCompile(`\bt[0-9]\b`).ReplaceAllString(r.next(word), "tN"); got != want {
+		if got := regexp.MustCompile(`\bt[0-9]\b`).ReplaceAllString(h.next(name), "tN"); got != want {
 			t.Errorf("\n got %q\nwant %q", got, want)
 		}
 	}
@@ -368,7 +370,7 @@
 // The metrics have these names, kinds, help texts and labels, and the status log line these keys in this order. Values are
 // left out: they depend on time.
 func TestGoldenMetrics(t *testing.T) {
-	r := start(t)
+	h := start(t)
 	var addrs []string
 	for range 2 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -379,15 +381,15 @@
 		l.Close()
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(strings.Replace(r.config, `"listen":`, `"listen":"`+addrs[0]+`","was":`, 1)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(strings.Replace(h.config, `"listen":`, `"listen":"`+addrs[0]+`","was":`, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	l, ended := &logBuffer{changed: make(chan struct{})}, make(chan error, 1)
 	go func() {
 		ended <- platform.Run(path, slog.New(slog.NewJSONHandler(l, nil)), platform.Options{MetricsAddr: addrs[1]})
 	}()
-	l.wait("metrics are served", 1)
-	l.wait("front end listens", 1)
+	l.wait("metrics listening", 1)
+	l.wait("gateway listening", 1)
 	client := &http.Client{Timeout: 20 * time.Second}
 	defer client.CloseIdleConnections()
 	response, err := client.Get("http://" + addrs[1] + "/metrics")
--- a/internal/gateway/platform/platform_test.go
+++ b/internal/gateway/platform/platform_test.go
@@ -25,16 +25,17 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeWorker is a worker whose answers a test words.
+// fakeWorker is a worker whose responses a test chooses.
 type fakeWorker struct {
 	net.Listener
 	mu       sync.Mutex
-	respond  func(id, fields, body string) []string // words after the id; none: no answer
+	respond  func(id, fields, body string) []string // elements after the ID; none: no response
 	received chan []string
 	done     sync.WaitGroup
 }
 
 func newWorker(t *testing.T) *fakeWorker {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -71,76 +72,83 @@
 func (w *fakeWorker) serve(conn net.Conn) {
 	defer w.done.Done()
 	defer conn.Close()
-	_ = resp.ReadCommands(conn, 1<<20, func(texts []string, _ int) error { // until the front end ends it
-		w.received <- texts
-		var answer []string
-		switch texts[0] {
+	_ = resp.ReadCommands(conn, 1<<20, func(command []string, _ int) error { // until the gateway closes it
+		w.received <- command
+		var response []string
+		switch command[0] {
 		case "FN":
 			w.mu.Lock()
-			says := w.respond
+			respond := w.respond
 			w.mu.Unlock()
-			answer = says(texts[1], texts[2], texts[3])
+			response = respond(command[1], command[2], command[3])
 		case "SPAWN":
-			answer = []string{"ok", "n=1", ""}
+			response = []string{"ok", "n=1", ""}
 		case "TOP":
-			answer = []string{"yes", "stats=busy_reqs:0;pending:0", ""}
+			response = []string{"yes", "stats=busy_reqs:0;pending:0", ""}
 		}
-		if answer == nil {
+		if response == nil {
 			return nil
 		}
-		_, err := conn.Write(resp.AppendArray(nil, append(texts[1:2:2], answer...)...))
+		_, err := conn.Write(resp.AppendArray(nil, append(command[1:2:2], response...)...))
 		return err
 	})
 }
 
-// next is the next request of one sort that the worker saw.
-func (w *fakeWorker) next(t *testing.T, word string) []string {
+// next is the next command of a name that the worker receives.
+func (w *fakeWorker) next(t *testing.T, name string) []string {
 	t.Helper()
 	for {
 		select {
 		case got := <-w.received:
-			if got[0] == word {
+			if got[0] == name {
 				return got
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatal("never came: ", word)
+			t.Fatal("never received: ", name)
 		}
 	}
 }
 
 const key = "7f3a9c21e0b4d655"
 
-// harness is a front end with one worker.
+// harness is a gateway with one worker.
 type harness struct {
 	t         *testing.T
 	config    string
 	worker    *fakeWorker
 	addr      string
 	gateway   *platform.Gateway
-	batches   chan string // its answers
-	pollWaits chan string // how long it may wait, of each question
+	batches   chan string // answers of the discovery service
+	pollWaits chan string // how long it may wait, of each poll
 	stop      context.CancelFunc
 	ended     chan error
 }
 
-// start starts a front end; changes are of its configuration, a text and what stands in its place.
+// start starts a gateway; changes of its configuration are texts and their replacements in turns.
 func start(t *testing.T, changes ...string) *harness {
-	r := &harness{t: t, worker: newWorker(t), batches: make(chan string, 10), pollWaits: make(chan string, 1000), ended: make(chan error, 1)}
-	journal := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		r.pollWaits <- q.URL.Query().Get("max_wait")
+	t.Helper()
+	h := &harness{
+		t:         t,
+		worker:    newWorker(t),
+		batches:   make(chan string, 10),
+		pollWaits: make(chan string, 1000),
+		ended:     make(chan error, 1),
+	}
+	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+		h.pollWaits <- q.URL.Query().Get("max_wait")
 		select {
-		case text := <-r.batches:
+		case text := <-h.batches:
 			fmt.Fprint(w, text)
 		case <-q.Context().Done():
 		}
 	}))
-	t.Cleanup(journal.Close)
+	t.Cleanup(service.Close)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.addr = listener.Addr().String()
-	r.config = fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"8c1f30d27a5be964","journal":%q,
+	h.addr = listener.Addr().String()
+	h.config = fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"8c1f30d27a5be964","journal":%q,
 		"limits":{"cores":1.0,"memory_mb":64,"sockets":256},
 		"known":{"pos":1,"entries":[%s]},
 		"settings":{"index":0,"instances":1,"quantum":0.001,"weight_source":"nominal","kinds":["k"],
@@ -148,29 +156,31 @@
 		"policy_limits":{"cancel":true,"conn_idle":15,"dial_timeout":0.25,"max_streams":32,"send_cap":3,"probing":true,
 		"retry_after":true,"max_retry_after":2},"report":{"source":"inline","fields":["busy_reqs","pending"]},
 		"rules":{"stop_sending_within":0.5},"orgs":[{"name":"acme","quota_per_s":100}],
-		"request_classes":[{"name":"call","effect":"pure","aim":1,"give_up":3},{"name":"pay","effect":"side_effect","aim":1,"give_up":3}]}}`,
-		r.addr, journal.Listener.Addr(), eventJSON(1, "up", r.worker.Addr().String()))
-	r.config = strings.NewReplacer(changes...).Replace(r.config)
-	c, err := platform.Parse([]byte(r.config))
+		"request_classes":[{"name":"call","effect":"pure","aim":1,"give_up":3},
+		{"name":"pay","effect":"side_effect","aim":1,"give_up":3}]}}`,
+		h.addr, service.Listener.Addr(), eventJSON(1, "up", h.worker.Addr().String()))
+	h.config = strings.NewReplacer(changes...).Replace(h.config)
+	c, err := platform.Parse([]byte(h.config))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.gateway = platform.New(c, listener, slog.New(slog.DiscardHandler), nil)
+	h.gateway = platform.New(c, listener, slog.New(slog.DiscardHandler), nil)
 	ctx, stop := context.WithCancel(context.Background())
-	r.stop = stop
-	go func() { r.ended <- r.gateway.Run(ctx) }()
+	h.stop = stop
+	go func() { h.ended <- h.gateway.Run(ctx) }()
 	t.Cleanup(func() {
 		stop()
-		if err := <-r.ended; err != nil {
+		if err := <-h.ended; err != nil {
 			t.Error(err)
 		}
 	})
-	return r
+	return h
 }
 
-func eventJSON(n int, health, addr string) string {
-	return fmt.Sprintf(`{"pos":%d,"hosts":{"seq":1,"whole":%v,"hosts":[{"host":"w","dial":%q,"site":"z","class":"k","block":0,`+
-		`"health":%q,"share":4,"born_ms":0}]}}`, n, n == 1, addr, health)
+// eventJSON is a watch event with one endpoint; the first holds the complete list.
+func eventJSON(position int, health, addr string) string {
+	return fmt.Sprintf(`{"pos":%d,"hosts":{"seq":1,"whole":%v,"hosts":[%s]}}`,
+		position, position == 1, hostJSON("w", addr, health))
 }
 
 // client is a connection of a client.
@@ -180,16 +190,17 @@
 	seq int32
 }
 
-func (r *harness) dial() *client {
-	conn, err := net.Dial("tcp", r.addr)
+func (h *harness) dial() *client {
+	h.t.Helper()
+	conn, err := net.Dial("tcp", h.addr)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { conn.Close() })
+	h.t.Cleanup(func() { conn.Close() })
 	if err := conn.SetDeadline(time.Now().Add(30 * time.Second)); err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	return &client{Conn: conn, t: r.t}
+	return &client{Conn: conn, t: h.t}
 }
 
 // fields are those of a usual request, with changes.
@@ -225,7 +236,7 @@
 	}
 }
 
-// answer reads an answer: handled with its body, throttled with the time to come back, broken, or exception.
+// answer reads an answer: handled with its body, throttled with the time until a retry, broken, or exception.
 func (c *client) answer() (seq int32, what, text string) {
 	c.t.Helper()
 	var head [4]byte
@@ -267,13 +278,13 @@
 
 func id(n int) string { return fmt.Sprintf("%016x", n) }
 
-// The worker's word decides: handled with its body unchanged, deferred with a time to come back, dead-lettered.
+// The worker's response decides: handled with its body unchanged, rejected with a time until a retry, or failed.
 func TestOutcomes(t *testing.T) {
-	r := start(t)
-	c := r.dial()
+	h := start(t)
+	c := h.dial()
 	body := "\x00any\r\nbytes"
 	c.dispatch(body, fields(id(1))...)
-	got := r.worker.next(t, "FN")
+	got := h.worker.next(t, "FN")
 	if got[1] != id(1) || got[3] != body || !strings.HasPrefix(got[2], "class=call,key="+key+",wait=2") {
 		t.Errorf("%q", got)
 	}
@@ -282,11 +293,11 @@
 	w.Bool(1, false)
 	c.send(w.Frame())
 	c.expect("handled", "")
-	r.worker.respondWith(func(string, string, string) []string { return []string{"error", "-", ""} })
+	h.worker.respondWith(func(string, string, string) []string { return []string{"error", "-", ""} })
 	c.seq = 50
 	c.dispatch("", fields(id(2), "class", "pay")...)
 	c.expect("broken", "")
-	r.worker.respondWith(func(string, string, string) []string { return nil })
+	h.worker.respondWith(func(string, string, string) []string { return nil })
 	c.dispatch("", fields(id(3), "wait", "200")...)
 	_, what, after := c.answer()
 	if what != "throttled" || after == "" {
@@ -294,14 +305,20 @@
 	}
 }
 
-// What can't be passed on is answered with an exception and never comes to a worker, nor does an id that came before.
+// An invalid request is answered with an exception and never reaches a worker, nor does one with an ID that is not new.
 func TestInvalidRequests(t *testing.T) {
-	r := start(t)
-	c := r.dial()
-	for _, bad := range [][]string{{"class", "none"}, {"class", ""}, {"tenant", "other"}, {"tenant", ""}, {"id", "short"}, {"id", ""},
-		{"key", "zz3a9c21e0b4d655"}, {"key", ""}, {"wait", "-5"}, {"wait", "0"}, {"wait", "1e3"}, {"wait", ""}, {"wait", "999999999999999"},
-		{"wait", "3002"}, {"retry", "yes"}, {"facts", "lanes"}, {"facts", "lanes:-1"}, {"facts", "memory_mb:NaN"},
-		{"facts", "memory_mb:1e300"}, {"facts", "lanes:2.5"}} {
+	h := start(t)
+	c := h.dial()
+	for _, bad := range [][]string{
+		{"class", "none"}, {"class", ""},
+		{"tenant", "other"}, {"tenant", ""},
+		{"id", "short"}, {"id", ""},
+		{"key", "zz3a9c21e0b4d655"}, {"key", ""},
+		{"wait", "-5"}, {"wait", "0"}, {"wait", "1e3"}, {"wait", ""}, {"wait", "999999999999999"}, {"wait", "3002"},
+		{"retry", "yes"},
+		{"facts", "lanes"}, {"facts", "lanes:-1"}, {"facts", "lanes:2.5"},
+		{"facts", "memory_mb:NaN"}, {"facts", "memory_mb:1e300"},
+	} {
 		c.dispatch("", fields(id(7), bad...)...)
 		if _, what, _ := c.answer(); what != "exception" {
 			t.Errorf("%q is %s", bad, what)
@@ -319,29 +336,29 @@
 	if got["handled"] != 1 || got["exception"] != 1 {
 		t.Error("two requests of one id:", got)
 	}
-	for len(r.worker.received) > 0 {
-		if w := <-r.worker.received; w[0] == "FN" && (w[1] != id(9) || w[3] != "a") {
-			t.Errorf("came to the worker: %q", w)
+	for len(h.worker.received) > 0 {
+		if w := <-h.worker.received; w[0] == "FN" && (w[1] != id(9) || w[3] != "a") {
+			t.Errorf("reached the worker: %q", w)
 		}
 	}
 }
 
-// A request that is taken back is given up at its worker, and no answer follows.
+// A request that its client cancels is cancelled at its worker, and no answer follows.
 func TestCancelledRequest(t *testing.T) {
-	r := start(t)
-	r.worker.respondWith(func(_, _, body string) []string {
+	h := start(t)
+	h.worker.respondWith(func(_, _, body string) []string {
 		if body == "hang" {
 			return nil
 		}
 		return []string{"ok", "-", body}
 	})
-	c := r.dial()
+	c := h.dial()
 	c.dispatch("hang", fields(id(1))...)
-	r.worker.next(t, "FN")
+	h.worker.next(t, "FN")
 	w := thrift.NewWriter("cancelRequest", thrift.Oneway, 0)
 	w.I32(1, 1)
 	c.send(w.Frame())
-	if got := r.worker.next(t, "KILL"); got[1] != id(1) {
+	if got := h.worker.next(t, "KILL"); got[1] != id(1) {
 		t.Errorf("%q", got)
 	}
 	c.dispatch("next", fields(id(2))...)
@@ -350,19 +367,19 @@
 	}
 }
 
-// Told to end, a front end goes on answering what comes, and ends with none open.
+// While it drains, a gateway goes on answering what arrives, and it ends with no request open.
 func TestDrain(t *testing.T) {
-	r := start(t)
+	h := start(t)
 	release := make(chan struct{})
-	r.worker.respondWith(func(_, _, body string) []string {
+	h.worker.respondWith(func(_, _, body string) []string {
 		<-release
 		return []string{"ok", "how=ready", body}
 	})
-	c := r.dial()
+	c := h.dial()
 	c.dispatch("before", fields(id(1))...)
-	r.worker.next(t, "FN")
-	r.stop()
-	other := r.dial()
+	h.worker.next(t, "FN")
+	h.stop()
+	other := h.dial()
 	other.dispatch("after", fields(id(2))...)
 	close(release)
 	c.expect("handled", "before")
@@ -372,17 +389,17 @@
 	}
 }
 
-// Told to end, a front end answers what a worker would have answered too late for it: unanswered it would be killed. An
-// event that may be tried again is deferred, one that may not is dead-lettered.
+// While it drains, a gateway answers what a worker would have answered too late, before it is killed. An idempotent
+// request is rejected, any other failed.
 func TestDrainAnswersInFlightRequests(t *testing.T) {
-	r := start(t, `"give_up":3`, `"give_up":100`)
-	r.worker.respondWith(func(string, string, string) []string { return nil })
-	c := r.dial()
+	h := start(t, `"give_up":3`, `"give_up":100`)
+	h.worker.respondWith(func(string, string, string) []string { return nil })
+	c := h.dial()
 	c.dispatch("", fields(id(1), "wait", "90000")...)
 	c.dispatch("", fields(id(2), "wait", "90000", "class", "pay")...)
-	r.worker.next(t, "FN")
-	r.worker.next(t, "FN")
-	r.stop()
+	h.worker.next(t, "FN")
+	h.worker.next(t, "FN")
+	h.stop()
 	got := map[int32]string{}
 	for range 2 {
 		seq, what, _ := c.answer()
@@ -396,22 +413,22 @@
 	}
 }
 
-// A drained worker gets nothing new; news of a moved journal is heard.
+// A draining worker gets nothing new; events come from the discovery service at its new address.
 func TestDiscoveryAddressChange(t *testing.T) {
-	r := start(t)
-	c := r.dial()
+	h := start(t)
+	c := h.dial()
 	c.dispatch("a", fields(id(1))...)
 	c.expect("handled", "done a")
 	moved := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Query().Get("tail") == "1" {
-			fmt.Fprintf(w, `{"pos":2,"entries":[%s]}`, eventJSON(2, "draining", r.worker.Addr().String()))
+			fmt.Fprintf(w, `{"pos":2,"entries":[%s]}`, eventJSON(2, "draining", h.worker.Addr().String()))
 			return
 		}
 		<-q.Context().Done()
 	}))
 	defer moved.Close()
 	var object map[string]any
-	if err := json.Unmarshal([]byte(r.config), &object); err != nil {
+	if err := json.Unmarshal([]byte(h.config), &object); err != nil {
 		t.Fatal(err)
 	}
 	object["journal"] = moved.Listener.Addr().String()
@@ -423,8 +440,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.gateway.Reload(config)
-	for n := 2; ; n++ { // until the news is heard
+	h.gateway.Reload(config)
+	for n := 2; ; n++ { // until the event is applied
 		c.dispatch("b", fields(id(n), "wait", "300")...)
 		if _, what, _ := c.answer(); what == "throttled" {
 			break
@@ -434,13 +451,13 @@
 
 // A client has as many requests open as the platform allows, though a connection to a worker carries fewer.
 func TestOpenRequests(t *testing.T) {
-	r := start(t, `"max_streams":32`, `"max_streams":2`)
+	h := start(t, `"max_streams":32`, `"max_streams":2`)
 	release := make(chan struct{})
-	r.worker.respondWith(func(_, _, body string) []string {
+	h.worker.respondWith(func(_, _, body string) []string {
 		<-release
 		return []string{"ok", "how=ready", body}
 	})
-	c := r.dial()
+	c := h.dial()
 	for n := range 32 {
 		c.dispatch("", fields(id(n))...)
 	}
@@ -452,69 +469,71 @@
 	}
 }
 
-// The mark of a keyed event goes to the worker as it came, also with another launch; one that has none, or one that would
-// end the worker's field, is never sent.
+// The idempotency key of a request goes to the worker unchanged, with a retry too; a request of a keyed type without one,
+// or with one that would end the worker's field, is never sent.
 func TestIdempotencyKey(t *testing.T) {
-	r := start(t, `"effect":"side_effect"`, `"effect":"token","dedup_scope":"all","window":5`)
-	c := r.dial()
+	h := start(t, `"effect":"side_effect"`, `"effect":"token","dedup_scope":"all","window":5`)
+	c := h.dial()
 	for i, bad := range []string{"", "a,b", "a=b", "a\r\nb", strings.Repeat("x", 1000)} {
 		c.dispatch("", fields(id(i), "class", "pay", "once", bad)...)
 		c.expect("exception", "")
 	}
-	launches := 0
-	r.worker.respondWith(func(_, _, body string) []string {
-		if launches++; launches == 1 {
+	attempts := 0
+	h.worker.respondWith(func(_, _, body string) []string {
+		if attempts++; attempts == 1 {
 			return []string{"error", "-", ""}
 		}
 		return []string{"ok", "-", body}
 	})
 	c.dispatch("a", fields(id(50), "class", "pay", "once", "7b2f00aa")...)
 	for range 2 {
-		if got := r.worker.next(t, "FN"); !strings.HasSuffix(got[2], ",once=7b2f00aa") {
+		if got := h.worker.next(t, "FN"); !strings.HasSuffix(got[2], ",once=7b2f00aa") {
 			t.Errorf("%q", got)
 		}
 	}
 	c.expect("handled", "a")
-	c.dispatch("b", fields(id(51), "once", "of no use")...) // of a type that may run again
-	if got := r.worker.next(t, "FN"); strings.Contains(got[2], "once") {
+	c.dispatch("b", fields(id(51), "once", "of no use")...) // of an idempotent type
+	if got := h.worker.next(t, "FN"); strings.Contains(got[2], "once") {
 		t.Errorf("%q", got)
 	}
 	c.expect("handled", "b")
 }
 
-// hostJSON is a line of the list.
+// hostJSON is an endpoint.
 func hostJSON(name, addr, health string) string {
-	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"z","class":"k","block":0,"health":%q,"share":4,"born_ms":0}`, name, addr, health)
+	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"z","class":"k","block":0,"health":%q,"share":4,"born_ms":0}`,
+		name, addr, health)
 }
 
-// batchJSON is an answer of the journal with one event a list; the first has a number.
-func batchJSON(first int, whole bool, lists ...string) string {
+// batchJSON is a batch with an event for each list of endpoints, from a position on.
+func batchJSON(first int, complete bool, lists ...string) string {
 	var events []string
 	for i, list := range lists {
-		events = append(events, fmt.Sprintf(`{"pos":%d,"hosts":{"whole":%v,"hosts":[%s]}}`, first+i, whole, list))
+		events = append(events, fmt.Sprintf(`{"pos":%d,"hosts":{"whole":%v,"hosts":[%s]}}`, first+i, complete, list))
 	}
 	return fmt.Sprintf(`{"pos":%d,"entries":[%s]}`, first+len(lists)-1, strings.Join(events, ","))
 }
 
-// A worker that drains and goes in one answer, another one at its address, and then a whole list without that one: what is
-// out at each is still answered, and new events go where the list says.
+// A worker that drains and is removed in one batch, another one at its address, and then a complete list without that
+// one: what is in flight at each is still answered, and new requests go where the list says.
 func TestRequestsDuringEndpointChanges(t *testing.T) {
-	third := newWorker(t) // ends after the front end
-	r := start(t)
+	third := newWorker(t) // closed after the gateway
+	h := start(t)
 	release := make(chan struct{})
-	r.worker.respondWith(func(_, _, body string) []string {
+	h.worker.respondWith(func(_, _, body string) []string {
 		if body == "out" {
 			<-release
 		}
 		return []string{"ok", "how=ready", body}
 	})
-	addr := r.worker.Addr().String()
-	c := r.dial()
+	addr := h.worker.Addr().String()
+	c := h.dial()
 	c.dispatch("out", fields(id(1))...)
-	r.worker.next(t, "FN")
-	r.batches <- batchJSON(2, false, hostJSON("w", addr, "draining"), hostJSON("w", addr, "removed"), hostJSON("again", addr, "up"))
+	h.worker.next(t, "FN")
+	h.batches <- batchJSON(2, false,
+		hostJSON("w", addr, "draining"), hostJSON("w", addr, "removed"), hostJSON("again", addr, "up"))
 	n := 2
-	handled := func() { // until the news is heard
+	handled := func() { // until the events are applied
 		for ; ; n++ {
 			c.dispatch("new", fields(id(n), "wait", "300")...)
 			if _, what, text := c.answer(); what == "handled" {
@@ -527,7 +546,7 @@
 		}
 	}
 	handled()
-	r.batches <- batchJSON(5, true, hostJSON("third", third.Addr().String(), "up"))
+	h.batches <- batchJSON(5, true, hostJSON("third", third.Addr().String(), "up"))
 	for len(third.received) == 0 {
 		handled()
 	}
@@ -535,20 +554,20 @@
 	c.expect("handled", "out")
 }
 
-// Whatever has come and gone, workers, clients and functions, leaves no goroutine and no connection behind.
+// Workers, clients and functions that come and go leave no goroutine and no connection behind.
 func TestNoLeaks(t *testing.T) {
-	r := start(t)
-	c := r.dial()
+	h := start(t)
+	c := h.dial()
 	c.dispatch("a", fields(id(1<<20))...)
 	c.expect("handled", "")
-	before, name, addr := runtime.NumGoroutine(), "w", r.worker.Addr().String()
+	before, name, addr := runtime.NumGoroutine(), "w", h.worker.Addr().String()
 	for n := range 100 {
 		next := fmt.Sprint("w", n)
-		r.batches <- batchJSON(2+2*n, false, hostJSON(name, addr, "removed"), hostJSON(next, addr, "up"))
+		h.batches <- batchJSON(2+2*n, false, hostJSON(name, addr, "removed"), hostJSON(next, addr, "up"))
 		name = next
-		other := r.dial()
+		other := h.dial()
 		other.dispatch("a", fields(id(n), "key", id(n), "wait", "1000")...)
-		if n%3 > 0 { // others leave without an answer
+		if n%3 > 0 { // others disconnect without an answer
 			other.answer()
 		}
 		other.Close()
@@ -562,28 +581,36 @@
 	}
 }
 
-// A silent journal is noticed before its news counts as told, two seconds after the wait that was asked for, which is never
-// longer than the platform allows and follows the drain grace.
+// A silent discovery service is noticed before its events count as delivered, two seconds after the wait that a poll asks
+// for. That follows the drain grace, and is never longer than the platform allows.
 func TestPollWait(t *testing.T) {
 	for grace, want := range map[string]string{"0.5": "1000", "1": "2000", "0": "250", "10": "5000"} {
-		r := start(t, `"stop_sending_within":0.5`, `"stop_sending_within":`+grace)
-		if got := <-r.pollWaits; got != want {
-			t.Errorf("with a grace of %s s the journal may wait %s ms instead of %s", grace, got, want)
+		h := start(t, `"stop_sending_within":0.5`, `"stop_sending_within":`+grace)
+		if got := <-h.pollWaits; got != want {
+			t.Errorf("with a grace of %s s a poll may wait %s ms instead of %s", grace, got, want)
 		}
 	}
 }
 
 func TestInvalidConfig(t *testing.T) {
-	r := start(t)
-	for _, change := range [][2]string{{`"seed":"8c1f`, `"seed":"xx1f`}, {`"sockets":256`, `"sockets":2`}, {`"cores":1.0`, `"cores":0`},
-		{`"listen":"127`, `"listen":127,"x":"127`}, {`"pos":1,"hosts"`, `"pos":-1,"hosts"`}, {`"request_classes"`, `"nothing"`}, {"{", ""}} {
-		if _, err := platform.Parse([]byte(strings.Replace(r.config, change[0], change[1], 1))); err == nil {
-			t.Errorf("with %s it is taken", change[1])
+	h := start(t)
+	for _, change := range [][2]string{
+		{`"seed":"8c1f`, `"seed":"xx1f`},
+		{`"sockets":256`, `"sockets":2`},
+		{`"cores":1.0`, `"cores":0`},
+		{`"listen":"127`, `"listen":127,"x":"127`},
+		{`"pos":1,"hosts"`, `"pos":-1,"hosts"`},
+		{`"request_classes"`, `"nothing"`},
+		{"{", ""},
+	} {
+		if _, err := platform.Parse([]byte(strings.Replace(h.config, change[0], change[1], 1))); err == nil {
+			t.Errorf("with %s it is accepted", change[1])
 		}
 	}
 }
 
 func FuzzConfig(f *testing.F) {
-	f.Add([]byte(`{"name":"n","listen":"127.0.0.1:1","journal":"127.0.0.1:2","seed":"1","limits":{"cores":1,"memory_mb":1,"sockets":99}}`))
+	f.Add([]byte(`{"name":"n","listen":"127.0.0.1:1","journal":"127.0.0.1:2","seed":"1",
+		"limits":{"cores":1,"memory_mb":1,"sockets":99}}`))
 	f.Fuzz(func(_ *testing.T, b []byte) { _, _ = platform.Parse(b) })
 }
--- a/internal/gateway/platform/request.go
+++ b/internal/gateway/platform/request.go
@@ -13,105 +13,128 @@
 	"lupinpond/scheduler"
 )
 
-// Methods and fields of the service; numbers of its structs' fields.
+// Limits on a client's request.
 const (
-	methodDispatch = "dispatch"
-	methodCancel   = "cancelRequest"
-	methodAlive    = "alive"
+	// maxBodyBytes is the longest body.
+	maxBodyBytes = 16 << 10
 
-	resultSuccess   = 0
-	resultThrottled = 1
-	resultFailed    = 2
+	// maxHeadBytes is the longest that all else in a message may be.
+	maxHeadBytes = 4 << 10
 
-	maxBodyBytes = 16 << 10 // bytes of a body
-	maxHeadBytes = 4 << 10  // of all else in a message
-	maxKeyBytes  = 128      // of a mark
+	// maxKeyBytes is the longest idempotency key.
+	maxKeyBytes = 128
+
+	// maxFact is the largest figure of a function.
+	maxFact = 1e9
+
+	// maxConcurrency is the largest concurrency of a replica.
+	maxConcurrency = 1 << 16
 )
 
-var errInvalidBody = errors.New("body: missing or longer than 16 KiB")
+var (
+	errNoFields    = errors.New("fields: missing")
+	errInvalidBody = errors.New("body: missing or longer than 16 KiB")
+)
 
-// clientRequest is an event as a client sends it.
+// clientRequest is a request as a client sends it.
 type clientRequest struct {
 	fact           *scheduler.Request
-	numericID      uint64 // the id as a number
-	idempotencyKey string // of a keyed event, by which workers know a repeat
+	numericID      uint64
+	idempotencyKey string // by which workers recognise a retry of a keyed request
 	body           []byte
 }
 
-// requestDecoder knows what requests may hold.
+// requestDecoder decodes and checks requests by the request types and tenants of the settings.
 type requestDecoder struct {
-	maxAges map[string]time.Duration // of event types
-	keyed   map[string]bool
+	maxAges map[string]time.Duration // by request type
+	keyed   map[string]bool          // request types with an idempotency key
 	tenants map[string]bool
 }
 
-// decode reads the arguments of dispatch. What can't be passed on to a worker, or could be served only by mistake, is an
-// error: the event is not taken.
-func (r requestDecoder) decode(a thrift.Args) (clientRequest, error) {
-	fields, is := a.StringMaps[1]
-	body, has := a.Binaries[2]
-	if !is {
-		return clientRequest{}, errors.New("fields: missing")
+// decode decodes the arguments of dispatch. What can't be passed on to a worker, or could be served only by mistake, is
+// an error, whose text the client gets.
+func (d requestDecoder) decode(args thrift.Args) (clientRequest, error) {
+	fields, hasFields := args.StringMaps[1]
+	body, hasBody := args.Binaries[2]
+	if !hasFields {
+		return clientRequest{}, errNoFields
 	}
-	if !has || len(body) > maxBodyBytes {
+	if !hasBody || len(body) > maxBodyBytes {
 		return clientRequest{}, errInvalidBody
 	}
-	id, key, class, tenant := fields["id"], fields["key"], fields["class"], fields["tenant"]
-	number, err := parseHexID(id)
+	fact, numericID, err := d.decodeFields(fields)
+	if err != nil {
+		return clientRequest{}, err
+	}
+	key, err := d.decodeKey(fact.Type, fields["once"])
 	if err != nil {
-		return clientRequest{}, fmt.Errorf("id: %w", err)
+		return clientRequest{}, err
 	}
-	function, err := parseHexID(key)
+	return clientRequest{fact: fact, numericID: numericID, idempotencyKey: key, body: body}, nil
+}
+
+// decodeFields decodes what the scheduler has to know of a request.
+func (d requestDecoder) decodeFields(fields map[string]string) (fact *scheduler.Request, numericID uint64, err error) {
+	id, class, tenant := fields["id"], fields["class"], fields["tenant"]
+	if numericID, err = parseHexID(id); err != nil {
+		return nil, 0, fmt.Errorf("id: %w", err)
+	}
+	function, err := parseHexID(fields["key"])
 	if err != nil {
-		return clientRequest{}, fmt.Errorf("key: %w", err)
+		return nil, 0, fmt.Errorf("key: %w", err)
 	}
-	age, known := r.maxAges[class]
+	maxAge, known := d.maxAges[class]
 	if !known {
-		return clientRequest{}, fmt.Errorf("class: %q is not known", class)
+		return nil, 0, fmt.Errorf("class: %q is not known", class)
 	}
-	if tenant != "" && !r.tenants[tenant] || tenant == "" && len(r.tenants) > 0 {
-		return clientRequest{}, fmt.Errorf("tenant: %q is not known", tenant)
+	if tenant != "" && !d.tenants[tenant] || tenant == "" && len(d.tenants) > 0 {
+		return nil, 0, fmt.Errorf("tenant: %q is not known", tenant)
 	}
 	wait, err := strconv.ParseUint(fields["wait"], 10, 32)
-	patience := time.Duration(wait) * time.Millisecond
-	if err != nil || wait == 0 || patience > age+time.Millisecond { // rounded up
-		return clientRequest{}, fmt.Errorf("wait: %q is not from 1 to the max age in milliseconds", fields["wait"])
+	timeLeft := time.Duration(wait) * time.Millisecond
+	if err != nil || wait == 0 || timeLeft > maxAge+time.Millisecond { // clients round it up
+		return nil, 0, fmt.Errorf("wait: %q is not from 1 to the max age in milliseconds", fields["wait"])
 	}
-	fact := &scheduler.Request{ID: id, Type: class, Tenant: tenant, Function: function, TimeLeft: patience}
+	fact = &scheduler.Request{ID: id, Type: class, Tenant: tenant, Function: function, TimeLeft: timeLeft}
 	switch fields["retry"] {
 	case "", "0":
 	case "1":
 		fact.Retry = true
 	default:
-		return clientRequest{}, fmt.Errorf("retry: %q is neither 1 nor absent", fields["retry"])
+		return nil, 0, fmt.Errorf("retry: %q is neither 1 nor absent", fields["retry"])
 	}
 	if err := parseFunctionFacts(fact, fields["facts"]); err != nil {
-		return clientRequest{}, fmt.Errorf("facts: %w", err)
+		return nil, 0, fmt.Errorf("facts: %w", err)
 	}
-	mark := fields["once"]
-	if r.keyed[class] && (mark == "" || len(mark) > maxKeyBytes || strings.ContainsFunc(mark, breaksField)) {
-		return clientRequest{}, fmt.Errorf("once: %q is no mark of a keyed event", mark)
+	return fact, numericID, nil
+}
+
+// decodeKey checks the idempotency key of a request of a type. Where the type has none it is dropped: no worker would
+// recognise a retry by it.
+func (d requestDecoder) decodeKey(requestType, key string) (string, error) {
+	if !d.keyed[requestType] {
+		return "", nil
 	}
-	if !r.keyed[class] { // nobody would drop a repeat by it
-		mark = ""
+	if key == "" || len(key) > maxKeyBytes || strings.ContainsFunc(key, breaksField) {
+		return "", fmt.Errorf("once: %q is no mark of a keyed event", key)
 	}
-	return clientRequest{fact: fact, numericID: number, idempotencyKey: mark, body: body}, nil
+	return key, nil
 }
 
-// breaksField tells what would end a value in the fields of a worker's command, or is no text.
+// breaksField reports whether a character would end a value in the fields of a worker's command, or is no text.
 func breaksField(c rune) bool { return c == ',' || c == '=' || !unicode.IsPrint(c) }
 
-// parseHexID reads 16 hex digits.
-func parseHexID(s string) (uint64, error) {
-	n, err := strconv.ParseUint(s, 16, 64)
-	if err != nil || len(s) != 16 || strings.ToLower(s) != s {
-		return 0, fmt.Errorf("%q is not 16 hex digits", s)
+// parseHexID parses 16 lower-case hex digits.
+func parseHexID(text string) (uint64, error) {
+	id, err := strconv.ParseUint(text, 16, 64)
+	if err != nil || len(text) != 16 || strings.ToLower(text) != text {
+		return 0, fmt.Errorf("%q is not 16 hex digits", text)
 	}
-	return n, nil
+	return id, nil
 }
 
-// parseFunctionFacts reads what is told of a request's function.
-func parseFunctionFacts(e *scheduler.Request, text string) error {
+// parseFunctionFacts adds to a request what its client knows of the function.
+func parseFunctionFacts(request *scheduler.Request, text string) error {
 	if text == "" {
 		return nil
 	}
@@ -123,40 +146,15 @@
 		}
 		switch name {
 		case "memory_mb":
-			e.Memory = n
+			request.Memory = n
 		case "lanes", "at_once":
-			if e.Concurrency = int(n); n != math.Trunc(n) || n < 1 || n > maxConcurrency {
+			if n != math.Trunc(n) || n < 1 || n > maxConcurrency {
 				return fmt.Errorf("%q is no number of lanes", part)
 			}
+			request.Concurrency = int(n)
 		case "load_ms":
-			e.LoadTime = time.Duration(n * float64(time.Millisecond))
+			request.LoadTime = time.Duration(n * float64(time.Millisecond))
 		}
 	}
 	return nil
 }
-
-// A figure beyond these is no fact of a function.
-const (
-	maxFact        = 1e9
-	maxConcurrency = 1 << 16
-)
-
-// encodeReply spells the answer to dispatch, or to alive.
-func encodeReply(method string, seq int32, body []byte, good bool) []byte {
-	w := thrift.NewWriter(method, thrift.Reply, seq)
-	w.Struct(resultSuccess)
-	w.Binary(1, body)
-	w.StringMap(2)
-	w.Bool(3, good)
-	w.End()
-	return w.Frame()
-}
-
-// encodeException spells one of the exceptions of dispatch.
-func encodeException(seq int32, which int16, pairs ...string) []byte {
-	w := thrift.NewWriter(methodDispatch, thrift.Reply, seq)
-	w.Struct(which)
-	w.StringMap(1, pairs...)
-	w.End()
-	return w.Frame()
-}
--- a/internal/gateway/platform/run_test.go
+++ b/internal/gateway/platform/run_test.go
@@ -14,7 +14,7 @@
 	"lupinpond/internal/gateway/platform"
 )
 
-// logBuffer tells a test the messages that are logged.
+// logBuffer collects log lines, for tests to wait for.
 type logBuffer struct {
 	mu      sync.Mutex
 	text    string
@@ -30,7 +30,7 @@
 	return len(b), nil
 }
 
-// wait waits until a text has been logged so often.
+// wait waits until a text has been logged so many times.
 func (l *logBuffer) wait(text string, times int) {
 	for {
 		l.mu.Lock()
@@ -43,15 +43,16 @@
 	}
 }
 
-// startProgram runs the program of a front end by a configuration file.
-func startProgram(t *testing.T, r *harness, config string) (path string, l *logBuffer, ended chan error) {
+// startProgram runs a gateway by a configuration file, as its program does.
+func startProgram(t *testing.T, h *harness, config string) (path string, l *logBuffer, ended chan error) {
+	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.addr, path = listener.Addr().String(), filepath.Join(t.TempDir(), "config.json")
+	h.addr, path = listener.Addr().String(), filepath.Join(t.TempDir(), "config.json")
 	listener.Close()
-	var object = strings.Replace(config, `"listen":`, `"listen":"`+r.addr+`","was":`, 1)
+	object := strings.Replace(config, `"listen":`, `"listen":"`+h.addr+`","was":`, 1)
 	if err := os.WriteFile(path, []byte(object), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -67,13 +68,13 @@
 	}
 }
 
-// A file that can't be read leaves what is in force, also in the middle of a reload and while the front end drains; a second
-// SIGTERM changes nothing; all ends without an error.
+// A file that can't be read leaves the configuration in force, also in the middle of a reload and while the gateway
+// drains; a second SIGTERM changes nothing; all ends without an error.
 func TestSignals(t *testing.T) {
-	r := start(t)
-	path, l, ended := startProgram(t, r, r.config)
-	l.wait("front end listens", 1)
-	c := r.dial()
+	h := start(t)
+	path, l, ended := startProgram(t, h, h.config)
+	l.wait("gateway listening", 1)
+	c := h.dial()
 	c.dispatch("a", fields(id(1))...)
 	c.expect("handled", "done a")
 	good, err := os.ReadFile(path)
@@ -81,13 +82,18 @@
 		t.Fatal(err)
 	}
 	bad := 0
-	for _, text := range []string{"", string(good[:len(good)/2]), `{"name":"n0"}`, strings.Replace(string(good), `"sockets":256`, `"sockets":-1`, 1)} {
+	for _, text := range []string{
+		"",
+		string(good[:len(good)/2]),
+		`{"name":"n0"}`,
+		strings.Replace(string(good), `"sockets":256`, `"sockets":-1`, 1),
+	} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		signal(t, syscall.SIGHUP)
 		bad++
-		l.wait("the new configuration is not taken", bad)
+		l.wait("configuration reload failed", bad)
 		c.dispatch("b", fields(id(1+bad))...)
 		c.expect("handled", "done b")
 	}
@@ -95,18 +101,18 @@
 		t.Fatal(err)
 	}
 	signal(t, syscall.SIGHUP)
-	l.wait("msg=\"new configuration\"", 1)
+	l.wait("msg=\"configuration reloaded\"", 1)
 	release := make(chan struct{})
-	r.worker.respondWith(func(_, _, body string) []string {
+	h.worker.respondWith(func(_, _, body string) []string {
 		<-release
 		return []string{"ok", "how=ready", body}
 	})
 	c.dispatch("c", fields(id(50))...)
-	r.worker.next(t, "FN")
+	h.worker.next(t, "FN")
 	signal(t, syscall.SIGTERM)
 	l.wait("draining", 1)
 	signal(t, syscall.SIGHUP) // in the middle of the drain
-	l.wait("msg=\"new configuration\"", 2)
+	l.wait("msg=\"configuration reloaded\"", 2)
 	signal(t, syscall.SIGTERM)
 	close(release)
 	c.expect("handled", "c")
@@ -115,32 +121,39 @@
 	}
 }
 
-// A configuration that can't be ends the start with an error that names what is wrong.
+// An invalid configuration ends the start with an error of one line that names what is wrong.
 func TestStartWithInvalidConfig(t *testing.T) {
-	r := start(t)
-	for change, names := range map[string]string{`"seed":"8c1f`: "seed", `"cores":1.0`: "cores", `"sockets":256`: "sockets",
-		`"memory_mb":64`: "memory_mb", `"journal":"127`: "journal", `"request_classes":[`: "request_classes"} {
-		name, _, _ := strings.Cut(change, ":")
-		_, _, ended := startProgram(t, r, strings.Replace(r.config, change, name+`:"x","was":`+strings.TrimPrefix(change, name+":"), 1))
+	h := start(t)
+	for change, names := range map[string]string{
+		`"seed":"8c1f`:        "seed",
+		`"cores":1.0`:         "cores",
+		`"sockets":256`:       "sockets",
+		`"memory_mb":64`:      "memory_mb",
+		`"journal":"127`:      "journal",
+		`"request_classes":[`: "request_classes",
+	} {
+		name, value, _ := strings.Cut(change, ":")
+		_, _, ended := startProgram(t, h, strings.Replace(h.config, change, name+`:"x","was":`+value, 1))
 		if err := <-ended; err == nil || !strings.Contains(err.Error(), names) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("without %s: %v", names, err)
 		}
 	}
-	if err := platform.Run(filepath.Join(t.TempDir(), "none"), slog.New(slog.DiscardHandler), platform.Options{}); err == nil {
-		t.Error("no file is taken")
+	missing := filepath.Join(t.TempDir(), "none")
+	if err := platform.Run(missing, slog.New(slog.DiscardHandler), platform.Options{}); err == nil {
+		t.Error("a missing file is accepted")
 	}
 }
 
-// A configuration that is being written at SIGHUP is taken once it is whole, without another signal, and one that is being written
-// at the start too; an address that another process has not let go yet is taken once it has.
+// A configuration that is being written at SIGHUP is applied once it is complete, without another signal, and one that is
+// being written at the start too; an address that another process still uses is listened at once that has released it.
 func TestIncompleteConfigIsRetried(t *testing.T) {
-	r := start(t)
+	h := start(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr, path := listener.Addr().String(), filepath.Join(t.TempDir(), "config.json")
-	object := []byte(strings.Replace(r.config, `"listen":`, `"listen":"`+addr+`","was":`, 1))
+	object := []byte(strings.Replace(h.config, `"listen":`, `"listen":"`+addr+`","was":`, 1))
 	if err := os.WriteFile(path, object[:len(object)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -152,16 +165,16 @@
 	}
 	time.Sleep(100 * time.Millisecond)
 	listener.Close()
-	l.wait("front end listens", 1)
+	l.wait("gateway listening", 1)
 	if err := os.WriteFile(path, object[:len(object)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
 	signal(t, syscall.SIGHUP)
-	l.wait("the new configuration is not taken", 1)
+	l.wait("configuration reload failed", 1)
 	if err := os.WriteFile(path, object, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	l.wait("msg=\"new configuration\"", 1)
+	l.wait("msg=\"configuration reloaded\"", 1)
 	signal(t, syscall.SIGUSR1)
 	l.wait("msg=status", 1)
 	signal(t, syscall.SIGTERM)
--- /dev/null
+++ b/internal/gateway/platform/status.go
@@ -0,0 +1,126 @@
+package platform
+
+import (
+	"context"
+	"log/slog"
+	"sync/atomic"
+	"time"
+
+	"lupinpond/internal/gateway"
+	"lupinpond/internal/gateway/invariant"
+	"lupinpond/internal/gateway/thrift"
+	"lupinpond/scheduler"
+)
+
+// closeCounts counts closed connections of clients by reason.
+type closeCounts [thrift.CloseReasonCount]atomic.Int64
+
+// status is the state of a gateway at one moment, for logs and metrics.
+type status struct {
+	gateway.Counts
+	Fleet              scheduler.FleetState
+	OpenRequests       int64
+	Connections        int64
+	WorkerConnections  int64
+	UnmatchedResponses int64
+	EndpointPosition   int64
+	LogLinesDropped    int64
+}
+
+// statusTimeout is how long the event loop may take to give its part of the status.
+const statusTimeout = time.Second
+
+// status collects the state; numbers that the event loop does not give in time are 0.
+func (g *Gateway) status() status {
+	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
+	defer cancel()
+	s := status{
+		Counts:             g.Counts(ctx),
+		Fleet:              g.FleetState(ctx),
+		OpenRequests:       g.server.OpenCalls(),
+		Connections:        int64(g.server.Connections()),
+		WorkerConnections:  g.transport.pool.OpenConns(),
+		UnmatchedResponses: g.transport.pool.UnmatchedResponses(),
+		EndpointPosition:   g.watcher.Position(),
+	}
+	if g.droppedLogLines != nil {
+		s.LogLinesDropped = g.droppedLogLines()
+	}
+	return s
+}
+
+// logStatus logs the state in one line, as an error where an invariant was violated. The golden test holds its keys and
+// their order: scripts may read the line.
+func (g *Gateway) logStatus(level slog.Level) {
+	if g.monitor.Total() > 0 {
+		level = slog.LevelError
+	}
+	s, stats := g.status(), g.Stats()
+	closed, unserved := map[string]int64{}, map[string]int64{}
+	for reason := range g.closeCounts {
+		if n := g.closeCounts[reason].Load(); n > 0 {
+			closed[thrift.CloseReason(reason).String()] = n
+		}
+	}
+	for reason := range stats.Unserved {
+		if n := stats.Unserved[reason].Load(); n > 0 {
+			unserved[scheduler.Reason(reason).String()] = n
+		}
+	}
+	g.log.Log(context.Background(), level, "status",
+		"violations", g.monitor.Counts(),
+		"requests", s.Accepted,
+		"completed", s.Completed,
+		"rejected", s.Rejected,
+		"failed", s.Failed,
+		"clients_left", s.ClientsDisconnected,
+		"attempts", s.Attempts,
+		"retries", stats.Retries.Load(),
+		"given_up", unserved,
+		"withheld_left", stats.WithheldDisconnected.Load(),
+		"withheld_late", stats.WithheldExpired.Load(),
+		"withheld_stalled", stats.WithheldStalled.Load(),
+		"read_after_stall", stats.ReadAfterStall.Load(),
+		"load_requests", s.LoadRequests,
+		"probes", s.Probes,
+		"late_answers", s.LateOutcomes,
+		"closed", closed,
+		"open", s.OpenRequests,
+		"connections", s.Connections,
+		"to_workers", s.WorkerConnections,
+		"stray_answers", s.UnmatchedResponses,
+		"workers", s.Fleet.Workers,
+		"ejected", s.Fleet.Ejected,
+		"with_room", s.Fleet.WithCapacity,
+		"in_flight", s.Fleet.InFlight,
+		"overloaded", s.Fleet.Overloaded,
+		"list_position", s.EndpointPosition,
+		"log_lines_dropped", s.LogLinesDropped)
+}
+
+// connectionClosed counts and checks the end of a client's connection.
+func (g *Gateway) connectionClosed(event thrift.CloseEvent) {
+	g.closeCounts[event.Reason].Add(1)
+	g.log.Debug("connection closed",
+		"reason", event.Reason.String(),
+		"client", event.ClientAddr,
+		"open_calls", event.OpenCalls,
+		"unwritten_bytes", event.UnwrittenBytes,
+		"duration", event.Duration)
+	g.checkClosed(event)
+}
+
+// checkClosed checks that nothing was owed on a connection that the gateway has closed.
+func (g *Gateway) checkClosed(event thrift.CloseEvent) {
+	if !event.Reason.ByServer() {
+		return
+	}
+	if event.OpenCalls > 0 {
+		g.monitor.Violated(invariant.ClosedUnanswered, "",
+			"reason", event.Reason.String(), "client", event.ClientAddr, "requests", event.OpenCalls)
+	}
+	if event.UnwrittenBytes > 0 {
+		g.monitor.Violated(invariant.ClosedBeforeWritten, "",
+			"reason", event.Reason.String(), "client", event.ClientAddr, "bytes", event.UnwrittenBytes)
+	}
+}
--- /dev/null
+++ b/internal/gateway/platform/transport.go
@@ -0,0 +1,128 @@
+package platform
+
+import (
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"lupinpond/internal/gateway"
+	"lupinpond/internal/gateway/invariant"
+	"lupinpond/internal/gateway/resp"
+	"lupinpond/scheduler"
+)
+
+// workerTransport carries the core's decisions to workers over RESP, and follows the endpoint list.
+type workerTransport struct {
+	pool        *resp.Pool
+	canCancel   bool   // attempts may be cancelled at workers
+	reportField string // the field of load reports that has the queue depth; empty: none
+	lastTag     atomic.Uint64
+	drainGrace  time.Duration // within which nothing new goes to a worker that drains or is removed
+	monitor     *invariant.Monitor
+	startedAt   time.Time
+
+	mu     sync.Mutex
+	listed map[string]*backend // by the last update of the endpoint list
+	// applied is the endpoint list as the core knows it: what the core decides is for the incarnation of a worker that it
+	// knows, not for one that has taken its name since.
+	applied map[string]*backend
+}
+
+// newWorkerTransport makes a transport over the connections of a pool.
+func newWorkerTransport(config Config, pool *resp.Pool, monitor *invariant.Monitor) *workerTransport {
+	t := &workerTransport{
+		pool:       pool,
+		canCancel:  config.Core.Cancel,
+		drainGrace: config.drainGrace(),
+		monitor:    monitor,
+		startedAt:  time.Now(),
+		listed:     map[string]*backend{},
+		applied:    map[string]*backend{},
+	}
+	if config.Settings["report.source"] != "off" {
+		t.reportField = reportedQueueDepth
+	}
+	return t
+}
+
+// now is the transport's clock; never 0.
+func (t *workerTransport) now() time.Duration { return time.Since(t.startedAt) + 1 }
+
+// cancellableCall is a call to a worker that is under way.
+type cancellableCall struct {
+	*resp.Call
+	cancelCommand []byte // cancels it at the worker; nil: it can only be abandoned here, as load requests and probes are
+}
+
+// Cancel cancels the call.
+func (c cancellableCall) Cancel() { c.Call.Cancel(c.cancelCommand) }
+
+// Send sends an attempt to a worker.
+func (t *workerTransport) Send(request *gateway.Request, _ int, worker string, permit *gateway.SendPermit,
+	done func(scheduler.Outcome, []byte)) gateway.Canceller {
+	target := t.lookup(worker)
+	if target == nil {
+		done(scheduler.Outcome{Result: scheduler.Unreachable}, nil)
+		return nil
+	}
+	id := request.Scheduled.ID
+	t.checkIncarnation(id, worker, target)
+	var cancelCommand []byte
+	if t.canCancel {
+		cancelCommand = resp.AppendArray(nil, commandCancel, id)
+	}
+	message := resp.Message{
+		WriteTimeout: maxWriteTime,
+		Encode: func() []byte {
+			timeLeft, permitted := permit.TimeLeft()
+			if !permitted {
+				return nil
+			}
+			return encodeRequest(request, timeLeft)
+		},
+		OnWritten: func() {
+			permit.Written()
+			t.checkDrained(id, worker, target)
+		},
+	}
+	call := target.Call(id, message, true, func(result resp.Result) { done(t.parseOutcome(result)) })
+	return cancellableCall{call, cancelCommand}
+}
+
+// Load sends a load request to a worker.
+func (t *workerTransport) Load(request scheduler.LoadRequest,
+	done func(replicas int, result scheduler.Result)) gateway.Canceller {
+	target := t.lookup(request.Worker)
+	if target == nil {
+		done(request.Replicas, scheduler.Unreachable)
+		return nil
+	}
+	tag := t.nextTag()
+	frame := encodeLoadRequest(tag, request)
+	call := target.Call(tag, resp.FixedMessage(frame), false, func(result resp.Result) {
+		done(parseLoadResult(request, result))
+	})
+	return cancellableCall{Call: call}
+}
+
+// Probe asks a worker for a load report.
+func (t *workerTransport) Probe(worker string, done func(scheduler.Result, scheduler.LoadReport)) gateway.Canceller {
+	target := t.lookup(worker)
+	if target == nil {
+		done(scheduler.Unreachable, scheduler.LoadReport{})
+		return nil
+	}
+	tag := t.nextTag()
+	frame := resp.AppendArray(nil, commandProbe, tag)
+	call := target.Call(tag, resp.FixedMessage(frame), false, func(result resp.Result) {
+		done(t.parseProbeResult(result))
+	})
+	return cancellableCall{Call: call}
+}
+
+// Subscribe does nothing: the discovery service is watched all the time.
+func (t *workerTransport) Subscribe() {}
+
+// nextTag is a new ID for a load request or a probe.
+func (t *workerTransport) nextTag() string { return "t" + strconv.FormatUint(t.lastTag.Add(1), 10) }
