--- a/internal/gateway/discovery/golden_test.go
+++ b/internal/gateway/discovery/golden_test.go
@@ -22,12 +22,18 @@
 	}
 	defer listener.Close()
 	addr := listener.Addr().String()
-	told := make(chan discovery.Event, 2)
-	f := discovery.NewWatcher(addr, discovery.Limits{PollWait: 60 * time.Second, UsualResponse: 20 * time.Second, MaxResponse: 20 * time.Second, MaxBytes: 1 << 16},
-		slog.New(slog.DiscardHandler), func(e discovery.Event) { told <- e })
+	events := make(chan discovery.Event, 2)
+	limits := discovery.Limits{
+		PollWait:      60 * time.Second,
+		UsualResponse: 20 * time.Second,
+		MaxResponse:   20 * time.Second,
+		MaxBytes:      1 << 16,
+	}
+	watcher := discovery.NewWatcher(addr, limits, slog.New(slog.DiscardHandler),
+		func(event discovery.Event) { events <- event })
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- f.Run(ctx) }()
+	go func() { ended <- watcher.Run(ctx) }()
 	defer func() {
 		stop()
 		if err := <-ended; err != nil {
@@ -65,16 +71,16 @@
 	if _, err := io.WriteString(conn, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)); err != nil {
 		t.Fatal(err)
 	}
-	if e := <-told; e.Position != 7 {
-		t.Errorf("got event %d, want 7", e.Position)
+	if event := <-events; event.Position != 7 {
+		t.Errorf("got event %d, want 7", event.Position)
 	}
 	if got := head(); got != fmt.Sprintf(want, 7) {
 		t.Errorf("\n got %q\nwant %q", got, fmt.Sprintf(want, 7))
 	}
 }
 
-// Every form of answer decodes to these values: a whole list, a change with each state, an event of another kind, none.
-func TestGoldenNews(t *testing.T) {
+// Every form of answer decodes to these values: a complete list, a change with each state, an event of another kind, none.
+func TestGoldenBatches(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{`{"pos":5,"entries":[{"pos":1,"hosts":{"seq":1,"whole":true,"hosts":[{"host":"w1","dial":"127.0.0.1:9","site":"z","class":"k",` +
 			`"block":2,"health":"up","share":4.5,"born_ms":1700000000123}]}},{"pos":4,"other":1},{"pos":5,"hosts":{"hosts":[` +
@@ -89,19 +95,20 @@
 		{`{"pos":5,"entries":[{"pos":5,"hosts":{"hosts":[{"host":"w","dial":"x","health":"up"}]}}]}`,
 			`error journal: event 5: worker "w": address x: missing port in address`},
 	} {
-		n, err := discovery.Parse([]byte(c.text))
-		got := fmt.Sprint("last ", n.Position)
+		batch, err := discovery.Parse([]byte(c.text))
+		got := fmt.Sprint("last ", batch.Position)
 		if err != nil {
 			got = "error " + err.Error()
 		}
-		for _, e := range n.Events {
+		for _, e := range batch.Events {
 			if e.Update == nil {
 				got += fmt.Sprintf("; event %d no list", e.Position)
 				continue
 			}
 			got += fmt.Sprintf("; event %d whole %v", e.Position, e.Update.Complete)
 			for _, w := range e.Update.Endpoints {
-				got += fmt.Sprintf(" {%v %v %v %v %v %v %v %v}", w.Name, w.Addr, w.Zone, w.Kind, w.Cell, w.State, w.Size, w.StartedUnixMilli)
+				got += fmt.Sprintf(" {%v %v %v %v %v %v %v %v}",
+					w.Name, w.Addr, w.Zone, w.Kind, w.Cell, w.State, w.Size, w.StartedUnixMilli)
 			}
 		}
 		if got != c.want {
--- /dev/null
+++ b/internal/gateway/discovery/watcher.go
@@ -0,0 +1,185 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/cenkalti/backoff/v5"
+)
+
+// Limits bound the polls of a service.
+type Limits struct {
+	// PollWait is how long the service may wait for an event before it answers. Past that and UsualResponse it is
+	// polled again.
+	PollWait time.Duration
+
+	// UsualResponse is the time that an answer usually takes beyond PollWait.
+	UsualResponse time.Duration
+
+	// MaxResponse is the longest time for that, and for a connection: a slow service is not cut off while it is polled
+	// again.
+	MaxResponse time.Duration
+
+	// MaxBytes is the longest answer.
+	MaxBytes int64
+}
+
+// Divisors of Limits.UsualResponse.
+const (
+	// minBackoffDivisor gives the first pause after an error an eighth; the longest is all of it.
+	minBackoffDivisor = 8
+
+	// earlyAnswerDivisor makes an answer with nothing new an error where it comes before half of Limits.PollWait.
+	earlyAnswerDivisor = 2
+)
+
+var (
+	// errAddressChanged says that an answer came from an address that is not the service's any more.
+	errAddressChanged = errors.New("journal: the address of the service has changed")
+
+	// errEarlyAnswer says that the service does not wait for events: it would be polled without a pause.
+	errEarlyAnswer = errors.New("journal: empty batch before the wait was over")
+)
+
+// Watcher watches the endpoint list of one service.
+type Watcher struct {
+	limits         Limits
+	log            *slog.Logger
+	notify         func(Event)
+	addressChanged chan struct{}
+
+	// Of the goroutine that runs Run.
+	resync     bool      // the complete list is to be polled for; changes between rounds only
+	answeredAt time.Time // when the last batch was applied
+	polls      sync.WaitGroup
+
+	mu          sync.Mutex
+	addr        string
+	position    int64
+	cancelPolls context.CancelFunc
+}
+
+// cursor is where the service is polled, and after which event.
+type cursor struct {
+	addr     string
+	position int64
+}
+
+// NewWatcher makes a Watcher of the service at an address; notify gets each event once, in order.
+func NewWatcher(addr string, limits Limits, log *slog.Logger, notify func(Event)) *Watcher {
+	return &Watcher{
+		addr:           addr,
+		limits:         limits,
+		log:            log,
+		notify:         notify,
+		addressChanged: make(chan struct{}, 1),
+		answeredAt:     time.Now(),
+	}
+}
+
+// Position is the position of the last event that was passed on.
+func (w *Watcher) Position() int64 { return w.currentCursor().position }
+
+func (w *Watcher) currentCursor() cursor {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return cursor{w.addr, w.position}
+}
+
+// SetAddress polls the service at another address from now on; positions go on.
+func (w *Watcher) SetAddress(addr string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.addr = addr
+	if w.cancelPolls != nil {
+		w.cancelPolls()
+	}
+	select {
+	case w.addressChanged <- struct{}{}:
+	default:
+	}
+}
+
+// Apply passes on the events of a batch that are new, also of one that came another way, as at the start.
+func (w *Watcher) Apply(batch Batch) {
+	for _, event := range batch.Events {
+		w.mu.Lock()
+		isNew := event.Position > w.position
+		w.position = max(w.position, event.Position)
+		w.mu.Unlock()
+		if isNew {
+			w.notify(event)
+		}
+	}
+}
+
+// Run polls until ctx ends.
+func (w *Watcher) Run(ctx context.Context) error {
+	pause := backoff.NewExponentialBackOff()
+	pause.InitialInterval = w.limits.UsualResponse / minBackoffDivisor
+	pause.MaxInterval = w.limits.UsualResponse
+	transport := &http.Transport{DialContext: new(net.Dialer).DialContext, MaxIdleConnsPerHost: 1}
+	defer transport.CloseIdleConnections()
+	defer w.polls.Wait()
+	client := &http.Client{Transport: transport}
+	for ctx.Err() == nil {
+		err := w.pollRound(ctx, client)
+		if err == nil {
+			pause.Reset()
+			continue
+		}
+		transport.CloseIdleConnections()
+		w.log.Info("discovery poll failed", "err", err)
+		select {
+		case <-ctx.Done():
+		case <-w.addressChanged:
+		case <-time.After(pause.NextBackOff()):
+		}
+	}
+	return nil
+}
+
+// accept applies the answer to a poll from a cursor, unless the service's address has changed since.
+func (w *Watcher) accept(result pollResult, from cursor) error {
+	if w.currentCursor().addr != from.addr {
+		return errAddressChanged
+	}
+	maxAge := max(1, time.Since(w.answeredAt))
+	if w.resync {
+		return w.applyComplete(result.batch, maxAge)
+	}
+	if !result.batch.continues(from.position) {
+		// None of these events is passed on: what the missing ones have changed would be lost for good.
+		w.resync = true
+		w.log.Warn("discovery events missing, polling for the complete list", "position", from.position)
+		return nil
+	}
+	for i := range result.batch.Events {
+		result.batch.Events[i].MaxAge = maxAge
+	}
+	w.answeredAt = time.Now()
+	w.Apply(result.batch)
+	if w.currentCursor().position == from.position && result.duration < w.limits.PollWait/earlyAnswerDivisor {
+		return errEarlyAnswer
+	}
+	return nil
+}
+
+// applyComplete ends a resync with a batch that holds the complete list.
+func (w *Watcher) applyComplete(batch Batch, maxAge time.Duration) error {
+	event, ok := batch.compact()
+	if !ok || event.Position < w.position {
+		return fmt.Errorf("journal: resync: no complete list as new as position %d", w.position)
+	}
+	event.MaxAge = maxAge
+	w.resync = false
+	w.answeredAt = time.Now()
+	w.Apply(Batch{Events: []Event{event}})
+	return nil
+}
--- a/internal/gateway/platform/backends_test.go
+++ b/internal/gateway/platform/backends_test.go
@@ -15,7 +15,7 @@
 func TestNextIncarnationIsFoundOnceApplied(t *testing.T) {
 	pool := resp.NewPool(context.Background(), resp.Limits{MaxCallsPerConn: 1})
 	transport := newWorkerTransport(Config{}, pool, invariant.NewMonitor(slog.New(slog.DiscardHandler)))
-	list := func(state string, started int64) discovery.Update {
+	list := func(state discovery.State, started int64) discovery.Update {
 		return discovery.Update{Endpoints: []discovery.Endpoint{
 			{Name: "w", Addr: "127.0.0.1:1", State: state, StartedUnixMilli: started},
 		}}
--- a/internal/gateway/platform/endpoints.go
+++ b/internal/gateway/platform/endpoints.go
@@ -62,7 +62,7 @@
 
 // logUpdate logs an update of the endpoint list with the number of endpoints in each state.
 func (e *engine) logUpdate(event discovery.Event) {
-	states := map[string]int{}
+	states := map[discovery.State]int{}
 	for _, endpoint := range event.Update.Endpoints {
 		states[endpoint.State]++
 	}
--- a/internal/testbed/discoverytest/service.go
+++ b/internal/testbed/discoverytest/service.go
@@ -211,7 +211,7 @@
 	defer s.mu.Unlock()
 	names := make(map[string]string, len(s.workers))
 	for name, w := range s.workers {
-		names[name] = w.State
+		names[name] = string(w.State)
 	}
 	return &Counts{Polls: s.polls.Load(), CompleteResponses: s.completeResponses.Load(), Bytes: s.bytes.Load(), Position: s.position, Digest: Digest(names)}
 }
--- a/internal/testbed/scale/fronts.go
+++ b/internal/testbed/scale/fronts.go
@@ -244,9 +244,9 @@
 	}
 	states := map[string]string{}
 	for _, m := range members {
-		states[m.Worker] = discovery.Up
+		states[m.Worker] = string(discovery.Up)
 		if m.Condition == scheduler.Draining {
-			states[m.Worker] = discovery.Draining
+			states[m.Worker] = string(discovery.Draining)
 		}
 	}
 	return discoverytest.Digest(states)
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -194,7 +194,7 @@
 }
 
 // publishState publishes the state of workers.
-func (r *run) publishState(workers []*worker, state string) {
+func (r *run) publishState(workers []*worker, state discovery.State) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var lines []discovery.Endpoint
