--- a/internal/base/durable/durable_test.go
+++ b/internal/base/durable/durable_test.go
@@ -13,7 +13,7 @@
 
 var bucket = []byte("b")
 
-// A file that a full disk cut short while it was made holds nothing: it is made anew. One that was made whole never is.
+// A file that a full disk cut short while it was made holds nothing: it is made anew. One that was made in full never is.
 func TestIncompleteFileIsRecreated(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f.bolt")
 	db, err := durable.Open(path, 1, bucket)
@@ -23,16 +23,16 @@
 	if err := db.Close(); err != nil {
 		t.Fatal(err)
 	}
-	whole, err := os.ReadFile(path)
+	complete, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, size := range []int{0, 100, os.Getpagesize(), os.Getpagesize() + 10, 3 * os.Getpagesize()} {
-		cut := filepath.Join(t.TempDir(), "cut.bolt")
-		if err := os.WriteFile(cut, make([]byte, size), 0o600); err != nil {
+		truncated := filepath.Join(t.TempDir(), "truncated.bolt")
+		if err := os.WriteFile(truncated, make([]byte, size), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		db, err := durable.Open(cut, 1, bucket)
+		db, err := durable.Open(truncated, 1, bucket)
 		if err != nil {
 			t.Errorf("%d bytes: %v", size, err)
 			continue
@@ -42,11 +42,11 @@
 			t.Error(err)
 		}
 	}
-	spoilt := filepath.Join(t.TempDir(), "spoilt.bolt")
-	if err := os.WriteFile(spoilt, make([]byte, len(whole)), 0o600); err != nil {
+	unreadable := filepath.Join(t.TempDir(), "unreadable.bolt")
+	if err := os.WriteFile(unreadable, make([]byte, len(complete)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if db, err := durable.Open(spoilt, 1, bucket); err == nil {
-		t.Error("a file of full size that can't be read is taken", db.Close())
+	if db, err := durable.Open(unreadable, 1, bucket); err == nil {
+		t.Error("a file of full size that can't be read is opened", db.Close())
 	}
 }
