--- a/internal/worker/idempotency/group.go
+++ b/internal/worker/idempotency/group.go
@@ -15,129 +15,154 @@
 	"lupinpond/internal/base/httpclient"
 )
 
+const (
+	// maxIdleConnections is how many connections to one register are held open.
+	maxIdleConnections = 64
+	// maxNotifyAttempts is how often a register is notified before it is given up.
+	maxNotifyAttempts = 3
+	// maxAnswerBytes is the longest answer that is read from a register.
+	maxAnswerBytes = 2 * maxMessageBytes
+)
+
 // Group asks the registers of a group. Its methods may be called by any goroutine.
 type Group struct {
-	registerURLs []string // base addresses
+	registerURLs []string
 	client       *http.Client
 	log          *slog.Logger
 	background   sync.WaitGroup
 }
 
 // NewGroup makes a Group of an odd number of registers, given as addresses HOST:PORT; all workers of a group name the
-// same ones. limit bounds each request.
-func NewGroup(registers []string, limit time.Duration, log *slog.Logger) (*Group, error) {
+// same ones. timeout bounds each request.
+func NewGroup(registers []string, timeout time.Duration, log *slog.Logger) (*Group, error) {
 	if len(registers)%2 == 0 {
 		return nil, fmt.Errorf("%d registers: a group has an odd number, so that more than half is clear", len(registers))
 	}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}
+	g := &Group{client: &http.Client{Timeout: timeout, Transport: transport}, log: log}
 	seen := map[string]bool{}
-	g := &Group{client: &http.Client{Timeout: limit, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}, log: log}
-	for _, r := range registers {
-		if seen[r] {
-			return nil, fmt.Errorf("register %s is named twice", r)
+	for _, address := range registers {
+		if seen[address] {
+			return nil, fmt.Errorf("register %s is named twice", address)
 		}
-		seen[r] = true
-		g.registerURLs = append(g.registerURLs, "http://"+r)
+		seen[address] = true
+		g.registerURLs = append(g.registerURLs, "http://"+address)
 	}
 	return g, nil
 }
 
-// Claim claims a key at all registers and returns as soon as the verdict is clear. What it was granted without running is
-// given back. The claim is for Handled and Release; body is the answer that a repeat of a handled event gets, nil if it was
-// too long to be kept.
-func (g *Group) Claim(ctx context.Context, key string, window time.Duration) (claim string, v Decision, body []byte) {
-	claim = rand.Text()
-	type heard struct {
-		register int
-		said     Vote
-		holder   string
-		body     []byte
-	}
-	all := make(chan heard, len(g.registerURLs))
-	decided := make(chan struct{}) // closed when the verdict stands
-	for i, base := range g.registerURLs {
+// registerReply is one register's reply to a claim.
+type registerReply struct {
+	register int
+	vote     Vote
+	owner    string
+	response []byte
+}
+
+// Claim claims a key at all registers and returns as soon as the decision is clear. What was granted without running
+// is given back. The claim is for Complete and Release; response is what a duplicate of a completed request gets, nil
+// if it was too long to be stored.
+func (g *Group) Claim(ctx context.Context, key string, window time.Duration) (string, Decision, []byte) {
+	message := claimMessage{Key: key, Claim: rand.Text(), WindowMS: max(1, window.Milliseconds())}
+	replies := make(chan registerReply, len(g.registerURLs))
+	var decision Decision // read by the goroutines once decided is closed
+	decided := make(chan struct{})
+	for i, url := range g.registerURLs {
 		g.background.Go(func() {
-			var a claimAnswer
-			h := heard{register: i, said: VoteFailed}
-			// not bounded by ctx: a claim that is on its way is followed by what gives it back
-			err := g.post(context.WithoutCancel(ctx), base+"/v1/claim", claimMessage{Key: key, Claim: claim, WindowMS: max(1, window.Milliseconds())}, &a)
-			if err != nil {
-				g.log.Warn("register did not answer a claim", "register", base, "err", err)
-			} else {
-				for said, name := range voteNames {
-					if name == a.Vote {
-						h.said, h.holder, h.body = said, a.Owner, a.Response
-					}
-				}
-			}
-			all <- h
+			reply := g.claimAt(ctx, i, url, message)
+			replies <- reply
 			<-decided
-			if v != DecisionExecute && (h.said == VoteGranted || h.said == VoteFailed) {
-				g.notify(base+"/v1/release", claimMessage{Key: key, Claim: claim})
+			if decision != DecisionExecute && (reply.vote == VoteGranted || reply.vote == VoteFailed) {
+				g.notify(url+pathRelease, claimMessage{Key: key, Claim: message.Claim})
 			}
 		})
 	}
+	decision, response := g.awaitDecision(ctx, replies)
+	close(decided)
+	return message.Claim, decision, response
+}
+
+// claimAt claims a key at one register.
+func (g *Group) claimAt(ctx context.Context, register int, url string, message claimMessage) registerReply {
+	var answer claimAnswer
+	// not bounded by ctx: a claim that is on its way is followed by its release
+	if err := g.post(context.WithoutCancel(ctx), url+pathClaim, message, &answer); err != nil {
+		g.log.Warn("idempotency claim failed", "register", url, "err", err)
+		return registerReply{register: register, vote: VoteFailed}
+	}
+	vote := parseVote(answer.Vote)
+	if vote == VoteFailed {
+		return registerReply{register: register, vote: VoteFailed}
+	}
+	return registerReply{register: register, vote: vote, owner: answer.Owner, response: answer.Response}
+}
+
+// awaitDecision takes replies until they decide on the claim, or ctx ends.
+func (g *Group) awaitDecision(ctx context.Context, replies <-chan registerReply) (Decision, []byte) {
 	tally := NewTally(len(g.registerURLs))
 	for range g.registerURLs {
 		select {
-		case h := <-all:
-			v = tally.Record(h.register, h.said, h.holder)
-			if v == DecisionCompleted {
-				body = h.body
+		case reply := <-replies:
+			decision := tally.Record(reply.register, reply.vote, reply.owner)
+			if decision == DecisionCompleted {
+				return decision, reply.response
+			}
+			if decision != DecisionPending {
+				return decision, nil
 			}
 		case <-ctx.Done():
-			v = DecisionUnknown
-		}
-		if v != DecisionPending {
-			break
+			return DecisionUnknown, nil
 		}
 	}
-	close(decided)
-	return // as they stand: what was asked reads them
+	return DecisionPending, nil // a tally of all registers' votes is never pending
 }
 
-// Complete tells all registers that the event of a claim was handled. It does not wait for them.
-func (g *Group) Complete(key, claim string, body []byte) {
-	if len(body) > MaxStoredResponse {
-		body = nil
+// Complete notifies all registers that the request of a claim was completed. It does not wait for them.
+func (g *Group) Complete(key, claim string, response []byte) {
+	if len(response) > MaxStoredResponse {
+		response = nil
 	}
-	g.notifyAll("/v1/handled", claimMessage{Key: key, Claim: claim, Response: body})
+	g.notifyAll(pathComplete, claimMessage{Key: key, Claim: claim, Response: response})
 }
 
-// Release tells them that it was not run after all.
+// Release notifies all registers that the request of a claim was not run after all. It does not wait for them.
 func (g *Group) Release(key, claim string) {
-	g.notifyAll("/v1/release", claimMessage{Key: key, Claim: claim})
+	g.notifyAll(pathRelease, claimMessage{Key: key, Claim: claim})
 }
 
-// Close waits for what is under way.
+// Close waits for the notifications under way.
 func (g *Group) Close() {
 	g.background.Wait()
 	g.client.CloseIdleConnections()
 }
 
-func (g *Group) notifyAll(path string, m claimMessage) {
-	for _, base := range g.registerURLs {
-		g.background.Go(func() { g.notify(base+path, m) })
+// notifyAll notifies all registers, each in its own goroutine.
+func (g *Group) notifyAll(path string, message claimMessage) {
+	for _, url := range g.registerURLs {
+		g.background.Go(func() { g.notify(url+path, message) })
 	}
 }
 
-// notify is tried a few times; a register that never hears it takes the event for one that may have run.
-func (g *Group) notify(url string, m claimMessage) {
-	_, err := backoff.Retry(context.Background(), func() (struct{}, error) {
-		return struct{}{}, g.post(context.Background(), url, m, nil)
-	}, backoff.WithMaxTries(3), backoff.WithBackOff(backoff.NewExponentialBackOff()))
+// notify notifies one register, with retries. A register that is never notified takes the request for one that may have
+// run.
+func (g *Group) notify(url string, message claimMessage) {
+	post := func() (struct{}, error) { return struct{}{}, g.post(context.Background(), url, message, nil) }
+	_, err := backoff.Retry(context.Background(), post,
+		backoff.WithMaxTries(maxNotifyAttempts), backoff.WithBackOff(backoff.NewExponentialBackOff()))
 	if err != nil {
-		g.log.Warn("register was not told", "url", url, "err", err)
+		g.log.Warn("register notification failed", "url", url, "err", err)
 	}
 }
 
-func (g *Group) post(ctx context.Context, url string, m claimMessage, into any) error {
-	body, err := json.Marshal(m)
+// post sends a message to a register and decodes its answer, unless that is nil.
+func (g *Group) post(ctx context.Context, url string, message claimMessage, answer *claimAnswer) error {
+	body, err := json.Marshal(message)
 	if err != nil {
 		return err
 	}
-	text, err := httpclient.Do(ctx, g.client, http.MethodPost, url, body, 2*maxMessageBytes)
-	if err != nil || into == nil {
+	text, err := httpclient.Do(ctx, g.client, http.MethodPost, url, body, maxAnswerBytes)
+	if err != nil || answer == nil {
 		return err
 	}
-	return json.Unmarshal(text, into)
+	return json.Unmarshal(text, answer)
 }
--- a/internal/worker/idempotency/idempotency.go
+++ b/internal/worker/idempotency/idempotency.go
@@ -1,102 +1,110 @@
-// Package idempotency decides whether a keyed event is a repeat, for groups of several workers. A group has a fixed number of
-// registers, each of which keeps the first claim of a key until its window is over. A worker claims a key at all of them
-// and runs the event only when more than half granted it: two such halves share a register, so that no two claims of a
-// key are both granted inside a window, whichever registers, workers or messages are lost.
+// Package idempotency decides whether a request with an idempotency key is a duplicate, for groups of several
+// workers. A group has a fixed number of registers, each of which stores the first claim of a key until its window is
+// over. A worker claims a key at all of them and runs the request only when a majority granted it: two majorities
+// share a register, so that no two claims of a key are both granted inside a window, whichever registers, workers or
+// messages are lost.
 //
-// This file decides and does no I/O; store.go keeps a register's entries, group.go asks the registers.
+// This file decides and does no I/O; register.go stores a register's entries, http.go serves them, group.go asks the
+// registers of a group.
 package idempotency
 
 import "time"
 
+// MaxStoredResponse is how many bytes of a response are stored for duplicates; of a longer one they learn only that the
+// request was completed.
+const MaxStoredResponse = 64 << 10
+
 // Vote is what one register says to a claim.
 type Vote int
 
-// What a register says.
+// The votes.
 const (
 	VotePending   Vote = iota // nothing yet
 	VoteGranted               // the key is this claim's
-	VoteClaimed               // another claim has it: its event may have run
-	VoteCompleted             // another claim has it and its event was handled
+	VoteClaimed               // another claim has it: its request may have run
+	VoteCompleted             // another claim has it and its request was completed
 	VoteFailed                // no answer, or an error: it may have granted
 )
 
-// Decision is what a worker makes of what it has heard.
+// Decision is what follows from the votes on a claim.
 type Decision int
 
-// The verdicts.
+// The decisions.
 const (
 	DecisionPending   Decision = iota
-	DecisionExecute            // it is this claim's
-	DecisionDuplicate          // of one that may have run
-	DecisionCompleted          // repeat of one that was handled
-	DecisionUnknown            // too few registers answered: the event is not run
+	DecisionExecute            // the claim is granted
+	DecisionDuplicate          // of a request that may have run
+	DecisionCompleted          // of a request that was completed
+	DecisionUnknown            // too few registers answered: the request is not run
 )
 
-// Entry is what a register keeps of a key.
+// Entry is what a register stores of a key.
 type Entry struct {
 	Claim     string    `cbor:"1,keyasint"`
 	ExpiresAt time.Time `cbor:"2,keyasint"` // the end of its window
 	Completed bool      `cbor:"3,keyasint,omitempty"`
-	Response  []byte    `cbor:"4,keyasint,omitempty"` // the answer of the event that was handled, if it is short enough to be kept
+	Response  []byte    `cbor:"4,keyasint,omitempty"` // of the completed request, if it is short enough to be stored
 }
 
-// MaxStoredResponse is how many bytes of an answer are kept for repeats; of a longer one they are told only that it was handled.
-const MaxStoredResponse = 64 << 10
-
-// EvaluateClaim decides on a claim at one register, which has the entry have if known. It answers the entry that stands then; changed says
-// that it has to be written down before the answer is given.
-func EvaluateClaim(now time.Time, have Entry, known bool, claim string, window time.Duration) (keep Entry, changed bool, said Vote) {
+// EvaluateClaim votes on a claim at one register; known says whether the register has an entry of its key. It returns
+// the entry that stands from then on; changed says that it has to be stored before the vote is given.
+func EvaluateClaim(
+	now time.Time, entry Entry, known bool, claim string, window time.Duration,
+) (stored Entry, changed bool, vote Vote) {
 	switch {
-	case !known || !now.Before(have.ExpiresAt):
+	case !known || !now.Before(entry.ExpiresAt):
 		return Entry{Claim: claim, ExpiresAt: now.Add(window)}, true, VoteGranted
-	case have.Claim == claim: // asked again: the answer before was lost
-		return have, false, VoteGranted
-	case have.Completed:
-		return have, false, VoteCompleted
+	case entry.Claim == claim: // claimed again: the vote before was lost
+		return entry, false, VoteGranted
+	case entry.Completed:
+		return entry, false, VoteCompleted
 	default:
-		return have, false, VoteClaimed
+		return entry, false, VoteClaimed
 	}
 }
 
-// Tally is what a worker has heard of one claim. The zero value is not ready; use NewTally.
+// Tally has the votes on one claim. The zero value is not ready; use NewTally.
 type Tally struct {
 	votes  []Vote
-	owners []string
+	owners []string // by register: the claim that has the key there, where it is another
 }
 
-// NewTally begins a claim at so many registers.
+// NewTally begins the tally of a claim at so many registers.
 func NewTally(registers int) *Tally {
 	return &Tally{votes: make([]Vote, registers), owners: make([]string, registers)}
 }
 
-// Record notes what a register said, and who holds the key there if another claim does, and answers what follows from all
-// that was heard.
-func (t *Tally) Record(register int, said Vote, holder string) Decision {
-	t.votes[register], t.owners[register] = said, holder
-	granted, unheard := 0, 0
-	others := map[string]int{}
-	for i, s := range t.votes {
-		switch s {
+// Record adds a register's vote, and which claim has the key there if it is another one, and returns what follows
+// from all votes so far.
+func (t *Tally) Record(register int, vote Vote, owner string) Decision {
+	t.votes[register], t.owners[register] = vote, owner
+	granted, pending := 0, 0
+	claimed := map[string]int{}
+	for i, vote := range t.votes {
+		switch vote {
 		case VoteGranted:
 			granted++
 		case VotePending:
-			unheard++
+			pending++
 		case VoteCompleted:
-			return DecisionCompleted // only a claim with more than half was run and handled
+			return DecisionCompleted // only a claim with a majority was run and completed
 		case VoteClaimed:
-			others[t.owners[i]]++
+			claimed[t.owners[i]]++
 		}
 	}
-	for _, n := range others {
-		if 2*n > len(t.votes) {
+	for _, votes := range claimed {
+		if t.isMajority(votes) {
 			return DecisionDuplicate
 		}
 	}
 	switch {
-	case 2*granted > len(t.votes):
+	case t.isMajority(granted):
 		return DecisionExecute
-	case unheard > 0:
+	case pending > 0:
 		return DecisionPending
 	}
-	return DecisionUnknown // split, or too few answered: nobody is known to have it
+	return DecisionUnknown // split, or too few answered: no claim is known to have it
 }
+
+// isMajority reports whether so many votes are more than half of all.
+func (t *Tally) isMajority(votes int) bool { return 2*votes > len(t.votes) }
--- a/internal/worker/idempotency/idempotency_test.go
+++ b/internal/worker/idempotency/idempotency_test.go
@@ -21,6 +21,7 @@
 	"lupinpond/internal/worker/idempotency"
 )
 
+// TestMain is also the program of a register that is to be killed.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("LP_TEST_REGISTER"); dir != "" {
 		claimUntilKilled(dir)
@@ -37,123 +38,132 @@
 	answerLost
 )
 
+// registerOutcome is what two workers get to hear from one register.
+type registerOutcome struct {
+	votes  [2]idempotency.Vote
+	owners [2]string
+}
+
+// claimBoth has two workers claim a key at one register, one of them first, with a message or an answer lost or not.
+func claimBoth(now time.Time, first int, deliveries [2]delivery) registerOutcome {
+	outcome := registerOutcome{votes: [2]idempotency.Vote{idempotency.VoteFailed, idempotency.VoteFailed}}
+	var entry idempotency.Entry
+	known := false
+	for _, worker := range []int{first, 1 - first} {
+		if deliveries[worker] == requestLost {
+			continue
+		}
+		stored, changed, vote := idempotency.EvaluateClaim(now, entry, known, fmt.Sprint(worker), time.Second)
+		if changed {
+			entry, known = stored, true
+		}
+		if deliveries[worker] == delivered {
+			outcome.votes[worker], outcome.owners[worker] = vote, stored.Claim
+		}
+	}
+	return outcome
+}
+
+// decide is what a worker makes of the registers' votes, taken until they decide; lossless says that none is missing.
+func decide(worker int, outcomes ...registerOutcome) (decision idempotency.Decision, lossless bool) {
+	tally := idempotency.NewTally(len(outcomes))
+	lossless = true
+	for i, outcome := range outcomes {
+		if decision == idempotency.DecisionPending {
+			decision = tally.Record(i, outcome.votes[worker], outcome.owners[worker])
+		}
+		lossless = lossless && outcome.votes[worker] != idempotency.VoteFailed
+	}
+	return decision, lossless
+}
+
 // Two workers claim one key at three registers, in every order at each of them and with every message or answer lost;
 // never do both run it, and where nothing is lost one does.
 func TestConcurrentClaimsEveryOrderAndLoss(t *testing.T) {
 	now := time.Unix(1000, 0)
-	const registers = 3
-	runs := map[string]int{}
-	hear := func(t *idempotency.Tally, i int, s idempotency.Vote, h string, v idempotency.Decision) idempotency.Decision {
-		if v == idempotency.DecisionPending {
-			return t.Record(i, s, h)
-		}
-		return v
-	}
-	type outcome struct {
-		said   [2]idempotency.Vote
-		holder [2]string
-	}
-	at := func(first int, f [2]delivery) outcome {
-		o := outcome{said: [2]idempotency.Vote{idempotency.VoteFailed, idempotency.VoteFailed}}
-		var e idempotency.Entry
-		known := false
-		for _, who := range []int{first, 1 - first} {
-			if f[who] == requestLost {
-				continue
-			}
-			keep, changed, said := idempotency.EvaluateClaim(now, e, known, fmt.Sprint(who), time.Second)
-			if changed {
-				e, known = keep, true
-			}
-			if f[who] == delivered {
-				o.said[who], o.holder[who] = said, keep.Claim
+	var outcomes []registerOutcome
+	for first := range 2 {
+		for a := range 3 {
+			for b := range 3 {
+				outcomes = append(outcomes, claimBoth(now, first, [2]delivery{delivery(a), delivery(b)}))
 			}
 		}
-		return o
 	}
-	var outcomes [registers][]outcome
-	for i := range outcomes {
-		for first := range 2 {
-			for a := range 3 {
-				for b := range 3 {
-					outcomes[i] = append(outcomes[i], at(first, [2]delivery{delivery(a), delivery(b)}))
-				}
+	total := 0
+	seen := map[string]int{}
+	check := func(votes ...registerOutcome) {
+		var decisions [2]idempotency.Decision
+		lossless := true
+		for worker := range 2 {
+			decision, all := decide(worker, votes...)
+			if decision == idempotency.DecisionPending {
+				t.Fatal("no decision though all votes are recorded: ", votes)
 			}
+			decisions[worker] = decision
+			lossless = lossless && all
+		}
+		if decisions[0] == idempotency.DecisionExecute && decisions[1] == idempotency.DecisionExecute {
+			t.Fatal("both run: ", votes)
+		}
+		if lossless && decisions[0] != idempotency.DecisionExecute && decisions[1] != idempotency.DecisionExecute {
+			t.Fatal("nobody runs though nothing was lost: ", votes)
 		}
+		total++
+		seen[fmt.Sprint(decisions)]++
 	}
-	total := 0
-	for _, x := range outcomes[0] {
-		for _, y := range outcomes[1] {
-			for _, z := range outcomes[2] {
-				var v [2]idempotency.Decision
-				lossless := true
-				for who := range 2 {
-					tally := idempotency.NewTally(registers)
-					for i, o := range []outcome{x, y, z} {
-						v[who] = hear(tally, i, o.said[who], o.holder[who], v[who])
-						lossless = lossless && o.said[who] != idempotency.VoteFailed
-					}
-					if v[who] == idempotency.DecisionPending {
-						t.Fatal("no verdict though all was heard: ", x, y, z)
-					}
-				}
-				if v[0] == idempotency.DecisionExecute && v[1] == idempotency.DecisionExecute {
-					t.Fatal("both run: ", x, y, z)
-				}
-				if lossless && v[0] != idempotency.DecisionExecute && v[1] != idempotency.DecisionExecute {
-					t.Fatal("nobody runs though nothing was lost: ", x, y, z)
-				}
-				total++
-				runs[fmt.Sprint(v)]++
+	for _, x := range outcomes {
+		for _, y := range outcomes {
+			for _, z := range outcomes {
+				check(x, y, z)
 			}
 		}
 	}
-	if total != 18*18*18 || len(runs) < 5 {
-		t.Error(total, runs)
+	if total != 18*18*18 || len(seen) < 5 {
+		t.Error(total, seen)
 	}
 }
 
-// A key whose claim was given back before it ran can be had by the next; one that was handled is a repeat of that.
+// A key whose claim was released before it ran is granted to the next claim; a claim of a completed key is a duplicate.
 func TestReleasedAndCompletedClaims(t *testing.T) {
 	g, registers := newGroup(t, 3)
 	ctx := context.Background()
-	a, v, _ := g.Claim(ctx, "k", time.Minute)
-	expectDecision(t, v, idempotency.DecisionExecute)
-	_, v, _ = g.Claim(ctx, "k", time.Minute)
-	expectDecision(t, v, idempotency.DecisionDuplicate)
-	g.Release("k", a)
+	first, decision, _ := g.Claim(ctx, "k", time.Minute)
+	expectDecision(t, decision, idempotency.DecisionExecute)
+	_, decision, _ = g.Claim(ctx, "k", time.Minute)
+	expectDecision(t, decision, idempotency.DecisionDuplicate)
+	g.Release("k", first)
 	g.Close()
-	b, v, _ := g.Claim(ctx, "k", time.Minute)
-	expectDecision(t, v, idempotency.DecisionExecute)
-	g.Complete("k", b, []byte("its answer"))
-	g.Release("k", a) // late: of another claim
+	second, decision, _ := g.Claim(ctx, "k", time.Minute)
+	expectDecision(t, decision, idempotency.DecisionExecute)
+	g.Complete("k", second, []byte("its answer"))
+	g.Release("k", first) // late: of another claim
 	g.Close()
-	_, v, body := g.Claim(ctx, "k", time.Minute)
-	expectDecision(t, v, idempotency.DecisionCompleted)
+	_, decision, body := g.Claim(ctx, "k", time.Minute)
+	expectDecision(t, decision, idempotency.DecisionCompleted)
 	if string(body) != "its answer" {
-		t.Errorf("a repeat got %q", body)
+		t.Errorf("a duplicate got %q", body)
 	}
 	registers[0].down.Store(true) // one of three is away: nothing changes
-	_, v, _ = g.Claim(ctx, "k", time.Minute)
-	expectDecision(t, v, idempotency.DecisionCompleted)
-	c, v, _ := g.Claim(ctx, "other", time.Minute)
-	expectDecision(t, v, idempotency.DecisionExecute)
-	registers[1].down.Store(true) // two are: nothing is run that is not known to be the first
-	_, v, _ = g.Claim(ctx, "third", time.Minute)
-	expectDecision(t, v, idempotency.DecisionUnknown)
-	g.Complete("other", c, make([]byte, idempotency.MaxStoredResponse+1))
+	_, decision, _ = g.Claim(ctx, "k", time.Minute)
+	expectDecision(t, decision, idempotency.DecisionCompleted)
+	other, decision, _ := g.Claim(ctx, "other", time.Minute)
+	expectDecision(t, decision, idempotency.DecisionExecute)
+	registers[1].down.Store(true) // two are away: nothing is run that is not known to be the first
+	_, decision, _ = g.Claim(ctx, "third", time.Minute)
+	expectDecision(t, decision, idempotency.DecisionUnknown)
+	g.Complete("other", other, make([]byte, idempotency.MaxStoredResponse+1))
 	g.Close()
 	registers[0].down.Store(false)
 	registers[1].down.Store(false)
-	_, v, _ = g.Claim(ctx, "other", time.Minute) // register 2 knows
-	expectDecision(t, v, idempotency.DecisionCompleted)
-	_, v, _ = g.Claim(ctx, "third", time.Minute) // was given back where it had been granted
-	expectDecision(t, v, idempotency.DecisionExecute)
-	short, v, _ := g.Claim(ctx, "short", time.Millisecond)
-	expectDecision(t, v, idempotency.DecisionExecute)
+	_, decision, _ = g.Claim(ctx, "other", time.Minute) // register 2 knows
+	expectDecision(t, decision, idempotency.DecisionCompleted)
+	_, decision, _ = g.Claim(ctx, "third", time.Minute) // was released where it had been granted
+	expectDecision(t, decision, idempotency.DecisionExecute)
+	short, decision, _ := g.Claim(ctx, "short", time.Millisecond)
+	expectDecision(t, decision, idempotency.DecisionExecute)
 	for end := time.Now().Add(10 * time.Second); ; {
-		again, v, _ := g.Claim(ctx, "short", time.Millisecond)
-		if v == idempotency.DecisionExecute && again != short {
+		again, decision, _ := g.Claim(ctx, "short", time.Millisecond)
+		if decision == idempotency.DecisionExecute && again != short {
 			break
 		}
 		if time.Now().After(end) {
@@ -170,7 +180,8 @@
 	registers[1].requests = &count
 	var ran [20]atomic.Int64
 	claim := func(k int) {
-		if _, v, _ := g.Claim(context.Background(), fmt.Sprint("k", k), time.Minute); v == idempotency.DecisionExecute {
+		_, decision, _ := g.Claim(context.Background(), fmt.Sprint("k", k), time.Minute)
+		if decision == idempotency.DecisionExecute {
 			ran[k].Add(1)
 		}
 	}
@@ -235,9 +246,9 @@
 				continue
 			}
 			key := strings.TrimSpace(line)
-			said, have, err := r.Claim(key, "another", time.Hour)
-			if said != idempotency.VoteClaimed || have.Claim != "first" || err != nil {
-				t.Errorf("%s: %v by %q, %v", key, said, have.Claim, err)
+			vote, entry, err := r.Claim(key, "another", time.Hour)
+			if vote != idempotency.VoteClaimed || entry.Claim != "first" || err != nil {
+				t.Errorf("%s: %v by %q, %v", key, vote, entry.Claim, err)
 			}
 			granted++
 		}
@@ -250,6 +261,7 @@
 	}
 }
 
+// claimUntilKilled claims one key after the other and prints those granted.
 func claimUntilKilled(dir string) {
 	r, err := idempotency.Open(dir, 1<<20)
 	if err != nil {
@@ -258,7 +270,7 @@
 	}
 	for i := 0; ; i++ {
 		key := fmt.Sprint("k", os.Getenv("LP_TEST_ROUND"), "-", i)
-		if said, _, err := r.Claim(key, "first", time.Hour); said == idempotency.VoteGranted && err == nil {
+		if vote, _, err := r.Claim(key, "first", time.Hour); vote == idempotency.VoteGranted && err == nil {
 			fmt.Println(key)
 		}
 	}
@@ -290,16 +302,17 @@
 		}
 	}
 	if _, _, err := r.Claim("d", "c", time.Hour); !errors.Is(err, idempotency.ErrFull) {
-		t.Error("granted past its most: ", err)
+		t.Error("granted past its maximum: ", err)
 	}
 	if err := r.Release("a", "c"); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := r.Claim("d", "c", time.Hour); err != nil {
-		t.Error("nothing is granted after a key was given back: ", err)
+		t.Error("nothing is granted after a key was released: ", err)
 	}
 }
 
+// Whatever is sent, a register answers, and says what is wrong.
 func FuzzRegisterHTTP(f *testing.F) {
 	f.Add("claim", `{"key":"k","claim":"c","window-ms":10}`)
 	f.Add("claim", `{"key":"k","claim":"c","window-ms":9223372036854775807}`)
@@ -325,47 +338,51 @@
 	})
 }
 
+// flakyRegister is a register's handler that can fail.
 type flakyRegister struct {
 	down     atomic.Bool
-	requests *atomic.Int64 // every third request fails
+	requests *atomic.Int64 // counts them, and every third one fails; nil: none does
 	handler  http.Handler
 }
 
-func (s *flakyRegister) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if s.down.Load() || s.requests != nil && s.requests.Add(1)%3 == 0 {
+func (f *flakyRegister) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	if f.down.Load() || f.requests != nil && f.requests.Add(1)%3 == 0 {
 		http.Error(w, "away", http.StatusServiceUnavailable)
 		return
 	}
-	s.handler.ServeHTTP(w, r)
+	f.handler.ServeHTTP(w, request)
 }
 
-func newGroup(t *testing.T, n int) (*idempotency.Group, []*flakyRegister) {
-	var at []string
-	var all []*flakyRegister
-	for range n {
-		r, err := idempotency.Open(t.TempDir(), 10000)
+// newGroup is a group of so many registers.
+func newGroup(t *testing.T, size int) (*idempotency.Group, []*flakyRegister) {
+	t.Helper()
+	var addresses []string
+	var registers []*flakyRegister
+	for range size {
+		register, err := idempotency.Open(t.TempDir(), 10000)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &flakyRegister{handler: r.Handler()}
-		server := httptest.NewServer(s)
+		flaky := &flakyRegister{handler: register.Handler()}
+		server := httptest.NewServer(flaky)
 		t.Cleanup(func() {
 			server.Close()
-			r.Close()
+			register.Close()
 		})
-		at, all = append(at, strings.TrimPrefix(server.URL, "http://")), append(all, s)
+		addresses = append(addresses, strings.TrimPrefix(server.URL, "http://"))
+		registers = append(registers, flaky)
 	}
-	g, err := idempotency.NewGroup(at, 5*time.Second, slog.New(slog.DiscardHandler))
+	group, err := idempotency.NewGroup(addresses, 5*time.Second, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(g.Close)
-	return g, all
+	t.Cleanup(group.Close)
+	return group, registers
 }
 
 func expectDecision(t *testing.T, got, want idempotency.Decision) {
 	t.Helper()
 	if got != want {
-		t.Fatalf("verdict %d, want %d", got, want)
+		t.Fatalf("decision %d, want %d", got, want)
 	}
 }
