--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -431,7 +431,7 @@
 		reply(&workerrpc.LoadResult{Code: workerrpc.CodeNotStarted, Reason: "draining"})
 		return
 	}
-	_, refused := w.admission.RequestReplicas(w.now(), o.Function, o.Replicas)
+	_, refused := w.admission.RequestReplicas(o.Function, o.Replicas)
 	if refused != admission.Admitted {
 		reply(&workerrpc.LoadResult{Code: workerrpc.CodeNotFound, Reason: "not here, or too big for this worker"})
 		return
@@ -605,7 +605,7 @@
 	if err != nil {
 		w.options.Log.Warn("load failed", "package", p.Name, "version", p.Version, "err", err)
 		delete(w.replicas, id)
-		w.admission.LoadEnded(w.now(), id, false)
+		w.admission.LoadFailed(id)
 		w.advance()
 		return
 	}
@@ -613,7 +613,7 @@
 		"start", took.Start)
 	w.loadTimings = append(w.loadTimings[max(0, len(w.loadTimings)-99):], took)
 	w.replicas[id].process = copy
-	w.admission.LoadEnded(w.now(), id, true)
+	w.admission.LoadSucceeded(w.now(), id)
 	w.background.Go(func() { w.watchReplica(id, copy) })
 	if w.closed {
 		copy.Stop(nil)
