--- a/examples/misbehave/main.go
+++ b/examples/misbehave/main.go
@@ -57,4 +57,4 @@
 	})
 }
 
-func main() { function.MainLanes(2) }
+func main() { function.MainConcurrent(2) }
--- a/examples/payroll/main.go
+++ b/examples/payroll/main.go
@@ -26,4 +26,4 @@
 	})
 }
 
-func main() { function.MainLanes(4) }
+func main() { function.MainConcurrent(4) }
--- a/examples/preview/main.go
+++ b/examples/preview/main.go
@@ -13,4 +13,4 @@
 	function.Handle(func(_ context.Context, input []byte) ([]byte, error) { return score.Score(input) })
 }
 
-func main() { function.MainLanes(2) }
+func main() { function.MainConcurrent(2) }
--- a/function/function.go
+++ b/function/function.go
@@ -10,10 +10,11 @@
 
 import "context"
 
-// Handler runs one event. An error says that it failed; it may have had an effect.
+// Handler runs one request. An error says that it failed; it may have had an effect.
 type Handler func(ctx context.Context, input []byte) ([]byte, error)
 
-var handler Handler // set once before main, by Handle
+// handler is set once before main, by Handle.
+var handler Handler
 
-// Handle names the handler; call it from an init function.
+// Handle sets the handler; call it from an init function.
 func Handle(h Handler) { handler = h }
--- a/function/host.go
+++ b/function/host.go
@@ -18,111 +18,164 @@
 	"golang.org/x/sync/errgroup"
 )
 
+// Environment and headers of the runtime interface.
 const (
-	envRuntime       = "LUPINPOND_RUNTIME"
-	headerInvocation = "Lupin-Invocation"
-	headerLeft       = "Lupin-Left-Ms"
-	headerCompiled   = "Lupin-Compiled-Us"
+	envRuntime        = "LUPINPOND_RUNTIME"
+	headerInvocation  = "Lupin-Invocation"
+	headerTimeLeft    = "Lupin-Left-Ms"
+	headerCompileTime = "Lupin-Compiled-Us"
 )
 
-// Main serves the runtime interface with one lane until the copy is asked to end.
-func Main() { MainLanes(1) }
+// errReplicaStopping ends the other goroutines once the interface has said that the replica is to exit.
+var errReplicaStopping = errors.New("the copy ends")
+
+// Main serves the runtime interface, one request at a time, until the replica is asked to exit.
+func Main() { MainConcurrent(1) }
 
-// MainLanes serves it with so many lanes: the handler is called by as many goroutines at a time.
-func MainLanes(lanes int) {
+// MainConcurrent is Main with so many requests at a time: the handler is called by as many goroutines.
+func MainConcurrent(concurrency int) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	if err := ServeLanes(ctx, lanes, handler); err != nil {
+	if err := ServeConcurrent(ctx, concurrency, handler); err != nil {
 		fmt.Fprintln(os.Stderr, "function:", err)
 		stop()
 		os.Exit(1)
 	}
 }
 
-// ServeLanes takes events from the runtime interface, on lanes goroutines, until ctx ends or the interface says so.
-func ServeLanes(ctx context.Context, lanes int, h Handler) error {
-	return ServeCompiled(ctx, lanes, 0, h)
+// MainLanes is the name that MainConcurrent had.
+//
+// Deprecated: use MainConcurrent.
+func MainLanes(concurrency int) { MainConcurrent(concurrency) }
+
+// ServeConcurrent takes requests from the runtime interface, on so many goroutines, until ctx ends or the interface
+// says that the replica is to exit.
+func ServeConcurrent(ctx context.Context, concurrency int, handle Handler) error {
+	return ServeCompiled(ctx, concurrency, 0, handle)
+}
+
+// ServeLanes is the name that ServeConcurrent had.
+//
+// Deprecated: use ServeConcurrent.
+func ServeLanes(ctx context.Context, concurrency int, handle Handler) error {
+	return ServeConcurrent(ctx, concurrency, handle)
 }
 
-// ServeCompiled does the same and tells, with each question for an event, how long the code took to compile in this copy.
-func ServeCompiled(ctx context.Context, lanes int, took time.Duration, h Handler) error {
+// ServeCompiled is ServeConcurrent for code that was compiled in this replica: each poll for a request tells how long
+// that took.
+func ServeCompiled(ctx context.Context, concurrency int, compileTime time.Duration, handle Handler) error {
 	base := os.Getenv(envRuntime)
-	if base == "" || h == nil {
+	if base == "" || handle == nil {
 		return errors.New("no " + envRuntime + " in the environment, or no handler")
 	}
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: lanes + 1}}
-	defer client.CloseIdleConnections()
-	g, ctx := errgroup.WithContext(ctx)
-	for range max(1, lanes) {
-		g.Go(func() error {
+	httpClient := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: concurrency + 1}}
+	defer httpClient.CloseIdleConnections()
+	client := &runtimeClient{http: httpClient, base: base, compileTime: compileTime}
+	group, ctx := errgroup.WithContext(ctx)
+	for range max(1, concurrency) {
+		group.Go(func() error {
 			for ctx.Err() == nil {
-				more, err := serveOne(ctx, client, base, took, h)
-				if err != nil || !more {
-					if err == nil {
-						err = errReplicaStopping // ends the other lanes
-					}
+				if err := client.serveOne(ctx, handle); err != nil {
 					return err
 				}
 			}
 			return nil
 		})
 	}
-	if err := g.Wait(); err != nil && !errors.Is(err, errReplicaStopping) && ctx.Err() == nil {
+	if err := group.Wait(); err != nil && !errors.Is(err, errReplicaStopping) && ctx.Err() == nil {
 		return err
 	}
 	return nil
 }
 
-var errReplicaStopping = errors.New("the copy ends")
+// runtimeClient is a replica's side of the runtime interface.
+type runtimeClient struct {
+	http        *http.Client
+	base        string
+	compileTime time.Duration // 0: not told
+}
+
+// invocation is a request as the runtime interface hands it out.
+type invocation struct {
+	id       string
+	input    []byte
+	timeLeft time.Duration
+}
+
+// errNoInvocation says that a poll brought nothing, and that the next one may.
+var errNoInvocation = errors.New("the event is over")
 
-// serveOne takes one event and posts its result.
-func serveOne(ctx context.Context, client *http.Client, base string, took time.Duration, h Handler) (more bool, err error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+"/next", nil)
+// serveOne takes one request and posts its result. errReplicaStopping: there are no more.
+func (c *runtimeClient) serveOne(ctx context.Context, handle Handler) error {
+	next, err := c.poll(ctx)
+	if errors.Is(err, errNoInvocation) {
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	callCtx, cancel := context.WithTimeout(ctx, next.timeLeft)
+	output, failure := handle(callCtx, next.input)
+	cancel()
+	// a result is posted even where the replica is asked to exit meanwhile
+	return c.postResult(context.WithoutCancel(ctx), next.id, output, failure)
+}
+
+// poll waits for a request.
+func (c *runtimeClient) poll(ctx context.Context) (invocation, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/next", nil)
 	if err != nil {
-		return false, err
+		return invocation{}, err
 	}
-	if took > 0 {
-		req.Header.Set(headerCompiled, strconv.FormatInt(took.Microseconds(), 10))
+	if c.compileTime > 0 {
+		request.Header.Set(headerCompileTime, strconv.FormatInt(c.compileTime.Microseconds(), 10))
 	}
-	resp, err := client.Do(req)
+	response, err := c.http.Do(request)
 	if err != nil {
 		if ctx.Err() != nil {
-			return false, nil
+			return invocation{}, errReplicaStopping
 		}
-		return false, fmt.Errorf("next event: %w", err)
+		return invocation{}, fmt.Errorf("next event: %w", err)
 	}
-	input, err := io.ReadAll(resp.Body)
-	resp.Body.Close()
+	input, err := io.ReadAll(response.Body)
+	response.Body.Close()
 	switch {
-	case resp.StatusCode == http.StatusGone:
-		return false, nil
-	case resp.StatusCode == http.StatusConflict: // that event is over
-		return true, nil
-	case resp.StatusCode != http.StatusOK || err != nil:
-		return false, fmt.Errorf("next event: status %s, %w", resp.Status, err)
+	case response.StatusCode == http.StatusGone:
+		return invocation{}, errReplicaStopping
+	case response.StatusCode == http.StatusConflict:
+		return invocation{}, errNoInvocation
+	case response.StatusCode != http.StatusOK:
+		return invocation{}, fmt.Errorf("next event: status %s", response.Status)
+	case err != nil:
+		return invocation{}, fmt.Errorf("next event: status %s: %w", response.Status, err)
 	}
-	left, err := strconv.ParseInt(resp.Header.Get(headerLeft), 10, 64)
+	millis, err := strconv.ParseInt(response.Header.Get(headerTimeLeft), 10, 64)
 	if err != nil {
-		return false, fmt.Errorf("next event: %s: %w", headerLeft, err)
+		return invocation{}, fmt.Errorf("next event: %s: %w", headerTimeLeft, err)
 	}
-	call, stop := context.WithTimeout(ctx, time.Duration(left)*time.Millisecond)
-	output, failed := h(call, input)
-	stop()
+	return invocation{
+		id:       response.Header.Get(headerInvocation),
+		input:    input,
+		timeLeft: time.Duration(millis) * time.Millisecond,
+	}, nil
+}
+
+// postResult posts a request's output, or why it failed.
+func (c *runtimeClient) postResult(ctx context.Context, id string, output []byte, failure error) error {
 	path, body := "/response", output
-	if failed != nil {
-		path, body = "/error", []byte(failed.Error())
+	if failure != nil {
+		path, body = "/error", []byte(failure.Error())
 	}
-	// an answer that is begun is given even where the copy is asked to end
-	post, err := http.NewRequestWithContext(context.WithoutCancel(ctx), http.MethodPost,
-		base+"/invocations/"+resp.Header.Get(headerInvocation)+path, bytes.NewReader(body))
+	url := c.base + "/invocations/" + id + path
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		return false, err
+		return err
 	}
-	post.GetBody = nil // sent once
-	answer, err := client.Do(post)
+	request.GetBody = nil // sent once
+	response, err := c.http.Do(request)
 	if err != nil {
-		return false, fmt.Errorf("post result: %w", err)
+		return fmt.Errorf("post result: %w", err)
 	}
-	answer.Body.Close()
-	return true, nil
+	response.Body.Close()
+	return nil
 }
--- a/function/wasip1.go
+++ b/function/wasip1.go
@@ -10,12 +10,20 @@
 // Main has nothing to do in a wasm package: the exports are called.
 func Main() {}
 
-// MainLanes has nothing to do either: lanes are instances.
+// MainConcurrent has nothing to do either: concurrent requests have instances of their own.
+func MainConcurrent(int) {}
+
+// MainLanes is the name that MainConcurrent had.
+//
+// Deprecated: use MainConcurrent.
 func MainLanes(int) {}
 
-// What stands between a call and the next; the host reads it in between.
+// What stays in memory after a call, for the host to read: it is package-level because the exports are called one by
+// one.
 var input, output, reason []byte
 
+// lpInput allocates an input of so many bytes and returns its address.
+//
 //go:wasmexport lp_input
 func lpInput(size uint32) uint32 {
 	if uint32(cap(input)) < size || size == 0 {
@@ -25,6 +33,9 @@
 	return uint32(uintptr(unsafe.Pointer(unsafe.SliceData(input))))
 }
 
+// lpCall runs the handler on the input. It returns the output's address in the upper half and its length in the
+// lower; an address of 0 means failed, and the length is the reason's.
+//
 //go:wasmexport lp_call
 func lpCall() uint64 {
 	out, err := handler(context.Background(), input)
@@ -39,6 +50,8 @@
 	return uint64(uintptr(unsafe.Pointer(unsafe.SliceData(output))))<<32 | uint64(len(output))
 }
 
+// lpReason returns the address of the last failure's reason.
+//
 //go:wasmexport lp_reason
 func lpReason() uint32 {
 	if len(reason) == 0 {
