--- a/internal/worker/faultinject/silence.go
+++ b/internal/worker/faultinject/silencer.go
@@ -1,4 +1,4 @@
-// Package faultinject has ways to misbehave that real and imitation workers share.
+// Package faultinject has the faults that workers, real and emulated, can be told to have.
 package faultinject
 
 import (
@@ -12,7 +12,7 @@
 	ended chan struct{} // closed when the silence ends; nil: there is none
 }
 
-// Set begins or ends the silence.
+// Set turns the silence on or off.
 func (s *Silencer) Set(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,30 +25,34 @@
 	}
 }
 
-// Listener wraps a listener whose connections fall silent.
-func (s *Silencer) Listener(l net.Listener) net.Listener { return &listener{l, s} }
+// Listener wraps a listener so that its connections can be silenced.
+func (s *Silencer) Listener(inner net.Listener) net.Listener { return &listener{inner, s} }
 
+// listener accepts connections of a Silencer.
 type listener struct {
 	net.Listener
 	silencer *Silencer
 }
 
+// Accept waits for the next connection.
 func (l *listener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+	accepted, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: c, silencer: l.silencer, closed: make(chan struct{})}, nil
+	return &conn{Conn: accepted, silencer: l.silencer, closed: make(chan struct{})}, nil
 }
 
+// conn is a connection that can be silenced.
 type conn struct {
 	net.Conn
-	silencer *Silencer
-	once     sync.Once
-	closed   chan struct{}
+	silencer  *Silencer
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
-func (c *conn) wait() {
+// waitWhileSilent returns when there is no silence, or when the connection is closed.
+func (c *conn) waitWhileSilent() {
 	c.silencer.mu.Lock()
 	ended := c.silencer.ended
 	c.silencer.mu.Unlock()
@@ -61,18 +65,21 @@
 	}
 }
 
+// Read reads, and withholds what it read during a silence.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.wait()
+	c.waitWhileSilent()
 	return n, err
 }
 
+// Write writes once there is no silence.
 func (c *conn) Write(b []byte) (int, error) {
-	c.wait()
+	c.waitWhileSilent()
 	return c.Conn.Write(b)
 }
 
+// Close closes the connection and frees what a silence holds up.
 func (c *conn) Close() error {
-	c.once.Do(func() { close(c.closed) })
+	c.closeOnce.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
