--- a/cmd/artifact-store/main.go
+++ b/cmd/artifact-store/main.go
@@ -63,7 +63,11 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	server := &http.Server{Handler: s.Handler(!f.ReadOnly), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: time.Minute, MaxHeaderBytes: 16 << 10}
+	access := artifactstore.ReadWrite
+	if f.ReadOnly {
+		access = artifactstore.ReadOnly
+	}
+	server := &http.Server{Handler: s.Handler(access), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: time.Minute, MaxHeaderBytes: 16 << 10}
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return httpserver.Serve(ctx, server, listener, 10*time.Second) })
 	g.Go(func() error { return s.RunGarbageCollector(ctx, f.Collect) })
--- a/internal/artifact/artifactstore/client.go
+++ b/internal/artifact/artifactstore/client.go
@@ -1,38 +1,38 @@
 package artifactstore
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"net/http"
 	"net/url"
 
-	"golang.org/x/sync/errgroup"
-
 	"lupinpond/internal/artifact/layer"
 	"lupinpond/internal/base/httpclient"
 )
 
-// Client asks a store at Base, such as http://127.0.0.1:8730.
+const (
+	maxStatsBytes  = 64 << 10 // of an answer with counters
+	maxInfoBytes   = 64 << 10 // of an answer that names a release
+	maxStatusBytes = 4096     // of an answer without content
+)
+
+// Client calls a store's HTTP API at BaseURL, such as http://127.0.0.1:8730. An answer that is an error is an
+// *httpclient.StatusError.
 type Client struct {
 	BaseURL    string
 	HTTPClient *http.Client
 }
 
-// Chunk fetches a chunk's packed form, not verified.
-func (c Client) Chunk(ctx context.Context, d layer.Digest) ([]byte, error) {
-	return c.do(ctx, http.MethodGet, "/v1/chunks/"+d.String(), nil, layer.MaxCompressedSize)
+// Chunk fetches a compressed chunk; the caller verifies it.
+func (c Client) Chunk(ctx context.Context, digest layer.Digest) ([]byte, error) {
+	return c.do(ctx, http.MethodGet, "/v1/chunks/"+digest.String(), nil, layer.MaxCompressedSize)
 }
 
-// Packages are the newest releases.
-func (c Client) Packages(ctx context.Context) (all []PackageInfo, err error) {
-	b, err := c.do(ctx, http.MethodGet, "/v1/packages", nil, layer.MaxReleaseSize)
-	if err == nil {
-		err = json.Unmarshal(b, &all)
-	}
-	return all, err
+// Packages fetches the newest release of each package.
+func (c Client) Packages(ctx context.Context) (packages []PackageInfo, err error) {
+	err = c.doJSON(ctx, http.MethodGet, "/v1/packages", nil, layer.MaxReleaseSize, &packages)
+	return packages, err
 }
 
 // Release fetches an encoded release; version "" is the newest.
@@ -44,99 +44,25 @@
 	return c.do(ctx, http.MethodGet, path, nil, layer.MaxReleaseSize)
 }
 
-// Stats tells what the store did.
-func (c Client) Stats(ctx context.Context) (n Stats, err error) {
-	b, err := c.do(ctx, http.MethodGet, "/v1/counts", nil, 64<<10)
-	if err == nil {
-		err = json.Unmarshal(b, &n)
-	}
-	return n, err
-}
-
-// PublishResult tells what publishing sent.
-type PublishResult struct {
-	PackageInfo
-	Release           layer.Release
-	Chunks, NewChunks int // of the release, and those that the store did not have
-	Bytes, NewBytes   int64
+// Stats fetches the store's counters.
+func (c Client) Stats(ctx context.Context) (stats Stats, err error) {
+	err = c.doJSON(ctx, http.MethodGet, "/v1/counts", nil, maxStatsBytes, &stats)
+	return stats, err
 }
 
-const maxConcurrentUploads = 8 // at a time
-
-// Publish cuts a package's folder and sends what the store does not have, then the release. While it is not through, the
-// old release stays the newest.
-func (c Client) Publish(ctx context.Context, folder string) (sent PublishResult, err error) {
-	r, err := layer.Split(folder, func(layer.ChunkRef, []byte) error { return nil })
-	if err != nil {
-		return sent, fmt.Errorf("publish %s: %w", folder, err)
-	}
-	var names []string
-	for _, ref := range r.Chunks() {
-		names = append(names, ref.Digest.String())
-		sent.Chunks++
-		sent.Bytes += int64(ref.Size)
-	}
-	body, err := json.Marshal(names)
-	if err != nil {
-		return sent, err
-	}
-	b, err := c.do(ctx, http.MethodPost, "/v1/missing", body, layer.MaxReleaseSize)
-	if err != nil {
-		return sent, fmt.Errorf("publish %s: %w", folder, err)
-	}
-	var missing []string
-	if err := json.Unmarshal(b, &missing); err != nil {
-		return sent, fmt.Errorf("publish %s: %w", folder, err)
-	}
-	wanted := map[string]bool{}
-	for _, n := range missing {
-		wanted[n] = true
-	}
-	g, gctx := errgroup.WithContext(ctx)
-	g.SetLimit(maxConcurrentUploads)
-	again, err := layer.Split(folder, func(ref layer.ChunkRef, content []byte) error {
-		name := ref.Digest.String()
-		if !wanted[name] {
-			return gctx.Err()
-		}
-		delete(wanted, name)
-		sent.NewChunks++
-		sent.NewBytes += int64(ref.Size)
-		packed := layer.Compress(content)
-		g.Go(func() error {
-			_, err := c.do(gctx, http.MethodPut, "/v1/chunks/"+name, packed, 4096)
-			return err
-		})
-		return nil
-	})
-	if err = errors.Join(g.Wait(), err); err != nil {
-		return sent, fmt.Errorf("publish %s: %w", folder, err)
-	}
-	first, err := layer.Encode(r)
-	if err != nil {
-		return sent, err
-	}
-	sent.Release = r
-	second, err := layer.Encode(again)
-	if err != nil {
-		return sent, err
-	}
-	if !bytes.Equal(first, second) {
-		return sent, fmt.Errorf("publish %s: the content changed while it was sent", folder)
-	}
-	if b, err = c.do(ctx, http.MethodPost, "/v1/releases", first, 64<<10); err == nil {
-		err = json.Unmarshal(b, &sent.PackageInfo)
-	}
+// doJSON sends a request and decodes the answer into result.
+func (c Client) doJSON(ctx context.Context, method, path string, body []byte, maxBytes int64, result any) error {
+	answer, err := c.do(ctx, method, path, body, maxBytes)
 	if err != nil {
-		return sent, fmt.Errorf("publish %s: %w", folder, err)
+		return err
 	}
-	return sent, nil
+	return json.Unmarshal(answer, result)
 }
 
-func (c Client) do(ctx context.Context, method, path string, body []byte, most int64) ([]byte, error) {
-	b, err := httpclient.Do(ctx, c.HTTPClient, method, c.BaseURL+path, body, most)
+func (c Client) do(ctx context.Context, method, path string, body []byte, maxBytes int64) ([]byte, error) {
+	answer, err := httpclient.Do(ctx, c.HTTPClient, method, c.BaseURL+path, body, maxBytes)
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	return b, nil
+	return answer, nil
 }
--- a/internal/artifact/artifactstore/store_test.go
+++ b/internal/artifact/artifactstore/store_test.go
@@ -5,6 +5,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"io/fs"
 	"math/rand/v2"
 	"net/http"
@@ -28,280 +29,276 @@
 )
 
 func TestMain(m *testing.M) {
-	if dir := os.Getenv("LP_TEST_STORE"); dir != "" {
-		publishUntilKilled(dir)
+	if folder := os.Getenv("LP_TEST_STORE"); folder != "" {
+		publishUntilKilled(folder)
 	}
 	goleak.VerifyTestMain(m)
 }
 
-// writePackage makes a package of random content drawn from seed.
-func writePackage(dir, version string, seed byte, size int) (string, error) {
+// ample is a capacity that no test reaches.
+var ample = artifactstore.Capacity{MaxConcurrent: 64}
+
+// writePackage makes a package with an entry of random content, drawn from seed, in an empty folder.
+func writePackage(folder, version string, seed byte, size int) error {
 	content := make([]byte, size)
 	_, _ = rand.NewChaCha8([32]byte{seed}).Read(content) // never fails
-	if err := os.WriteFile(filepath.Join(dir, "entry"), content, 0o755); err != nil {
-		return "", err
+	if err := os.WriteFile(filepath.Join(folder, "entry"), content, 0o755); err != nil {
+		return err
+	}
+	_, err := manifest.Write(folder, manifest.Manifest{Name: "f", Version: version, Type: "t", Kind: manifest.Process,
+		Concurrency: 1, MemoryLimit: 1 << 20, Timeout: config.Duration(time.Second), EntryPoint: "entry"})
+	return err
+}
+
+// packageFolder is a temporary folder with a package.
+func packageFolder(t *testing.T, version string, seed byte, size int) string {
+	t.Helper()
+	folder := t.TempDir()
+	if err := writePackage(folder, version, seed, size); err != nil {
+		t.Fatal(err)
 	}
-	_, err := manifest.Write(dir, manifest.Manifest{Name: "f", Version: version, Type: "t", Kind: manifest.Process, Concurrency: 1, MemoryLimit: 1 << 20,
-		Timeout: config.Duration(time.Second), EntryPoint: "entry"})
-	return dir, err
+	return folder
 }
 
-func openStore(t *testing.T, dir string, c artifactstore.Capacity, grace time.Duration) (*artifactstore.Store, artifactstore.Client) {
-	s, err := artifactstore.Open(artifactstore.Options{Folder: dir, Capacity: c, GracePeriod: grace})
+func openStore(t *testing.T, folder string, capacity artifactstore.Capacity, gracePeriod time.Duration,
+) (*artifactstore.Store, artifactstore.Client) {
+	t.Helper()
+	store, err := artifactstore.Open(artifactstore.Options{Folder: folder, Capacity: capacity, GracePeriod: gracePeriod})
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := httptest.NewServer(s.Handler(true))
+	server := httptest.NewServer(store.Handler(artifactstore.ReadWrite))
 	client := &http.Client{Transport: &http.Transport{}}
 	t.Cleanup(func() {
 		client.CloseIdleConnections()
 		server.Close()
-		s.Close()
+		store.Close()
 	})
-	return s, artifactstore.Client{BaseURL: server.URL, HTTPClient: client}
+	return store, artifactstore.Client{BaseURL: server.URL, HTTPClient: client}
 }
 
-// publishUntilKilled publishes version 2 and kills itself at a step of it.
-func publishUntilKilled(dir string) {
-	at, _ := strconv.Atoi(os.Getenv("LP_TEST_AT"))
-	s, err := artifactstore.Open(artifactstore.Options{Folder: dir, Capacity: artifactstore.Capacity{MaxConcurrent: 64}, FailPoint: func(point string) {
-		if at--; at == 0 {
-			fmt.Println("at", point)
-			_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
-			select {}
-		}
-	}})
+// publishUntilKilled publishes version 2 and kills its own process at a step of that.
+func publishUntilKilled(folder string) {
+	stepsLeft, _ := strconv.Atoi(os.Getenv("LP_TEST_AT"))
+	store, err := artifactstore.Open(artifactstore.Options{Folder: folder, Capacity: ample,
+		FailPoint: func(point artifactstore.FailPoint) {
+			if stepsLeft--; stepsLeft == 0 {
+				fmt.Println("at", point)
+				_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
+				select {}
+			}
+		}})
 	if err != nil {
 		panic(err)
 	}
-	from, err := os.MkdirTemp("", "doomed")
+	source, err := os.MkdirTemp("", "publish-until-killed")
 	if err != nil {
 		panic(err)
 	}
-	if _, err = writePackage(from, "2", 2, 1<<20); err != nil {
+	if err := writePackage(source, "2", 2, 1<<20); err != nil {
 		panic(err)
 	}
-	r, err := layer.Split(from, func(ref layer.ChunkRef, content []byte) error { return s.PutChunk(ref.Digest, layer.Compress(content)) })
+	release, err := layer.Split(source, func(chunk layer.ChunkRef, content []byte) error {
+		return store.PutChunk(chunk.Digest, layer.Compress(content))
+	})
 	if err != nil {
 		panic(err)
 	}
-	b, err := layer.Encode(r)
+	encoded, err := layer.Encode(release)
 	if err != nil {
 		panic(err)
 	}
-	if _, err := s.Publish(b); err != nil {
+	if _, err := store.Publish(encoded); err != nil {
 		panic(err)
 	}
-	os.RemoveAll(from)
+	os.RemoveAll(source)
 	os.Exit(0)
 }
 
-// Killed at every step of publishing: the old release or the new one is the newest, whole, and publishing again is well.
+// Killed at every step of publishing: the old release or the new one is the newest, complete, and publishing again
+// works.
 func TestKilledWhilePublishing(t *testing.T) {
 	points := map[string]int{}
-	for at, over := 1, false; !over; at += 3 {
-		dir := t.TempDir()
-		s, err := artifactstore.Open(artifactstore.Options{Folder: dir, Capacity: artifactstore.Capacity{MaxConcurrent: 64}})
-		if err != nil {
-			t.Fatal(err)
-		}
-		first, err := writePackage(t.TempDir(), "1", 1, 1<<20)
-		if err != nil {
-			t.Fatal(err)
-		}
-		server := httptest.NewServer(s.Handler(true))
-		client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-		if _, err := (artifactstore.Client{BaseURL: server.URL, HTTPClient: client}).Publish(t.Context(), first); err != nil {
-			t.Fatal(err)
-		}
-		server.Close()
-		if err := s.Close(); err != nil {
-			t.Fatal(err)
-		}
-		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), "LP_TEST_STORE="+dir, fmt.Sprint("LP_TEST_AT=", at))
-		out, err := cmd.Output()
-		over = err == nil // it came to its end
-		points[strings.TrimSpace(string(out))]++
-		_, c := openStore(t, dir, artifactstore.Capacity{MaxConcurrent: 64}, 0)
-		all, err := c.Packages(t.Context())
-		if err != nil || len(all) != 1 || over && all[0].Version != "2" {
-			t.Fatalf("killed at step %d: %+v, %v", at, all, err)
-		}
-		requireCompleteRelease(t, c, all[0].Version)
-		second, err := writePackage(t.TempDir(), "2", 2, 1<<20)
-		if err != nil {
-			t.Fatal(err)
+	for step, completed := 1, false; !completed; step += 3 {
+		folder := t.TempDir()
+		publishFirstRelease(t, folder)
+		child := exec.Command(os.Args[0])
+		child.Env = append(os.Environ(), "LP_TEST_STORE="+folder, fmt.Sprint("LP_TEST_AT=", step))
+		output, err := child.Output()
+		completed = err == nil // it published before it reached the step
+		points[strings.TrimSpace(string(output))]++
+		_, client := openStore(t, folder, ample, 0)
+		packages, err := client.Packages(t.Context())
+		if err != nil || len(packages) != 1 || completed && packages[0].Version != "2" {
+			t.Fatalf("killed at step %d: %+v, %v", step, packages, err)
 		}
-		if _, err := c.Publish(t.Context(), second); err != nil {
-			t.Errorf("killed at step %d: publishing again: %v", at, err)
+		requireCompleteRelease(t, client, packages[0].Version)
+		if _, err := client.Publish(t.Context(), packageFolder(t, "2", 2, 1<<20)); err != nil {
+			t.Errorf("killed at step %d: publishing again: %v", step, err)
 		}
-		requireCompleteRelease(t, c, "2")
+		requireCompleteRelease(t, client, "2")
 	}
 	if len(points) < 3 {
 		t.Errorf("killed at %v only", points)
 	}
 }
 
+// publishFirstRelease publishes version 1 to a store in folder and closes the store.
+func publishFirstRelease(t *testing.T, folder string) {
+	t.Helper()
+	store, err := artifactstore.Open(artifactstore.Options{Folder: folder, Capacity: ample})
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := httptest.NewServer(store.Handler(artifactstore.ReadWrite))
+	client := artifactstore.Client{BaseURL: server.URL,
+		HTTPClient: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
+	if _, err := client.Publish(t.Context(), packageFolder(t, "1", 1, 1<<20)); err != nil {
+		t.Fatal(err)
+	}
+	server.Close()
+	if err := store.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // requireCompleteRelease fetches a release with all of its chunks and verifies it.
-func requireCompleteRelease(t *testing.T, c artifactstore.Client, version string) {
+func requireCompleteRelease(t *testing.T, client artifactstore.Client, version string) {
 	t.Helper()
-	b, err := c.Release(t.Context(), "f", version)
+	encoded, err := client.Release(t.Context(), "f", version)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := layer.Decode(b)
+	release, err := layer.Decode(encoded)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := layer.Build(r, filepath.Join(t.TempDir(), "built"), func(ref layer.ChunkRef) ([]byte, error) {
-		packed, err := c.Chunk(t.Context(), ref.Digest)
+	built, err := layer.Build(release, filepath.Join(t.TempDir(), "built"), func(chunk layer.ChunkRef) ([]byte, error) {
+		compressed, err := client.Chunk(t.Context(), chunk.Digest)
 		if err != nil {
 			return nil, err
 		}
-		return layer.Decompress(ref.Digest, packed)
+		return layer.Decompress(chunk.Digest, compressed)
 	})
 	if err == nil {
-		err = p.Verify()
+		err = built.Verify()
 	}
 	if err != nil {
-		t.Fatalf("release %s is not whole: %v", version, err)
+		t.Fatalf("release %s is not complete: %v", version, err)
 	}
 }
 
-// Collecting takes what no release names and nothing else; a release whose chunks are gone is refused, and publishing again
-// brings them; the newest version can't be withdrawn; a published version can't change.
-func TestCollect(t *testing.T) {
-	s, c := openStore(t, t.TempDir(), artifactstore.Capacity{MaxConcurrent: 64}, 0)
-	one, err := writePackage(t.TempDir(), "1", 1, 512<<10)
-	if err != nil {
+// Collecting garbage removes what no release names and nothing else; a release whose chunks are missing is rejected,
+// and uploading them mends that; the newest version can't be withdrawn; a published version can't change.
+func TestCollectGarbage(t *testing.T) {
+	store, client := openStore(t, t.TempDir(), ample, 0)
+	first := packageFolder(t, "1", 1, 512<<10)
+	if _, err := client.Publish(t.Context(), first); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Publish(t.Context(), one); err != nil {
+	unnamed := []byte("named by nobody")
+	if err := store.PutChunk(layer.Sum(unnamed), layer.Compress(unnamed)); err != nil {
 		t.Fatal(err)
 	}
-	loose := []byte("named by nobody")
-	if err := s.PutChunk(layer.Sum(loose), layer.Compress(loose)); err != nil {
-		t.Fatal(err)
+	if removed, err := store.CollectGarbage(); removed != 1 || err != nil {
+		t.Errorf("%d collected, %v", removed, err)
 	}
-	if n, err := s.CollectGarbage(); n != 1 || err != nil {
-		t.Errorf("%d collected, %v", n, err)
-	}
-	requireCompleteRelease(t, c, "1")
-	r := layer.Release{Format: layer.Format}
-	if r.Manifest, err = os.ReadFile(filepath.Join(one, manifest.FileName)); err != nil {
+	requireCompleteRelease(t, client, "1")
+	encodedManifest, err := os.ReadFile(filepath.Join(first, manifest.FileName))
+	if err != nil {
 		t.Fatal(err)
 	}
-	r.Layers = []layer.Layer{{Name: "entry", Files: []layer.File{{Path: "entry", Chunks: []layer.ChunkRef{{Digest: layer.Sum(loose), Size: len(loose)}}}}}}
-	b, err := layer.Encode(r)
+	chunks := []layer.ChunkRef{{Digest: layer.Sum(unnamed), Size: len(unnamed)}}
+	encoded, err := layer.Encode(layer.Release{Format: layer.Format, Manifest: encodedManifest,
+		Layers: []layer.Layer{{Name: "entry", Files: []layer.File{{Path: "entry", Chunks: chunks}}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Publish(b); !errors.Is(err, artifactstore.ErrMissingChunks) {
+	if _, err := store.Publish(encoded); !errors.Is(err, artifactstore.ErrMissingChunks) {
 		t.Error("a release without its chunks was published: ", err)
 	}
-	if err := s.PutChunk(layer.Sum(loose), layer.Compress(loose)); err != nil {
+	if err := store.PutChunk(layer.Sum(unnamed), layer.Compress(unnamed)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Publish(b); err == nil || !strings.Contains(err.Error(), "published already") {
+	if _, err := store.Publish(encoded); err == nil || !strings.Contains(err.Error(), "published already") {
 		t.Error("a published version was changed: ", err)
 	}
-	if err := s.PutChunk(layer.Sum(loose), layer.Compress([]byte("other"))); !errors.Is(err, layer.ErrCorrupt) {
+	if err := store.PutChunk(layer.Sum(unnamed), layer.Compress([]byte("other"))); !errors.Is(err, layer.ErrCorrupt) {
 		t.Error("a chunk under another's name: ", err)
 	}
-	if err := s.Withdraw("f", "1"); err == nil {
+	if err := store.Withdraw("f", "1"); err == nil {
 		t.Error("the newest version was withdrawn")
 	}
-	two, err := writePackage(t.TempDir(), "2", 2, 512<<10)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := c.Publish(t.Context(), two); err != nil {
+	if _, err := client.Publish(t.Context(), packageFolder(t, "2", 2, 512<<10)); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Withdraw("f", "1"); err != nil {
+	if err := store.Withdraw("f", "1"); err != nil {
 		t.Error(err)
 	}
-	if err := s.Withdraw("f", "0"); !errors.Is(err, fs.ErrNotExist) {
+	if err := store.Withdraw("f", "0"); !errors.Is(err, fs.ErrNotExist) {
 		t.Error(err)
 	}
-	if n, err := s.CollectGarbage(); n < 3 || err != nil {
-		t.Errorf("%d collected of what the withdrawn release named, %v", n, err)
+	if removed, err := store.CollectGarbage(); removed < 3 || err != nil {
+		t.Errorf("%d collected of what the withdrawn release named, %v", removed, err)
 	}
-	requireCompleteRelease(t, c, "2")
+	requireCompleteRelease(t, client, "2")
 }
 
-// Past its capacity the store turns away with a time to come back; pushed far past it, it stops; ranges and conditions work.
+// Ranges and conditions work; a stopped store rejects fetches with a Retry-After and counts them.
 func TestHTTP(t *testing.T) {
-	s, c := openStore(t, t.TempDir(), artifactstore.Capacity{MaxConcurrent: 1, StopFactor: 4, StopWindow: time.Hour, StopDuration: time.Hour}, time.Hour)
+	capacity := artifactstore.Capacity{MaxConcurrent: 1, StopFactor: 4, StopWindow: time.Hour, StopDuration: time.Hour}
+	store, client := openStore(t, t.TempDir(), capacity, time.Hour)
 	content := []byte(strings.Repeat("content ", 1000))
-	packed := layer.Compress(content)
-	d := layer.Sum(content)
-	if err := s.PutChunk(d, packed); err != nil {
+	digest := layer.Sum(content)
+	if err := store.PutChunk(digest, layer.Compress(content)); err != nil {
 		t.Fatal(err)
 	}
-	get := func(head, value string) (*http.Response, error) {
-		req, err := http.NewRequest(http.MethodGet, c.BaseURL+"/v1/chunks/"+d.String(), nil)
+	for _, c := range []struct {
+		header, value string
+		status        int
+	}{
+		{"Range", "bytes=0-9", http.StatusPartialContent},
+		{"If-None-Match", `"` + digest.String() + `"`, http.StatusNotModified},
+		{"Range", "bytes=99999-", http.StatusRequestedRangeNotSatisfiable},
+	} {
+		req, err := http.NewRequest(http.MethodGet, client.BaseURL+"/v1/chunks/"+digest.String(), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		req.Header.Set(head, value)
-		resp, err := c.HTTPClient.Do(req)
+		req.Header.Set(c.header, c.value)
+		resp, err := client.HTTPClient.Do(req)
 		if err == nil {
 			resp.Body.Close()
 		}
-		return resp, err
-	}
-	for _, x := range []struct {
-		head, value string
-		want        int
-	}{{"Range", "bytes=0-9", 206}, {"If-None-Match", `"` + d.String() + `"`, 304}, {"Range", "bytes=99999-", 416}} {
-		if resp, err := get(x.head, x.value); err != nil || resp.StatusCode != x.want {
-			t.Errorf("%s %s: %v, %v", x.head, x.value, resp, err)
+		if err != nil || resp.StatusCode != c.status {
+			t.Errorf("%s %s: %v, %v", c.header, c.value, resp, err)
 		}
 	}
-	now := time.Second
-	w := artifactstore.NewAdmissionController(artifactstore.Capacity{MaxConcurrent: 2, StopFactor: 3, StopWindow: time.Second, StopDuration: 5 * time.Second})
-	var said []artifactstore.Decision
-	for range 8 {
-		v, after := w.Admit(now)
-		if v != artifactstore.Admitted && after <= 0 {
-			t.Error("no time to come back")
-		}
-		said = append(said, v)
-	}
-	if fmt.Sprint(said) != "[0 0 1 1 1 1 2 2]" {
-		t.Error(said)
-	}
-	w.Done()
-	w.Done()
-	if v, _ := w.Admit(now + 5*time.Second); v != artifactstore.Admitted {
-		t.Error("still stopped: ", v)
-	}
-	s.Stop(time.Hour)
-	var refused *httpclient.StatusError
-	if _, err := c.Chunk(context.Background(), d); !errors.As(err, &refused) || refused.StatusCode != 503 || refused.RetryAfter <= 0 {
+	store.Stop(time.Hour)
+	var rejection *httpclient.StatusError
+	if _, err := client.Chunk(context.Background(), digest); !errors.As(err, &rejection) ||
+		rejection.StatusCode != http.StatusServiceUnavailable || rejection.RetryAfter <= 0 {
 		t.Error(err)
 	}
-	if n := s.Stats(); n.RejectedWhileStopped != 1 || n.Stops != 1 || n.Served < 2 {
-		t.Errorf("%+v", n)
+	if stats := store.Stats(); stats.RejectedWhileStopped != 1 || stats.Stops != 1 || stats.Served < 2 {
+		t.Errorf("%+v", stats)
 	}
 }
 
-// Bad requests are told why and change nothing.
+// Bad requests are answered with the reason and change nothing.
 func FuzzHandler(f *testing.F) {
-	s, err := artifactstore.Open(artifactstore.Options{Folder: f.TempDir(), Capacity: artifactstore.Capacity{MaxConcurrent: 64}})
+	store, err := artifactstore.Open(artifactstore.Options{Folder: f.TempDir(), Capacity: ample})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Cleanup(func() { s.Close() })
-	h := s.Handler(true)
+	f.Cleanup(func() { store.Close() })
+	handler := store.Handler(artifactstore.ReadWrite)
 	f.Add("GET", "/v1/chunks/zz", "bytes=0-", "")
 	f.Add("PUT", "/v1/chunks/"+layer.Sum(nil).String(), "", "x")
 	f.Add("POST", "/v1/missing", "", `["a"]`)
 	f.Add("POST", "/v1/releases", "", "\xa1\x01\x02")
 	f.Add("GET", "/v1/packages/..%2f..", "bytes=9-1,2-", "")
-	f.Fuzz(func(t *testing.T, method, path, head, body string) {
+	f.Fuzz(func(t *testing.T, method, path, requestRange, body string) {
 		if !strings.HasPrefix(path, "/v1/") {
 			return
 		}
@@ -309,23 +306,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		u, err := req.URL.Parse(path)
+		target, err := req.URL.Parse(path)
 		if err != nil {
 			return
 		}
-		req.Method, req.URL, req.Body = method, u, http.NoBody
-		req.Header.Set("Range", head)
+		req.Method, req.URL, req.Body = method, target, http.NoBody
+		req.Header.Set("Range", requestRange)
 		if body != "" {
-			req.Body = readCloser{strings.NewReader(body)}
+			req.Body = io.NopCloser(strings.NewReader(body))
 		}
-		w := httptest.NewRecorder()
-		h.ServeHTTP(w, req)
-		if w.Code == 500 {
-			t.Errorf("%s %s: %d %s", method, path, w.Code, w.Body)
+		recorder := httptest.NewRecorder()
+		handler.ServeHTTP(recorder, req)
+		if recorder.Code == http.StatusInternalServerError {
+			t.Errorf("%s %s: %d %s", method, path, recorder.Code, recorder.Body)
 		}
 	})
 }
-
-type readCloser struct{ *strings.Reader }
-
-func (readCloser) Close() error { return nil }
--- a/internal/artifact/distribution/distribution_test.go
+++ b/internal/artifact/distribution/distribution_test.go
@@ -54,7 +54,7 @@
 	if f.store, err = artifactstore.Open(artifactstore.Options{Folder: t.TempDir(), Capacity: c, GracePeriod: time.Hour}); err != nil {
 		t.Fatal(err)
 	}
-	handler := f.store.Handler(true)
+	handler := f.store.Handler(artifactstore.ReadWrite)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if x := f.tamper.Load(); x != nil && (*x)(w, r) {
 			return
