--- /dev/null
+++ b/internal/artifact/layer/split.go
@@ -0,0 +1,96 @@
+package layer
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"io/fs"
+	"os"
+	"path"
+	"path/filepath"
+	"slices"
+	"strings"
+
+	"github.com/restic/chunker"
+
+	"lupinpond/internal/artifact/manifest"
+)
+
+// polynomial decides where files are split. It is part of the format: with another one, no chunk would be shared.
+const polynomial = chunker.Pol(0x3DA3358B4DC173)
+
+// Split makes a release of a package's folder and passes each chunk's content to visit, in order. The same chunk may
+// come again; the content is valid only until visit returns.
+func Split(folder string, visit func(ChunkRef, []byte) error) (r Release, err error) {
+	p, err := manifest.Open(folder)
+	if err != nil {
+		return r, err
+	}
+	if err := p.Verify(); err != nil {
+		return r, err
+	}
+	r.Format = Format
+	if r.Manifest, err = os.ReadFile(filepath.Join(folder, manifest.FileName)); err != nil {
+		return r, err
+	}
+	err = filepath.WalkDir(folder, func(name string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() {
+			return err
+		}
+		relative, err := filepath.Rel(folder, name)
+		if err != nil || relative == manifest.FileName {
+			return err
+		}
+		if !entry.Type().IsRegular() {
+			return fmt.Errorf("%s: only plain files and folders can be published", name)
+		}
+		file, err := splitFile(name, filepath.ToSlash(relative), visit)
+		if err != nil {
+			return fmt.Errorf("%s: %w", name, err)
+		}
+		r.add(file)
+		return nil
+	})
+	return r, err
+}
+
+// add appends a file to the layer that its path begins with.
+func (r *Release) add(file File) {
+	name, _, _ := strings.Cut(file.Path, "/")
+	i := slices.IndexFunc(r.Layers, func(l Layer) bool { return l.Name == name })
+	if i < 0 {
+		i = len(r.Layers)
+		r.Layers = append(r.Layers, Layer{Name: name})
+	}
+	r.Layers[i].Files = append(r.Layers[i].Files, file)
+}
+
+func splitFile(name, relative string, visit func(ChunkRef, []byte) error) (file File, err error) {
+	in, err := os.Open(name)
+	if err != nil {
+		return file, err
+	}
+	defer in.Close()
+	info, err := in.Stat()
+	if err != nil {
+		return file, err
+	}
+	file = File{Path: path.Clean(relative), Executable: info.Mode()&0o100 != 0}
+	chunks := chunker.NewWithBoundaries(in, polynomial, MinChunkSize, MaxChunkSize)
+	chunks.SetAverageBits(averageChunkBits)
+	buffer := make([]byte, MaxChunkSize)
+	for {
+		chunk, err := chunks.Next(buffer)
+		if errors.Is(err, io.EOF) {
+			return file, nil
+		}
+		if err != nil {
+			return file, err
+		}
+		ref := ChunkRef{Digest: Sum(chunk.Data), Size: len(chunk.Data)}
+		file.Chunks = append(file.Chunks, ref)
+		if err := visit(ref, chunk.Data); err != nil {
+			return file, err
+		}
+	}
+}
