--- a/internal/artifact/manifest/manifest_test.go
+++ b/internal/artifact/manifest/manifest_test.go
@@ -23,8 +23,8 @@
 digest: "0000000000000000000000000000000000000000000000000000000000000000"
 `
 
-// Every mistake in a manifest has its place; content that is not what the manifest names is told as that.
-func TestManifests(t *testing.T) {
+// Every validation error of a manifest has its place.
+func TestParseErrors(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"format: 1", "format: 2", "m:1:9: format: version 2, this program reads 1"},
 		{"name: preview", "name: ../x", "m:2:7: name:"},
@@ -40,8 +40,12 @@
 			t.Errorf("%s: %v, want %s", c.new, err, c.want)
 		}
 	}
-	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "entry"), []byte("content"), 0o755); err != nil {
+}
+
+// Content that is not what the manifest names is ErrDigestMismatch.
+func TestVerify(t *testing.T) {
+	folder := t.TempDir()
+	if err := os.WriteFile(filepath.Join(folder, "entry"), []byte("content"), 0o755); err != nil {
 		t.Fatal(err)
 	}
 	m, err := manifest.Parse("m", []byte(manifestText))
@@ -49,14 +53,14 @@
 		t.Fatal(err)
 	}
 	m.EntryPoint = "entry"
-	if _, err := manifest.Write(dir, m); err != nil {
+	if _, err := manifest.Write(folder, m); err != nil {
 		t.Fatal(err)
 	}
-	p, err := manifest.Open(dir)
+	p, err := manifest.Open(folder)
 	if err != nil || p.Verify() != nil {
 		t.Fatal(err, p.Verify())
 	}
-	if err := os.WriteFile(filepath.Join(dir, "entry"), []byte("Content"), 0o755); err != nil {
+	if err := os.WriteFile(filepath.Join(folder, "entry"), []byte("Content"), 0o755); err != nil {
 		t.Fatal(err)
 	}
 	if err := p.Verify(); !errors.Is(err, manifest.ErrDigestMismatch) {
@@ -67,14 +71,15 @@
 func FuzzManifest(f *testing.F) {
 	f.Add([]byte(manifestText))
 	f.Add([]byte("format: 1\nname: {}\n"))
-	f.Fuzz(func(t *testing.T, b []byte) {
-		m, err := manifest.Parse("m", b)
-		var at *config.Error
-		if err != nil && (!errors.As(err, &at) || at.Line < 1) {
+	f.Fuzz(func(t *testing.T, content []byte) {
+		m, err := manifest.Parse("m", content)
+		var invalid *config.Error
+		if err != nil && (!errors.As(err, &invalid) || invalid.Line < 1) {
 			t.Errorf("no place: %v", err)
 		}
-		if err == nil && (!filepath.IsLocal(m.EntryPoint) || strings.Contains(m.Name, "/") || m.Concurrency < 1 || m.MemoryLimit < 1<<20) {
-			t.Errorf("taken: %+v", m)
+		if err == nil && (!filepath.IsLocal(m.EntryPoint) || strings.Contains(m.Name, "/") || m.Concurrency < 1 ||
+			m.MemoryLimit < 1<<20) {
+			t.Errorf("accepted: %+v", m)
 		}
 	})
 }
