--- a/internal/artifact/distribution/distribution.go
+++ b/internal/artifact/distribution/distribution.go
@@ -427,7 +427,7 @@
 		f.content, f.packed, rare, f.err = s.fetchChunk(d)
 		close(f.done) // whoever waits goes on while it is written to disk
 		if f.err == nil {
-			s.options.Cache.Put(d, f.packed, rare)
+			s.options.Cache.Put(d, f.packed, cache.Rarity(rare))
 		}
 		s.mu.Lock()
 		delete(s.inFlight, d)
@@ -444,7 +444,7 @@
 	s.mu.Unlock()
 	want := fetch.NewSearch(s.options.Name, order, s.elapsed(), s.options.ChunkTimeout)
 	last := errors.New("nobody was asked")
-	for repeat := false; ; {
+	for attempt := fetch.FirstAttempt; ; {
 		if s.ctx.Err() != nil { // what ends with it says nothing about those that were asked
 			return nil, nil, false, s.ctx.Err()
 		}
@@ -470,7 +470,7 @@
 			last = err
 		case fetch.FetchFromStore:
 			s.mu.Lock()
-			ok, after := s.storeGuard.Acquire(now, repeat)
+			ok, after := s.storeGuard.Acquire(now, attempt)
 			freed := s.storeRequestDone
 			s.mu.Unlock()
 			switch {
@@ -485,7 +485,7 @@
 				if err == nil {
 					return content, packed, true, nil
 				}
-				last, repeat = err, true
+				last, attempt = err, fetch.Retry
 			}
 		}
 	}
@@ -540,7 +540,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.storeGuard.Release(s.elapsed(), began, outcome, after, rand.Float64())
+	s.storeGuard.Release(s.elapsed(), fetch.StoreResult{StartedAt: began, Outcome: outcome, RetryAfter: after}, rand.Float64())
 	close(s.storeRequestDone)
 	s.storeRequestDone = make(chan struct{})
 	if err != nil {
--- a/internal/artifact/distribution/give.go
+++ b/internal/artifact/distribution/give.go
@@ -81,7 +81,7 @@
 	asker := r.Header.Get(headerWorker)
 	_, packed, holds := s.options.Cache.Get(d)
 	held := r.Header.Get(headerCachedOnly) == "1"
-	switch fetch.ResponseFor(holds, !holds && !held && s.isHome(d), held) {
+	switch fetch.ResponseFor(fetch.PeerRequest{Cached: holds, Home: !holds && !held && s.isHome(d), CachedOnly: held}) {
 	case fetch.Missing:
 		s.writeReply(w, "missing", d, asker, 0)
 		return
