--- /dev/null
+++ b/internal/artifact/distribution/serve.go
@@ -0,0 +1,146 @@
+package distribution
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"net/http"
+	"slices"
+	"time"
+
+	"lupinpond/internal/artifact/fetch"
+	"lupinpond/internal/artifact/layer"
+)
+
+// pendingRetryAfter is when a worker may ask again for a chunk that is still being fetched.
+const pendingRetryAfter = 20 * time.Millisecond
+
+// chunkRequest is a request of another worker for a chunk.
+type chunkRequest struct {
+	digest     layer.Digest
+	worker     string        // that asks
+	cachedOnly bool          // the chunk is not to be fetched for it
+	wait       time.Duration // for a chunk that is being fetched
+}
+
+func parseChunkRequest(r *http.Request) (request chunkRequest, err error) {
+	if request.digest, err = layer.ParseDigest(r.PathValue("digest")); err != nil {
+		return request, err
+	}
+	if wait := r.Header.Get(headerWait); wait != "" {
+		if request.wait, err = time.ParseDuration(wait); err != nil {
+			return request, err
+		}
+		if request.wait < 0 || request.wait > maxWait {
+			return request, errors.New("a wait between 0 and 30s is needed")
+		}
+	}
+	request.worker = r.Header.Get(headerWorker)
+	request.cachedOnly = r.Header.Get(headerCachedOnly) == "1"
+	return request, nil
+}
+
+// Handler serves chunks to other workers: GET /v1/chunks/DIGEST.
+func (d *Distributor) Handler() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /v1/chunks/{digest}", d.serveChunk)
+	return mux
+}
+
+func (d *Distributor) serveChunk(w http.ResponseWriter, r *http.Request) {
+	request, err := parseChunkRequest(r)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	_, compressed, cached := d.options.Cache.Get(request.digest)
+	switch d.respond(request, cached) {
+	case fetch.Missing:
+		d.writeReply(w, request, statusMissing, 0)
+		return
+	case fetch.Pending:
+		var ok bool
+		if compressed, ok = d.awaitChunk(w, r, request); !ok {
+			return
+		}
+	}
+	ok, retryAfter := d.acquireUpload(len(compressed))
+	if !ok {
+		d.writeReply(w, request, statusBusy, retryAfter)
+		return
+	}
+	defer func() {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		d.uploads.Release()
+		d.replicas.Add(request.digest.String(), request.worker)
+	}()
+	w.Header().Set("Content-Type", "application/zstd")
+	w.Header().Set("ETag", `"`+request.digest.String()+`"`)
+	http.ServeContent(w, r, "", time.Time{}, bytes.NewReader(compressed))
+}
+
+// respond decides how a request is answered.
+func (d *Distributor) respond(request chunkRequest, cached bool) fetch.PeerResponse {
+	return fetch.ResponseFor(fetch.PeerRequest{
+		Cached:     cached,
+		CachedOnly: request.cachedOnly,
+		Home:       !cached && !request.cachedOnly && d.isHome(request.digest), // the order is not worked out for nothing
+	})
+}
+
+// awaitChunk fetches a chunk for another worker. If it is not here in time, the reply is written and ok is false.
+func (d *Distributor) awaitChunk(w http.ResponseWriter, r *http.Request, request chunkRequest,
+) (compressed []byte, ok bool) {
+	f := d.startFetch(request.digest)
+	timer := time.NewTimer(request.wait)
+	defer timer.Stop()
+	select {
+	case <-f.done:
+		if f.err != nil {
+			d.writeReply(w, request, statusMissing, 0)
+			return nil, false
+		}
+		return f.chunk.compressed, true
+	case <-timer.C:
+		d.writeReply(w, request, statusPending, pendingRetryAfter)
+	case <-r.Context().Done():
+	}
+	return nil, false
+}
+
+// acquireUpload asks whether a chunk of so many bytes may be sent now, and if not, when.
+func (d *Distributor) acquireUpload(size int) (ok bool, retryAfter time.Duration) {
+	d.mu.Lock()
+	utilization := d.utilization
+	d.mu.Unlock()
+	busy := utilization() // not under the lock: the worker takes its own, and calls the Distributor under that
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	ok, retryAfter = d.uploads.Acquire(d.elapsed(), size, busy)
+	if ok {
+		d.stats.Uploads++
+	} else {
+		d.stats.UploadsRejected++
+	}
+	return ok, retryAfter
+}
+
+// isHome tells whether this worker is a home of a chunk by its own endpoint list.
+func (d *Distributor) isHome(digest layer.Digest) bool {
+	order, _ := d.candidates(digest)
+	return slices.Index(order, d.options.Name) < fetch.Homes
+}
+
+func (d *Distributor) writeReply(w http.ResponseWriter, request chunkRequest, status string, retryAfter time.Duration) {
+	d.mu.Lock()
+	replicas := d.replicas.Replicas(request.digest.String(), request.worker)
+	d.mu.Unlock()
+	code := http.StatusServiceUnavailable
+	if status == statusMissing {
+		code = http.StatusNotFound
+	}
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(code)
+	_ = json.NewEncoder(w).Encode(peerReply{status, replicas, retryAfter.Milliseconds()}) // it fails if the peer has left
+}
