--- a/cmd/artifact-store/main.go
+++ b/cmd/artifact-store/main.go
@@ -1,19 +1,14 @@
-// Command artifact-store is the store of packages.
+// Command artifact-store serves function packages: releases and their chunks.
 package main
 
 import (
 	"context"
 	"errors"
 	"fmt"
-	"net"
-	"net/http"
 	"os"
-	"os/signal"
-	"syscall"
 	"time"
 
 	"github.com/alecthomas/kong"
-	"golang.org/x/sync/errgroup"
 
 	"lupinpond/internal/artifact/artifactstore"
 	"lupinpond/internal/base/config"
@@ -21,56 +16,87 @@
 	"lupinpond/internal/base/telemetry"
 )
 
+const (
+	// stopWindow is the time over which fetches are counted for --stop.
+	stopWindow = time.Second
+
+	// readTimeout bounds the time in which a request has to be read, with a chunk or a release in its body.
+	readTimeout = time.Minute
+
+	// gracePeriod is how long requests in flight have to complete on SIGTERM.
+	gracePeriod = 10 * time.Second
+)
+
 type flags struct {
 	telemetry.Flags
-	Listen   string        `default:"127.0.0.1:8730" help:"Where workers and publishers come."`
-	Folder   string        `required:"" type:"path" help:"Where chunks and releases stand."`
-	Requests int           `default:"64" help:"Fetches at a time; more are turned away with a time to come back."`
-	Rate     float64       `help:"MB a second that it gives in all; 0: as fast as it goes."`
-	Stop     float64       `help:"So many times --requests tried within a second, while it is full, stop it for --stop-for; 0: never."`
-	StopFor  time.Duration `default:"5s" help:"How long it stops when it is pushed that far."`
-	Grace    time.Duration `default:"1h" help:"A chunk that no release names is collected after it."`
-	Collect  time.Duration `default:"10m" help:"Between two collections."`
-	ReadOnly bool          `help:"Take nothing new."`
+	Listen   string        `default:"127.0.0.1:8730" help:"Address for workers and publishers."`
+	Folder   string        `required:"" type:"path" help:"Folder of chunks and releases."`
+	Requests int           `default:"64" help:"Fetches at a time; more are rejected with a Retry-After."`
+	Rate     float64       `help:"MB a second that are served in all; 0: no limit."`
+	Stop     float64       `help:"This many times --requests in a second stop a full store for --stop-for; 0: never."`
+	StopFor  time.Duration `default:"5s" help:"How long a stopped store rejects everything."`
+	Grace    time.Duration `default:"1h" help:"How long a chunk that no release names is left before it is collected."`
+	Collect  time.Duration `default:"10m" help:"Time between two garbage collections."`
+	ReadOnly bool          `help:"Serve fetches only."`
 }
 
 func main() {
 	var f flags
-	kong.Parse(&f, kong.Name("artifact-store"), kong.Description("The store of packages: releases, chunks, a stated capacity."))
+	kong.Parse(&f, kong.Name("artifact-store"),
+		kong.Description("The store of function packages: releases and chunks, served up to a stated capacity."))
 	if err := run(f); err != nil {
 		fmt.Fprintln(os.Stderr, "artifact-store:", err)
 		os.Exit(1)
 	}
 }
 
-func run(f flags) (err error) {
+func (f flags) validate() error {
 	if err := config.CheckLoopback(f.Listen); err != nil {
 		return err
 	}
-	if f.Requests < 1 || f.Rate < 0 || f.Stop < 0 || f.StopFor <= 0 || f.Grace < 0 || f.Collect <= 0 {
+	if f.Requests < 1 || f.StopFor <= 0 || f.Collect <= 0 || f.Rate < 0 || f.Stop < 0 || f.Grace < 0 {
 		return errors.New("--requests, --stop-for and --collect are above 0, --rate, --stop and --grace not below")
 	}
-	log := telemetry.NewLogger(os.Stderr, f.Flags)
-	s, err := artifactstore.Open(artifactstore.Options{Folder: f.Folder, GracePeriod: f.Grace, Log: log, Capacity: artifactstore.Capacity{BytesPerSecond: f.Rate * 1e6,
-		MaxConcurrent: f.Requests, StopFactor: f.Stop, StopWindow: time.Second, StopDuration: f.StopFor}})
-	if err != nil {
+	return nil
+}
+
+func (f flags) capacity() artifactstore.Capacity {
+	return artifactstore.Capacity{
+		BytesPerSecond: f.Rate * 1e6,
+		MaxConcurrent:  f.Requests,
+		StopFactor:     f.Stop,
+		StopWindow:     stopWindow,
+		StopDuration:   f.StopFor,
+	}
+}
+
+func run(f flags) (err error) {
+	if err := f.validate(); err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, s.Close()) }()
-	listener, err := net.Listen("tcp", f.Listen)
+	log := telemetry.NewLogger(os.Stderr, f.Flags)
+	store, err := artifactstore.Open(artifactstore.Options{Folder: f.Folder, Capacity: f.capacity(), GracePeriod: f.Grace,
+		Log: log})
 	if err != nil {
 		return err
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer stop()
+	defer func() { err = errors.Join(err, store.Close()) }()
 	access := artifactstore.ReadWrite
 	if f.ReadOnly {
 		access = artifactstore.ReadOnly
 	}
-	server := &http.Server{Handler: s.Handler(access), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: time.Minute, MaxHeaderBytes: 16 << 10}
-	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return httpserver.Serve(ctx, server, listener, 10*time.Second) })
-	g.Go(func() error { return s.RunGarbageCollector(ctx, f.Collect) })
-	log.Info("store listens", "address", listener.Addr().String())
-	return g.Wait()
+	server := httpserver.NewServer(store.Handler(access))
+	server.ReadTimeout = readTimeout
+	ctx, cancel := httpserver.TerminationContext()
+	defer cancel()
+	return httpserver.Service{
+		Name:        "artifact store",
+		Addr:        f.Listen,
+		Server:      server,
+		GracePeriod: gracePeriod,
+		Log:         log,
+		Tasks: []func(context.Context) error{
+			func(ctx context.Context) error { return store.RunGarbageCollector(ctx, f.Collect) },
+		},
+	}.Run(ctx)
 }
--- /dev/null
+++ b/internal/base/httpserver/periodic.go
@@ -0,0 +1,37 @@
+package httpserver
+
+import (
+	"context"
+	"time"
+)
+
+// RunPeriodically calls do at the end of every period until ctx is done, which is no error, or until do fails.
+func RunPeriodically(ctx context.Context, period time.Duration, do func() error) error {
+	ticker := time.NewTicker(period)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-ticker.C:
+		}
+		if err := do(); err != nil {
+			return err
+		}
+	}
+}
+
+// Sleep waits for a duration, or until ctx is done, whose error it returns.
+func Sleep(ctx context.Context, duration time.Duration) error {
+	if duration <= 0 {
+		return ctx.Err()
+	}
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-timer.C:
+		return nil
+	}
+}
