--- a/internal/base/capture/compat_test.go
+++ b/internal/base/capture/compat_test.go
@@ -9,7 +9,8 @@
 	"lupinpond/internal/base/capture"
 )
 
-// A capture file that an earlier version wrote is read in full: its head, its records by kind and side, and their bytes.
+// A capture file that an earlier version wrote is read in full: its head, its records by kind and side, and their
+// bytes.
 func TestStoredCaptureIsRead(t *testing.T) {
 	stored, err := os.ReadFile("testdata/stored/f0.cap")
 	if err != nil {
