--- /dev/null
+++ b/internal/base/telemetry/lossy_writer_test.go
@@ -0,0 +1,52 @@
+package telemetry_test
+
+import (
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"lupinpond/internal/base/telemetry"
+)
+
+// blockedWriter blocks who writes until it is released.
+type blockedWriter struct {
+	release chan struct{}
+	mu      sync.Mutex
+	written strings.Builder
+}
+
+func (w *blockedWriter) Write(line []byte) (int, error) {
+	<-w.release
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.written.Write(line)
+}
+
+// Who logs never waits for who reads the log; dropped lines are counted, and reported once there is space again.
+func TestLossyWriterNeverBlocks(t *testing.T) {
+	out := &blockedWriter{release: make(chan struct{})}
+	lossy := telemetry.NewLossyWriter(out)
+	for range 5000 {
+		if _, err := lossy.Write([]byte("line\n")); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if lossy.Dropped() < 3000 {
+		t.Error("only", lossy.Dropped(), "lines are dropped")
+	}
+	close(out.release)
+	lossy.Close(20 * time.Second)
+	if _, err := lossy.Write([]byte("too late\n")); err != nil {
+		t.Error(err)
+	}
+	out.mu.Lock()
+	defer out.mu.Unlock()
+	text := out.written.String()
+	if lines := strings.Count(text, "line\n"); int64(lines)+lossy.Dropped() != 5000 {
+		t.Errorf("%d lines written and %d dropped of 5000", lines, lossy.Dropped())
+	}
+	if !strings.Contains(text, "log lines dropped") {
+		t.Error("the dropped lines are not reported")
+	}
+}
