--- a/internal/artifact/artifactstore/golden_test.go
+++ b/internal/artifact/artifactstore/golden_test.go
@@ -70,7 +70,7 @@
 	return text + "\n" + w.Body.String()
 }
 
-func goldenRefusal(status int, reason string) string {
+func goldenError(status int, reason string) string {
 	return fmt.Sprintf("%d\nContent-Type: text/plain; charset=utf-8\nX-Content-Type-Options: nosniff\n\n%s\n", status, reason)
 }
 
@@ -89,9 +89,9 @@
 // TestGoldenHandler: the answers of every endpoint, in one order, on one store.
 func TestGoldenHandler(t *testing.T) {
 	const (
-		none = "204\n\n"
-		told = "200\nContent-Type: application/json\n\n"
-		gone = "404 page not found"
+		noContent = "204\n\n"
+		okJSON    = "200\nContent-Type: application/json\n\n"
+		notFound  = "404 page not found"
 	)
 	dir := t.TempDir()
 	s, err := artifactstore.Open(artifactstore.Options{Folder: dir, Capacity: artifactstore.Capacity{MaxConcurrent: 4}, GracePeriod: time.Hour})
@@ -110,43 +110,43 @@
 		want                 string
 	}{
 		{"GET", "/v1/packages", "", nil, goldenContent("application/json", "d53d18c23212ea7b6300594bb89bce60218f6eff2b9d628b8cc42d3e79bbd5ab", "[]")},
-		{"GET", "/v1/counts", "", nil, told + `{"served":0,"bytes":0,"turned-away":0,"stopped":0,"stops":0,"most":0,"chunks":0}` + "\n"},
-		{"POST", "/v1/missing", `["` + chunkDigest + `"]`, nil, told + `["` + chunkDigest + `"]` + "\n"},
-		{"POST", "/v1/releases", first, nil, goldenRefusal(409, "the release names chunks that are not there: chunk "+chunkDigest[:12]+": stat FOLDER/chunks/"+
+		{"GET", "/v1/counts", "", nil, okJSON + `{"served":0,"bytes":0,"turned-away":0,"stopped":0,"stops":0,"most":0,"chunks":0}` + "\n"},
+		{"POST", "/v1/missing", `["` + chunkDigest + `"]`, nil, okJSON + `["` + chunkDigest + `"]` + "\n"},
+		{"POST", "/v1/releases", first, nil, goldenError(409, "the release names chunks that are not there: chunk "+chunkDigest[:12]+": stat FOLDER/chunks/"+
 			chunkDigest[:2]+"/"+chunkDigest+": no such file or directory")},
-		{"PUT", "/v1/chunks/" + chunkDigest, packed, nil, none},
-		{"PUT", "/v1/chunks/" + chunkDigest, packed, nil, none},
-		{"PUT", "/v1/chunks/" + notThere, packed, nil, goldenRefusal(400, "chunk 000000000000: not the content that the digest names")},
-		{"PUT", "/v1/chunks/xyz", packed, nil, goldenRefusal(400, "digest of 3 letters, 64 are needed")},
-		{"POST", "/v1/missing", `["` + chunkDigest + `"]`, nil, told + "[]\n"},
-		{"POST", "/v1/missing", `["xyz"]`, nil, goldenRefusal(400, "digest of 3 letters, 64 are needed")},
-		{"POST", "/v1/missing", `{}`, nil, goldenRefusal(400, "json: cannot unmarshal object into Go value of type []string")},
-		{"POST", "/v1/releases", first, nil, told + entry("v1", firstDigest) + "\n"},
-		{"POST", "/v1/releases", "x", nil, goldenRefusal(400, "release: unexpected EOF")},
+		{"PUT", "/v1/chunks/" + chunkDigest, packed, nil, noContent},
+		{"PUT", "/v1/chunks/" + chunkDigest, packed, nil, noContent},
+		{"PUT", "/v1/chunks/" + notThere, packed, nil, goldenError(400, "chunk 000000000000: not the content that the digest names")},
+		{"PUT", "/v1/chunks/xyz", packed, nil, goldenError(400, "digest of 3 letters, 64 are needed")},
+		{"POST", "/v1/missing", `["` + chunkDigest + `"]`, nil, okJSON + "[]\n"},
+		{"POST", "/v1/missing", `["xyz"]`, nil, goldenError(400, "digest of 3 letters, 64 are needed")},
+		{"POST", "/v1/missing", `{}`, nil, goldenError(400, "json: cannot unmarshal object into Go value of type []string")},
+		{"POST", "/v1/releases", first, nil, okJSON + entry("v1", firstDigest) + "\n"},
+		{"POST", "/v1/releases", "x", nil, goldenError(400, "release: unexpected EOF")},
 		{"GET", "/v1/packages", "", nil, goldenContent("application/json", "f5f94ac09acfdb0069009ae4fbbf89d6cedb4a1f3322a8fc5e80f72e7dd6171e", "["+entry("v1", firstDigest)+"]")},
 		{"GET", "/v1/packages/f-1", "", nil, goldenContent("application/cbor", firstDigest, first)},
-		{"POST", "/v1/releases", other, nil, told + entry("v2", otherDigest) + "\n"},
+		{"POST", "/v1/releases", other, nil, okJSON + entry("v2", otherDigest) + "\n"},
 		{"GET", "/v1/packages/f-1", "", nil, goldenContent("application/cbor", otherDigest, other)},
 		{"GET", "/v1/packages/f-1/v1", "", nil, goldenContent("application/cbor", firstDigest, first)},
-		{"GET", "/v1/packages/f-1/v9", "", nil, goldenRefusal(404, `store: no release "v9" of "f-1": file does not exist`)},
-		{"GET", "/v1/packages/f-9", "", nil, goldenRefusal(404, `store: no release "" of "f-9": file does not exist`)},
+		{"GET", "/v1/packages/f-1/v9", "", nil, goldenError(404, `store: no release "v9" of "f-1": file does not exist`)},
+		{"GET", "/v1/packages/f-9", "", nil, goldenError(404, `store: no release "" of "f-9": file does not exist`)},
 		{"GET", "/v1/chunks/" + chunkDigest, "", nil, goldenContent("application/zstd", chunkDigest, packed)},
 		{"GET", "/v1/chunks/" + chunkDigest, "", []string{"If-None-Match", `"` + chunkDigest + `"`},
 			fmt.Sprintf("304\nEtag: %q\n\n", chunkDigest)},
 		{"GET", "/v1/chunks/" + chunkDigest, "", []string{"Range", "bytes=1-4"},
 			fmt.Sprintf("206\nAccept-Ranges: bytes\nContent-Length: 4\nContent-Range: bytes 1-4/%d\nContent-Type: application/zstd\nEtag: %q\n\n%s",
 				len(packed), chunkDigest, packed[1:5])},
-		{"GET", "/v1/chunks/" + notThere, "", nil, goldenRefusal(404, "chunk "+notThere+" is not here")},
-		{"GET", "/v1/chunks/xyz", "", nil, goldenRefusal(400, "digest of 3 letters, 64 are needed")},
-		{"GET", "/v1/counts", "", nil, told + fmt.Sprintf(`{"served":3,"bytes":%d,"turned-away":0,"stopped":0,"stops":0,"most":3,"chunks":1}`,
+		{"GET", "/v1/chunks/" + notThere, "", nil, goldenError(404, "chunk "+notThere+" is not here")},
+		{"GET", "/v1/chunks/xyz", "", nil, goldenError(400, "digest of 3 letters, 64 are needed")},
+		{"GET", "/v1/counts", "", nil, okJSON + fmt.Sprintf(`{"served":3,"bytes":%d,"turned-away":0,"stopped":0,"stops":0,"most":3,"chunks":1}`,
 			3*len(packed)) + "\n"},
-		{"DELETE", "/v1/packages/f-1/v2", "", nil, goldenRefusal(400, "store: v2 is the newest version of f-1: publish another one first")},
-		{"DELETE", "/v1/packages/f-1/v1", "", nil, none},
-		{"DELETE", "/v1/packages/f-1/v1", "", nil, goldenRefusal(404, "store: no version v1 of f-1: file does not exist")},
-		{"POST", "/v1/stop", "", nil, goldenRefusal(400, `time: invalid duration ""`)},
-		{"POST", "/v1/stop?for=-1s", "", nil, goldenRefusal(400, "for: a duration above 0")},
+		{"DELETE", "/v1/packages/f-1/v2", "", nil, goldenError(400, "store: v2 is the newest version of f-1: publish another one first")},
+		{"DELETE", "/v1/packages/f-1/v1", "", nil, noContent},
+		{"DELETE", "/v1/packages/f-1/v1", "", nil, goldenError(404, "store: no version v1 of f-1: file does not exist")},
+		{"POST", "/v1/stop", "", nil, goldenError(400, `time: invalid duration ""`)},
+		{"POST", "/v1/stop?for=-1s", "", nil, goldenError(400, "for: a duration above 0")},
 		{"POST", "/v1/counts", "", nil, "405\nAllow: GET, HEAD\nContent-Type: text/plain; charset=utf-8\nX-Content-Type-Options: nosniff\n\nMethod Not Allowed\n"},
-		{"GET", "/v1/other", "", nil, goldenRefusal(404, gone)},
+		{"GET", "/v1/other", "", nil, goldenError(404, notFound)},
 	} {
 		// One refusal tells the store's folder, which differs from run to run.
 		got := strings.ReplaceAll(goldenExchange(h, x.method, x.target, x.body, x.head...), dir, "FOLDER")
@@ -154,13 +154,13 @@
 			t.Errorf("%d: %s %s\n got %q\nwant %q", i, x.method, x.target, got, x.want)
 		}
 	}
-	if got, want := goldenExchange(s.Handler(false), "POST", "/v1/releases", first), goldenRefusal(404, gone); got != want {
+	if got, want := goldenExchange(s.Handler(false), "POST", "/v1/releases", first), goldenError(404, notFound); got != want {
 		t.Errorf("publishing is off: got %q, want %q", got, want)
 	}
 
 	// What is left of a stop depends on the clock: it is checked and then replaced.
-	if got := goldenExchange(h, "POST", "/v1/stop?for=1h", ""); got != none {
-		t.Errorf("stop: got %q, want %q", got, none)
+	if got := goldenExchange(h, "POST", "/v1/stop?for=1h", ""); got != noContent {
+		t.Errorf("stop: got %q, want %q", got, noContent)
 	}
 	got := goldenExchange(h, "GET", "/v1/packages", "")
 	_, after, _ := strings.Cut(got, "Retry-After: ")
@@ -172,14 +172,14 @@
 	if got = strings.Replace(got, "Retry-After: "+after, "Retry-After: N", 1); got != want {
 		t.Errorf("stopped:\n got %q\nwant %q", got, want)
 	}
-	want = told + fmt.Sprintf(`{"served":3,"bytes":%d,"turned-away":0,"stopped":1,"stops":1,"most":3,"chunks":1}`, 3*len(packed)) + "\n"
+	want = okJSON + fmt.Sprintf(`{"served":3,"bytes":%d,"turned-away":0,"stopped":1,"stops":1,"most":3,"chunks":1}`, 3*len(packed)) + "\n"
 	if got := goldenExchange(h, "GET", "/v1/counts", ""); got != want {
 		t.Errorf("counts of a stopped store:\n got %q\nwant %q", got, want)
 	}
 }
 
-// TestGoldenTurnAway: a store that serves nothing at a time turns the first fetch away.
-func TestGoldenTurnAway(t *testing.T) {
+// TestGoldenRejection: a store that serves nothing at a time turns the first fetch away.
+func TestGoldenRejection(t *testing.T) {
 	s, err := artifactstore.Open(artifactstore.Options{Folder: t.TempDir(), GracePeriod: time.Hour})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/artifact/distribution/golden_test.go
+++ b/internal/artifact/distribution/golden_test.go
@@ -40,7 +40,7 @@
 	return text + "\n" + w.Body.String()
 }
 
-func goldenRefusal(status int, reason string) string {
+func goldenError(status int, reason string) string {
 	return fmt.Sprintf("%d\nContent-Type: text/plain; charset=utf-8\nX-Content-Type-Options: nosniff\n\n%s\n", status, reason)
 }
 
@@ -53,8 +53,8 @@
 
 func (f trip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// goldenSupplier makes worker w-1 with a network of one byte a second.
-func goldenSupplier(t *testing.T, storage trip, peers ...distribution.Peer) (*distribution.Distributor, *cache.Cache) {
+// goldenDistributor makes worker w-1 with a network of one byte a second.
+func goldenDistributor(t *testing.T, storage trip, peers ...distribution.Peer) (*distribution.Distributor, *cache.Cache) {
 	t.Helper()
 	dir := t.TempDir()
 	c, err := cache.Open(dir, 1<<30, slog.New(slog.DiscardHandler))
@@ -71,9 +71,9 @@
 	return s, c
 }
 
-// TestGoldenGive: what a worker answers to another one that asks for a chunk.
-func TestGoldenGive(t *testing.T) {
-	s, c := goldenSupplier(t, func(r *http.Request) (*http.Response, error) { // the store does not answer
+// TestGoldenServeChunk: what a worker answers to another one that asks for a chunk.
+func TestGoldenServeChunk(t *testing.T) {
+	s, c := goldenDistributor(t, func(r *http.Request) (*http.Response, error) { // the store does not answer
 		<-r.Context().Done()
 		return nil, r.Context().Err()
 	})
@@ -95,12 +95,12 @@
 		{"GET", "/v1/chunks/" + d.String(), []string{"Lupin-Worker", "w-2", "Lupin-Held", "1"}, "503" + jsonHead + `{"said":"busy","after-ms":N}` + "\n"},
 		{"GET", "/v1/chunks/" + other, []string{"Lupin-Worker", "w-2", "Lupin-Held", "1"}, "404" + jsonHead + `{"said":"missing"}` + "\n"},
 		{"GET", "/v1/chunks/" + other, []string{"Lupin-Worker", "w-2", "Lupin-Wait", "1ms"}, "503" + jsonHead + `{"said":"coming","after-ms":20}` + "\n"},
-		{"GET", "/v1/chunks/" + other, []string{"Lupin-Wait", "31s"}, goldenRefusal(400, "a wait between 0 and 30s is needed")},
-		{"GET", "/v1/chunks/" + other, []string{"Lupin-Wait", "-1s"}, goldenRefusal(400, "a wait between 0 and 30s is needed")},
-		{"GET", "/v1/chunks/" + other, []string{"Lupin-Wait", "soon"}, goldenRefusal(400, `time: invalid duration "soon"`)},
-		{"GET", "/v1/chunks/xyz", nil, goldenRefusal(400, "digest of 3 letters, 64 are needed")},
+		{"GET", "/v1/chunks/" + other, []string{"Lupin-Wait", "31s"}, goldenError(400, "a wait between 0 and 30s is needed")},
+		{"GET", "/v1/chunks/" + other, []string{"Lupin-Wait", "-1s"}, goldenError(400, "a wait between 0 and 30s is needed")},
+		{"GET", "/v1/chunks/" + other, []string{"Lupin-Wait", "soon"}, goldenError(400, `time: invalid duration "soon"`)},
+		{"GET", "/v1/chunks/xyz", nil, goldenError(400, "digest of 3 letters, 64 are needed")},
 		{"PUT", "/v1/chunks/xyz", nil, "405\nAllow: GET, HEAD\nContent-Type: text/plain; charset=utf-8\nX-Content-Type-Options: nosniff\n\nMethod Not Allowed\n"},
-		{"GET", "/v1/packages", nil, goldenRefusal(404, "404 page not found")},
+		{"GET", "/v1/packages", nil, goldenError(404, "404 page not found")},
 	} {
 		got := goldenExchange(h, x.method, x.target, x.head...)
 		if got = after.ReplaceAllString(got, `"after-ms":N}`); got != x.want {
@@ -109,9 +109,10 @@
 	}
 }
 
-// TestGoldenAsk: the requests of a worker that looks for a chunk: to a peer that is a home of the chunk before it, to one
-// after it, and to the store where the peer says that the chunk is missing. Which of the two workers is the first home follows from the digest alone.
-func TestGoldenAsk(t *testing.T) {
+// TestGoldenChunkRequests: the requests of a worker that looks for a chunk: to a peer that is a home of the chunk
+// before it, to one after it, and to the store where the peer says that the chunk is missing. Which of the two workers
+// is the first home follows from the digest alone.
+func TestGoldenChunkRequests(t *testing.T) {
 	const (
 		after   = `peer: GET /v1/chunks/D worker="w-1" held="1" wait=""`
 		before  = `peer: GET /v1/chunks/D worker="w-1" held="" wait="18.75s"`
@@ -146,7 +147,7 @@
 			}
 			_, _ = w.Write(packed)
 		}))
-		s, _ := goldenSupplier(t, func(r *http.Request) (*http.Response, error) {
+		s, _ := goldenDistributor(t, func(r *http.Request) (*http.Response, error) {
 			note("store", r)
 			return &http.Response{StatusCode: 200, Status: "200 OK", Header: http.Header{}, Body: io.NopCloser(bytes.NewReader(packed)), Request: r}, nil
 		}, distribution.Peer{Name: "w-2", Addr: peer.Listener.Addr().String()})
--- a/internal/artifact/fetch/search.go
+++ b/internal/artifact/fetch/search.go
@@ -114,8 +114,8 @@
 	if step, ok := s.nextPeer(s.order[:s.reach()], usable); ok {
 		return step
 	}
-	mayAskStore := !s.anyPending || passed >= s.share(storeFallbackShare)
-	if mayAskStore && !s.storeTried && now >= s.storeNotBefore {
+	storeAllowed := !s.anyPending || passed >= s.share(storeFallbackShare)
+	if storeAllowed && !s.storeTried && now >= s.storeNotBefore {
 		return Step{Action: FetchFromStore}
 	}
 	s.endRound(now, jitter)
@@ -134,19 +134,19 @@
 func (s *Search) nextPeer(peers []string, usable func(peer string) bool) (Step, bool) {
 	for _, peer := range s.replicas {
 		if !s.tried[peer] && usable(peer) {
-			return s.askPeer(peer, true), true
+			return s.fetchFromPeer(peer, true), true
 		}
 	}
 	for i, peer := range peers {
 		if !s.tried[peer] && usable(peer) {
 			// only homes before this worker fetch the chunk for it
-			return s.askPeer(peer, i >= s.homeCount || s.selfIndex >= 0 && i >= s.selfIndex), true
+			return s.fetchFromPeer(peer, i >= s.homeCount || s.selfIndex >= 0 && i >= s.selfIndex), true
 		}
 	}
 	return Step{}, false
 }
 
-func (s *Search) askPeer(peer string, cachedOnly bool) Step {
+func (s *Search) fetchFromPeer(peer string, cachedOnly bool) Step {
 	return Step{Action: FetchFromPeer, Peer: peer, CachedOnly: cachedOnly, Wait: s.homeWait(),
 		TransferTimeout: s.share(transferShare)}
 }
