--- a/internal/artifact/artifactstore/golden_test.go
+++ b/internal/artifact/artifactstore/golden_test.go
@@ -86,7 +86,8 @@
 	notThere    = "00000000000000000000000000000000000000000000000000000000000000ff"
 )
 
-// TestGoldenHandler: the answers of every endpoint, in one order, on one store.
+// TestGoldenHandler: the answers of every endpoint, in one order, on one store. It is long as each answer depends on
+// the requests before it.
 func TestGoldenHandler(t *testing.T) {
 	const (
 		noContent = "204\n\n"
@@ -191,8 +192,9 @@
 	}
 }
 
-// TestGoldenClient: the requests of the client, with their bodies, against a store. The packed chunk on file is what the
-// zstd encoder in use makes; another release of that library may pack the same content into other bytes.
+// TestGoldenClient: the requests of the client, with their bodies, against a store. The packed chunk on file is what
+// the zstd encoder in use makes; another release of that library may pack the same content into other bytes. It is one
+// test as the requests are compared in their order.
 func TestGoldenClient(t *testing.T) {
 	s, err := artifactstore.Open(artifactstore.Options{Folder: t.TempDir(), Capacity: artifactstore.Capacity{MaxConcurrent: 4}, GracePeriod: time.Hour})
 	if err != nil {
