--- a/scheduler/growth_test.go
+++ b/scheduler/forget_test.go
@@ -5,11 +5,16 @@
 	"time"
 )
 
-// Functions asked for once and workers long gone are forgotten; an emptied list fills again.
+// Functions called once and workers removed long ago are forgotten; an emptied fleet fills again.
 func Example_forgotten() {
 	s := New(1, 0, 2, time.Millisecond)
 	s.AddType(RequestType{Name: "t", Objective: time.Second})
-	s.SetLoadPolicy(LoadPolicy{RequestLoads: true, LoadOnMiss: true, ReplicaIdleTimeout: 8 * time.Second, RequestTimeout: 10 * time.Second})
+	s.SetLoadPolicy(LoadPolicy{
+		RequestLoads:       true,
+		LoadOnMiss:         true,
+		ReplicaIdleTimeout: 8 * time.Second,
+		RequestTimeout:     10 * time.Second,
+	})
 	now := time.Hour
 	for i := range 5000 {
 		s.ReplaceMembership(now, []Member{{Worker: fmt.Sprint("w", i/100)}})
@@ -20,7 +25,11 @@
 	s.ReplaceMembership(now, nil)
 	empty := len(s.workers)
 	s.ReplaceMembership(now, []Member{{Worker: "w"}})
-	fmt.Println("few functions", len(s.functions) < 1000, "workers", empty, len(s.workers), "held", len(s.activeFunctions) < 20)
+	fmt.Println("few functions", len(s.functions) < 1000)
+	fmt.Println("workers", empty, len(s.workers))
+	fmt.Println("few queues", len(s.activeFunctions) < 20)
 	// Output:
-	// few functions true workers 0 1 held true
+	// few functions true
+	// workers 0 1
+	// few queues true
 }
--- a/scheduler/reference_test.go
+++ b/scheduler/reference_test.go
@@ -14,8 +14,8 @@
 	"lupinpond/internal/base/random"
 )
 
-// The reference: what the fleet's view must tell, worked out by walking all members and scoring them all. It reads
-// the facts of each worker and none of the counts, orders and deadlines that are kept beside them.
+// The reference: the view of the fleet, worked out by walking all members and scoring them all. It reads the facts of
+// each worker and none of the counters, orders and deadlines that are kept beside them.
 
 // walkedCounters counts all members anew.
 func walkedCounters(s *Scheduler, now time.Duration) (counts counters) {
@@ -23,10 +23,14 @@
 		in := w.listed && w.Condition == Up
 		ejectedNow, backlogged := now < w.ejectedUntil, now < w.backloggedUntil
 		hasCapacity := in && float64(len(w.attempts)) < w.limit && !backlogged
-		for what, counted := range map[counter]bool{eligible: in, ejected: ejectedNow || w.halfOpen, withCapacityOrEjected: hasCapacity,
-			withCapacity: hasCapacity && !ejectedNow && (!w.halfOpen || len(w.attempts) == 0)} {
+		for which, counted := range map[counter]bool{
+			eligible:              in,
+			ejected:               ejectedNow || w.halfOpen,
+			withCapacityOrEjected: hasCapacity,
+			withCapacity:          hasCapacity && !ejectedNow && (!w.halfOpen || len(w.attempts) == 0),
+		} {
 			if counted {
-				counts[what]++
+				counts[which]++
 			}
 		}
 		if w.reportedAt > 0 && now < w.reportedAt+2*s.longestObjective {
@@ -42,17 +46,28 @@
 	return counts
 }
 
-// walkedFleetState decides by a walk what survey decides; believedBefore is what it decided the last time.
-func walkedFleetState(s *Scheduler, ignoredBefore bool, now time.Duration) (inFlightNow int, ejectionsIgnored, overloaded bool) {
+// fleetDecisions is what updateFleetState decides.
+type fleetDecisions struct {
+	inFlight         int
+	ejectionsIgnored bool
+	overloaded       bool
+}
+
+// walkedFleetState decides by a walk what updateFleetState decides; ignoredBefore is what it decided the last time.
+func walkedFleetState(s *Scheduler, ignoredBefore bool, now time.Duration) fleetDecisions {
 	counts := walkedCounters(s, now)
-	withRoom := float64(counts[withCapacity])
+	available := float64(counts[withCapacity])
 	if ignoredBefore {
-		withRoom = float64(counts[withCapacityOrEjected])
+		available = float64(counts[withCapacityOrEjected])
 	}
 	full := float64(counts[attemptsInFlight])+s.limitRounding >= s.fleetLimit.limit
-	return int(counts[attemptsInFlight]), float64(counts[ejected]) > maxEjectedShare*float64(counts[eligible]),
-		full || withRoom < overloadCapacityShare*math.Max(float64(counts[eligible]), 1) ||
-			counts[recentlyReported] >= minOverloadReports && float64(counts[withoutQueue]) < overloadCapacityShare*float64(counts[recentlyReported])
+	backlogged := counts[recentlyReported] >= minOverloadReports &&
+		float64(counts[withoutQueue]) < overloadCapacityShare*float64(counts[recentlyReported])
+	return fleetDecisions{
+		inFlight:         int(counts[attemptsInFlight]),
+		ejectionsIgnored: float64(counts[ejected]) > maxEjectedShare*float64(counts[eligible]),
+		overloaded:       full || available < overloadCapacityShare*math.Max(float64(counts[eligible]), 1) || backlogged,
+	}
 }
 
 // sortedOrder is the shared order, by scoring and sorting all workers that may get something new.
@@ -74,7 +89,7 @@
 	return all
 }
 
-// sortedPreferred chooses the workers for first copies from all of them.
+// sortedPreferred chooses the workers for first replicas from all of them.
 func sortedPreferred(s *Scheduler, f *function, now time.Duration) []*worker {
 	var first, last []*worker
 	for _, w := range sortedOrder(s, f) {
@@ -109,7 +124,7 @@
 	return out
 }
 
-// fleetModel is a Chooser under a drawn sequence of facts, and what the test itself knows of the list.
+// fleetModel is a Scheduler under a drawn sequence of facts, and what the test itself knows of the registry.
 type fleetModel struct {
 	*rapid.T
 	scheduler    *Scheduler
@@ -120,13 +135,33 @@
 }
 
 func newFleetModel(t *rapid.T, workers int) *fleetModel {
-	peers := rapid.SampledFrom([]int{1, 3, 200}).Draw(t, "front ends")
-	m := &fleetModel{T: t, scheduler: New(rapid.Uint64().Draw(t, "seed"), 0, peers, 2*time.Millisecond), now: time.Hour, listed: map[string]Member{}}
+	peers := rapid.SampledFrom([]int{1, 3, 200}).Draw(t, "gateways")
+	m := &fleetModel{
+		T:         t,
+		scheduler: New(rapid.Uint64().Draw(t, "seed"), 0, peers, 2*time.Millisecond),
+		now:       time.Hour,
+		listed:    map[string]Member{},
+	}
 	m.scheduler.AddType(RequestType{Name: "free", Objective: time.Second})
 	m.scheduler.AddType(RequestType{Name: "once", Effect: AtMostOnce, Objective: time.Second})
-	m.scheduler.SetAttemptPolicy(AttemptPolicy{MaxAttempts: 4, Cancel: true, Probe: true, MaxRetryAfter: 500 * time.Millisecond})
-	m.scheduler.SetLoadPolicy(LoadPolicy{RequestLoads: true, LoadOnMiss: true, ReplicaIdleTimeout: 3 * time.Second, RequestTimeout: 2 * time.Second})
-	m.scheduler.SetSlowStart(SlowStart{InitialShare: 0.2, WarmUpTime: 10 * time.Second, CrashMultiple: 2, CrashWindow: time.Second})
+	m.scheduler.SetAttemptPolicy(AttemptPolicy{
+		MaxAttempts:   4,
+		Cancel:        true,
+		Probe:         true,
+		MaxRetryAfter: 500 * time.Millisecond,
+	})
+	m.scheduler.SetLoadPolicy(LoadPolicy{
+		RequestLoads:       true,
+		LoadOnMiss:         true,
+		ReplicaIdleTimeout: 3 * time.Second,
+		RequestTimeout:     2 * time.Second,
+	})
+	m.scheduler.SetSlowStart(SlowStart{
+		InitialShare:  0.2,
+		WarmUpTime:    10 * time.Second,
+		CrashMultiple: 2,
+		CrashWindow:   time.Second,
+	})
 	var members []Member
 	for i := range workers {
 		members = append(members, m.member(i))
@@ -140,8 +175,8 @@
 		Weight: float64(number % 5), Condition: Up}
 }
 
-func (m *fleetModel) applyUpdate(whole bool, members []Member) {
-	if whole {
+func (m *fleetModel) applyUpdate(complete bool, members []Member) {
+	if complete {
 		clear(m.listed)
 	}
 	for _, member := range members {
@@ -149,39 +184,41 @@
 			delete(m.listed, member.Worker)
 		}
 	}
-	if whole {
+	if complete {
 		m.scheduler.ReplaceMembership(m.now, members)
 	} else {
 		m.scheduler.UpdateMembership(m.now, members)
 	}
-	for name := range m.scheduler.workers { // after news, who is off the list and has nothing under way is forgotten
-		underWay := slices.ContainsFunc(m.inFlight, func(request *Request) bool { return request.target.worker == m.scheduler.workers[name] })
-		if m.listed[name].Worker == "" && !underWay {
+	for name := range m.scheduler.workers { // after an update, workers no longer listed without attempts in flight are forgotten
+		used := slices.ContainsFunc(m.inFlight, func(request *Request) bool {
+			return request.target.worker == m.scheduler.workers[name]
+		})
+		if m.listed[name].Worker == "" && !used {
 			m.Fatalf("%s is still a member", name)
 		}
 	}
 }
 
-// drawUpdate draws changed lines, or a whole list.
+// drawUpdate draws changed workers, or a complete registry.
 func (m *fleetModel) drawUpdate() {
 	var members []Member
 	most := 5
-	whole := rapid.IntRange(0, 5).Draw(m.T, "whole") == 0
-	if whole {
+	complete := rapid.IntRange(0, 5).Draw(m.T, "complete") == 0
+	if complete {
 		most = 25
 	}
-	for range rapid.IntRange(0, most).Draw(m.T, "lines") {
+	for range rapid.IntRange(0, most).Draw(m.T, "workers") {
 		member := m.member(rapid.IntRange(0, 24).Draw(m.T, "worker"))
 		member.Condition = rapid.SampledFrom([]Condition{Up, Up, Up, Draining, Removed}).Draw(m.T, "condition")
 		member.Weight = float64(rapid.IntRange(0, 4).Draw(m.T, "size"))
-		if rapid.IntRange(0, 3).Draw(m.T, "anew") == 0 {
+		if rapid.IntRange(0, 3).Draw(m.T, "restarted") == 0 {
 			member.Started = m.now
 		} else {
 			member.Started = m.listed[member.Worker].Started
 		}
 		members = append(members, member)
 	}
-	m.applyUpdate(whole, members)
+	m.applyUpdate(complete, members)
 }
 
 func (m *fleetModel) recordSends(decisions []Decision) {
@@ -194,8 +231,8 @@
 
 func (m *fleetModel) drawRequest() {
 	request := &Request{ID: "e", Type: rapid.SampledFrom([]string{"free", "once", "free"}).Draw(m.T, "type"), Tenant: "n",
-		Function: rapid.Uint64Range(1, 6).Draw(m.T, "function"), TimeLeft: 3 * time.Second, Concurrency: rapid.IntRange(1, 3).Draw(m.T, "lanes"),
-		LoadTime: 300 * time.Millisecond}
+		Function: rapid.Uint64Range(1, 6).Draw(m.T, "function"), TimeLeft: 3 * time.Second,
+		Concurrency: rapid.IntRange(1, 3).Draw(m.T, "concurrency"), LoadTime: 300 * time.Millisecond}
 	if rapid.IntRange(0, 40).Draw(m.T, "unknown") == 0 { // its longer target has every report believed for longer
 		request.Type, request.TimeLeft = "unknown", 5*time.Second
 	}
@@ -203,7 +240,10 @@
 }
 
 func (m *fleetModel) drawReport() LoadReport {
-	return LoadReport{Reported: rapid.Bool().Draw(m.T, "told"), QueueDepth: float64(rapid.IntRange(0, 6).Draw(m.T, "waiting"))}
+	return LoadReport{
+		Reported:   rapid.Bool().Draw(m.T, "reported"),
+		QueueDepth: float64(rapid.IntRange(0, 6).Draw(m.T, "queue depth")),
+	}
 }
 
 func (m *fleetModel) drawOutcome() {
@@ -213,9 +253,13 @@
 	i := rapid.IntRange(0, len(m.inFlight)-1).Draw(m.T, "attempt")
 	request := m.inFlight[i]
 	m.inFlight = slices.Delete(m.inFlight, i, i+1)
-	outcome := Outcome{Result: rapid.SampledFrom([]Result{Completed, Completed, Completed, Failed, Full, TimedOut, Unreachable, ConnectionLost,
-		Cancelled, Withheld, NotFound}).Draw(m.T, "result"), Report: m.drawReport(),
-		Duration: time.Duration(rapid.IntRange(1, 1500).Draw(m.T, "took")) * time.Millisecond, ReplicaState: ReplicaWarm}
+	outcome := Outcome{
+		Result: rapid.SampledFrom([]Result{Completed, Completed, Completed, Failed, Full, TimedOut, Unreachable,
+			ConnectionLost, Cancelled, Withheld, NotFound}).Draw(m.T, "result"),
+		Report:       m.drawReport(),
+		Duration:     time.Duration(rapid.IntRange(1, 1500).Draw(m.T, "duration")) * time.Millisecond,
+		ReplicaState: ReplicaWarm,
+	}
 	outcome.Final = outcome.Result == Completed
 	m.recordSends([]Decision{m.scheduler.Complete(m.now, request, outcome)})
 }
@@ -224,28 +268,32 @@
 	return fmt.Sprint("w", rapid.IntRange(0, 24).Draw(m.T, "worker"))
 }
 
-// step draws one fact and tells it.
+// step draws one fact and has the scheduler take it.
 func (m *fleetModel) step() {
-	switch rapid.SampledFrom([]string{"news", "request", "request", "request", "outcome", "outcome", "wait", "wait", "probe", "load",
-		"time", "time", "time"}).Draw(m.T, "what") {
-	case "news":
+	switch rapid.SampledFrom([]string{"update", "request", "request", "request", "outcome", "outcome", "tick", "tick",
+		"probe", "load", "time", "time", "time"}).Draw(m.T, "what") {
+	case "update":
 		m.drawUpdate()
 	case "request":
 		m.drawRequest()
 	case "outcome":
 		m.drawOutcome()
-	case "wait":
+	case "tick":
 		due := m.scheduler.Tick(m.now)
 		m.recordSends(due.Decisions)
 		m.loadRequests = append(m.loadRequests, due.LoadRequests...)
 	case "probe":
-		m.scheduler.ProbeCompleted(m.now, m.drawWorker(), rapid.SampledFrom([]Result{Completed, Completed, Full, Unreachable, TimedOut}).Draw(m.T, "result"),
-			m.drawReport(), time.Duration(rapid.IntRange(1, 9).Draw(m.T, "took"))*time.Millisecond)
+		worker := m.drawWorker()
+		result := rapid.SampledFrom([]Result{Completed, Completed, Full, Unreachable, TimedOut}).Draw(m.T, "result")
+		report := m.drawReport()
+		roundTrip := time.Duration(rapid.IntRange(1, 9).Draw(m.T, "round trip")) * time.Millisecond
+		m.scheduler.ProbeCompleted(m.now, worker, result, report, roundTrip)
 	case "load":
 		if len(m.loadRequests) > 0 {
 			load := m.loadRequests[0]
 			m.loadRequests = m.loadRequests[1:]
-			m.scheduler.LoadCompleted(m.now, load, rapid.SampledFrom([]Result{Completed, Completed, Full, Failed, ConnectionLost}).Draw(m.T, "result"), 300*time.Millisecond)
+			result := rapid.SampledFrom([]Result{Completed, Completed, Full, Failed, ConnectionLost}).Draw(m.T, "result")
+			m.scheduler.LoadCompleted(m.now, load, result, 300*time.Millisecond)
 		}
 	case "time":
 		m.now += time.Duration(rapid.SampledFrom([]int{1, 20, 200, 900, 4000}).Draw(m.T, "ms")) * time.Millisecond
@@ -257,18 +305,19 @@
 	m.checkMembers()
 	m.checkState()
 	m.checkBusy()
-	m.checkSizes()
+	m.checkWeights()
 	m.checkOrders()
 }
 
-// checkMembers compares the members with what the test knows of the list and of the attempts under way.
+// checkMembers compares the members with what the test knows of the registry and of the attempts in flight.
 func (m *fleetModel) checkMembers() {
 	s := m.scheduler
 	members := map[string]bool{}
 	for name := range m.listed {
 		members[name] = true
 	}
-	for _, request := range m.inFlight { // a worker off the list stays while attempts there are under way; one that started anew is another
+	// a worker no longer listed stays while attempts there are in flight; one that restarted is another worker
+	for _, request := range m.inFlight {
 		if w := request.target.worker; s.workers[w.Worker] == w {
 			members[w.Worker] = true
 		}
@@ -282,7 +331,7 @@
 		if w.listed != (m.listed[name].Worker != "") {
 			m.Fatalf("%s is listed: %v", name, w.listed)
 		}
-		if !members[name] && !slices.Contains(s.unlisted, w) { // it is forgotten with the next news
+		if !members[name] && !slices.Contains(s.unlisted, w) { // it is forgotten with the next update
 			m.Fatalf("%s is a member", name)
 		}
 	}
@@ -311,9 +360,9 @@
 	if got, want := s.counters, walkedCounters(s, m.now); got != want {
 		m.Fatalf("the fleet counts %v, a walk %v", got, want)
 	}
-	inFlightNow, ejectionsIgnored, overloaded := walkedFleetState(s, before, m.now)
-	if s.inFlight != inFlightNow || s.ejectionsIgnored != ejectionsIgnored || s.overloaded != overloaded {
-		m.Fatalf("in flight %d, unbelieved %v, jam %v; a walk tells %d, %v, %v", s.inFlight, s.ejectionsIgnored, s.overloaded, inFlightNow, ejectionsIgnored, overloaded)
+	got := fleetDecisions{s.inFlight, s.ejectionsIgnored, s.overloaded}
+	if want := walkedFleetState(s, before, m.now); got != want {
+		m.Fatalf("fleet state %+v, a walk finds %+v", got, want)
 	}
 }
 
@@ -334,7 +383,7 @@
 	}
 }
 
-// checkBusy compares the workers that are looked at for silence.
+// checkBusy compares the workers that are checked for silence.
 func (m *fleetModel) checkBusy() {
 	busy := map[*worker]bool{}
 	for _, w := range m.scheduler.busy.All() {
@@ -351,27 +400,28 @@
 	}
 }
 
-// checkSizes compares the sums by kind.
-func (m *fleetModel) checkSizes() {
-	told, number := map[*workerKind]float64{}, map[*workerKind]float64{}
+// checkWeights compares the sums by kind.
+func (m *fleetModel) checkWeights() {
+	weights, counts := map[*workerKind]float64{}, map[*workerKind]float64{}
 	for _, w := range m.scheduler.workers {
-		told[w.kind] += cmp.Or(w.Weight, 1)
-		number[w.kind]++
+		weights[w.kind] += cmp.Or(w.Weight, 1)
+		counts[w.kind]++
 	}
 	mean := 0.0
 	for _, kind := range m.scheduler.orderedKinds {
-		if math.Abs(kind.weightSum-told[kind]) > 1e-9 || kind.workerCount != number[kind] {
-			m.Fatalf("a kind has size %v of %v, a walk finds %v of %v", kind.weightSum, kind.workerCount, told[kind], number[kind])
+		if math.Abs(kind.weightSum-weights[kind]) > 1e-9 || kind.workerCount != counts[kind] {
+			m.Fatalf("a kind has weight %v of %v workers, a walk finds %v of %v",
+				kind.weightSum, kind.workerCount, weights[kind], counts[kind])
 		}
-		mean += told[kind] / kind.slowness / math.Max(1, float64(len(m.scheduler.workers)))
+		mean += weights[kind] / kind.slowness / math.Max(1, float64(len(m.scheduler.workers)))
 	}
 	if math.Abs(m.scheduler.meanWeight-mean) > 1e-9*mean {
 		m.Fatalf("mean size %v, a walk finds %v", m.scheduler.meanWeight, mean)
 	}
 }
 
-// Through drawn sequences of news, failures, loads, outcomes and time, the view that is kept up as facts come tells
-// what a walk through all workers tells: count for count, and first copies worker for worker.
+// Through drawn sequences of updates, failures, loads, outcomes and time, the view that is kept up as facts come is
+// what a walk through all workers finds: counter for counter, and first replicas worker for worker.
 func TestFleetViewIsWhatAWalkFinds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newFleetModel(t, rapid.IntRange(0, 20).Draw(t, "workers"))
@@ -382,14 +432,14 @@
 	})
 }
 
-// The order of a fleet too large to be walked for every request is the sorted one, and front ends whose lists differ
-// by some workers order those that both know alike.
+// The order of a fleet too large to be walked for every request is the sorted one, and gateways whose registries
+// differ by some workers order those that both know alike.
 func TestSharedOrderOfALargeFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := newFleetModel(t, 400), newFleetModel(t, 400)
 		removed := map[string]bool{}
 		var members []Member
-		for range rapid.IntRange(1, 20).Draw(t, "gone") {
+		for range rapid.IntRange(1, 20).Draw(t, "removed") {
 			member := a.member(rapid.IntRange(0, 399).Draw(t, "worker"))
 			member.Condition = Removed
 			removed[member.Worker], members = true, append(members, member)
@@ -411,7 +461,7 @@
 		before = names(walkedOrder(a.scheduler, &function{id: 9}))
 		after := names(walkedOrder(b.scheduler, &function{id: 9}))
 		if !slices.Equal(slices.DeleteFunc(before, func(name string) bool { return removed[name] }), after) {
-			t.Fatal("workers that both front ends know are in another order")
+			t.Fatal("workers that both gateways know are in another order")
 		}
 	})
 }
