--- a/scheduler/internal/fleetindex/compare_test.go
+++ b/scheduler/internal/fleetindex/compare_test.go
@@ -14,7 +14,7 @@
 // placement gives the first worker of a function among the workers of one size that it was made from.
 type placement func(function uint64) int
 
-// placements are the ways weighed for the order that all front ends share. Each makes a placement of the workers whose
+// placements are the candidates for the order that all gateways share. Each makes a placement of the workers whose
 // numbers it is given.
 var placements = []struct {
 	name string
@@ -144,9 +144,9 @@
 	}
 }
 
-// BenchmarkPlacements weighs the placements: time of one, how evenly functions spread over workers of one size (the busiest
-// worker over the mean, and the standard deviation less what chance alone gives), and how many functions move when one worker
-// in a hundred goes, over those that were at these workers.
+// BenchmarkPlacements compares the placements: time of one, how evenly functions spread over workers of one size (the
+// busiest worker over the mean, and the standard deviation less what chance alone gives), and how many functions move
+// when one worker in a hundred is removed, over those that were at these workers.
 func BenchmarkPlacements(b *testing.B) {
 	for _, size := range []int{120, 400, 4000, 43000} {
 		for _, p := range placements {
--- a/scheduler/internal/fleetindex/deadlines.go
+++ b/scheduler/internal/fleetindex/deadlines.go
@@ -9,65 +9,66 @@
 type Deadline[M any] struct {
 	Member       M
 	at           time.Duration
-	heapPosition int // in the heap, counted from 1; 0: not in it
+	heapPosition int // counted from 1; 0: not in the heap
 }
 
 // Deadlines holds members by the time at which something of them changes. The zero value is empty.
-type Deadlines[M any] struct{ entries deadlineHeap[M] }
+type Deadlines[M any] struct{ heap deadlineHeap[M] }
 
-// Set puts a member in at a time, or moves it there.
-func (d *Deadlines[M]) Set(e *Deadline[M], at time.Duration) {
+// Set adds a member with a deadline, or moves its deadline.
+func (d *Deadlines[M]) Set(deadline *Deadline[M], at time.Duration) {
 	switch {
-	case e.heapPosition == 0:
-		e.at = at
-		heap.Push(&d.entries, e)
-	case e.at != at:
-		e.at = at
-		heap.Fix(&d.entries, e.heapPosition-1)
+	case deadline.heapPosition == 0:
+		deadline.at = at
+		heap.Push(&d.heap, deadline)
+	case deadline.at != at:
+		deadline.at = at
+		heap.Fix(&d.heap, deadline.heapPosition-1)
 	}
 }
 
-// Clear takes a member out, if it is in.
-func (d *Deadlines[M]) Clear(e *Deadline[M]) {
-	if e.heapPosition > 0 {
-		heap.Remove(&d.entries, e.heapPosition-1)
+// Clear removes a member, if it is in.
+func (d *Deadlines[M]) Clear(deadline *Deadline[M]) {
+	if deadline.heapPosition > 0 {
+		heap.Remove(&d.heap, deadline.heapPosition-1)
 	}
 }
 
-// PopExpired takes out one member whose time has come, the earliest first; false: there is none.
+// PopExpired removes and gives the member with the earliest deadline, if that has expired.
 func (d *Deadlines[M]) PopExpired(now time.Duration) (member M, found bool) {
-	if len(d.entries) == 0 || d.entries[0].at > now {
+	if len(d.heap) == 0 || d.heap[0].at > now {
 		return member, false
 	}
-	return heap.Pop(&d.entries).(*Deadline[M]).Member, true
+	return heap.Pop(&d.heap).(*Deadline[M]).Member, true
 }
 
-// Len is the number of members in it.
-func (d *Deadlines[M]) Len() int { return len(d.entries) }
+// Len is the number of members.
+func (d *Deadlines[M]) Len() int { return len(d.heap) }
 
-// deadlineHeap is the heap.
 type deadlineHeap[M any] []*Deadline[M]
 
 func (h deadlineHeap[M]) Len() int           { return len(h) }
 func (h deadlineHeap[M]) Less(i, j int) bool { return h[i].at < h[j].at }
+
 func (h deadlineHeap[M]) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].heapPosition, h[j].heapPosition = i+1, j+1
+	h[i].heapPosition = i + 1
+	h[j].heapPosition = j + 1
 }
 
-// Push adds an entry; for container/heap.
+// Push implements heap.Interface.
 func (h *deadlineHeap[M]) Push(x any) {
-	e := x.(*Deadline[M])
-	*h = append(*h, e)
-	e.heapPosition = len(*h)
+	deadline := x.(*Deadline[M])
+	*h = append(*h, deadline)
+	deadline.heapPosition = len(*h)
 }
 
-// Pop takes the last entry; for container/heap.
+// Pop implements heap.Interface.
 func (h *deadlineHeap[M]) Pop() any {
 	last := len(*h) - 1
-	e := (*h)[last]
+	deadline := (*h)[last]
 	(*h)[last] = nil
 	*h = (*h)[:last]
-	e.heapPosition = 0
-	return e
+	deadline.heapPosition = 0
+	return deadline
 }
--- a/scheduler/internal/fleetindex/index_test.go
+++ b/scheduler/internal/fleetindex/index_test.go
@@ -12,7 +12,7 @@
 	"lupinpond/scheduler/internal/fleetindex"
 )
 
-// Through any sequence of additions and removals, a walk comes by every member once, in the order of its least distance
+// Through any sequence of additions and removals, a walk visits every member once, in the order of its least distance
 // after a start: the order that scoring every member and sorting them gives.
 func TestWalkIsTheSortedOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -53,7 +53,8 @@
 		for i := range want {
 			member, got, more := ring.Peek()
 			if !more || seen[member] || got != distance(want[i]) || got != distance(member) {
-				t.Fatalf("member %d of the walk: %d at %d, more %v, want %d at %d", i, member, got, more, want[i], distance(want[i]))
+				t.Fatalf("member %d of the walk: %d at %d, more %v, want %d at %d",
+					i, member, got, more, want[i], distance(want[i]))
 			}
 			seen[member] = true
 			ring.Next()
@@ -64,7 +65,7 @@
 	})
 }
 
-// Deadlines give out what has expired, the earliest first, however often members were moved or taken out.
+// Deadlines give what has expired, the earliest first, however often members were moved or removed.
 func TestDeadlinesExpireInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var deadlines fleetindex.Deadlines[int]
--- a/scheduler/reference_test.go
+++ b/scheduler/reference_test.go
@@ -189,7 +189,8 @@
 	} else {
 		m.scheduler.UpdateMembership(m.now, members)
 	}
-	for name := range m.scheduler.workers { // after an update, workers no longer listed without attempts in flight are forgotten
+	// after an update, workers no longer listed without attempts in flight are forgotten
+	for name := range m.scheduler.workers {
 		used := slices.ContainsFunc(m.inFlight, func(request *Request) bool {
 			return request.target.worker == m.scheduler.workers[name]
 		})
