--- a/internal/gateway/core/core.go
+++ b/internal/gateway/core/core.go
@@ -1,146 +1,48 @@
-// Package core keeps what one front end has in hand: requests, attempts, timers and the calls to the scheduler. It does no
-// I/O, reads no clock and starts no goroutine: facts are told to it with their time, and it acts through an Actor.
-// The same facts at the same times give the same actions. The simulator's adapter, the gate, the tools and the
-// replay drive this one core. It decides nothing about requests, attempts or loads; the scheduler does.
 package core
 
 import (
-	"cmp"
 	"container/heap"
 	"errors"
 	"math"
-	"slices"
 	"time"
 
 	"lupinpond/scheduler"
 )
 
-// Actor carries out what the core says. It is called while a fact is being told and must not call back into the core.
-type Actor interface {
-	Send(e *scheduler.Request, launch int, worker string)           // attempt is counted from 0
-	Complete(e *scheduler.Request, launch int)                      // the answer of that attempt is the request's
-	Reject(e *scheduler.Request, back time.Duration, mayRun bool)   // back 0: no time to come back is named
-	Fail(e *scheduler.Request, launches int, mayRun bool)           // mayRun: it may have run
-	Cancel(e *scheduler.Request, launch int, worker string)         // stop waiting for that attempt
-	RequestLoad(o scheduler.LoadRequest)                            // a load request
-	Probe(worker string)                                            //
-	Subscribe()                                                     // subscribe to the list of workers
-	SetTimer(after time.Duration)                                   // call Woke so much later
-	Closed(e *scheduler.Request, launches int, outcome CloseReason) // bookkeeping: nothing follows for this request
-}
-
-// CloseReason is how the core let go of a request.
-type CloseReason int
-
-// The endings; Abandoned: the client left before.
-const (
-	Completed CloseReason = iota
-	Rejected
-	Failed
-	Abandoned
-)
-
-// Tenant is a tenant and its share: requests a second at all front ends together.
-type Tenant struct {
-	Name  string  `cbor:"1,keyasint"`
-	Quota float64 `cbor:"2,keyasint"`
-}
-
-// WorkerKind is a kind of worker and the memory of one, in the unit of the requests' memory.
-type WorkerKind struct {
-	Name   string  `cbor:"1,keyasint"`
-	Memory float64 `cbor:"2,keyasint"`
-}
-
-// LoadPolicy and SlowStart are the scheduler's: recordings hold them as a part of the settings.
-type (
-	LoadPolicy = scheduler.LoadPolicy
-	SlowStart  = scheduler.SlowStart
-)
-
-// Settings is all that a core is started with.
-type Settings struct {
-	Seed              uint64                  `cbor:"1,keyasint"`
-	Index             int                     `cbor:"2,keyasint"` // its number among the front ends, from 0
-	Gateways          int                     `cbor:"3,keyasint"` // how many there are, itself included
-	MinTickInterval   time.Duration           `cbor:"4,keyasint"` // least time between two calls
-	Types             []scheduler.RequestType `cbor:"5,keyasint"`
-	Tenants           []Tenant                `cbor:"6,keyasint"`
-	MaxAttempts       int                     `cbor:"7,keyasint"` // most attempts of a request
-	Cancel            bool                    `cbor:"8,keyasint"`
-	Probe             bool                    `cbor:"9,keyasint"`
-	MaxRetryAfter     time.Duration           `cbor:"10,keyasint"` // longest time to come back that clients honour; 0: none is named
-	LoadPolicy        LoadPolicy              `cbor:"11,keyasint"`
-	SlowStart         SlowStart               `cbor:"12,keyasint"`
-	SubscribeInterval time.Duration           `cbor:"13,keyasint"` // the list must be asked for at least so often; 0: it comes unasked
-	WorkerKinds       []WorkerKind            `cbor:"15,keyasint,omitempty"`
-	Zone              string                  `cbor:"16,keyasint,omitempty"` // its own, where attempts to other zones cost something
-	EnforceDeadlines  bool                    `cbor:"14,keyasint"`           // the core itself times attempts out when their client's time is up
-}
-
-// trackedRequest is one request in hand.
-type trackedRequest struct {
-	request            *scheduler.Request
-	number             uint64 // in the order of arrival, so that equal deadlines keep an order
-	attempts           int
-	worker             string        // of the last attempt
-	sentAt             time.Duration // when the last attempt was decided
-	deadline           time.Duration // the client's time is up
-	heapIndex          int           // place in the deadlines, -1: none
-	clientDisconnected bool          // the client has left
-	mayHaveRun         bool          // an attempt ended such that it may have run
-}
-
-// Core is one front end's state. It is not safe for use by several goroutines.
+// Core is the state of one gateway. It is not safe for use by several goroutines.
 type Core struct {
 	scheduler        *scheduler.Scheduler
 	actor            Actor
-	ownsDeadlines    bool // it keeps the deadlines
-	requests         map[string]*trackedRequest
-	deadlines        deadlineHeap
+	requests         map[string]*trackedRequest // by id
 	lastNumber       uint64
-	shutdownDeadline time.Duration   // every request has ended by then
-	timers           []time.Duration // timers set and still to come, the earliest last
-	recorder         func(Input)
+	ownsDeadlines    bool            // it times attempts out itself
+	deadlines        deadlineHeap    // of all requests, if it owns them
+	shutdownDeadline time.Duration   // every request has its final answer by then
+	timers           []time.Duration // set and not fired, the earliest last
+	recorder         func(Input)     // nil: nothing is recorded
 }
 
-// ErrDuplicate reports that a request with the same id is in flight already.
+// ErrDuplicate reports that a request of the same id is in flight. Its text is part of an answer to the client.
 var ErrDuplicate = errors.New("an event of this id is in hand")
 
 // New starts a core that acts through actor.
-func New(f Settings, actor Actor) *Core {
-	c := scheduler.New(f.Seed, f.Index, f.Gateways, f.MinTickInterval)
-	for _, t := range f.Types {
-		c.AddType(t)
+func New(settings Settings, actor Actor) *Core {
+	return &Core{
+		scheduler:        settings.newScheduler(),
+		actor:            actor,
+		requests:         map[string]*trackedRequest{},
+		ownsDeadlines:    settings.EnforceDeadlines,
+		shutdownDeadline: math.MaxInt64,
 	}
-	for _, t := range f.Tenants {
-		c.AddTenant(t.Name, t.Quota)
-	}
-	for _, k := range f.WorkerKinds {
-		c.AddWorkerKind(k.Name, k.Memory)
-	}
-	c.PreferZone(f.Zone)
-	c.SetAttemptPolicy(scheduler.AttemptPolicy{
-		MaxAttempts:   f.MaxAttempts,
-		Cancel:        f.Cancel,
-		Probe:         f.Probe,
-		MaxRetryAfter: f.MaxRetryAfter,
-	})
-	c.SetLoadPolicy(f.LoadPolicy)
-	c.SetSlowStart(f.SlowStart)
-	if f.SubscribeInterval > 0 {
-		c.SetSubscribeInterval(f.SubscribeInterval)
-	}
-	return &Core{scheduler: c, actor: actor, ownsDeadlines: f.EnforceDeadlines, requests: map[string]*trackedRequest{}, shutdownDeadline: math.MaxInt64}
 }
 
-// OpenRequests is the number of requests without an ending or with an attempt in flight.
+// OpenRequests is the number of requests without a final answer or with an attempt in flight.
 func (c *Core) OpenRequests() int { return len(c.requests) }
 
-// Members is the list of workers as the module knows it, in the order of their names.
+// Members gives the workers that the registry lists, in the order of their names.
 func (c *Core) Members() []scheduler.Member { return c.scheduler.Members() }
 
-// FleetState is what the scheduler makes of its fleet.
+// FleetState is the state of the fleet at the scheduler's last decision.
 func (c *Core) FleetState() scheduler.FleetState { return c.scheduler.FleetState() }
 
 // UpdateMembership takes changes of the worker registry.
@@ -155,100 +57,109 @@
 	c.scheduler.ReplaceMembership(now, members)
 }
 
-// WatchFailed tells that asking for the list failed or that a subscription broke.
+// WatchFailed notes that a subscription to the worker registry failed or was lost.
 func (c *Core) WatchFailed(now time.Duration) {
 	c.record(Input{Op: OpWatchFailed, Now: now})
 	c.scheduler.WatchFailed(now)
 }
 
-// Submit tells of a request that a client sent. Its id must be new; ErrInHand otherwise, and nothing is done.
-func (c *Core) Submit(now time.Duration, e *scheduler.Request) error {
-	if c.requests[e.ID] != nil {
+// Submit takes a request of a client. Where one of its id is in flight it does nothing and returns ErrDuplicate.
+func (c *Core) Submit(now time.Duration, request *scheduler.Request) error {
+	if c.requests[request.ID] != nil {
 		return ErrDuplicate
 	}
 	if c.recorder != nil {
-		c.recorder(Input{Op: OpSubmit, Now: now, Request: requestFacts(e)})
+		c.recorder(Input{Op: OpSubmit, Now: now, Request: requestFacts(request)})
 	}
 	c.lastNumber++
-	h := &trackedRequest{request: e, number: c.lastNumber, deadline: min(now+e.TimeLeft, c.shutdownDeadline), heapIndex: -1}
-	c.requests[e.ID] = h
+	tracked := &trackedRequest{
+		request:   request,
+		number:    c.lastNumber,
+		deadline:  min(now+request.TimeLeft, c.shutdownDeadline),
+		heapIndex: -1,
+	}
+	c.requests[request.ID] = tracked
 	if c.ownsDeadlines {
-		heap.Push(&c.deadlines, h)
+		heap.Push(&c.deadlines, tracked)
 	}
-	answer := c.scheduler.Submit(now, e)
-	c.scheduler.LimitDeadline(e, h.deadline)
-	c.perform(now, h, answer)
+	decision := c.scheduler.Submit(now, request)
+	c.scheduler.LimitDeadline(request, tracked.deadline)
+	c.perform(now, tracked, decision)
 	return nil
 }
 
-// ShutdownBy tells that the front end is told to end: what is in hand, and what comes yet, has its final answer by then. What
-// is left unanswered when the process is killed would be lost (rule 1).
-func (c *Core) ShutdownBy(now, by time.Duration) {
-	c.record(Input{Op: OpShutdownBy, Now: now, Deadline: by})
-	c.shutdownDeadline = by
-	for _, h := range c.requests {
-		h.deadline = min(h.deadline, by)
-		c.scheduler.LimitDeadline(h.request, h.deadline)
+// ShutdownBy begins a graceful shutdown: the open requests, and those still to come, have their final answers by then.
+// What is unanswered when the process is killed would be lost (rule 1).
+func (c *Core) ShutdownBy(now, deadline time.Duration) {
+	c.record(Input{Op: OpShutdownBy, Now: now, Deadline: deadline})
+	c.shutdownDeadline = deadline
+	for _, tracked := range c.requests {
+		tracked.deadline = min(tracked.deadline, deadline)
+		c.scheduler.LimitDeadline(tracked.request, tracked.deadline)
 	}
 	heap.Init(&c.deadlines)
 }
 
-// CompleteAttempt tells how an attempt of a request ended. It is for the attempt that is in flight; any other, late or
-// doubled or of a request never in hand, is not told to the module, and false is returned.
-func (c *Core) CompleteAttempt(now time.Duration, id string, launch int, o scheduler.Outcome) bool {
-	c.record(Input{Op: OpCompleteAttempt, Now: now, ID: id, Attempt: launch, Outcome: o})
-	h := c.requests[id]
-	if h == nil || launch != h.attempts-1 || !h.request.InFlight() {
+// CompleteAttempt takes the outcome of the attempt in flight of a request. Any other outcome, late or a duplicate or
+// of a request that is not open, does not reach the scheduler, and false is returned.
+func (c *Core) CompleteAttempt(now time.Duration, id string, attempt int, outcome scheduler.Outcome) bool {
+	c.record(Input{Op: OpCompleteAttempt, Now: now, ID: id, Attempt: attempt, Outcome: outcome})
+	tracked := c.requests[id]
+	if tracked == nil || attempt != tracked.attempts-1 || !tracked.request.InFlight() {
 		return false
 	}
-	c.completeAttempt(now, h, o)
+	c.completeAttempt(now, tracked, outcome)
 	return true
 }
 
-func (c *Core) completeAttempt(now time.Duration, h *trackedRequest, o scheduler.Outcome) {
-	handled := o.Result == scheduler.Completed && !h.clientDisconnected
-	o.Final = o.Final || o.Result == scheduler.Completed || h.clientDisconnected
-	switch o.Result {
+func (c *Core) completeAttempt(now time.Duration, tracked *trackedRequest, outcome scheduler.Outcome) {
+	completed := outcome.Result == scheduler.Completed && !tracked.clientDisconnected
+	outcome.Final = outcome.Final || outcome.Result == scheduler.Completed || tracked.clientDisconnected
+	switch outcome.Result {
 	case scheduler.Failed, scheduler.TimedOut, scheduler.ConnectionLost, scheduler.Cancelled, scheduler.Completed:
-		h.mayHaveRun = true
+		tracked.mayHaveRun = true
 	}
-	launch := h.attempts - 1
-	answer := c.scheduler.Complete(now, h.request, o)
-	if handled {
-		c.actor.Complete(h.request, launch)
-		c.closeRequest(h, Completed)
-	} else if o.Final {
-		c.closeRequest(h, Abandoned)
+	attempt := tracked.attempts - 1
+	decision := c.scheduler.Complete(now, tracked.request, outcome)
+	if completed {
+		c.actor.Complete(tracked.request, attempt)
+		c.closeRequest(tracked, Completed)
+	} else if outcome.Final {
+		c.closeRequest(tracked, Abandoned)
 	}
-	c.perform(now, h, answer)
+	c.perform(now, tracked, decision)
 }
 
-// ClientDisconnected tells that the client of a request is gone; false if the request is not in hand.
+// ClientDisconnected notes that the client of a request has disconnected; false: the request is not open.
 func (c *Core) ClientDisconnected(now time.Duration, id string) bool {
 	c.record(Input{Op: OpClientDisconnected, Now: now, ID: id})
-	h := c.requests[id]
-	if h == nil {
+	tracked := c.requests[id]
+	if tracked == nil {
 		return false
 	}
-	h.clientDisconnected = true
-	c.scheduler.ClientDisconnected(h.request)
-	c.closeRequest(h, Abandoned)
+	tracked.clientDisconnected = true
+	c.scheduler.ClientDisconnected(tracked.request)
+	c.closeRequest(tracked, Abandoned)
 	return true
 }
 
-// ProbeCompleted tells how a probe ended; took is the time from the probe to its answer.
-func (c *Core) ProbeCompleted(now time.Duration, worker string, r scheduler.Result, l scheduler.LoadReport, took time.Duration) {
-	c.record(Input{Op: OpProbeCompleted, Now: now, Worker: worker, Outcome: scheduler.Outcome{Result: r, Report: l, Duration: took}})
-	c.scheduler.ProbeCompleted(now, worker, r, l, took)
+// ProbeCompleted takes the result of a probe and its round trip.
+func (c *Core) ProbeCompleted(now time.Duration, worker string, result scheduler.Result, report scheduler.LoadReport,
+	roundTrip time.Duration) {
+	c.record(Input{Op: OpProbeCompleted, Now: now, Worker: worker,
+		Outcome: scheduler.Outcome{Result: result, Report: report, Duration: roundTrip}})
+	c.scheduler.ProbeCompleted(now, worker, result, report, roundTrip)
 }
 
-// LoadCompleted tells how a load request ended; took is the time from the order to its answer.
-func (c *Core) LoadCompleted(now time.Duration, o scheduler.LoadRequest, r scheduler.Result, took time.Duration) {
-	c.record(Input{Op: OpLoadCompleted, Now: now, LoadRequest: o, Outcome: scheduler.Outcome{Result: r, Duration: took}})
-	c.scheduler.LoadCompleted(now, o, r, took)
+// LoadCompleted takes the result of a load request and the time that it took.
+func (c *Core) LoadCompleted(now time.Duration, load scheduler.LoadRequest, result scheduler.Result,
+	duration time.Duration) {
+	c.record(Input{Op: OpLoadCompleted, Now: now, LoadRequest: load,
+		Outcome: scheduler.Outcome{Result: result, Duration: duration}})
+	c.scheduler.LoadCompleted(now, load, result, duration)
 }
 
-// TimerFired tells that a timer came; Settle follows.
+// TimerFired notes that a timer has fired; ProcessDue follows.
 func (c *Core) TimerFired(now time.Duration) {
 	c.record(Input{Op: OpTimerFired, Now: now})
 	for len(c.timers) > 0 && c.timers[len(c.timers)-1] <= now {
@@ -256,100 +167,87 @@
 	}
 }
 
-// ProcessDue ends a moment: after all its facts are told, what is due is done, and a timer is set where none comes early
-// enough. Attempts whose client's time is up end as timed out, in the order of their deadlines.
+// ProcessDue ends a moment, after all its inputs: what is due is done, and a timer is set where none fires early
+// enough.
 func (c *Core) ProcessDue(now time.Duration) {
 	c.record(Input{Op: OpProcessDue, Now: now})
-	for len(c.deadlines) > 0 && c.deadlines[0].deadline <= now {
-		h := heap.Pop(&c.deadlines).(*trackedRequest)
-		if h.request.InFlight() {
-			c.completeAttempt(now, h, scheduler.Outcome{Worker: h.worker, Duration: now - h.sentAt, Result: scheduler.TimedOut})
-		}
-	}
-	steps := c.scheduler.Tick(now)
-	if steps.Subscribe {
+	c.timeOutAttempts(now)
+	due := c.scheduler.Tick(now)
+	if due.Subscribe {
 		c.actor.Subscribe()
 	}
-	for _, a := range steps.Decisions {
-		if h := c.requests[a.Request.ID]; h != nil {
-			c.perform(now, h, a)
+	for _, decision := range due.Decisions {
+		if tracked := c.requests[decision.Request.ID]; tracked != nil {
+			c.perform(now, tracked, decision)
 		}
 	}
-	for _, worker := range steps.Probes {
+	for _, worker := range due.Probes {
 		c.actor.Probe(worker)
 	}
-	for _, o := range steps.LoadRequests {
-		c.actor.RequestLoad(o)
+	for _, load := range due.LoadRequests {
+		c.actor.RequestLoad(load)
 	}
-	next := steps.Next
-	if len(c.deadlines) > 0 {
-		if d := max(1, c.deadlines[0].deadline-now); next == 0 || d < next {
-			next = d
+	c.setTimer(now, due.Next)
+}
+
+// timeOutAttempts times out the attempts of requests whose deadline has passed, in the order of their deadlines.
+func (c *Core) timeOutAttempts(now time.Duration) {
+	for len(c.deadlines) > 0 && c.deadlines[0].deadline <= now {
+		tracked := heap.Pop(&c.deadlines).(*trackedRequest)
+		if tracked.request.InFlight() {
+			c.completeAttempt(now, tracked, scheduler.Outcome{
+				Worker:   tracked.worker,
+				Duration: now - tracked.sentAt,
+				Result:   scheduler.TimedOut,
+			})
 		}
 	}
-	if next > 0 {
-		at := now + next
-		if n := len(c.timers); n == 0 || at < c.timers[n-1] {
-			c.timers = append(c.timers, at)
-			c.actor.SetTimer(next)
+}
+
+// setTimer sets a timer for the scheduler's next tick, if it has one, and the next deadline, unless one fires by then.
+func (c *Core) setTimer(now, next time.Duration) {
+	if len(c.deadlines) > 0 {
+		if untilDeadline := max(1, c.deadlines[0].deadline-now); next == 0 || untilDeadline < next {
+			next = untilDeadline
 		}
 	}
+	if next == 0 {
+		return
+	}
+	at := now + next
+	if n := len(c.timers); n == 0 || at < c.timers[n-1] {
+		c.timers = append(c.timers, at)
+		c.actor.SetTimer(next)
+	}
 }
 
-// perform carries out one answer of the module.
-func (c *Core) perform(now time.Duration, h *trackedRequest, a scheduler.Decision) {
-	switch a.Action {
+// perform carries out a decision of the scheduler.
+func (c *Core) perform(now time.Duration, tracked *trackedRequest, decision scheduler.Decision) {
+	switch decision.Action {
 	case scheduler.Send:
-		h.attempts, h.worker, h.sentAt = h.attempts+1, a.Worker, now
-		c.actor.Send(a.Request, h.attempts-1, a.Worker)
+		tracked.attempts++
+		tracked.worker = decision.Worker
+		tracked.sentAt = now
+		c.actor.Send(decision.Request, tracked.attempts-1, decision.Worker)
 	case scheduler.Reject:
-		c.actor.Reject(a.Request, a.RetryAfter, h.mayHaveRun)
-		c.closeRequest(h, Rejected)
+		c.actor.Reject(decision.Request, decision.RetryAfter, tracked.mayHaveRun)
+		c.closeRequest(tracked, Rejected)
 	case scheduler.Cancel:
-		c.actor.Cancel(a.Request, a.Attempt, h.worker)
+		c.actor.Cancel(decision.Request, decision.Attempt, tracked.worker)
 	case scheduler.Fail:
-		c.actor.Fail(a.Request, h.attempts, h.mayHaveRun)
-		c.closeRequest(h, Failed)
+		c.actor.Fail(decision.Request, tracked.attempts, tracked.mayHaveRun)
+		c.closeRequest(tracked, Failed)
 	}
 }
 
-// closeRequest forgets a request that has ended once no attempt of it is in flight.
-func (c *Core) closeRequest(h *trackedRequest, how CloseReason) {
-	if h.request.InFlight() || c.requests[h.request.ID] != h {
+// closeRequest forgets a request that has ended, once no attempt of it is in flight.
+func (c *Core) closeRequest(tracked *trackedRequest, reason CloseReason) {
+	if tracked.request.InFlight() || c.requests[tracked.request.ID] != tracked {
 		return
 	}
-	delete(c.requests, h.request.ID)
-	if h.heapIndex >= 0 && c.ownsDeadlines {
-		heap.Remove(&c.deadlines, h.heapIndex)
+	delete(c.requests, tracked.request.ID)
+	if tracked.heapIndex >= 0 && c.ownsDeadlines {
+		heap.Remove(&c.deadlines, tracked.heapIndex)
 	}
-	c.actor.Closed(h.request, h.attempts, how)
-}
-
-// deadlineHeap is a heap of requests by the end of their client's time.
-type deadlineHeap []*trackedRequest
-
-func (d deadlineHeap) Len() int { return len(d) }
-func (d deadlineHeap) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(d[i].deadline, d[j].deadline), cmp.Compare(d[i].number, d[j].number)) < 0
-}
-func (d deadlineHeap) Swap(i, j int) {
-	d[i], d[j] = d[j], d[i]
-	d[i].heapIndex, d[j].heapIndex = i, j
-}
-
-// Push adds a hand; for container/heap.
-func (d *deadlineHeap) Push(x any) {
-	h := x.(*trackedRequest)
-	h.heapIndex = len(*d)
-	*d = append(*d, h)
-}
-
-// Pop takes the last hand; for container/heap.
-func (d *deadlineHeap) Pop() any {
-	last := len(*d) - 1
-	h := (*d)[last]
-	h.heapIndex = -1
-	(*d)[last] = nil
-	*d = slices.Delete(*d, last, last+1)
-	return h
+	c.actor.Closed(tracked.request, tracked.attempts, reason)
 }
--- a/internal/gateway/core/core_test.go
+++ b/internal/gateway/core/core_test.go
@@ -201,8 +201,9 @@
 	})
 }
 
-// A front end that is told to end answers all that it has in hand by then, and what comes yet, whatever time their clients
-// still have: a request that waits for a replica, one out at a worker that says nothing, one whose client has left.
+// A front end that is told to end answers all that it has in hand by then, and what comes yet, whatever time their
+// clients still have: a request that waits for a replica, one out at a worker that says nothing, one whose client has
+// left.
 func TestShutdownBy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := newRecordingActor(false)
--- /dev/null
+++ b/internal/gateway/core/input.go
@@ -0,0 +1,115 @@
+package core
+
+import (
+	"fmt"
+	"time"
+
+	"lupinpond/scheduler"
+)
+
+// Op names an input of a core. Recordings hold its number.
+type Op uint8
+
+// The inputs.
+const (
+	OpUpdateMembership Op = iota + 1
+	OpWatchFailed
+	OpSubmit
+	OpCompleteAttempt
+	OpClientDisconnected
+	OpProbeCompleted
+	OpLoadCompleted
+	OpTimerFired
+	OpProcessDue
+	OpShutdownBy
+)
+
+// Input is one input of a core, as recordings hold it. Fields that the input does not have are zero.
+type Input struct {
+	Op          Op                    `cbor:"1,keyasint"`
+	Now         time.Duration         `cbor:"2,keyasint"`
+	ID          string                `cbor:"3,keyasint,omitempty"`
+	Attempt     int                   `cbor:"4,keyasint,omitempty"`
+	Complete    bool                  `cbor:"5,keyasint,omitempty"` // the members are the complete registry
+	Worker      string                `cbor:"6,keyasint,omitempty"`
+	Members     []scheduler.Member    `cbor:"7,keyasint,omitempty"`
+	Request     *scheduler.Request    `cbor:"8,keyasint,omitempty"`
+	Outcome     scheduler.Outcome     `cbor:"9,keyasint,omitempty"`
+	LoadRequest scheduler.LoadRequest `cbor:"10,keyasint,omitempty"`
+	Deadline    time.Duration         `cbor:"11,keyasint,omitempty"`
+}
+
+// InvalidInputError reports an input that no core can have recorded.
+type InvalidInputError struct {
+	Op     Op
+	Now    time.Duration
+	Reason string
+}
+
+func (e *InvalidInputError) Error() string {
+	return fmt.Sprintf("apply input %d at %v: %s", e.Op, e.Now, e.Reason)
+}
+
+// Record has recorder called with every input from now on, before it takes effect; nil ends it.
+func (c *Core) Record(recorder func(Input)) { c.recorder = recorder }
+
+func (c *Core) record(input Input) {
+	if c.recorder != nil {
+		c.recorder(input)
+	}
+}
+
+// requestFacts copies what is known of a request when it is submitted, without what the scheduler keeps in it.
+func requestFacts(request *scheduler.Request) *scheduler.Request {
+	return &scheduler.Request{
+		ID:          request.ID,
+		Type:        request.Type,
+		Tenant:      request.Tenant,
+		Function:    request.Function,
+		TimeLeft:    request.TimeLeft,
+		Concurrency: request.Concurrency,
+		Memory:      request.Memory,
+		LoadTime:    request.LoadTime,
+		Retry:       request.Retry,
+	}
+}
+
+// Apply takes a recorded input. One that no core can have recorded does nothing and is an InvalidInputError.
+func (c *Core) Apply(input Input) error {
+	if input.Now < 0 {
+		return &InvalidInputError{input.Op, input.Now, "its time is below 0"}
+	}
+	switch input.Op {
+	case OpUpdateMembership:
+		if input.Complete {
+			c.ReplaceMembership(input.Now, input.Members)
+		} else {
+			c.UpdateMembership(input.Now, input.Members)
+		}
+	case OpWatchFailed:
+		c.WatchFailed(input.Now)
+	case OpSubmit:
+		if input.Request == nil {
+			return &InvalidInputError{input.Op, input.Now, "it holds no request"}
+		}
+		return c.Submit(input.Now, requestFacts(input.Request))
+	case OpCompleteAttempt:
+		c.CompleteAttempt(input.Now, input.ID, input.Attempt, input.Outcome)
+	case OpClientDisconnected:
+		c.ClientDisconnected(input.Now, input.ID)
+	case OpProbeCompleted:
+		outcome := input.Outcome
+		c.ProbeCompleted(input.Now, input.Worker, outcome.Result, outcome.Report, outcome.Duration)
+	case OpLoadCompleted:
+		c.LoadCompleted(input.Now, input.LoadRequest, input.Outcome.Result, input.Outcome.Duration)
+	case OpTimerFired:
+		c.TimerFired(input.Now)
+	case OpProcessDue:
+		c.ProcessDue(input.Now)
+	case OpShutdownBy:
+		c.ShutdownBy(input.Now, input.Deadline)
+	default:
+		return &InvalidInputError{input.Op, input.Now, "unknown operation"}
+	}
+	return nil
+}
