--- a/internal/gateway/core/core_test.go
+++ b/internal/gateway/core/core_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"strings"
 	"testing"
 	"time"
 
@@ -19,9 +18,9 @@
 
 // recordingActor prints what a core does, and keeps what is in flight.
 type recordingActor struct {
-	inFlight map[string]int // launch outstanding, by event
-	answers  map[string]int // final answers
-	closed   map[string]int // bookkeeping
+	inFlight map[string]int // attempt, by request
+	answers  map[string]int // final answers, by request
+	closed   map[string]int // calls of Closed, by request
 	print    bool
 }
 
@@ -31,34 +30,34 @@
 	}
 }
 
-func (a *recordingActor) Send(e *scheduler.Request, n int, worker string) {
-	a.inFlight[e.ID] = n
-	a.printf("launch %s %d at %s", e.ID, n, worker)
+func (a *recordingActor) Send(request *scheduler.Request, n int, worker string) {
+	a.inFlight[request.ID] = n
+	a.printf("send %s attempt %d to %s", request.ID, n, worker)
 }
-func (a *recordingActor) Complete(e *scheduler.Request, n int) {
-	a.answers[e.ID]++
-	a.printf("handle %s by launch %d", e.ID, n)
+func (a *recordingActor) Complete(request *scheduler.Request, n int) {
+	a.answers[request.ID]++
+	a.printf("complete %s by attempt %d", request.ID, n)
 }
-func (a *recordingActor) Reject(e *scheduler.Request, _ time.Duration, ran bool) {
-	a.answers[e.ID]++
-	a.printf("defer %s, may have run %v", e.ID, ran)
+func (a *recordingActor) Reject(request *scheduler.Request, _ time.Duration, mayHaveRun bool) {
+	a.answers[request.ID]++
+	a.printf("reject %s, may have run %v", request.ID, mayHaveRun)
 }
-func (a *recordingActor) Fail(e *scheduler.Request, n int, ran bool) {
-	a.answers[e.ID]++
-	a.printf("dead-letter %s after %d launches, may have run %v", e.ID, n, ran)
+func (a *recordingActor) Fail(request *scheduler.Request, n int, mayHaveRun bool) {
+	a.answers[request.ID]++
+	a.printf("fail %s after %d attempts, may have run %v", request.ID, n, mayHaveRun)
 }
-func (a *recordingActor) Cancel(e *scheduler.Request, n int, worker string) {
-	a.printf("withdraw %s %d at %s", e.ID, n, worker)
+func (a *recordingActor) Cancel(request *scheduler.Request, n int, worker string) {
+	a.printf("cancel %s attempt %d at %s", request.ID, n, worker)
 }
-func (a *recordingActor) RequestLoad(o scheduler.LoadRequest) {
-	a.printf("order %d of %d at %s", o.Replicas, o.Function, o.Worker)
+func (a *recordingActor) RequestLoad(load scheduler.LoadRequest) {
+	a.printf("load %d of %d at %s", load.Replicas, load.Function, load.Worker)
 }
 func (a *recordingActor) Probe(worker string)    { a.printf("probe %s", worker) }
 func (a *recordingActor) Subscribe()             {}
 func (a *recordingActor) SetTimer(time.Duration) {}
-func (a *recordingActor) Closed(e *scheduler.Request, _ int, how core.CloseReason) {
-	a.closed[e.ID]++
-	a.printf("ended %s %d", e.ID, how)
+func (a *recordingActor) Closed(request *scheduler.Request, _ int, reason core.CloseReason) {
+	a.closed[request.ID]++
+	a.printf("closed %s %d", request.ID, reason)
 }
 
 func newRecordingActor(print bool) *recordingActor {
@@ -66,10 +65,26 @@
 }
 
 func testSettings() core.Settings {
-	return core.Settings{Seed: 7, Gateways: 1, MinTickInterval: 2 * ms, MaxAttempts: 4, Cancel: true, MaxRetryAfter: 500 * ms, EnforceDeadlines: true,
-		Types: []scheduler.RequestType{{Name: "free", Objective: time.Second}, {Name: "once", Effect: scheduler.AtMostOnce, Objective: time.Second},
-			{Name: "zone", Effect: scheduler.IdempotencyKey, DedupScope: scheduler.ScopeZone, DedupWindow: 300 * ms, Objective: time.Second}},
-		LoadPolicy: core.LoadPolicy{LoadOnMiss: true, ReplicaIdleTimeout: 10 * time.Second, RequestTimeout: 5 * time.Second}}
+	return core.Settings{
+		Seed:            7,
+		Gateways:        1,
+		MinTickInterval: 2 * ms,
+		Types: []scheduler.RequestType{
+			{Name: "idempotent", Objective: time.Second},
+			{Name: "at-most-once", Effect: scheduler.AtMostOnce, Objective: time.Second},
+			{Name: "keyed", Effect: scheduler.IdempotencyKey, DedupScope: scheduler.ScopeZone, DedupWindow: 300 * ms,
+				Objective: time.Second},
+		},
+		MaxAttempts:   4,
+		Cancel:        true,
+		MaxRetryAfter: 500 * ms,
+		LoadPolicy: core.LoadPolicy{
+			LoadOnMiss:         true,
+			ReplicaIdleTimeout: 10 * time.Second,
+			RequestTimeout:     5 * time.Second,
+		},
+		EnforceDeadlines: true,
+	}
 }
 
 var workers = []scheduler.Member{{Worker: "a", Zone: "1"}, {Worker: "b", Zone: "1"}, {Worker: "c", Zone: "2"}}
@@ -78,159 +93,204 @@
 func startRequest(a core.Actor, kind string) (*core.Core, time.Duration) {
 	c, now := core.New(testSettings(), a), time.Hour
 	c.ReplaceMembership(now, workers)
-	e := &scheduler.Request{ID: "e", Type: kind, Function: 1, TimeLeft: 2 * time.Second, Concurrency: 1}
-	fmt.Println(c.Submit(now, e), c.Submit(now, e))
+	request := &scheduler.Request{ID: "e", Type: kind, Function: 1, TimeLeft: 2 * time.Second, Concurrency: 1}
+	fmt.Println(c.Submit(now, request), c.Submit(now, request))
 	c.ProcessDue(now)
 	return c, now
 }
 
-// An answer and its time-out in the same instant: what was told first counts, whichever it is, and just once.
+// A response and its timeout at the same instant: whichever comes first counts, and just once.
 func Example_answerAndTimeoutAtTheSameInstant() {
 	a := newRecordingActor(true)
-	c, now := startRequest(a, "once")
+	c, now := startRequest(a, "at-most-once")
 	now += 2 * time.Second
 	fmt.Println(c.CompleteAttempt(now, "e", 0, scheduler.Outcome{Result: scheduler.Completed, Duration: 2 * time.Second}))
 	c.ProcessDue(now)
-	c, now = startRequest(a, "once")
+	c, now = startRequest(a, "at-most-once")
 	now += 2 * time.Second
 	c.ProcessDue(now)
 	fmt.Println(c.CompleteAttempt(now, "e", 0, scheduler.Outcome{Result: scheduler.Completed, Duration: 2 * time.Second}))
 	fmt.Println(c.OpenRequests())
 	// Output:
 	// <nil> an event of this id is in hand
-	// launch e 0 at c
-	// handle e by launch 0
-	// ended e 0
+	// send e attempt 0 to c
+	// complete e by attempt 0
+	// closed e 0
 	// true
 	// <nil> an event of this id is in hand
-	// launch e 0 at c
-	// dead-letter e after 1 launches, may have run true
-	// ended e 2
+	// send e attempt 0 to c
+	// fail e after 1 attempts, may have run true
+	// closed e 2
 	// false
 	// 0
 }
 
-// A client that leaves while its at-most-once request runs: nothing is answered, the attempt is awaited or timed out.
+// A client that disconnects while its at-most-once request runs: nothing is answered, the attempt completes or times
+// out.
 func Example_clientDisconnectsDuringAttempt() {
 	a := newRecordingActor(true)
-	c, now := startRequest(a, "once")
+	c, now := startRequest(a, "at-most-once")
 	fmt.Println(c.ClientDisconnected(now+ms, "e"), c.OpenRequests(), c.ClientDisconnected(now, "never"))
 	c.ProcessDue(now + 3*time.Second)
 	fmt.Println(c.OpenRequests())
 	// Output:
 	// <nil> an event of this id is in hand
-	// launch e 0 at c
+	// send e attempt 0 to c
 	// true 1 false
-	// ended e 3
+	// closed e 3
 	// 0
 }
 
-// Whatever is told in whatever order: every request that came has one final answer by its client's time, unless the
-// client left; nothing stays in hand; and a recording of it replays to the same actions.
+// randomRun draws inputs of a core that is recorded.
+type randomRun struct {
+	*rapid.T
+	core         *core.Core
+	actor        *recordingActor
+	recording    *bytes.Buffer
+	recorder     *replay.Recorder
+	now          time.Duration
+	submitted    int
+	disconnected map[string]bool // requests whose client has disconnected
+}
+
+func newRandomRun(t *rapid.T) *randomRun {
+	r := &randomRun{T: t, actor: newRecordingActor(false), recording: &bytes.Buffer{}, now: time.Hour,
+		disconnected: map[string]bool{}}
+	r.core, r.recorder = replay.Start(testSettings(), r.actor, r.recording)
+	r.core.ReplaceMembership(r.now, workers)
+	return r
+}
+
+// step draws one input and has the core take it.
+func (r *randomRun) step() {
+	r.now += time.Duration(rapid.IntRange(0, 400).Draw(r.T, "pause")) * ms
+	id := fmt.Sprint(rapid.IntRange(0, r.submitted).Draw(r.T, "which"))
+	switch rapid.IntRange(0, 7).Draw(r.T, "what") {
+	case 0, 1:
+		r.submit()
+	case 2, 3:
+		r.completeAttempt(id)
+	case 4:
+		if r.core.ClientDisconnected(r.now, id) {
+			r.disconnected[id] = true
+		}
+	case 5:
+		r.updateMembership()
+	case 6:
+		r.core.ShutdownBy(r.now, r.now+time.Duration(rapid.IntRange(0, 5000).Draw(r.T, "end"))*ms)
+	}
+	r.core.ProcessDue(r.now)
+}
+
+func (r *randomRun) submit() {
+	request := &scheduler.Request{ID: fmt.Sprint(r.submitted), Function: uint64(r.submitted % 3), Concurrency: 1}
+	request.Type = rapid.SampledFrom([]string{"idempotent", "at-most-once", "keyed", "unknown"}).Draw(r.T, "type")
+	request.TimeLeft = time.Duration(rapid.IntRange(1, 3000).Draw(r.T, "time left")) * ms
+	if err := r.core.Submit(r.now, request); err != nil {
+		r.Fatal(err)
+	}
+	r.submitted++
+}
+
+// completeAttempt ends the attempt in flight of a request, or an earlier one.
+func (r *randomRun) completeAttempt(id string) {
+	attempt, inFlight := r.actor.inFlight[id]
+	if inFlight && rapid.Bool().Draw(r.T, "earlier") {
+		attempt--
+	}
+	result := scheduler.Result(rapid.IntRange(0, 8).Draw(r.T, "result"))
+	r.core.CompleteAttempt(r.now, id, attempt, scheduler.Outcome{Result: result, Duration: ms})
+}
+
+func (r *randomRun) updateMembership() {
+	member := workers[rapid.IntRange(0, 2).Draw(r.T, "worker")]
+	member.Condition = scheduler.Condition(rapid.IntRange(0, 2).Draw(r.T, "condition"))
+	members := []scheduler.Member{member}
+	if rapid.Bool().Draw(r.T, "complete") {
+		r.core.ReplaceMembership(r.now, members)
+	} else {
+		r.core.UpdateMembership(r.now, members)
+	}
+}
+
+// finish lets the time of all clients pass.
+func (r *randomRun) finish() {
+	for range 40 {
+		r.now += 100 * ms
+		r.core.TimerFired(r.now)
+		r.core.ProcessDue(r.now)
+	}
+}
+
+// Whatever inputs come in whatever order: every request has one final answer by its deadline, unless its client
+// disconnected; no request stays open; and a recording of it replays to the same actions.
 func TestOneAnswerAndIdenticalReplay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := newRecordingActor(false)
-		var tape bytes.Buffer
-		c, rec := replay.Start(testSettings(), a, &tape)
-		now := time.Hour
-		c.ReplaceMembership(now, workers)
-		left := map[string]bool{}
-		n := 0
+		r := newRandomRun(t)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * ms
-			id := fmt.Sprint(rapid.IntRange(0, n).Draw(t, "which"))
-			switch rapid.IntRange(0, 7).Draw(t, "what") {
-			case 0, 1:
-				kind := rapid.SampledFrom([]string{"free", "once", "zone", "unheard"}).Draw(t, "type")
-				e := &scheduler.Request{ID: fmt.Sprint(n), Type: kind, Function: uint64(n % 3), Concurrency: 1,
-					TimeLeft: time.Duration(rapid.IntRange(1, 3000).Draw(t, "patience")) * ms}
-				if err := c.Submit(now, e); err != nil {
-					t.Fatal(err)
-				}
-				n++
-			case 2, 3:
-				launch, is := a.inFlight[id]
-				if is && rapid.Bool().Draw(t, "stale") {
-					launch--
-				}
-				c.CompleteAttempt(now, id, launch, scheduler.Outcome{Result: scheduler.Result(rapid.IntRange(0, 8).Draw(t, "result")), Duration: ms})
-			case 4:
-				if c.ClientDisconnected(now, id) {
-					left[id] = true
-				}
-			case 5:
-				i := rapid.IntRange(0, 2).Draw(t, "worker")
-				l := workers[i]
-				l.Condition = scheduler.Condition(rapid.IntRange(0, 2).Draw(t, "condition"))
-				if members := []scheduler.Member{l}; rapid.Bool().Draw(t, "complete") {
-					c.ReplaceMembership(now, members)
-				} else {
-					c.UpdateMembership(now, members)
-				}
-			case 6:
-				c.ShutdownBy(now, now+time.Duration(rapid.IntRange(0, 5000).Draw(t, "end"))*ms)
-			}
-			c.ProcessDue(now)
+			r.step()
 		}
-		for range 40 {
-			now += 100 * ms
-			c.TimerFired(now)
-			c.ProcessDue(now)
+		r.finish()
+		if open := r.core.OpenRequests(); open != 0 {
+			t.Fatalf("%d requests open after all deadlines", open)
 		}
-		if c.OpenRequests() != 0 {
-			t.Fatalf("%d events in hand after everybody's time", c.OpenRequests())
-		}
-		for i := range n {
+		for i := range r.submitted {
 			id := fmt.Sprint(i)
-			if got := a.answers[id]; got > 1 || got == 0 && !left[id] || a.closed[id] != 1 {
-				t.Fatalf("event %s: %d final answers, forgotten %d times, client left %v", id, got, a.closed[id], left[id])
+			answers, closed := r.actor.answers[id], r.actor.closed[id]
+			if answers > 1 || answers == 0 && !r.disconnected[id] || closed != 1 {
+				t.Fatalf("request %s: %d final answers, closed %d times, client disconnected %v",
+					id, answers, closed, r.disconnected[id])
 			}
 		}
-		if rec.Err() != nil {
-			t.Fatal(rec.Err())
+		if r.recorder.Err() != nil {
+			t.Fatal(r.recorder.Err())
 		}
-		if told, err := replay.Replay(bytes.NewReader(tape.Bytes()), nil); err != nil || told.Inputs == 0 {
-			t.Fatalf("%+v: %v", told, err)
+		recording := r.recording.Bytes()
+		if summary, err := replay.Replay(bytes.NewReader(recording), nil); err != nil || summary.Inputs == 0 {
+			t.Fatalf("%+v: %v", summary, err)
 		}
-		cut := rapid.IntRange(1, tape.Len()-1).Draw(t, "cut")
-		// cut short as by a kill: torn, or an action is missing at its end; what is there agrees
-		if told, err := replay.Replay(bytes.NewReader(tape.Bytes()[:cut]), nil); err != nil &&
-			!(errors.Is(err, replay.ErrDivergence) && strings.HasSuffix(err.Error(), "is missing")) && told.Inputs > 0 {
+		// truncated as by a kill: in an item, or an action is missing at the end; what is there agrees
+		cut := rapid.IntRange(1, len(recording)-1).Draw(t, "cut")
+		summary, err := replay.Replay(bytes.NewReader(recording[:cut]), nil)
+		var divergence *replay.DivergenceError
+		missing := errors.As(err, &divergence) && divergence.Recorded == nil
+		if err != nil && !missing && summary.Inputs > 0 {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
 	})
 }
 
-// A front end that is told to end answers all that it has in hand by then, and what comes yet, whatever time their
-// clients still have: a request that waits for a replica, one out at a worker that says nothing, one whose client has
-// left.
+// A gateway that shuts down answers its open requests by the deadline, and those still to come, whatever time their
+// clients have left: a request that waits for a replica, one in flight at an unresponsive worker, one whose client has
+// disconnected.
 func TestShutdownBy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := newRecordingActor(false)
 		c, now := core.New(testSettings(), a), time.Hour
 		c.ReplaceMembership(now, workers[:rapid.IntRange(0, 3).Draw(t, "workers")])
 		n := 0
-		came := func() {
-			e := &scheduler.Request{ID: fmt.Sprint(n), Type: rapid.SampledFrom([]string{"free", "once", "zone"}).Draw(t, "type"),
-				Function: uint64(n % 3), Concurrency: 1, TimeLeft: 100 * time.Second}
-			if err := c.Submit(now, e); err != nil {
+		submit := func() {
+			requestType := rapid.SampledFrom([]string{"idempotent", "at-most-once", "keyed"}).Draw(t, "type")
+			request := &scheduler.Request{ID: fmt.Sprint(n), Type: requestType, Function: uint64(n % 3), Concurrency: 1,
+				TimeLeft: 100 * time.Second}
+			if err := c.Submit(now, request); err != nil {
 				t.Fatal(err)
 			}
 			n++
-			if rapid.IntRange(0, 4).Draw(t, "leaves") == 0 {
-				c.ClientDisconnected(now, e.ID)
-				a.answers[e.ID]++
+			if rapid.IntRange(0, 4).Draw(t, "disconnects") == 0 {
+				c.ClientDisconnected(now, request.ID)
+				a.answers[request.ID]++
 			}
 		}
 		for range rapid.IntRange(1, 20).Draw(t, "before") {
-			came()
+			submit()
 			c.ProcessDue(now)
 			now += time.Duration(rapid.IntRange(0, 40).Draw(t, "pause")) * ms
 		}
 		by := now + 3*time.Second
 		c.ShutdownBy(now, by)
 		for range rapid.IntRange(0, 5).Draw(t, "after") {
-			came()
+			submit()
 			c.ProcessDue(now)
 			now += 100 * ms
 		}
@@ -242,11 +302,11 @@
 		c.ProcessDue(by)
 		for i := range n {
 			if a.answers[fmt.Sprint(i)] != 1 {
-				t.Errorf("event %d has %d final answers", i, a.answers[fmt.Sprint(i)])
+				t.Errorf("request %d has %d final answers", i, a.answers[fmt.Sprint(i)])
 			}
 		}
 		if c.OpenRequests() != 0 {
-			t.Error(c.OpenRequests(), "in hand")
+			t.Error(c.OpenRequests(), "requests open")
 		}
 	})
 }
@@ -258,41 +318,44 @@
 	c.ProcessDue(time.Hour)
 	f.Add(tape.Bytes())
 	f.Fuzz(func(t *testing.T, b []byte) {
-		told, err := replay.Replay(bytes.NewReader(b), nil)
-		if err == nil && told.Settings.Seed == 0 && told.Inputs > len(b) {
-			t.Error("more facts than bytes")
+		summary, err := replay.Replay(bytes.NewReader(b), nil)
+		if err == nil && summary.Settings.Seed == 0 && summary.Inputs > len(b) {
+			t.Error("more inputs than bytes")
 		}
 	})
 }
 
-// The outcome of an attempt that is over, come while the next one is out, is not taken for that one's.
+// The outcome of an attempt that is over, while the next one is in flight, is not taken for that one's.
 func TestOutcomeOfAnEarlierAttempt(t *testing.T) {
 	a := newRecordingActor(false)
 	c, now := core.New(testSettings(), a), time.Hour
 	c.ReplaceMembership(now, workers)
-	if err := c.Submit(now, &scheduler.Request{ID: "e", Type: "free", Function: 1, TimeLeft: 20 * time.Second, Concurrency: 1}); err != nil {
+	request := &scheduler.Request{ID: "e", Type: "idempotent", Function: 1, TimeLeft: 20 * time.Second, Concurrency: 1}
+	if err := c.Submit(now, request); err != nil {
 		t.Fatal(err)
 	}
-	until := func(launch int) {
-		for range 5000 { // past the time in which the first launch may have brought a copy
-			if n, is := a.inFlight["e"]; is && n == launch {
+	untilSent := func(attempt int) {
+		t.Helper()
+		for range 5000 { // past the time in which the first attempt may have loaded a replica
+			if n, inFlight := a.inFlight["e"]; inFlight && n == attempt {
 				return
 			}
 			now += 2 * ms
 			c.TimerFired(now)
 			c.ProcessDue(now)
 		}
-		t.Fatal("launch", launch, "never left")
+		t.Fatal("attempt", attempt, "was not sent")
 	}
-	until(0)
+	untilSent(0)
 	if !c.CompleteAttempt(now, "e", 0, scheduler.Outcome{Result: scheduler.ConnectionLost, Duration: ms}) {
-		t.Error("the outcome is not taken")
+		t.Error("the outcome of the first attempt is not taken")
 	}
-	until(1)
-	if c.CompleteAttempt(now, "e", 0, scheduler.Outcome{Result: scheduler.Completed, Duration: ms}) || a.answers["e"] != 0 {
-		t.Error("a late answer to the first launch is taken for one to the second")
+	untilSent(1)
+	completed := scheduler.Outcome{Result: scheduler.Completed, Duration: ms}
+	if c.CompleteAttempt(now, "e", 0, completed) || a.answers["e"] != 0 {
+		t.Error("a late response to the first attempt is taken for the second's")
 	}
-	if !c.CompleteAttempt(now, "e", 1, scheduler.Outcome{Result: scheduler.Completed, Duration: ms}) || a.answers["e"] != 1 {
-		t.Error("the second's is not")
+	if !c.CompleteAttempt(now, "e", 1, completed) || a.answers["e"] != 1 {
+		t.Error("the outcome of the second attempt is not taken")
 	}
 }
--- a/internal/gateway/replay/replay_test.go
+++ b/internal/gateway/replay/replay_test.go
@@ -15,7 +15,8 @@
 
 // Recordings keep their form whatever the fields are called in the program: one made by an earlier version is read.
 func TestRecordedFieldNames(t *testing.T) {
-	request := &scheduler.Request{ID: "r", TimeLeft: time.Second, Concurrency: 2, Memory: 3, LoadTime: 4, Retry: true, Type: "t", Tenant: "n", Function: 5}
+	request := &scheduler.Request{ID: "r", Type: "t", Tenant: "n", Function: 5, TimeLeft: time.Second, Concurrency: 2,
+		Memory: 3, LoadTime: 4, Retry: true}
 	for _, form := range []struct {
 		value any
 		names []string
@@ -39,8 +40,14 @@
 			t.Errorf("%T is recorded as %v, want %v", form.value, names, form.names)
 		}
 	}
-	for value, want := range map[any]int{core.OpUpdateMembership: 1, core.OpShutdownBy: 10, scheduler.Completed: 0, scheduler.NotFound: 8, core.Completed: 0,
-		core.Abandoned: 3} {
+	for value, want := range map[any]int{
+		core.OpUpdateMembership: 1,
+		core.OpShutdownBy:       10,
+		scheduler.Completed:     0,
+		scheduler.NotFound:      8,
+		core.Completed:          0,
+		core.Abandoned:          3,
+	} {
 		b, err := cbor.Marshal(value)
 		var got int
 		if err != nil || cbor.Unmarshal(b, &got) != nil || got != want {
