--- a/internal/gateway/platform/transport.go
+++ b/internal/gateway/platform/transport.go
@@ -86,7 +86,7 @@
 			t.checkDrained(id, worker, target)
 		},
 	}
-	call := target.Call(id, message, true, func(result resp.Result) { done(t.parseOutcome(result)) })
+	call := target.Call(id, message, resp.Exclusive, func(result resp.Result) { done(t.parseOutcome(result)) })
 	return cancellableCall{call, cancelCommand}
 }
 
@@ -100,7 +100,7 @@
 	}
 	tag := t.nextTag()
 	frame := encodeLoadRequest(tag, request)
-	call := target.Call(tag, resp.FixedMessage(frame), false, func(result resp.Result) {
+	call := target.Call(tag, resp.FixedMessage(frame), resp.Shared, func(result resp.Result) {
 		done(parseLoadResult(request, result))
 	})
 	return cancellableCall{Call: call}
@@ -115,7 +115,7 @@
 	}
 	tag := t.nextTag()
 	frame := resp.AppendArray(nil, commandProbe, tag)
-	call := target.Call(tag, resp.FixedMessage(frame), false, func(result resp.Result) {
+	call := target.Call(tag, resp.FixedMessage(frame), resp.Shared, func(result resp.Result) {
 		done(t.parseProbeResult(result))
 	})
 	return cancellableCall{Call: call}
--- a/internal/gateway/resp/codec.go
+++ b/internal/gateway/resp/codec.go
@@ -1,5 +1,5 @@
-// Package resp carries requests to workers as arrays of bulk strings (RESP), many on a connection, and matches what they
-// answer. The codec does no I/O. It knows which bytes have left, and nothing of what the words mean.
+// Package resp sends calls to workers as RESP arrays of bulk strings, many on a connection, and matches the responses. The
+// codec does no I/O. The package knows which bytes have left, and nothing of what the elements mean.
 package resp
 
 import (
@@ -14,26 +14,32 @@
 var ErrMalformed = errors.New("resp: malformed")
 
 const (
-	maxElements     = 8  // of an array
-	maxLengthDigits = 10 // of a length
+	// maxElements is the largest number of elements of an array.
+	maxElements = 8
+
+	// maxLengthDigits is the largest number of digits of a length.
+	maxLengthDigits = 10
+
+	// minLengthLine is the shortest line of a length: its mark, a digit and a carriage return.
+	minLengthLine = 3
 )
 
 // AppendArray appends an array of bulk strings.
-func AppendArray(b []byte, words ...string) []byte {
+func AppendArray(b []byte, elements ...string) []byte {
 	b = append(b, '*')
-	b = strconv.AppendInt(b, int64(len(words)), 10)
-	for _, w := range words {
+	b = strconv.AppendInt(b, int64(len(elements)), 10)
+	for _, element := range elements {
 		b = append(b, "\r\n$"...)
-		b = strconv.AppendInt(b, int64(len(w)), 10)
+		b = strconv.AppendInt(b, int64(len(element)), 10)
 		b = append(b, "\r\n"...)
-		b = append(b, w...)
+		b = append(b, element...)
 	}
 	return append(b, "\r\n"...)
 }
 
-// ParseArray reads one array from the beginning of b and tells how many bytes it took; 0: more must come. Words are of b's own
-// bytes. No word may be longer than most.
-func ParseArray(b []byte, most int) (words [][]byte, taken int, err error) {
+// ParseArray parses an array from the beginning of b and returns how many bytes it took; 0: it is not complete yet. The
+// elements share b's memory. None may be longer than maxBytes.
+func ParseArray(b []byte, maxBytes int) (elements [][]byte, taken int, err error) {
 	n, at, err := parseLength(b, 0, '*', maxElements)
 	if err != nil || at == 0 {
 		return nil, 0, err
@@ -41,29 +47,30 @@
 	if n == 0 {
 		return nil, 0, fmt.Errorf("%w: an empty array", ErrMalformed)
 	}
-	words = make([][]byte, 0, n)
+	elements = make([][]byte, 0, n)
 	for range n {
-		size, from, err := parseLength(b, at, '$', most)
+		size, from, err := parseLength(b, at, '$', maxBytes)
 		if err != nil || from == 0 {
 			return nil, 0, err
 		}
 		end := from + size
 		if len(b) < end+2 {
 			if len(b) > end && b[end] != '\r' {
-				return nil, 0, fmt.Errorf("%w: a word longer than its length", ErrMalformed)
+				return nil, 0, fmt.Errorf("%w: an element longer than its length", ErrMalformed)
 			}
 			return nil, 0, nil
 		}
 		if b[end] != '\r' || b[end+1] != '\n' {
-			return nil, 0, fmt.Errorf("%w: a word longer than its length", ErrMalformed)
+			return nil, 0, fmt.Errorf("%w: an element longer than its length", ErrMalformed)
 		}
-		words, at = append(words, b[from:end:end]), end+2
+		elements, at = append(elements, b[from:end:end]), end+2
 	}
-	return words, at, nil
+	return elements, at, nil
 }
 
-// parseLength reads a line of a mark and a number at a place and tells where the next line begins; 0: more must come.
-func parseLength(b []byte, at int, mark byte, most int) (n, next int, err error) {
+// parseLength parses a line of a mark and a number from a place on, and returns where the next line begins; 0: the line is
+// not complete yet.
+func parseLength(b []byte, at int, mark byte, maxLength int) (n, next int, err error) {
 	line := b[at:]
 	if len(line) > 0 && line[0] != mark {
 		return 0, 0, fmt.Errorf("%w: %q where %q belongs", ErrMalformed, line[0], mark)
@@ -73,32 +80,32 @@
 	if end >= 0 {
 		digits = line[:end]
 	}
-	for i, d := range digits {
-		last := i == len(digits)-1 && d == '\r'
-		if i > maxLengthDigits+1 || i > 0 && (d < '0' || d > '9') && !last {
+	for i, digit := range digits {
+		last := i == len(digits)-1 && digit == '\r'
+		if i > maxLengthDigits+1 || i > 0 && (digit < '0' || digit > '9') && !last {
 			return 0, 0, fmt.Errorf("%w: no length", ErrMalformed)
 		}
 	}
 	if end < 0 {
 		return 0, 0, nil
 	}
-	if end < 3 || line[end-1] != '\r' {
+	if end < minLengthLine || line[end-1] != '\r' {
 		return 0, 0, fmt.Errorf("%w: no length", ErrMalformed)
 	}
 	n, err = strconv.Atoi(string(line[1 : end-1]))
-	if err != nil || n > most {
+	if err != nil || n > maxLength {
 		return 0, 0, fmt.Errorf("%w: a length of %s", ErrMalformed, line[1:end-1])
 	}
 	return n, at + end + 1, nil
 }
 
-// ParsePairs reads a list of name=value pairs, as commands and answers have them; a dash is none.
+// ParsePairs parses a list of name=value pairs, as the fields of commands and responses are; a dash is an empty list.
 func ParsePairs(text string) map[string]string {
-	m := map[string]string{}
+	pairs := map[string]string{}
 	for part := range strings.SplitSeq(text, ",") {
 		if name, value, found := strings.Cut(part, "="); found {
-			m[name] = value
+			pairs[name] = value
 		}
 	}
-	return m
+	return pairs
 }
--- a/internal/gateway/resp/commands.go
+++ b/internal/gateway/resp/commands.go
@@ -2,39 +2,40 @@
 
 import "io"
 
-// readChunkBytes is what is read at a time.
+// readChunkBytes is the size of one read.
 const readChunkBytes = 4096
 
-// ReadCommands reads arrays, as a worker gets them, and has take called with the words of each and the bytes that it took, until
-// the connection ends, something malformed or a word longer than most comes, or take returns an error. The error is the reason.
-func ReadCommands(from io.Reader, most int, take func(words []string, size int) error) error {
-	var have []byte
-	part := make([]byte, readChunkBytes)
+// ReadCommands reads commands, as a worker receives them, and calls handle with the elements of each and its size in
+// bytes. It returns the reason why it ended: the connection has, a command is malformed or has an element longer than
+// maxBytes, or handle has returned an error.
+func ReadCommands(from io.Reader, maxBytes int, handle func(elements []string, size int) error) error {
+	var buffered []byte
+	chunk := make([]byte, readChunkBytes)
 	for {
-		n, err := from.Read(part)
+		n, err := from.Read(chunk)
 		if err != nil {
 			return err
 		}
-		have = append(have, part[:n]...)
+		buffered = append(buffered, chunk[:n]...)
 		for {
-			words, taken, err := ParseArray(have, most)
+			elements, taken, err := ParseArray(buffered, maxBytes)
 			if err != nil {
 				return err
 			}
 			if taken == 0 {
 				break
 			}
-			texts := make([]string, len(words))
-			for i, word := range words {
-				texts[i] = string(word)
+			texts := make([]string, len(elements))
+			for i, element := range elements {
+				texts[i] = string(element)
 			}
-			have = have[taken:]
-			if err := take(texts, taken); err != nil {
+			buffered = buffered[taken:]
+			if err := handle(texts, taken); err != nil {
 				return err
 			}
 		}
-		if len(have) == 0 {
-			have = nil
+		if len(buffered) == 0 {
+			buffered = nil
 		}
 	}
 }
--- a/internal/gateway/resp/export_test.go
+++ b/internal/gateway/resp/export_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BlockDials has connections come up only once open is closed.
+// BlockDials lets connections come up only once open is closed.
 func (p *Pool) BlockDials(open chan struct{}) {
 	dial := p.dial
 	p.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -15,16 +15,16 @@
 	}
 }
 
-// SetSilentFor has the worker last heard from so long ago.
-func (w *Worker) SetSilentFor(ago time.Duration) {
+// SetSilentFor makes it so long ago that something came from the worker.
+func (w *Worker) SetSilentFor(silence time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lastReceived = time.Now().Add(-ago)
+	w.lastReceived = time.Now().Add(-silence)
 }
 
 // AwaitOpenConns returns when the pool has no more than so many connections.
-func (p *Pool) AwaitOpenConns(most int64) {
-	for p.openConns.Load() > most {
+func (p *Pool) AwaitOpenConns(limit int64) {
+	for p.openConns.Load() > limit {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/gateway/resp/golden_test.go
+++ b/internal/gateway/resp/golden_test.go
@@ -13,7 +13,7 @@
 	"lupinpond/internal/gateway/resp"
 )
 
-// goldenCommands are the requests sent to workers, as words and as the exact bytes on the wire.
+// goldenCommands are the commands sent to workers, as elements and as the exact bytes on the wire.
 var goldenCommands = []struct {
 	words []string
 	wire  string
@@ -27,7 +27,7 @@
 	{[]string{"TOP", "t2"}, "*2\r\n$3\r\nTOP\r\n$2\r\nt2\r\n"},
 }
 
-// The encoder writes exactly the golden bytes, and ReadCommands decodes them to the same words.
+// The encoder writes exactly the golden bytes, and ReadCommands decodes them to the same elements.
 func TestGoldenCommands(t *testing.T) {
 	var stream strings.Builder
 	for _, c := range goldenCommands {
@@ -50,7 +50,7 @@
 	}
 }
 
-// The connection carries the request and, after a recall, the cancellation, byte for byte and nothing else.
+// The connection carries the request and, once it is cancelled, the cancel command, byte for byte and nothing else.
 func TestGoldenConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -61,10 +61,10 @@
 	pool := resp.NewPool(ctx, limits)
 	defer pool.Wait()
 	defer stop()
-	request, kill := goldenCommands[0], goldenCommands[2]
+	request, cancel := goldenCommands[0], goldenCommands[2]
 	done := make(chan resp.Result, 1)
-	call := pool.Worker(listener.Addr().String()).Call(request.words[1], resp.FixedMessage([]byte(request.wire)), true,
-		func(a resp.Result) { done <- a })
+	call := pool.Worker(listener.Addr().String()).Call(request.words[1], resp.FixedMessage([]byte(request.wire)),
+		resp.Exclusive, func(result resp.Result) { done <- result })
 	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -77,18 +77,18 @@
 	if _, err := io.ReadFull(conn, got); err != nil || string(got) != request.wire {
 		t.Fatalf(" got %q, %v\nwant %q", got, err, request.wire)
 	}
-	call.Cancel([]byte(kill.wire))
-	rest, err := io.ReadAll(conn) // a connection with a recalled call closes after the cancellation
-	if err != nil || string(rest) != kill.wire {
-		t.Errorf(" got %q, %v\nwant %q", rest, err, kill.wire)
+	call.Cancel([]byte(cancel.wire))
+	rest, err := io.ReadAll(conn) // a connection with a cancelled call closes after the cancel command
+	if err != nil || string(rest) != cancel.wire {
+		t.Errorf(" got %q, %v\nwant %q", rest, err, cancel.wire)
 	}
-	if a := <-done; a.Outcome != resp.Cancelled {
-		t.Errorf("got fate %v, want %v", a.Outcome, resp.Cancelled)
+	if result := <-done; result.Outcome != resp.Cancelled {
+		t.Errorf("got outcome %v, want %v", result.Outcome, resp.Cancelled)
 	}
 }
 
-// Answers of workers decode to their words, and the second word to its name=value pairs.
-func TestGoldenAnswers(t *testing.T) {
+// Responses of workers decode to their elements, and the second element to its name=value pairs.
+func TestGoldenResponses(t *testing.T) {
 	for _, c := range []struct{ wire, words, pairs string }{
 		{"*4\r\n$16\r\n00000000000000a1\r\n$2\r\nok\r\n$38\r\nhow=ready,stats=busy_reqs:1;pending:0,x\r\n$4\r\ndone\r\n", "", ""},
 		{"*4\r\n$2\r\na1\r\n$2\r\nok\r\n$37\r\nhow=ready,stats=busy_reqs:1;pending:0\r\n$6\r\ndo\r\nne\r\n",
--- a/internal/gateway/resp/resp_test.go
+++ b/internal/gateway/resp/resp_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// A prefix is never judged otherwise than with the rest: it is refused only if the whole is, and not taken for more.
+// A prefix gets the same verdict as with the rest: it is malformed only if that is, and never parsed as more.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("*2\r\n$2\r\nid\r\n$0\r\n\r\n"), 3)
 	f.Add([]byte("*1\r\n$5\r\nab"), 9)
@@ -49,36 +49,44 @@
 	})
 }
 
-var limits = resp.Limits{IOTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxCallsPerConn: 4, SoftMaxConns: 4, MaxConns: 8, MaxElementBytes: 64}
+var limits = resp.Limits{
+	IOTimeout:       10 * time.Second,
+	IdleTimeout:     time.Minute,
+	MaxCallsPerConn: 4,
+	SoftMaxConns:    4,
+	MaxConns:        8,
+	MaxElementBytes: 64,
+}
 
-// scriptedConn is a worker's end of one connection.
+// scriptedConn is a worker's end of one connection, which a test plays.
 type scriptedConn struct {
 	net.Conn
 	t        *testing.T
 	buffered []byte
 }
 
+// next is the next command.
 func (s *scriptedConn) next() []string {
 	s.t.Helper()
-	part := make([]byte, 512)
+	chunk := make([]byte, 512)
 	for {
-		words, taken, err := resp.ParseArray(s.buffered, 1<<26)
+		elements, taken, err := resp.ParseArray(s.buffered, 1<<26)
 		if err != nil {
 			s.t.Fatal(err)
 		}
 		if taken > 0 {
 			var texts []string
-			for _, w := range words {
-				texts = append(texts, string(w))
+			for _, element := range elements {
+				texts = append(texts, string(element))
 			}
 			s.buffered = s.buffered[taken:]
 			return texts
 		}
-		n, err := s.Read(part)
+		n, err := s.Read(chunk)
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		s.buffered = append(s.buffered, part[:n]...)
+		s.buffered = append(s.buffered, chunk[:n]...)
 	}
 }
 
@@ -89,7 +97,7 @@
 	}
 }
 
-// harness is a worker whose connections a test plays.
+// harness is a pool with one worker, whose connections a test accepts.
 type harness struct {
 	t        *testing.T
 	accept   func() *scriptedConn
@@ -98,15 +106,15 @@
 	listener net.Listener
 }
 
-func start(t *testing.T, l resp.Limits) *harness {
+// listen listens as a worker does until the test ends.
+func listen(t *testing.T) (listener net.Listener, accept func() *scriptedConn) {
+	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	r := &harness{t: t, pool: resp.NewPool(ctx, l), listener: listener}
-	r.worker = r.pool.Worker(listener.Addr().String())
-	r.accept = func() *scriptedConn {
+	t.Cleanup(func() { listener.Close() })
+	return listener, func() *scriptedConn {
 		t.Helper()
 		conn, err := listener.Accept()
 		if err != nil {
@@ -118,63 +126,79 @@
 		}
 		return &scriptedConn{Conn: conn, t: t}
 	}
+}
+
+func start(t *testing.T, limits resp.Limits) *harness {
+	t.Helper()
+	listener, accept := listen(t)
+	ctx, stop := context.WithCancel(context.Background())
+	h := &harness{t: t, pool: resp.NewPool(ctx, limits), listener: listener, accept: accept}
+	h.worker = h.pool.Worker(listener.Addr().String())
 	t.Cleanup(func() {
 		stop()
 		listener.Close()
-		r.pool.Wait()
+		h.pool.Wait()
 	})
-	return r
+	return h
 }
 
-// call makes a call and gives what ends it.
-func (r *harness) call(id string, alone bool) (*resp.Call, chan resp.Result) {
+// call makes a call and returns what ends it.
+func (h *harness) call(id string, sharing resp.Sharing) (*resp.Call, chan resp.Result) {
 	done := make(chan resp.Result, 2)
-	return r.worker.Call(id, resp.FixedMessage(resp.AppendArray(nil, "FN", id)), alone, func(a resp.Result) { done <- a }), done
+	message := resp.FixedMessage(resp.AppendArray(nil, "FN", id))
+	return h.worker.Call(id, message, sharing, func(result resp.Result) { done <- result }), done
 }
 
-func expect(t *testing.T, done chan resp.Result, fate resp.Outcome, word string) {
+// expect receives the result of a call and checks its outcome, and its first element where one is given.
+func expect(t *testing.T, done chan resp.Result, outcome resp.Outcome, status string) {
 	t.Helper()
-	a := <-done
-	if a.Outcome != fate || word != "" && (len(a.Elements) == 0 || string(a.Elements[0]) != word) {
-		t.Errorf("fate %d %q, want %d %q", a.Outcome, a.Elements, fate, word)
+	result := <-done
+	if result.Outcome != outcome ||
+		status != "" && (len(result.Elements) == 0 || string(result.Elements[0]) != status) {
+		t.Errorf("outcome %d %q, want %d %q", result.Outcome, result.Elements, outcome, status)
 	}
 }
 
-// Answers are matched by id; what belongs to no call, and a second copy, is dropped.
+// Responses are matched by ID; what belongs to no call, and a duplicate, is dropped.
 func TestResponsesMatchCalls(t *testing.T) {
-	r := start(t, limits)
-	_, a := r.call("a", false)
-	s := r.accept()
-	_, b := r.call("b", false)
-	s.next()
-	s.next()
+	h := start(t, limits)
+	_, a := h.call("a", resp.Shared)
+	conn := h.accept()
+	_, b := h.call("b", resp.Shared)
+	conn.next()
+	conn.next()
 	ok := resp.AppendArray(nil, "b", "ok", "-", "body")
-	s.send(bytes.Join([][]byte{resp.AppendArray(nil, "z", "ok", "-", "stray"), ok, ok, resp.AppendArray(nil, "a", "error", "-", "")}, nil))
+	conn.send(bytes.Join([][]byte{
+		resp.AppendArray(nil, "z", "ok", "-", "unmatched"),
+		ok,
+		ok,
+		resp.AppendArray(nil, "a", "error", "-", ""),
+	}, nil))
 	expect(t, b, resp.Answered, "ok")
 	expect(t, a, resp.Answered, "error")
-	if n := r.pool.UnmatchedResponses(); n != 2 {
-		t.Error(n, "strays")
+	if n := h.pool.UnmatchedResponses(); n != 2 {
+		t.Error(n, "unmatched responses")
 	}
-	// the same id again goes over another connection: a late second answer would be taken for this request's
-	_, again := r.call("a", true)
-	other := r.accept()
+	// The same ID goes over another connection: a late duplicate would be taken for the response to this call.
+	_, again := h.call("a", resp.Exclusive)
+	other := h.accept()
 	other.next()
-	s.send(resp.AppendArray(nil, "a", "ok", "-", "second copy"))
+	conn.send(resp.AppendArray(nil, "a", "ok", "-", "duplicate"))
 	other.send(resp.AppendArray(nil, "a", "nothing", "-", ""))
 	expect(t, again, resp.Answered, "nothing")
 }
 
-// An answer that can't be read breaks its connection: what was on it may have run. Calls that asked to be alone on
-// another one are not touched; a line that has begun and stops counts as well.
+// A malformed response ends its connection: what was on it may have run. Exclusive calls on other connections are not
+// affected; a response that has begun and does not go on ends its connection as well.
 func TestMalformedResponse(t *testing.T) {
-	l := limits
-	l.IOTimeout = 300 * time.Millisecond
-	r := start(t, l)
-	_, a := r.call("a", true)
-	first := r.accept()
+	short := limits
+	short.IOTimeout = 300 * time.Millisecond
+	h := start(t, short)
+	_, a := h.call("a", resp.Exclusive)
+	first := h.accept()
 	first.next()
-	_, b := r.call("b", true)
-	second := r.accept()
+	_, b := h.call("b", resp.Exclusive)
+	second := h.accept()
 	second.next()
 	first.send([]byte("*4\r\n$1\r\na\r\n$2\r\nok\r\n$1\r\n-\r\n$3221225472\r\nabc"))
 	expect(t, a, resp.ConnectionLost, "")
@@ -182,106 +206,106 @@
 	expect(t, b, resp.ConnectionLost, "")
 }
 
-// A call given up has ended when its kill is written, and its connection carries nothing new.
+// A cancelled call has ended when its cancel command is written, and its connection carries nothing new.
 func TestCancel(t *testing.T) {
-	r := start(t, limits)
-	call, done := r.call("a", true)
-	s := r.accept()
-	s.next()
+	h := start(t, limits)
+	call, done := h.call("a", resp.Exclusive)
+	conn := h.accept()
+	conn.next()
 	call.Cancel(resp.AppendArray(nil, "KILL", "a"))
 	expect(t, done, resp.Cancelled, "")
-	if got := s.next(); got[0] != "KILL" || got[1] != "a" {
+	if got := conn.next(); got[0] != "KILL" || got[1] != "a" {
 		t.Error(got)
 	}
-	_, other := r.call("b", true)
-	s = r.accept()
-	s.next()
-	s.send(resp.AppendArray(nil, "b", "ok", "-", ""))
+	_, other := h.call("b", resp.Exclusive)
+	conn = h.accept()
+	conn.next()
+	conn.send(resp.AppendArray(nil, "b", "ok", "-", ""))
 	expect(t, other, resp.Answered, "ok")
-	call.Cancel(nil) // has its outcome
+	call.Cancel(nil) // it has ended already
 	if len(done) > 0 {
 		t.Error("a second end:", <-done)
 	}
 }
 
-// What is given up without a word, as an order that was lost, lets its connection end.
+// A call that is cancelled without a command, as a lost load request is, ends its connection.
 func TestCancelWithoutCommand(t *testing.T) {
-	r := start(t, limits)
-	call, done := r.call("t1", false)
-	s := r.accept()
-	s.next()
+	h := start(t, limits)
+	call, done := h.call("t1", resp.Shared)
+	conn := h.accept()
+	conn.next()
 	call.Cancel(nil)
 	expect(t, done, resp.Cancelled, "")
-	if _, err := s.Read(make([]byte, 1)); err == nil {
+	if _, err := conn.Read(make([]byte, 1)); err == nil {
 		t.Error("the connection goes on")
 	}
 }
 
-// What had not left when a worker was drained never came there; what is under way is still answered.
+// What has not left when a worker is stopped is not sent; what has been sent is still answered.
 func TestStop(t *testing.T) {
-	r := start(t, limits)
-	_, a := r.call("a", true)
-	s := r.accept()
-	s.next()
-	r.worker.Stop()
-	_, b := r.call("b", true)
+	h := start(t, limits)
+	_, a := h.call("a", resp.Exclusive)
+	conn := h.accept()
+	conn.next()
+	h.worker.Stop()
+	_, b := h.call("b", resp.Exclusive)
 	expect(t, b, resp.NotSent, "")
-	s.send(resp.AppendArray(nil, "a", "ok", "-", ""))
+	conn.send(resp.AppendArray(nil, "a", "ok", "-", ""))
 	expect(t, a, resp.Answered, "ok")
-	if _, err := s.Read(make([]byte, 1)); err == nil {
+	if _, err := conn.Read(make([]byte, 1)); err == nil {
 		t.Error("the connection goes on")
 	}
-	r.worker.Resume()
-	_, c := r.call("c", true)
-	r.accept().next()
-	r.listener.Close()
-	r.worker.Stop()
+	h.worker.Resume()
+	_, c := h.call("c", resp.Exclusive)
+	h.accept().next()
+	h.listener.Close()
+	h.worker.Stop()
 	if len(c) > 0 {
-		t.Error("given up:", <-c)
+		t.Error("ended:", <-c)
 	}
 }
 
-// No connection: never ran. A connection that is lost under a request: may have run.
+// Without a connection a call was not sent; when one is lost under a call, that may have run.
 func TestUnreachableWorker(t *testing.T) {
-	r := start(t, limits)
-	_, a := r.call("a", true)
-	s := r.accept()
-	s.next()
-	s.Close()
+	h := start(t, limits)
+	_, a := h.call("a", resp.Exclusive)
+	conn := h.accept()
+	conn.next()
+	conn.Close()
 	expect(t, a, resp.ConnectionLost, "")
-	r.listener.Close()
-	_, b := r.call("b", true)
+	h.listener.Close()
+	_, b := h.call("b", resp.Exclusive)
 	expect(t, b, resp.NotSent, "")
 }
 
-// A worker from which nothing was heard for a while is asked over a new connection: where its machine is gone, what is
-// sent on the old one may have run, what waits for the new one never did.
+// A worker that has been silent for a while is called over a new connection: where its machine is down, what is sent on the
+// old one may have run, what waits for the new one never does.
 func TestSilentWorkerGetsNewConnection(t *testing.T) {
-	r := start(t, limits)
-	_, a := r.call("a", true)
-	s := r.accept()
-	s.next()
-	s.send(resp.AppendArray(nil, "a", "ok", "-", ""))
+	h := start(t, limits)
+	_, a := h.call("a", resp.Exclusive)
+	conn := h.accept()
+	conn.next()
+	conn.send(resp.AppendArray(nil, "a", "ok", "-", ""))
 	expect(t, a, resp.Answered, "ok")
-	r.worker.SetSilentFor(2 * limits.IOTimeout)
-	r.listener.Close()
-	_, b := r.call("b", true)
+	h.worker.SetSilentFor(2 * limits.IOTimeout)
+	h.listener.Close()
+	_, b := h.call("b", resp.Exclusive)
 	expect(t, b, resp.NotSent, "")
 }
 
-// Past the limit of connections calls share them, up to the streams that one carries.
+// Past the limit of connections calls share them, up to the number of calls that one carries.
 func TestCallsShareConnections(t *testing.T) {
-	l := limits
-	l.SoftMaxConns, l.MaxCallsPerConn = 1, 2
-	r := start(t, l)
-	_, a := r.call("a", true)
-	_, b := r.call("b", true)
-	_, c := r.call("c", true)
+	few := limits
+	few.SoftMaxConns, few.MaxCallsPerConn = 1, 2
+	h := start(t, few)
+	_, a := h.call("a", resp.Exclusive)
+	_, b := h.call("b", resp.Exclusive)
+	_, c := h.call("c", resp.Exclusive)
 	expect(t, c, resp.NotSent, "")
-	s := r.accept()
-	s.next()
-	s.next()
-	s.send(append(resp.AppendArray(nil, "b", "ok", "-", ""), resp.AppendArray(nil, "a", "ok", "-", "")...))
+	conn := h.accept()
+	conn.next()
+	conn.next()
+	conn.send(append(resp.AppendArray(nil, "b", "ok", "-", ""), resp.AppendArray(nil, "a", "ok", "-", "")...))
 	expect(t, a, resp.Answered, "ok")
 	expect(t, b, resp.Answered, "ok")
 }
