--- a/internal/gateway/platform/dispatch.go
+++ b/internal/gateway/platform/dispatch.go
@@ -13,7 +13,7 @@
 // handle handles one message of a client.
 func (g *Gateway) handle(conn *thrift.Conn, message thrift.Message) {
 	args, err := thrift.ReadArgs(message.Args)
-	reject := func(code int32, reason string) {
+	reject := func(code thrift.ExceptionCode, reason string) {
 		conn.Send(thrift.EncodeException(message.Name, message.SeqID, code, reason))
 		conn.Close()
 	}
@@ -31,9 +31,10 @@
 	}
 }
 
-// dispatch submits a client's request to the event loop, or answers it at once where it is invalid or there is no memory
-// for its body.
-func (g *Gateway) dispatch(conn *thrift.Conn, seqID int32, args thrift.Args, reject func(int32, string)) {
+// dispatch submits a client's request to the event loop, or answers it at once where it is invalid or there is no
+// memory for its body.
+func (g *Gateway) dispatch(conn *thrift.Conn, seqID int32, args thrift.Args,
+	reject func(thrift.ExceptionCode, string)) {
 	decoded, err := g.decoder.decode(args)
 	if err != nil {
 		decoded = clientRequest{fact: &scheduler.Request{}}
--- a/internal/gateway/thrift/drain_test.go
+++ b/internal/gateway/thrift/drain_test.go
@@ -12,8 +12,7 @@
 	"lupinpond/internal/gateway/thrift"
 )
 
-// gatedListener holds connections back until it is opened, as a process that stands still does, and gives out conns that a
-// test changes.
+// gatedListener accepts nothing until it is opened, as a process that stalls does, and wraps the connections.
 type gatedListener struct {
 	*net.TCPListener
 	opened chan struct{}
@@ -29,7 +28,7 @@
 	return conn, err
 }
 
-// drainingServer is a server that ends by itself; its calls come to the test.
+// drainingServer is a server whose calls come to the test, which drains it.
 type drainingServer struct {
 	*thrift.Server
 	t        *testing.T
@@ -39,16 +38,17 @@
 	stop     context.CancelFunc
 }
 
-func startDrainingServer(t *testing.T, l thrift.Limits, wrap func(net.Conn) net.Conn) *drainingServer {
+func startDrainingServer(t *testing.T, limits thrift.Limits, wrap func(net.Conn) net.Conn) *drainingServer {
+	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := &drainingServer{t: t, listener: &gatedListener{inner.(*net.TCPListener), make(chan struct{}), wrap},
 		calls: make(chan func() (*thrift.Conn, thrift.Message), 100), ended: make(chan error, 1)}
-	d.Server = thrift.NewServer(d.listener, l, func(c *thrift.Conn, m thrift.Message) {
-		if !c.BeginCall(m.SeqID, func() { t.Error("taken back:", m.SeqID) }) {
-			t.Error("not taken:", m.SeqID)
+	d.Server = thrift.NewServer(d.listener, limits, func(c *thrift.Conn, m thrift.Message) {
+		if !c.BeginCall(m.SeqID, func() { t.Error("cancelled:", m.SeqID) }) {
+			t.Error("not begun:", m.SeqID)
 			return
 		}
 		d.calls <- func() (*thrift.Conn, thrift.Message) { return c, m }
@@ -60,19 +60,19 @@
 	return d
 }
 
-// answerNext answers the next call that comes.
+// answerNext answers the next call.
 func (d *drainingServer) answerNext(text string) {
 	d.t.Helper()
 	select {
-	case came := <-d.calls:
-		c, m := came()
+	case call := <-d.calls:
+		c, m := call()
 		c.Reply(m.SeqID, replyFrame(m.SeqID, text))
 	case <-time.After(20 * time.Second):
 		d.t.Fatal("no call came for", text)
 	}
 }
 
-// expectLastReply reads an answer and the end of the connection after it.
+// expectLastReply reads an answer, and the end of the connection after it.
 func expectLastReply(t *testing.T, conn net.Conn, seq int32) {
 	t.Helper()
 	if m := readReply(t, conn); m.SeqID != seq || m.Type != thrift.Reply {
@@ -83,7 +83,7 @@
 	}
 }
 
-// What is still in the listen queue when the server is told to end is accepted, read and answered.
+// What is in the listen backlog when the server begins to drain is accepted, read and answered.
 func TestDrainAcceptsListenQueue(t *testing.T) {
 	d := startDrainingServer(t, limits, nil)
 	conn := dial(t, d.listener.Addr().String())
@@ -97,7 +97,7 @@
 	}
 }
 
-// A request that has come in part when the server is told to end is read to its end and answered; one that is open is
+// A request that has come in part when the server begins to drain is read to its end and answered; an open one is
 // answered, and one that follows it on its connection.
 func TestDrainReadsPartialMessages(t *testing.T) {
 	d := startDrainingServer(t, limits, nil)
@@ -126,15 +126,15 @@
 	}
 }
 
-// An answer that is still being written when the server is told to end comes whole.
+// An answer that is being written when the server begins to drain is written to its end.
 func TestDrainFinishesWrites(t *testing.T) {
-	l := limits
-	l.MaxFrameBytes = 32 << 20
-	d := startDrainingServer(t, l, nil)
+	large := limits
+	large.MaxFrameBytes = 32 << 20
+	d := startDrainingServer(t, large, nil)
 	close(d.listener.opened)
 	conn := dial(t, d.listener.Addr().String())
 	write(t, conn, callFrame(1, "a"))
-	d.answerNext(string(make([]byte, l.MaxFrameBytes/2))) // more than the sockets take while nobody reads
+	d.answerNext(string(make([]byte, large.MaxFrameBytes/2))) // more than the sockets take while nobody reads
 	d.Drain()
 	expectLastReply(t, conn, 1)
 	if err := <-d.ended; err != nil {
@@ -142,24 +142,24 @@
 	}
 }
 
-// A connection with nothing open ends when the server is told to end, at once.
+// An idle connection ends as soon as the server begins to drain.
 func TestDrainClosesIdleConnections(t *testing.T) {
 	d := startDrainingServer(t, limits, nil)
 	close(d.listener.opened)
-	asked, mute := dial(t, d.listener.Addr().String()), dial(t, d.listener.Addr().String())
-	write(t, asked, callFrame(1, "a"))
+	used, unused := dial(t, d.listener.Addr().String()), dial(t, d.listener.Addr().String())
+	write(t, used, callFrame(1, "a"))
 	d.answerNext("a")
-	readReply(t, asked)
+	readReply(t, used)
 	d.Drain()
-	expectClosed(t, asked)
-	expectClosed(t, mute)
+	expectClosed(t, used)
+	expectClosed(t, unused)
 	if err := <-d.ended; err != nil {
 		t.Error(err)
 	}
 }
 
-// lateReader is a connection whose process stands still past the time of the second read: its time is up when it looks, though a
-// message is there.
+// lateReader is a connection whose process stalls past the deadline of the second read: the time is up when it reads,
+// though a message is there.
 type lateReader struct {
 	net.Conn
 	mu    sync.Mutex
@@ -188,9 +188,9 @@
 
 // A request that came before a connection is closed as idle is read, however late its reader is.
 func TestIdleTimeoutRacesWithRequest(t *testing.T) {
-	l := limits
-	l.IdleTimeout, l.FinalRead = 20*time.Millisecond, 10*time.Second
-	d := startDrainingServer(t, l, func(conn net.Conn) net.Conn { return &lateReader{Conn: conn} })
+	short := limits
+	short.IdleTimeout, short.FinalRead = 20*time.Millisecond, 10*time.Second
+	d := startDrainingServer(t, short, func(conn net.Conn) net.Conn { return &lateReader{Conn: conn} })
 	close(d.listener.opened)
 	conn := dial(t, d.listener.Addr().String())
 	write(t, conn, callFrame(1, "a"))
@@ -207,12 +207,12 @@
 	}
 }
 
-// A connection of which a message is being read does not give way to a new one while another rests, though that one was
-// heard of later.
+// A connection of which a message is being read is not evicted for a new one while another is idle, though that one was
+// used later.
 func TestIdleConnectionIsEvictedBeforeReadingOne(t *testing.T) {
-	l := limits
-	l.MaxConns = 2
-	d := startDrainingServer(t, l, nil)
+	few := limits
+	few.MaxConns = 2
+	d := startDrainingServer(t, few, nil)
 	close(d.listener.opened)
 	reading := func(n int) {
 		for d.ReadingConns() != n {
@@ -226,13 +226,13 @@
 	frame := callFrame(2, "b")
 	write(t, half, frame[:9])
 	reading(1)
-	rests := dial(t, d.listener.Addr().String())
-	write(t, rests, callFrame(1, "c"))
+	idle := dial(t, d.listener.Addr().String())
+	write(t, idle, callFrame(1, "c"))
 	d.answerNext("c")
-	readReply(t, rests)
+	readReply(t, idle)
 	reading(1)
 	last := dial(t, d.listener.Addr().String())
-	expectClosed(t, rests)
+	expectClosed(t, idle)
 	write(t, half, frame[9:])
 	d.answerNext("b")
 	if m := readReply(t, half); m.SeqID != 2 {
--- a/internal/gateway/thrift/evict_test.go
+++ b/internal/gateway/thrift/eviction_test.go
@@ -24,13 +24,13 @@
 	return c.Conn.Write(b)
 }
 
-// A connection whose answer is not written yet does not give way to a new one: the answer would never arrive.
+// A connection whose answer is not written yet is not evicted for a new one: the answer would never arrive.
 func TestUnwrittenAnswerPreventsEviction(t *testing.T) {
-	l := limits
-	l.MaxConns = 1
+	single := limits
+	single.MaxConns = 1
 	release := make(chan struct{})
 	first := true
-	d := startDrainingServer(t, l, func(conn net.Conn) net.Conn {
+	d := startDrainingServer(t, single, func(conn net.Conn) net.Conn {
 		if first {
 			first = false
 			return &blockedWriter{conn, release}
@@ -45,7 +45,7 @@
 	if err := other.SetReadDeadline(time.Now().Add(100 * time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
-	_, _ = other.Read(make([]byte, 1)) // it is either closed by now or waits for a place
+	_, _ = other.Read(make([]byte, 1)) // it is closed by now, or waits for a place
 	close(release)
 	if m := readReply(t, conn); m.SeqID != 1 {
 		t.Errorf("%+v instead of the answer", m)
@@ -56,10 +56,10 @@
 	}
 }
 
-// blockedReader is a connection whose reader stands still at its first read until it is released, as in a process without a processor.
+// blockedReader is a connection whose first read blocks until it is released, as in a process without a processor.
 type blockedReader struct {
 	net.Conn
-	blocked chan struct{} // closed when it stands still
+	blocked chan struct{} // closed when it blocks
 	release chan struct{}
 	reads   atomic.Int32
 }
@@ -77,24 +77,24 @@
 	return c.Conn.(syscall.Conn).SyscallConn()
 }
 
-// A request that has come, but is not read yet when its connection is asked to give way, is read and answered.
+// A request that has come, but is not read yet when its connection is to be evicted, is read and answered.
 func TestEvictionReadsPendingRequest(t *testing.T) {
-	l := limits
-	l.MaxConns = 1
-	held, release := make(chan struct{}), make(chan struct{})
+	single := limits
+	single.MaxConns = 1
+	blocked, release := make(chan struct{}), make(chan struct{})
 	first := true
-	d := startDrainingServer(t, l, func(conn net.Conn) net.Conn {
+	d := startDrainingServer(t, single, func(conn net.Conn) net.Conn {
 		if first {
 			first = false
-			return &blockedReader{Conn: conn, blocked: held, release: release}
+			return &blockedReader{Conn: conn, blocked: blocked, release: release}
 		}
 		return conn
 	})
 	close(d.listener.opened)
 	conn := dial(t, d.listener.Addr().String())
-	<-held
+	<-blocked
 	write(t, conn, callFrame(1, "a"))
-	expectClosed(t, dial(t, d.listener.Addr().String())) // the first one was asked to give way, and has not looked yet
+	expectClosed(t, dial(t, d.listener.Addr().String())) // the first one is to be evicted, and has not looked yet
 	close(release)
 	d.answerNext("a")
 	if m := readReply(t, conn); m.SeqID != 1 {
@@ -106,7 +106,7 @@
 	}
 }
 
-// scriptedListener is a listener whose next accepts a test words: an error to fail with, or nil to accept.
+// scriptedListener is a listener for which a test chooses the result of each Accept: an error, or nil to accept.
 type scriptedListener struct {
 	net.Listener
 	next chan error
@@ -119,13 +119,20 @@
 	return l.Listener.Accept()
 }
 
-// Errors of accept that no connection of ours is a cause of cost no client its connection; where descriptors are short, an idle
-// one gives way.
+// Errors of Accept for which no connection of the server is to blame cost no client its connection; where the process
+// is short of descriptors, an idle one is evicted.
 func TestAcceptErrors(t *testing.T) {
 	for _, c := range []struct {
 		err  syscall.Errno
 		left int // connections, of two
-	}{{syscall.ENFILE, 2}, {syscall.ENOBUFS, 2}, {syscall.ENOMEM, 2}, {syscall.EPERM, 2}, {syscall.ECONNABORTED, 2}, {syscall.EMFILE, 1}} {
+	}{
+		{syscall.ENFILE, 2},
+		{syscall.ENOBUFS, 2},
+		{syscall.ENOMEM, 2},
+		{syscall.EPERM, 2},
+		{syscall.ECONNABORTED, 2},
+		{syscall.EMFILE, 1},
+	} {
 		inner, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -140,9 +147,9 @@
 			listener.next <- nil
 		}
 		listener.next <- c.err
-		listener.next <- nil // it has done with that
+		listener.next <- nil // the error has been handled
 		dial(t, inner.Addr().String())
-		listener.next <- nil // and serves that one
+		listener.next <- nil // and that connection is served
 		if n := s.Connections(); n != c.left+1 {
 			t.Errorf("%v: %d connections are left, want %d", c.err, n, c.left+1)
 		}
@@ -154,18 +161,18 @@
 	}
 }
 
-// A client that stops in the middle of a message gets the answers to what it has asked before; then the connection ends.
+// A client that stops in the middle of a message gets the answers to its requests before; then the connection ends.
 func TestPartialMessageBesideOpenCalls(t *testing.T) {
-	l := limits
-	l.MessageTimeout = 50 * time.Millisecond
-	d := startDrainingServer(t, l, nil)
+	short := limits
+	short.MessageTimeout = 50 * time.Millisecond
+	d := startDrainingServer(t, short, nil)
 	close(d.listener.opened)
 	conn := dial(t, d.listener.Addr().String())
 	write(t, conn, callFrame(1, "a"))
 	write(t, conn, callFrame(2, "b")[:9])
-	came, m := (<-d.calls)()
-	time.Sleep(4 * l.MessageTimeout)
-	came.Reply(m.SeqID, replyFrame(m.SeqID, "late"))
+	c, m := (<-d.calls)()
+	time.Sleep(4 * short.MessageTimeout)
+	c.Reply(m.SeqID, replyFrame(m.SeqID, "late"))
 	expectLastReply(t, conn, 1)
 	d.stop()
 	if err := <-d.ended; err != nil {
@@ -173,18 +180,18 @@
 	}
 }
 
-// A client that reads slowly loses neither its answer nor a request that comes while the answer is written: the connection does not
-// end as idle meanwhile.
+// A client that reads slowly loses neither its answer nor a request that comes while the answer is written: the
+// connection does not end as idle meanwhile.
 func TestIdleTimeoutWaitsForSlowReader(t *testing.T) {
-	l := limits
-	l.IdleTimeout, l.FinalRead = 20*time.Millisecond, time.Millisecond
+	short := limits
+	short.IdleTimeout, short.FinalRead = 20*time.Millisecond, time.Millisecond
 	release := make(chan struct{})
-	d := startDrainingServer(t, l, func(conn net.Conn) net.Conn { return &blockedWriter{conn, release} })
+	d := startDrainingServer(t, short, func(conn net.Conn) net.Conn { return &blockedWriter{conn, release} })
 	close(d.listener.opened)
 	conn := dial(t, d.listener.Addr().String())
 	write(t, conn, callFrame(1, "a"))
 	d.answerNext("a")
-	time.Sleep(5 * l.IdleTimeout)
+	time.Sleep(5 * short.IdleTimeout)
 	write(t, conn, callFrame(2, "b"))
 	d.answerNext("b")
 	close(release)
@@ -199,21 +206,21 @@
 	}
 }
 
-// slowWriter is a connection that passes on a little of what is written at a time, as to a client that reads slowly.
+// slowWriter is a connection that writes a little at a time, as to a client that reads slowly.
 type slowWriter struct {
 	net.Conn
-	pause time.Duration
-	until time.Time
+	pause    time.Duration
+	deadline time.Time
 }
 
 func (c *slowWriter) SetWriteDeadline(t time.Time) error {
-	c.until = t
+	c.deadline = t
 	return nil
 }
 
 func (c *slowWriter) Write(b []byte) (n int, err error) {
 	for n < len(b) {
-		if time.Now().After(c.until) {
+		if time.Now().After(c.deadline) {
 			return n, os.ErrDeadlineExceeded
 		}
 		time.Sleep(c.pause)
@@ -225,11 +232,13 @@
 	return n, nil
 }
 
-// A client that reads slowly, but reads, gets all that it has asked for.
+// A client that reads slowly, but reads, gets all its answers.
 func TestSlowReaderReceivesAnswers(t *testing.T) {
-	l := limits
-	l.WriteTimeout, l.MaxOpenCalls, l.MaxFrameBytes = 200*time.Millisecond, 32, 16<<10
-	d := startDrainingServer(t, l, func(conn net.Conn) net.Conn { return &slowWriter{Conn: conn, pause: 20 * time.Millisecond} })
+	slow := limits
+	slow.WriteTimeout, slow.MaxOpenCalls, slow.MaxFrameBytes = 200*time.Millisecond, 32, 16<<10
+	d := startDrainingServer(t, slow, func(conn net.Conn) net.Conn {
+		return &slowWriter{Conn: conn, pause: 20 * time.Millisecond}
+	})
 	close(d.listener.opened)
 	conn := dial(t, d.listener.Addr().String())
 	text := strings.Repeat("x", 8<<10)
@@ -253,17 +262,17 @@
 
 // A connection that comes while something is owed on all others waits for a place.
 func TestNewConnectionWaitsForCapacity(t *testing.T) {
-	l := limits
-	l.MaxConns = 1
-	d := startDrainingServer(t, l, nil)
+	single := limits
+	single.MaxConns = 1
+	d := startDrainingServer(t, single, nil)
 	close(d.listener.opened)
 	conn := dial(t, d.listener.Addr().String())
 	write(t, conn, callFrame(1, "a"))
-	came, m := (<-d.calls)()
+	c, m := (<-d.calls)()
 	other := dial(t, d.listener.Addr().String())
 	write(t, other, callFrame(1, "b"))
 	time.Sleep(100 * time.Millisecond)
-	came.Reply(m.SeqID, replyFrame(m.SeqID, "a"))
+	c.Reply(m.SeqID, replyFrame(m.SeqID, "a"))
 	readReply(t, conn)
 	d.answerNext("b")
 	readReply(t, other)
--- a/internal/gateway/thrift/golden_test.go
+++ b/internal/gateway/thrift/golden_test.go
@@ -16,14 +16,14 @@
 const goldenDispatch = "\x00\x00\x00\x35" + "\x80\x01\x00\x01" + "\x00\x00\x00\x08dispatch" + "\x00\x00\x00\x07" +
 	"\x0d\x00\x01\x0b\x0b\x00\x00\x00\x01" + "\x00\x00\x00\x02id" + "\x00\x00\x00\x02a1" + "\x0b\x00\x02\x00\x00\x00\x04body" + "\x00"
 
-// goldenResult, goldenThrown and goldenRefusal are the forms of answers: a result struct in field 0, an exception struct in
-// field 1, an application exception.
+// goldenResult, goldenDeclaredException and goldenException are the forms of answers: a result struct in field 0, an
+// exception struct in field 1, an application exception.
 const (
 	goldenResult = "\x00\x00\x00\x31" + "\x80\x01\x00\x02" + "\x00\x00\x00\x08dispatch" + "\x00\x00\x00\x07" +
 		"\x0c\x00\x00" + "\x0b\x00\x01\x00\x00\x00\x04done" + "\x0d\x00\x02\x0b\x0b\x00\x00\x00\x00" + "\x02\x00\x03\x01" + "\x00" + "\x00"
-	goldenThrown = "\x00\x00\x00\x31" + "\x80\x01\x00\x02" + "\x00\x00\x00\x08dispatch" + "\x00\x00\x00\x07" +
+	goldenDeclaredException = "\x00\x00\x00\x31" + "\x80\x01\x00\x02" + "\x00\x00\x00\x08dispatch" + "\x00\x00\x00\x07" +
 		"\x0c\x00\x01" + "\x0d\x00\x01\x0b\x0b\x00\x00\x00\x01" + "\x00\x00\x00\x05after" + "\x00\x00\x00\x0212" + "\x00" + "\x00"
-	goldenRefusal = "\x00\x00\x00\x26" + "\x80\x01\x00\x03" + "\x00\x00\x00\x08dispatch" + "\x00\x00\x00\x07" +
+	goldenException = "\x00\x00\x00\x26" + "\x80\x01\x00\x03" + "\x00\x00\x00\x08dispatch" + "\x00\x00\x00\x07" +
 		"\x0b\x00\x01\x00\x00\x00\x03why" + "\x08\x00\x02\x00\x00\x00\x04" + "\x00"
 )
 
@@ -47,10 +47,10 @@
 	result.StringMap(2)
 	result.Bool(3, true)
 	result.End()
-	thrown := thrift.NewWriter("dispatch", thrift.Reply, 7)
-	thrown.Struct(1)
-	thrown.StringMap(1, "after", "12")
-	thrown.End()
+	declared := thrift.NewWriter("dispatch", thrift.Reply, 7)
+	declared.Struct(1)
+	declared.StringMap(1, "after", "12")
+	declared.End()
 	oneway := thrift.NewWriter("cancelRequest", thrift.Oneway, -2)
 	oneway.I32(1, 7)
 	oneway.Bool(2, false)
@@ -61,8 +61,8 @@
 	}{
 		{"request", request.Frame(), goldenDispatch},
 		{"result", result.Frame(), goldenResult},
-		{"exception of the service", thrown.Frame(), goldenThrown},
-		{"application exception", thrift.EncodeException("dispatch", 7, thrift.BadSequenceID, "why"), goldenRefusal},
+		{"exception of the service", declared.Frame(), goldenDeclaredException},
+		{"application exception", thrift.EncodeException("dispatch", 7, thrift.BadSequenceID, "why"), goldenException},
 		{"oneway", oneway.Frame(), "\x00\x00\x00\x25" + "\x80\x01\x00\x04" + "\x00\x00\x00\x0dcancelRequest" + "\xff\xff\xff\xfe" +
 			"\x08\x00\x01\x00\x00\x00\x07" + "\x02\x00\x02\x00" + "\x00"},
 	} {
@@ -96,9 +96,9 @@
 		t.Errorf("got %s, want %s", got, want)
 	}
 	for wire, want := range map[string]string{
-		goldenResult:  `0 map[2:map[]] map[1:done] map[3:true] <nil>`,
-		goldenThrown:  `1 map[1:map[after:12]] map[] map[] <nil>`,
-		goldenRefusal: `0 map[] map[] map[] thrift: malformed: no result`,
+		goldenResult:            `0 map[2:map[]] map[1:done] map[3:true] <nil>`,
+		goldenDeclaredException: `1 map[1:map[after:12]] map[] map[] <nil>`,
+		goldenException:         `0 map[] map[] map[] thrift: malformed: no result`,
 	} {
 		m, err := thrift.ReadMessage(bytes.NewReader([]byte(wire)), 1<<10)
 		if err != nil {
@@ -112,15 +112,22 @@
 	}
 }
 
-// The server passes on golden requests and writes golden answers; to bytes that are no message it writes one application
-// exception and closes the connection.
+// The server passes on golden requests and writes golden answers; to bytes that are no message it writes one
+// application exception and closes the connection.
 func TestGoldenServer(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := thrift.NewServer(listener, thrift.Limits{MaxFrameBytes: 1 << 10, MaxOpenCalls: 4, MaxConns: 4, MessageTimeout: 20 * time.Second, IdleTimeout: 20 * time.Second,
-		WriteTimeout: 20 * time.Second, FinalRead: time.Second}, func(c *thrift.Conn, m thrift.Message) {
+	server := thrift.NewServer(listener, thrift.Limits{
+		MaxFrameBytes:  1 << 10,
+		MaxOpenCalls:   4,
+		MaxConns:       4,
+		MessageTimeout: 20 * time.Second,
+		IdleTimeout:    20 * time.Second,
+		WriteTimeout:   20 * time.Second,
+		FinalRead:      time.Second,
+	}, func(c *thrift.Conn, m thrift.Message) {
 		c.BeginCall(m.SeqID, func() {})
 		c.Reply(m.SeqID, []byte(goldenResult))
 	})
--- a/internal/gateway/thrift/message.go
+++ b/internal/gateway/thrift/message.go
@@ -1,18 +1,96 @@
+// Package thrift implements the strict binary protocol of Apache Thrift over framed transport, as much of it as a
+// server without generated code needs: messages, maps of strings, binaries, integers and flags. The codec does no
+// I/O; its input is not trusted, so that it allocates nothing by a length before the bytes are there. The package
+// knows no service.
 package thrift
 
 import (
 	"encoding/binary"
+	"errors"
+	"fmt"
 	"io"
 )
 
-// ReadMessage reads one framed message, as a client does; a frame longer than most is malformed.
-func ReadMessage(from io.Reader, most uint32) (Message, error) {
+// MessageType is the type of a message.
+type MessageType byte
+
+// The message types.
+const (
+	Call MessageType = iota + 1
+	Reply
+	Exception
+	Oneway
+)
+
+// Types of values on the wire.
+const (
+	typeStop   = 0
+	typeBool   = 2
+	typeByte   = 3
+	typeDouble = 4
+	typeI16    = 6
+	typeI32    = 8
+	typeI64    = 10
+	typeString = 11
+	typeStruct = 12
+	typeMap    = 13
+	typeSet    = 14
+	typeList   = 15
+)
+
+// ExceptionCode is the type of an application exception.
+type ExceptionCode int32
+
+// The application exceptions.
+const (
+	UnknownMethod ExceptionCode = 1
+	BadSequenceID ExceptionCode = 4
+	InternalError ExceptionCode = 6
+	ProtocolError ExceptionCode = 7
+)
+
+// The first word of a message holds the version in its upper bytes and the message type in the lowest.
+const (
+	version     = 0x80010000
+	versionMask = 0xffffff00
+)
+
+// ErrMalformed says that bytes are no valid message.
+var ErrMalformed = errors.New("thrift: malformed")
+
+func malformedError(what string) error { return fmt.Errorf("%w: %s", ErrMalformed, what) }
+
+// Message is a message. Args is the struct that follows its head.
+type Message struct {
+	Name  string
+	Type  MessageType
+	SeqID int32
+	Args  []byte
+}
+
+// Parse parses the head of a message.
+func Parse(frame []byte) (Message, error) {
+	r := reader{b: frame}
+	head := r.u32()
+	if r.err == nil && head&versionMask != version {
+		return Message{}, malformedError("not of the strict version 1")
+	}
+	message := Message{Type: MessageType(head), Name: string(r.bytes()), SeqID: int32(r.u32())}
+	if r.err == nil && (message.Type < Call || message.Type > Oneway) {
+		return Message{}, malformedError("an unknown kind of message")
+	}
+	message.Args = r.b
+	return message, r.err
+}
+
+// ReadMessage reads one framed message, as a client does; a frame longer than maxBytes is malformed.
+func ReadMessage(from io.Reader, maxBytes uint32) (Message, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(from, head[:]); err != nil {
 		return Message{}, err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > most {
+	if n > maxBytes {
 		return Message{}, malformedError("a frame of that length")
 	}
 	frame := make([]byte, n)
@@ -22,11 +100,11 @@
 	return Parse(frame)
 }
 
-// resultHeadBytes is what comes before the struct in the result of a call: its type and the number of its field.
+// resultHeadBytes is the size of what comes before the struct in the result of a call: its type and its field ID.
 const resultHeadBytes = 3
 
-// Result reads the result of a call: the number of the one field that it has, and the struct in it. An exception that is no result is
-// malformed.
+// Result parses the result of a call: the ID of the one field that it has, and the struct in it. An application
+// exception is no result, and malformed.
 func (m Message) Result() (field int, args Args, err error) {
 	if m.Type != Reply || len(m.Args) <= resultHeadBytes {
 		return 0, Args{}, malformedError("no result")
--- a/internal/gateway/thrift/thrift_test.go
+++ b/internal/gateway/thrift/thrift_test.go
@@ -41,13 +41,13 @@
 	if err != nil || m.Name != "ask" || m.SeqID != 7 || m.Type != thrift.Call {
 		t.Fatal(m, err)
 	}
-	a, err := thrift.ReadArgs(m.Args)
-	if err != nil || a.StringMaps[1]["id"] != "e" || string(a.Binaries[2]) != "body" {
-		t.Error(a, err)
+	args, err := thrift.ReadArgs(m.Args)
+	if err != nil || args.StringMaps[1]["id"] != "e" || string(args.Binaries[2]) != "body" {
+		t.Error(args, err)
 	}
 }
 
-// Lengths and counts are not believed before the bytes are there; what is cut off anywhere is malformed.
+// Lengths and counts are not trusted before the bytes are there; what is cut off anywhere is malformed.
 func TestMalformed(t *testing.T) {
 	frame := callFrame(1, "e")[4:]
 	for n := range len(frame) {
@@ -56,15 +56,16 @@
 			_, err = thrift.ReadArgs(m.Args)
 		}
 		if err == nil {
-			t.Errorf("%d of %d bytes are taken", n, len(frame))
+			t.Errorf("%d of %d bytes are accepted", n, len(frame))
 		}
 	}
 	for name, args := range map[string]string{
-		"negative length":  "\x0b\x00\x02\xff\xff\xff\xff\x00",
-		"huge length":      "\x0b\x00\x02\x7f\xff\xff\xff\x00",
-		"huge map":         "\x0d\x00\x01\x0b\x0b\x7f\xff\xff\xff\x00",
-		"map of numbers":   "\x0d\x00\x01\x08\x08\x00\x00\x00\x01\x00\x00\x00\x01\x00\x00\x00\x01\x00",
-		"name twice":       "\x0d\x00\x01\x0b\x0b\x00\x00\x00\x02\x00\x00\x00\x01a\x00\x00\x00\x00\x00\x00\x00\x01a\x00\x00\x00\x00\x00",
+		"negative length": "\x0b\x00\x02\xff\xff\xff\xff\x00",
+		"huge length":     "\x0b\x00\x02\x7f\xff\xff\xff\x00",
+		"huge map":        "\x0d\x00\x01\x0b\x0b\x7f\xff\xff\xff\x00",
+		"map of numbers":  "\x0d\x00\x01\x08\x08\x00\x00\x00\x01\x00\x00\x00\x01\x00\x00\x00\x01\x00",
+		"key twice": "\x0d\x00\x01\x0b\x0b\x00\x00\x00\x02" +
+			"\x00\x00\x00\x01a\x00\x00\x00\x00" + "\x00\x00\x00\x01a\x00\x00\x00\x00" + "\x00",
 		"unknown type":     "\x63\x00\x01\x00",
 		"nested too deep":  strings.Repeat("\x0c\x00\x01", 64) + strings.Repeat("\x00", 65),
 		"huge list":        "\x0f\x00\x05\x02\x7f\xff\xff\xff\x00",
@@ -72,12 +73,13 @@
 		"too many, no end": strings.Repeat("\x02\x00\x01\x01", 1000),
 	} {
 		if _, err := thrift.ReadArgs([]byte(args)); err == nil {
-			t.Errorf("%s is taken", name)
+			t.Errorf("%s is accepted", name)
 		}
 	}
-	a, err := thrift.ReadArgs([]byte("\x0f\x00\x09\x08\x00\x00\x00\x02\x00\x00\x00\x01\x00\x00\x00\x02\x08\x00\x01\x00\x00\x00\x05\x00"))
-	if err != nil || a.Ints[1] != 5 {
-		t.Error("an unknown field is not skipped", a, err)
+	args, err := thrift.ReadArgs([]byte("\x0f\x00\x09\x08\x00\x00\x00\x02\x00\x00\x00\x01\x00\x00\x00\x02" +
+		"\x08\x00\x01\x00\x00\x00\x05" + "\x00"))
+	if err != nil || args.Ints[1] != 5 {
+		t.Error("an unknown field is not skipped", args, err)
 	}
 }
 
@@ -92,32 +94,52 @@
 		}
 		a, err := thrift.ReadArgs(m.Args)
 		if err == nil && len(m.Args) == 0 {
-			t.Error("no end, and taken", a)
+			t.Error("no end, and accepted", a)
 		}
 	})
 }
 
-var limits = thrift.Limits{MaxFrameBytes: 256, MaxOpenCalls: 2, MaxConns: 3, MessageTimeout: time.Minute, IdleTimeout: time.Minute, WriteTimeout: time.Minute, FinalRead: 30 * time.Millisecond}
+var limits = thrift.Limits{
+	MaxFrameBytes:  256,
+	MaxOpenCalls:   2,
+	MaxConns:       3,
+	MessageTimeout: time.Minute,
+	IdleTimeout:    time.Minute,
+	WriteTimeout:   time.Minute,
+	FinalRead:      30 * time.Millisecond,
+}
+
+// testServer is a server whose calls, and those that clients cancel, come to the test.
+type testServer struct {
+	*thrift.Server
+	addr      string
+	calls     chan func() (*thrift.Conn, thrift.Message)
+	cancelled chan int32
+}
 
-// serve runs a server whose messages and calls taken back come to the test.
-func serve(t *testing.T, l thrift.Limits) (addr string, came chan func() (*thrift.Conn, thrift.Message), left chan int32, s *thrift.Server) {
+func serve(t *testing.T, limits thrift.Limits) *testServer {
+	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	came, left = make(chan func() (*thrift.Conn, thrift.Message), 100), make(chan int32, 100)
-	s = thrift.NewServer(listener, l, func(c *thrift.Conn, m thrift.Message) {
+	s := &testServer{
+		addr:      listener.Addr().String(),
+		calls:     make(chan func() (*thrift.Conn, thrift.Message), 100),
+		cancelled: make(chan int32, 100),
+	}
+	s.Server = thrift.NewServer(listener, limits, func(c *thrift.Conn, m thrift.Message) {
 		if m.Type == thrift.Oneway {
-			a, _ := thrift.ReadArgs(m.Args)
-			c.CancelCall(a.Ints[1])
+			args, _ := thrift.ReadArgs(m.Args)
+			c.CancelCall(args.Ints[1])
 			return
 		}
-		if !c.BeginCall(m.SeqID, func() { left <- m.SeqID }) {
+		if !c.BeginCall(m.SeqID, func() { s.cancelled <- m.SeqID }) {
 			c.Send(thrift.EncodeException(m.Name, m.SeqID, thrift.BadSequenceID, "no"))
 			c.Close()
 			return
 		}
-		came <- func() (*thrift.Conn, thrift.Message) { return c, m }
+		s.calls <- func() (*thrift.Conn, thrift.Message) { return c, m }
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -128,10 +150,11 @@
 			t.Error(err)
 		}
 	})
-	return listener.Addr().String(), came, left, s
+	return s
 }
 
 func dial(t *testing.T, addr string) net.Conn {
+	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -169,18 +192,18 @@
 func expectClosed(t *testing.T, conn net.Conn) {
 	t.Helper()
 	_, err := io.Copy(io.Discard, conn)
-	if slow, is := err.(net.Error); is && slow.Timeout() {
+	if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
 		t.Error("the connection stays open")
 	}
 }
 
-// Answers come in any order; of a call taken back, and a second time, none comes.
+// Answers come in any order; to a cancelled call, and a second time, there is none.
 func TestReplies(t *testing.T) {
-	addr, came, left, s := serve(t, limits)
-	conn := dial(t, addr)
+	s := serve(t, limits)
+	conn := dial(t, s.addr)
 	write(t, conn, callFrame(1, "a"), callFrame(2, "b"))
-	c, _ := (<-came)()
-	<-came
+	c, _ := (<-s.calls)()
+	<-s.calls
 	c.Reply(2, replyFrame(2, "second"))
 	if m := readReply(t, conn); m.SeqID != 2 {
 		t.Error("answer to", m.SeqID)
@@ -188,10 +211,10 @@
 	w := thrift.NewWriter("cancel", thrift.Oneway, 0)
 	w.I32(1, 1)
 	write(t, conn, w.Frame(), callFrame(3, "c"))
-	if seq := <-left; seq != 1 {
-		t.Error("taken back:", seq)
+	if seq := <-s.cancelled; seq != 1 {
+		t.Error("cancelled:", seq)
 	}
-	<-came
+	<-s.calls
 	c.Reply(1, replyFrame(1, "late"))
 	c.Reply(2, replyFrame(2, "again"))
 	c.Reply(3, replyFrame(3, "third"))
@@ -199,18 +222,18 @@
 		t.Error("answer to", m.SeqID, "open", s.OpenCalls())
 	}
 	write(t, conn, callFrame(4, "d"))
-	<-came
+	<-s.calls
 	conn.Close()
-	if seq := <-left; seq != 4 {
-		t.Error("left:", seq)
+	if seq := <-s.cancelled; seq != 4 {
+		t.Error("cancelled at the end:", seq)
 	}
 }
 
-// What can't be read, too much at a time, a number that is not new, and silence end the connection.
+// Malformed messages, too many calls at a time, a sequence ID that is not new, and silence end the connection.
 func TestMisbehavingClients(t *testing.T) {
-	l := limits
-	l.MessageTimeout = 50 * time.Millisecond
-	addr, came, left, _ := serve(t, l)
+	short := limits
+	short.MessageTimeout = 50 * time.Millisecond
+	s := serve(t, short)
 	for name, send := range map[string][]byte{
 		"silence":         nil,
 		"half a request":  callFrame(1, "a")[:9],
@@ -220,38 +243,38 @@
 		"another version": {0, 0, 0, 4, 1, 2, 3, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
-			conn := dial(t, addr)
+			conn := dial(t, s.addr)
 			write(t, conn, send)
 			expectClosed(t, conn)
 		})
 	}
-	conn := dial(t, addr)
+	conn := dial(t, s.addr)
 	write(t, conn, callFrame(1, "a"), callFrame(1, "b"))
 	if m := readReply(t, conn); m.Type != thrift.Exception {
-		t.Error("the second request of a number got", m)
+		t.Error("the second request of a sequence ID got", m)
 	}
 	expectClosed(t, conn)
-	conn = dial(t, addr)
+	conn = dial(t, s.addr)
 	write(t, conn, callFrame(1, "a"), callFrame(2, "b"), callFrame(3, "c"))
 	expectClosed(t, conn)
 	for range 3 {
-		<-came
-		<-left
+		<-s.calls
+		<-s.cancelled
 	}
 }
 
-// Connections that never asked give way to new ones; one that is served does not.
+// Connections without a request are evicted for new ones; one with an open call is not.
 func TestUnusedConnectionsAreEvicted(t *testing.T) {
-	addr, came, _, s := serve(t, limits)
-	busy := dial(t, addr)
+	s := serve(t, limits)
+	busy := dial(t, s.addr)
 	write(t, busy, callFrame(1, "a"))
-	c, _ := (<-came)()
+	c, _ := (<-s.calls)()
 	var last net.Conn
 	for range 3 * limits.MaxConns {
-		last = dial(t, addr)
+		last = dial(t, s.addr)
 	}
 	write(t, last, callFrame(1, "b"))
-	<-came
+	<-s.calls
 	if n := s.Connections(); n > limits.MaxConns {
 		t.Error(n, "connections")
 	}
@@ -261,31 +284,31 @@
 	}
 }
 
-// A connection of which a message is being handled does not give way, though no call is open on it yet: what was read gets its
-// answer. The new connection is closed, and one that comes once the call has its answer is served.
+// A connection of which a message is being handled is not evicted, though no call is open on it yet: what was read
+// gets its answer. The new connection is closed, and one that comes once the call has its answer is served.
 func TestCallPreventsEviction(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := limits
-	l.MaxConns = 1
-	came, handle, taken := make(chan *thrift.Conn, 2), make(chan struct{}), make(chan bool, 2)
-	s := thrift.NewServer(listener, l, func(c *thrift.Conn, m thrift.Message) {
-		came <- c
+	single := limits
+	single.MaxConns = 1
+	conns, handle, begun := make(chan *thrift.Conn, 2), make(chan struct{}), make(chan bool, 2)
+	s := thrift.NewServer(listener, single, func(c *thrift.Conn, m thrift.Message) {
+		conns <- c
 		<-handle
-		taken <- c.BeginCall(m.SeqID, func() {})
+		begun <- c.BeginCall(m.SeqID, func() {})
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(ctx) }()
 	conn := dial(t, listener.Addr().String())
 	write(t, conn, callFrame(1, "a"))
-	c := <-came
+	c := <-conns
 	expectClosed(t, dial(t, listener.Addr().String()))
 	close(handle)
-	if !<-taken {
-		t.Error("not taken")
+	if !<-begun {
+		t.Error("not begun")
 	}
 	c.Reply(1, replyFrame(1, "served"))
 	if m := readReply(t, conn); m.SeqID != 1 || m.Type != thrift.Reply {
@@ -293,9 +316,9 @@
 	}
 	again := dial(t, listener.Addr().String())
 	write(t, again, callFrame(1, "b"))
-	c = <-came
-	if !<-taken {
-		t.Error("not taken once there is a place")
+	c = <-conns
+	if !<-begun {
+		t.Error("not begun once there is a place")
 	}
 	c.Reply(1, replyFrame(1, "served"))
 	readReply(t, again)
