--- a/internal/gateway/discovery/endpoint.go
+++ b/internal/gateway/discovery/endpoint.go
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// continues reports whether no event is missing between a position and each of the batch. An event with the complete list
-// needs none before it.
+// continues reports whether no event is missing between a position and each of the batch. An event with the complete
+// list needs none before it.
 func (b Batch) continues(position int64) bool {
 	for _, event := range b.Events {
 		if event.Position > position+1 && (event.Update == nil || !event.Update.Complete) {
--- a/internal/gateway/discovery/golden_test.go
+++ b/internal/gateway/discovery/golden_test.go
@@ -14,7 +14,8 @@
 	"lupinpond/internal/gateway/discovery"
 )
 
-// The client sends exactly these bytes, at the start and after event 7; only the address of the test's listener is replaced.
+// The client sends exactly these bytes, at the start and after event 7; only the address of the test's listener is
+// replaced.
 func TestGoldenRequest(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -68,7 +69,8 @@
 		t.Errorf("\n got %q\nwant %q", got, fmt.Sprintf(want, 0))
 	}
 	const body = `{"pos":7,"entries":[{"pos":7,"hosts":{"whole":true,"hosts":[]}}]}`
-	if _, err := io.WriteString(conn, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)); err != nil {
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	if _, err := io.WriteString(conn, response); err != nil {
 		t.Fatal(err)
 	}
 	if event := <-events; event.Position != 7 {
@@ -79,7 +81,8 @@
 	}
 }
 
-// Every form of answer decodes to these values: a complete list, a change with each state, an event of another kind, none.
+// Every form of answer decodes to these values: a complete list, a change with each state, an event of another kind,
+// none.
 func TestGoldenBatches(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{`{"pos":5,"entries":[{"pos":1,"hosts":{"seq":1,"whole":true,"hosts":[{"host":"w1","dial":"127.0.0.1:9","site":"z","class":"k",` +
--- a/internal/gateway/discovery/poll.go
+++ b/internal/gateway/discovery/poll.go
@@ -19,9 +19,9 @@
 	err      error
 }
 
-// pollRound polls until one answer is accepted, or no poll is left that may be answered. A service that does not answer in
-// time may be slow or silent: it is polled again, which ends a silence, while the polls before go on, as a slow service may
-// still answer them.
+// pollRound polls until one answer is accepted, or no poll is left that may be answered. A service that does not
+// answer in time may be slow or silent: it is polled again, which ends a silence, while the polls before go on, as a
+// slow service may still answer them.
 func (w *Watcher) pollRound(ctx context.Context, client *http.Client) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/gateway/discovery/watcher_test.go
+++ b/internal/gateway/discovery/watcher_test.go
@@ -106,8 +106,8 @@
 	MaxBytes:      1 << 16,
 }
 
-// An answer that breaks off counts as none, a silent service is polled again, at another address the positions go on, and
-// each event is passed on once.
+// An answer that breaks off counts as none, a silent service is polled again, at another address the positions go on,
+// and each event is passed on once.
 func TestWatch(t *testing.T) {
 	polls := make(chan string, 1000) // positions after which the services are polled
 	script := func(answers ...func(w http.ResponseWriter)) *httptest.Server {
@@ -134,7 +134,8 @@
 			conn.Close()
 		}
 	}
-	first := script(answer(batchJSON(1)), breakOff, answer(batchJSON(2)), answer(`{"pos":2,"entries":[]}`), answer("noise"))
+	first := script(
+		answer(batchJSON(1)), breakOff, answer(batchJSON(2)), answer(`{"pos":2,"entries":[]}`), answer("noise"))
 	second := script(answer(batchJSON(2, 3)))
 	events := make(chan discovery.Event, 10)
 	watcher, stop := runWatcher(t, first.Listener.Addr().String(), limits, func(event discovery.Event) { events <- event })
@@ -164,7 +165,9 @@
 		t.Fatal(err)
 	}
 	defer mute.Close()
-	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, batchJSON(1)) }))
+	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		fmt.Fprint(w, batchJSON(1))
+	}))
 	defer service.Close()
 	patient := limits
 	patient.PollWait = time.Hour
@@ -205,8 +208,8 @@
 	return events, polls
 }
 
-// Events that are missing may have drained a worker: none of the answer is passed on, and the watcher polls for the complete
-// list. In that, what is left out is removed, and what is removed within the answer never was there.
+// Events that are missing may have drained a worker: none of the answer is passed on, and the watcher polls for the
+// complete list. In that, what is left out is removed, and what is removed within the answer never was there.
 func TestMissingEventsCauseResync(t *testing.T) {
 	removed := strings.Replace(eventJSON(5), `"up"`, `"removed"`, 1)
 	resync := fmt.Sprintf(`{"pos":6,"entries":[%s,%s,%s,%s]}`,
@@ -230,8 +233,8 @@
 	}
 }
 
-// A complete list out of turn needs no event before it; an event that is known already is not passed on again, nor an older
-// list.
+// A complete list out of turn needs no event before it; an event that is known already is not passed on again, nor an
+// older list.
 func TestCompleteUpdateNeedsNoPredecessor(t *testing.T) {
 	complete := strings.Replace(eventJSON(9), `"whole":false`, `"whole":true`, 1)
 	events, _ := scriptedWatcher(t,
--- a/internal/gateway/platform/backends.go
+++ b/internal/gateway/platform/backends.go
@@ -34,8 +34,9 @@
 	return b.addr == endpoint.Addr && b.startedUnixMilli == endpoint.StartedUnixMilli
 }
 
-// update follows an update of the endpoint list before the event loop applies it: what waits to be written must not leave
-// after the drain grace, even where the event loop stalls. commit is to be called when the core has applied the update.
+// update follows an update of the endpoint list before the event loop applies it: what waits to be written must not
+// leave after the drain grace, even where the event loop stalls. commit is to be called when the core has applied the
+// update.
 func (t *workerTransport) update(update discovery.Update) (commit func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/gateway/platform/engine.go
+++ b/internal/gateway/platform/engine.go
@@ -26,7 +26,9 @@
 	watcher    *discovery.Watcher
 	workCtx    context.Context // ends when nothing is left to do
 	stopWork   context.CancelFunc
-	onApplied  func(position int64, complete bool) // called by the event loop once the core has applied an event; may be nil
+
+	// onApplied is called by the event loop once the core has applied an event; it may be nil.
+	onApplied func(position int64, complete bool)
 }
 
 func newEngine(config Config, log *slog.Logger, record io.Writer) *engine {
--- a/internal/gateway/platform/gateway.go
+++ b/internal/gateway/platform/gateway.go
@@ -1,7 +1,7 @@
 // Package platform is the gateway as the operators' platform runs it: its configuration, readiness, signals and
-// metrics, and the protocols that the platform prescribes, around the event loop that all gateways share. Clients speak
-// Thrift, workers RESP, and a discovery service over HTTP publishes the endpoint list. The package decides nothing about
-// requests, attempts or loads.
+// metrics, and the protocols that the platform prescribes, around the event loop that all gateways share. Clients
+// speak Thrift, workers RESP, and a discovery service over HTTP publishes the endpoint list. The package decides
+// nothing about requests, attempts or loads.
 package platform
 
 import (
@@ -32,7 +32,8 @@
 	droppedLogLines func() int64 // may be nil
 }
 
-// New makes a gateway that serves clients on a listener. Where record is not nil a recording of the core is written there.
+// New makes a gateway that serves clients on a listener. Where record is not nil a recording of the core is written
+// there.
 func New(config Config, listener net.Listener, log *slog.Logger, record io.Writer) *Gateway {
 	g := &Gateway{engine: newEngine(config, log, record), listener: listener}
 	maxAges, longest := config.maxAges()
@@ -84,8 +85,8 @@
 	})
 }
 
-// drain answers every request that the platform still sends, and ends the gateway then. Clients that never stop sending,
-// or never read, hold it no longer than that and one more period of late arrivals.
+// drain answers every request that the platform still sends, and ends the gateway then. Clients that never stop
+// sending, or never read, hold it no longer than that and one more period of late arrivals.
 func (g *Gateway) drain(workCtx context.Context) {
 	left := min(g.longestMaxAge, terminationGrace) + lateArrivals/2
 	g.draining.Store(true)
--- a/internal/gateway/platform/golden_test.go
+++ b/internal/gateway/platform/golden_test.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// Each key at the top, and of limits, is read under this name: without it the configuration is another, or is refused so.
+// Each key at the top, and of limits, is read under this name: without it the configuration is another, or is refused
+// so.
 func TestGoldenConfigKeys(t *testing.T) {
 	complete, err := platform.Parse([]byte(goldenConfig))
 	if err != nil {
@@ -142,7 +143,8 @@
 	}
 	worker, service, clients := listen(), listen(), listen()
 	text := strings.NewReplacer("127.0.0.1:7000", worker.Addr().String(), "127.0.0.1:7001", service.Addr().String(),
-		"127.0.0.1:7002", clients.Addr().String(), `"instances": 1`, fmt.Sprintf(`"instances": %d`, instances)).Replace(goldenConfig)
+		"127.0.0.1:7002", clients.Addr().String(), `"instances": 1`, fmt.Sprintf(`"instances": %d`, instances),
+	).Replace(goldenConfig)
 	c, err := platform.Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -249,7 +251,8 @@
 
 // message is a framed message; kind 1 is a call, 2 a reply, 3 an exception, 4 a oneway call.
 func messageFrame(kind byte, name string, seq byte, args string) string {
-	return sizedString("\x80\x01\x00" + string([]byte{kind}) + sizedString(name) + "\x00\x00\x00" + string([]byte{seq}) + args)
+	return sizedString("\x80\x01\x00" + string([]byte{kind}) + sizedString(name) +
+		"\x00\x00\x00" + string([]byte{seq}) + args)
 }
 
 // dispatched is a dispatch with the usual fields; pairs are changes.
@@ -280,7 +283,8 @@
 }
 
 func exceptionFrame(name string, seq, code byte, reason string) string {
-	return messageFrame(3, name, seq, "\x0b\x00\x01"+sizedString(reason)+"\x08\x00\x02\x00\x00\x00"+string([]byte{code})+"\x00")
+	return messageFrame(3, name, seq,
+		"\x0b\x00\x01"+sizedString(reason)+"\x08\x00\x02\x00\x00\x00"+string([]byte{code})+"\x00")
 }
 
 // Every form of answer to clients, and every command to workers, is to the byte what it was.
@@ -298,8 +302,10 @@
 	exchange(t, conn, "broken", dispatchFrame(2, two, "error", "class", "pay"), "\x00\x00\x00\x22\x80\x01\x00\x02\x00\x00\x00\x08dispatch"+
 		"\x00\x00\x00\x02\x0c\x00\x02\x0d\x00\x01\x0b\x0b\x00\x00\x00\x00\x00\x00")
 	h.next("FN")
-	exchange(t, conn, "an id that came before", dispatchFrame(3, one, "ok"), exceptionFrame("dispatch", 3, 6, "an event of this id came before"))
-	exchange(t, conn, "bad field", dispatchFrame(4, three, "ok", "class", "none"), exceptionFrame("dispatch", 4, 6, `class: "none" is not known`))
+	exchange(t, conn, "an id that came before", dispatchFrame(3, one, "ok"),
+		exceptionFrame("dispatch", 3, 6, "an event of this id came before"))
+	exchange(t, conn, "bad field", dispatchFrame(4, three, "ok", "class", "none"),
+		exceptionFrame("dispatch", 4, 6, `class: "none" is not known`))
 	if _, err := io.WriteString(conn, dispatchFrame(5, three, "hang", "class", "keyed", "once", "m1")); err != nil {
 		t.Fatal(err)
 	}
@@ -318,7 +324,8 @@
 	if n, err := conn.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Errorf("after a refusal: got %d bytes, %v, want EOF", n, err)
 	}
-	exchange(t, h.dial(), "unknown method", messageFrame(1, "other", 1, "\x00"), exceptionFrame("other", 1, 1, `no method "other"`))
+	exchange(t, h.dial(), "unknown method", messageFrame(1, "other", 1, "\x00"),
+		exceptionFrame("other", 1, 1, `no method "other"`))
 	exchange(t, h.dial(), "arguments cut off", messageFrame(1, "alive", 1, "\x02\x00"),
 		exceptionFrame("alive", 1, 7, "thrift: malformed: a value longer than its frame"))
 }
@@ -343,8 +350,8 @@
 	}
 }
 
-// Load requests and probes are to the byte what they were; of their tags the number is replaced. With more gateways than
-// workers the core probes.
+// Load requests and probes are to the byte what they were; of their tags the number is replaced. With more gateways
+// than workers the core probes.
 func TestGoldenLoadRequests(t *testing.T) {
 	for name, want := range map[string]string{
 		"SPAWN": "*3\r\n$5\r\nSPAWN\r\n$2\r\ntN\r\n$24\r\nkey=7f3a9c21e0b4d655,n=1\r\n",
@@ -352,7 +359,8 @@
 	} {
 		h := startGolden(t, 10)
 		conn := h.dial()
-		if _, err := io.WriteString(conn, dispatchFrame(1, "00000000000000a1", "ok")+dispatchFrame(2, "00000000000000a2", "hang")); err != nil {
+		requests := dispatchFrame(1, "00000000000000a1", "ok") + dispatchFrame(2, "00000000000000a2", "hang")
+		if _, err := io.WriteString(conn, requests); err != nil {
 			t.Fatal(err)
 		}
 		if got := regexp.MustCompile(`\bt[0-9]\b`).ReplaceAllString(h.next(name), "tN"); got != want {
@@ -367,8 +375,8 @@
 //go:embed testdata/golden/status.txt
 var goldenStatus string
 
-// The metrics have these names, kinds, help texts and labels, and the status log line these keys in this order. Values are
-// left out: they depend on time.
+// The metrics have these names, kinds, help texts and labels, and the status log line these keys in this order.
+// Values are left out: they depend on time.
 func TestGoldenMetrics(t *testing.T) {
 	h := start(t)
 	var addrs []string
@@ -381,7 +389,8 @@
 		l.Close()
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(strings.Replace(h.config, `"listen":`, `"listen":"`+addrs[0]+`","was":`, 1)), 0o600); err != nil {
+	config := strings.Replace(h.config, `"listen":`, `"listen":"`+addrs[0]+`","was":`, 1)
+	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	l, ended := &logBuffer{changed: make(chan struct{})}, make(chan error, 1)
@@ -417,8 +426,9 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at := slices.IndexFunc(strings.Split(l.text, "\n"), func(s string) bool { return strings.Contains(s, `"msg":"status"`) })
-	decode := json.NewDecoder(bytes.NewReader([]byte(strings.Split(l.text, "\n")[at])))
+	logged := strings.Split(l.text, "\n")
+	at := slices.IndexFunc(logged, func(s string) bool { return strings.Contains(s, `"msg":"status"`) })
+	decode := json.NewDecoder(bytes.NewReader([]byte(logged[at])))
 	var keys []string
 	if _, err := decode.Token(); err != nil {
 		t.Fatal(err)
--- a/internal/gateway/platform/headless.go
+++ b/internal/gateway/platform/headless.go
@@ -16,8 +16,8 @@
 // with requests that are drawn in the process. Scale runs have many of them in a process.
 type Headless struct{ *engine }
 
-// NewHeadless makes one. The event loop calls onApplied with the position of each watch event that the core has applied,
-// and whether it held the complete list; onApplied may be nil and must not block.
+// NewHeadless makes one. The event loop calls onApplied with the position of each watch event that the core has
+// applied, and whether it held the complete list; onApplied may be nil and must not block.
 func NewHeadless(config Config, log *slog.Logger, onApplied func(position int64, complete bool)) *Headless {
 	h := &Headless{newEngine(config, log, nil)}
 	h.onApplied = onApplied
--- a/internal/gateway/platform/platform_test.go
+++ b/internal/gateway/platform/platform_test.go
@@ -205,7 +205,9 @@
 
 // fields are those of a usual request, with changes.
 func fields(id string, changes ...string) []string {
-	m := []string{"class", "call", "id", id, "wait", "2500", "tenant", "acme", "key", key, "facts", "memory_mb:100;lanes:2"}
+	m := []string{
+		"class", "call", "id", id, "wait", "2500", "tenant", "acme", "key", key, "facts", "memory_mb:100;lanes:2",
+	}
 	for i := 0; i+1 < len(changes); i += 2 {
 		for j := 0; j+1 < len(m); j += 2 {
 			if m[j] == changes[i] {
@@ -469,8 +471,8 @@
 	}
 }
 
-// The idempotency key of a request goes to the worker unchanged, with a retry too; a request of a keyed type without one,
-// or with one that would end the worker's field, is never sent.
+// The idempotency key of a request goes to the worker unchanged, with a retry too; a request of a keyed type without
+// one, or with one that would end the worker's field, is never sent.
 func TestIdempotencyKey(t *testing.T) {
 	h := start(t, `"effect":"side_effect"`, `"effect":"token","dedup_scope":"all","window":5`)
 	c := h.dial()
@@ -581,8 +583,8 @@
 	}
 }
 
-// A silent discovery service is noticed before its events count as delivered, two seconds after the wait that a poll asks
-// for. That follows the drain grace, and is never longer than the platform allows.
+// A silent discovery service is noticed before its events count as delivered, two seconds after the wait that a poll
+// asks for. That follows the drain grace, and is never longer than the platform allows.
 func TestPollWait(t *testing.T) {
 	for grace, want := range map[string]string{"0.5": "1000", "1": "2000", "0": "250", "10": "5000"} {
 		h := start(t, `"stop_sending_within":0.5`, `"stop_sending_within":`+grace)
--- a/internal/gateway/platform/recentids.go
+++ b/internal/gateway/platform/recentids.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// recentIDs remembers request IDs for at least their retention, in two generations. Its size is bounded by what comes in
-// twice that time, and by the size of a generation, past which the older one is dropped early.
+// recentIDs remembers request IDs for at least their retention, in two generations. Its size is bounded by what comes
+// in twice that time, and by the size of a generation, past which the older one is dropped early.
 type recentIDs struct {
 	retention        time.Duration
 	maxPerGeneration int
--- a/internal/gateway/platform/run_test.go
+++ b/internal/gateway/platform/run_test.go
@@ -144,8 +144,9 @@
 	}
 }
 
-// A configuration that is being written at SIGHUP is applied once it is complete, without another signal, and one that is
-// being written at the start too; an address that another process still uses is listened at once that has released it.
+// A configuration that is being written at SIGHUP is applied once it is complete, without another signal, and one
+// that is being written at the start too; an address that another process still uses is listened at once that has
+// released it.
 func TestIncompleteConfigIsRetried(t *testing.T) {
 	h := start(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/gateway/platform/workerprotocol.go
+++ b/internal/gateway/platform/workerprotocol.go
@@ -102,7 +102,8 @@
 	return state
 }
 
-// controlFailure is the result of a load request or a probe that got no response of so many elements; ok: it has got one.
+// controlFailure is the result of a load request or a probe that got no response of so many elements; ok: it has got
+// one.
 func controlFailure(result resp.Result, elements int) (failure scheduler.Result, ok bool) {
 	switch {
 	case result.Outcome == resp.NotSent:
--- a/internal/gateway/resp/call.go
+++ b/internal/gateway/resp/call.go
@@ -70,9 +70,9 @@
 	completed
 )
 
-// Cancel cancels the call. One that has not left is not sent. For another, command is written, and the call ends then, so
-// that nothing sent later can overtake it; its connection accepts no more calls, as a response may still come. Without a
-// command the call ends at once.
+// Cancel cancels the call. One that has not left is not sent. For another, command is written, and the call ends
+// then, so that nothing sent later can overtake it; its connection accepts no more calls, as a response may still
+// come. Without a command the call ends at once.
 func (c *Call) Cancel(command []byte) {
 	w := c.worker
 	w.mu.Lock()
--- a/internal/gateway/resp/codec.go
+++ b/internal/gateway/resp/codec.go
@@ -1,5 +1,5 @@
-// Package resp sends calls to workers as RESP arrays of bulk strings, many on a connection, and matches the responses. The
-// codec does no I/O. The package knows which bytes have left, and nothing of what the elements mean.
+// Package resp sends calls to workers as RESP arrays of bulk strings, many on a connection, and matches the
+// responses. The codec does no I/O. The package knows which bytes have left, and nothing of what the elements mean.
 package resp
 
 import (
@@ -68,8 +68,8 @@
 	return elements, at, nil
 }
 
-// parseLength parses a line of a mark and a number from a place on, and returns where the next line begins; 0: the line is
-// not complete yet.
+// parseLength parses a line of a mark and a number from a place on, and returns where the next line begins; 0: the
+// line is not complete yet.
 func parseLength(b []byte, at int, mark byte, maxLength int) (n, next int, err error) {
 	line := b[at:]
 	if len(line) > 0 && line[0] != mark {
--- a/internal/gateway/resp/conn_test.go
+++ b/internal/gateway/resp/conn_test.go
@@ -66,7 +66,8 @@
 	return h.pool.Worker(listener.Addr().String()), accept
 }
 
-// Past the soft limit of connections a worker without one gets that of an idle one; past the limit its call is not sent.
+// Past the soft limit of connections a worker without one gets that of an idle one; past the limit its call is not
+// sent.
 func TestConnectionLimits(t *testing.T) {
 	few := limits
 	few.SoftMaxConns, few.MaxConns = 1, 2
@@ -106,8 +107,8 @@
 	}
 }
 
-// A call that is cancelled while its connection is being established, as its client has disconnected, is over at once and
-// never sent; later calls go over that connection.
+// A call that is cancelled while its connection is being established, as its client has disconnected, is over at once
+// and never sent; later calls go over that connection.
 func TestCancelWhileConnecting(t *testing.T) {
 	h := start(t, limits)
 	open := make(chan struct{})
--- a/internal/gateway/resp/conn_write.go
+++ b/internal/gateway/resp/conn_write.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// nextWrite takes the next call from the queue, with the command that cancels it if that is what is to be written. No call:
-// there is nothing to write yet; more is false when the connection has done its work.
+// nextWrite takes the next call from the queue, with the command that cancels it if that is what is to be written. No
+// call: there is nothing to write yet; more is false when the connection has done its work.
 func (c *conn) nextWrite() (call *Call, cancelCommand []byte, more bool) {
 	c.worker.mu.Lock()
 	defer c.worker.mu.Unlock()
--- a/internal/gateway/resp/resp_test.go
+++ b/internal/gateway/resp/resp_test.go
@@ -25,8 +25,11 @@
 	if err != nil || taken != len(b) || len(words) != 3 || string(words[2]) != "b\r\ny" {
 		t.Errorf("%q %d %v", words, taken, err)
 	}
-	for _, bad := range []string{"noise", "*0\r\n", "*-1\r\n", "*9\r\n", "*1\n", "*1\r\n$x", "*1\r\n$-1\r\n", "*1\r\n$3221225472\r\n",
-		"*1\r\n$2\r\nabc", "*1\r\n$2\r\nab\rx", "*12345678901234567890", "*1\r\n:1\r\n", "*\r\n"} {
+	for _, bad := range []string{
+		"noise", "*0\r\n", "*-1\r\n", "*9\r\n", "*1\n", "*12345678901234567890", "*\r\n",
+		"*1\r\n$x", "*1\r\n$-1\r\n", "*1\r\n$3221225472\r\n", "*1\r\n:1\r\n",
+		"*1\r\n$2\r\nabc", "*1\r\n$2\r\nab\rx",
+	} {
 		if words, taken, err := resp.ParseArray([]byte(bad), 100); err == nil {
 			t.Errorf("%q is taken as %q, %d bytes", bad, words, taken)
 		}
@@ -278,8 +281,8 @@
 	expect(t, b, resp.NotSent, "")
 }
 
-// A worker that has been silent for a while is called over a new connection: where its machine is down, what is sent on the
-// old one may have run, what waits for the new one never does.
+// A worker that has been silent for a while is called over a new connection: where its machine is down, what is sent
+// on the old one may have run, what waits for the new one never does.
 func TestSilentWorkerGetsNewConnection(t *testing.T) {
 	h := start(t, limits)
 	_, a := h.call("a", resp.Exclusive)
--- a/internal/gateway/resp/worker.go
+++ b/internal/gateway/resp/worker.go
@@ -73,8 +73,8 @@
 	return c
 }
 
-// leastLoaded is the connection with the fewest calls, the newest first, that may carry a call. Of those that have carried
-// its ID none may: a second response to the earlier call would be taken for one to this. The lock is held.
+// leastLoaded is the connection with the fewest calls, the newest first, that may carry a call. Of those that have
+// carried its ID none may: a second response to the earlier call would be taken for one to this. The lock is held.
 func (w *Worker) leastLoaded(id string) (least *conn) {
 	for _, c := range slices.Backward(w.conns) {
 		if c.accepts(id) && (least == nil || len(c.calls) < len(least.calls)) {
@@ -84,8 +84,8 @@
 	return least
 }
 
-// Stop ends what has not left yet as not sent, and all calls that come later: the worker is draining or removed. What has
-// been sent goes on. No write lasts longer than Limits.IOTimeout.
+// Stop ends what has not left yet as not sent, and all calls that come later: the worker is draining or removed. What
+// has been sent goes on. No write lasts longer than Limits.IOTimeout.
 func (w *Worker) Stop() {
 	w.mu.Lock()
 	w.stopped = true
