--- a/cmd/worker/main.go
+++ b/cmd/worker/main.go
@@ -271,7 +271,12 @@
 
 // Run runs a copy until it is asked to end.
 func (c *wasmCopyCmd) Run(ctx context.Context) error {
-	return runner.RunWasm(ctx, c.File, c.Lanes, c.Memory, c.Cache)
+	return runner.RunWasm(ctx, runner.WasmOptions{
+		File:             c.File,
+		Concurrency:      c.Lanes,
+		MemoryBytes:      c.Memory,
+		CompilationCache: c.Cache,
+	})
 }
 
 func main() {
--- a/internal/worker/runner/runner_test.go
+++ b/internal/worker/runner/runner_test.go
@@ -7,6 +7,7 @@
 	"net/http/httptest"
 	"os"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -16,85 +17,102 @@
 	"lupinpond/internal/worker/runner"
 )
 
-func newHost(t testing.TB, ready time.Duration) *runner.Host {
-	h, err := runner.NewHost(runner.Options{StartTimeout: ready, GracePeriod: 50 * time.Millisecond, MaxResponseBytes: 1 << 10, CompilationCache: t.TempDir()})
+// newHost is a host whose replicas have so long to become ready.
+func newHost(t testing.TB, startTimeout time.Duration) *runner.Host {
+	t.Helper()
+	host, err := runner.NewHost(runner.Options{
+		StartTimeout:     startTimeout,
+		GracePeriod:      50 * time.Millisecond,
+		MaxResponseBytes: 1 << 10,
+		CompilationCache: t.TempDir(),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if err := h.Close(); err != nil {
+		if err := host.Close(); err != nil {
 			t.Error(err)
 		}
 	})
-	return h
+	return host
 }
 
-func scriptPackage(t testing.TB, text string) manifest.Package {
-	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "entry"), []byte("#!/bin/sh\n"+text), 0o755); err != nil {
+// scriptPackage is a package whose program is a shell script.
+func scriptPackage(t testing.TB, script string) manifest.Package {
+	t.Helper()
+	folder := t.TempDir()
+	if err := os.WriteFile(filepath.Join(folder, "entry"), []byte("#!/bin/sh\n"+script), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	p, err := manifest.Write(dir, manifest.Manifest{Name: "f", Version: "1", Type: "t", Kind: manifest.Process, Concurrency: 1, MemoryLimit: 64 << 20,
-		Timeout: config.Duration(time.Second), EntryPoint: "entry"})
+	pkg, err := manifest.Write(folder, manifest.Manifest{
+		Name:        "f",
+		Version:     "1",
+		Type:        "t",
+		Kind:        manifest.Process,
+		Concurrency: 1,
+		MemoryLimit: 64 << 20,
+		Timeout:     config.Duration(time.Second),
+		EntryPoint:  "entry",
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return pkg
 }
 
-// A program that exits, or never asks for an event and ignores its end, is a failed load, and nothing of it is left.
+// A program that exits, or never polls for a request and ignores SIGTERM, is a failed load, and nothing of it is left.
 func TestReplicasThatNeverBecomeReady(t *testing.T) {
-	if _, err := newHost(t, time.Minute).Start(t.Context(), scriptPackage(t, "exit 3")); !errors.Is(err, runner.ErrReplicaExited) {
+	_, err := newHost(t, time.Minute).Start(t.Context(), scriptPackage(t, "exit 3"))
+	if !errors.Is(err, runner.ErrReplicaExited) {
 		t.Error(err)
 	}
-	began := time.Now()
-	mark := filepath.Join(t.TempDir(), "pid")
-	p := scriptPackage(t, "trap '' TERM\necho $$ > "+mark+"\nwhile :; do sleep 1; done")
-	if _, err := newHost(t, 300*time.Millisecond).Start(t.Context(), p); err == nil || !strings.Contains(err.Error(), "not ready") {
+	start := time.Now()
+	pidFile := filepath.Join(t.TempDir(), "pid")
+	stubborn := scriptPackage(t, "trap '' TERM\necho $$ > "+pidFile+"\nwhile :; do sleep 1; done")
+	_, err = newHost(t, 300*time.Millisecond).Start(t.Context(), stubborn)
+	if err == nil || !strings.Contains(err.Error(), "not ready") {
 		t.Error(err)
 	}
-	if took := time.Since(began); took > 30*time.Second {
-		t.Errorf("ended after %v", took)
+	if elapsed := time.Since(start); elapsed > 30*time.Second {
+		t.Errorf("ended after %v", elapsed)
 	}
-	pid, err := os.ReadFile(mark)
+	text, err := os.ReadFile(pidFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := runner.ProcessMemory(atoi(string(pid))); err == nil {
-		t.Error("the child that ignores its end is still there")
+	pid, err := strconv.Atoi(strings.TrimSpace(string(text)))
+	if err != nil {
+		t.Fatal(err)
 	}
-}
-
-func atoi(text string) (n int) {
-	for _, c := range strings.TrimSpace(text) {
-		n = 10*n + int(c-'0')
+	if _, err := runner.ProcessMemory(pid); err == nil {
+		t.Error("the child that ignores SIGTERM is still there")
 	}
-	return n
 }
 
-// A start that is given up leaves nothing.
+// A start whose context ends leaves nothing.
 func TestStartCanceled(t *testing.T) {
-	ctx, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
-	defer stop()
-	if _, err := newHost(t, time.Minute).Start(ctx, scriptPackage(t, "while :; do sleep 1; done")); !errors.Is(err, context.DeadlineExceeded) {
+	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
+	defer cancel()
+	_, err := newHost(t, time.Minute).Start(ctx, scriptPackage(t, "while :; do sleep 1; done"))
+	if !errors.Is(err, context.DeadlineExceeded) {
 		t.Error(err)
 	}
 }
 
-// Whatever comes to the runtime interface without a copy's token is refused; nothing is answered for a copy.
+// Whatever comes to the runtime interface without a replica's token is rejected; nothing is answered for a replica.
 func FuzzRuntimeInterface(f *testing.F) {
 	f.Add("GET", "/v1/x/next", "")
 	f.Add("POST", "/v1/x/invocations/1/response", "body")
 	f.Add("POST", "/v1//invocations/../error", "\x00")
-	h := newHost(f, time.Minute)
+	host := newHost(f, time.Minute)
 	f.Fuzz(func(t *testing.T, method, path, body string) {
-		req, err := http.NewRequest(method, "http://x/", strings.NewReader(body))
+		request, err := http.NewRequest(method, "http://x/", strings.NewReader(body))
 		if err != nil {
 			return
 		}
-		req.URL.Path = path
+		request.URL.Path = path
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, req)
+		host.ServeHTTP(w, request)
 		if w.Code < 300 {
 			t.Errorf("%s %q: status %d", method, path, w.Code)
 		}
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -41,7 +41,8 @@
 	if len(os.Args) > 1 && os.Args[1] == "wasm-copy" {
 		lanes, _ := strconv.Atoi(os.Args[3])
 		memory, _ := strconv.ParseInt(os.Args[5], 10, 64)
-		if err := runner.RunWasm(context.Background(), os.Args[8], lanes, memory, os.Args[7]); err != nil {
+		options := runner.WasmOptions{File: os.Args[8], Concurrency: lanes, MemoryBytes: memory, CompilationCache: os.Args[7]}
+		if err := runner.RunWasm(context.Background(), options); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
