--- /dev/null
+++ b/cmd/worker/register.go
@@ -0,0 +1,68 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"lupinpond/internal/base/config"
+	"lupinpond/internal/base/httpserver"
+	"lupinpond/internal/worker/idempotency"
+)
+
+const (
+	// registerSweepInterval is the time between two removals of expired keys.
+	registerSweepInterval = time.Second
+	// registerShutdownTimeout is how long requests under way are waited for at the end.
+	registerShutdownTimeout = 10 * time.Second
+)
+
+// registerCmd is the subcommand that serves a register of idempotency keys.
+type registerCmd struct {
+	Listen  string `default:"127.0.0.1:0" help:"Address for workers."`
+	Folder  string `required:"" type:"path" help:"Folder of the register's file."`
+	MaxKeys int    `name:"most" default:"1000000" help:"Keys inside their windows; beyond it nothing is granted."`
+}
+
+// Run serves until a signal.
+func (c *registerCmd) Run(ctx context.Context, log *slog.Logger) (err error) {
+	if err := config.CheckLoopback(c.Listen); err != nil {
+		return err
+	}
+	if c.MaxKeys < 1 {
+		return errors.New("most is more than 0")
+	}
+	if err := os.MkdirAll(c.Folder, 0o755); err != nil {
+		return err
+	}
+	register, err := idempotency.Open(c.Folder, c.MaxKeys)
+	if err != nil {
+		return err
+	}
+	defer func() { err = errors.Join(err, register.Close()) }()
+	listener, err := net.Listen("tcp", c.Listen)
+	if err != nil {
+		return err
+	}
+	server := &http.Server{
+		Handler:           register.Handler(),
+		ReadHeaderTimeout: readHeaderTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+	}
+	group, ctx := errgroup.WithContext(ctx)
+	group.Go(func() error { return httpserver.Serve(ctx, server, listener, registerShutdownTimeout) })
+	group.Go(func() error {
+		return httpserver.RunPeriodically(ctx, registerSweepInterval, func() error {
+			_, err := register.Sweep()
+			return err
+		})
+	})
+	log.Info("register listening", "address", listener.Addr().String())
+	return group.Wait()
+}
--- a/internal/worker/admission/admission_test.go
+++ b/internal/worker/admission/admission_test.go
@@ -136,74 +136,12 @@
 			admission.Function{Name: "b", Concurrency: 2, MemoryBytes: 2},
 			admission.Function{Name: "c", Concurrency: 3, MemoryBytes: 3},
 		)
-		var admitted []uint64
-		var unloads []uint64
-		lastID := uint64(0)
-		pick := func(keys []uint64, what string) uint64 {
-			slices.Sort(keys)
-			return rapid.SampledFrom(keys).Draw(t, what)
-		}
+		history := &randomHistory{simulation: s, t: t}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			s.now += time.Duration(rapid.IntRange(0, 80).Draw(t, "pause")) * ms
-			name := rapid.SampledFrom([]string{"a", "b", "c", "none"}).Draw(t, "function")
-			switch what := rapid.IntRange(0, 9).Draw(t, "what"); {
-			case what < 4:
-				lastID++
-				call := admission.Call{
-					ID:       lastID,
-					Function: name,
-					Tenant:   rapid.SampledFrom([]string{"x", "y"}).Draw(t, "tenant"),
-					Deadline: s.now + time.Duration(rapid.IntRange(1, 2000).Draw(t, "left"))*ms,
-				}
-				s.calls[lastID] = call
-				if decision := s.Admit(s.now, call); decision == admission.Admitted {
-					admitted = append(admitted, lastID)
-				} else if name == "none" && decision != admission.Missing {
-					t.Fatal("an unknown function is rejected as ", decision)
-				}
-			case what == 4 && len(s.runs) > 0:
-				s.endCall(pick(keysOf(s.runs), "ended"))
-			case what == 5 && len(s.loading) > 0:
-				id := pick(keysOf(s.loading), "loaded")
-				if rapid.Bool().Draw(t, "well") {
-					s.loaded(id)
-				} else {
-					s.failLoad(id)
-				}
-			case what == 6 && len(unloads) > 0:
-				s.unloaded(unloads[0])
-				unloads = unloads[1:]
-			case what == 7:
-				s.RequestReplicas(name, rapid.IntRange(0, 4).Draw(t, "replicas"))
-			case what == 8 && lastID > 0:
-				id := uint64(rapid.IntRange(1, int(lastID)).Draw(t, "withdrawn"))
-				if s.Withdraw(s.calls[id].Function, id) {
-					if _, runs := s.runs[id]; runs {
-						t.Fatal("a running call was withdrawn as waiting")
-					}
-					s.ended[id]++
-				}
-			case what == 9 && name != "none":
-				function := s.functions[name]
-				function.Version = fmt.Sprint(lastID)
-				s.Publish(function)
-			}
-			unloads = append(unloads, s.advance(t.Fatalf).Unloads...)
+			history.step()
 		}
-		for range 100 { // everything comes to its end
-			s.now += 100 * ms
-			for _, id := range keysOf(s.runs) {
-				s.endCall(id)
-			}
-			for _, id := range keysOf(s.loading) {
-				s.loaded(id)
-			}
-			for _, id := range unloads {
-				s.unloaded(id)
-			}
-			unloads = s.advance(t.Fatalf).Unloads
-		}
-		for _, id := range admitted {
+		history.endAll()
+		for _, id := range history.admitted {
 			if s.ended[id] != 1 {
 				t.Fatalf("call %d has %d ends", id, s.ended[id])
 			}
@@ -214,6 +152,97 @@
 	})
 }
 
+// randomHistory is a simulation to which drawn facts come.
+type randomHistory struct {
+	*simulation
+	t        *rapid.T
+	lastID   uint64
+	admitted []uint64
+	unloads  []uint64 // decided and not yet done
+}
+
+// step is one drawn fact, and what is due after it.
+func (h *randomHistory) step() {
+	h.now += time.Duration(rapid.IntRange(0, 80).Draw(h.t, "pause")) * ms
+	name := rapid.SampledFrom([]string{"a", "b", "c", "none"}).Draw(h.t, "function")
+	switch what := rapid.IntRange(0, 9).Draw(h.t, "what"); {
+	case what < 4:
+		h.admit(name)
+	case what == 4 && len(h.runs) > 0:
+		h.endCall(h.pick(keysOf(h.runs), "ended"))
+	case what == 5 && len(h.loading) > 0:
+		id := h.pick(keysOf(h.loading), "loaded")
+		if rapid.Bool().Draw(h.t, "well") {
+			h.loaded(id)
+		} else {
+			h.failLoad(id)
+		}
+	case what == 6 && len(h.unloads) > 0:
+		h.unloaded(h.unloads[0])
+		h.unloads = h.unloads[1:]
+	case what == 7:
+		h.RequestReplicas(name, rapid.IntRange(0, 4).Draw(h.t, "replicas"))
+	case what == 8 && h.lastID > 0:
+		h.withdraw(uint64(rapid.IntRange(1, int(h.lastID)).Draw(h.t, "withdrawn")))
+	case what == 9 && name != "none":
+		function := h.functions[name]
+		function.Version = fmt.Sprint(h.lastID)
+		h.Publish(function)
+	}
+	h.unloads = append(h.unloads, h.advance(h.t.Fatalf).Unloads...)
+}
+
+// pick draws one of some IDs.
+func (h *randomHistory) pick(ids []uint64, what string) uint64 {
+	slices.Sort(ids)
+	return rapid.SampledFrom(ids).Draw(h.t, what)
+}
+
+// admit has a call come.
+func (h *randomHistory) admit(function string) {
+	h.lastID++
+	call := admission.Call{
+		ID:       h.lastID,
+		Function: function,
+		Tenant:   rapid.SampledFrom([]string{"x", "y"}).Draw(h.t, "tenant"),
+		Deadline: h.now + time.Duration(rapid.IntRange(1, 2000).Draw(h.t, "left"))*ms,
+	}
+	h.calls[call.ID] = call
+	if decision := h.Admit(h.now, call); decision == admission.Admitted {
+		h.admitted = append(h.admitted, call.ID)
+	} else if function == "none" && decision != admission.Missing {
+		h.t.Fatal("an unknown function is rejected as ", decision)
+	}
+}
+
+// withdraw takes a call back, if it waits.
+func (h *randomHistory) withdraw(id uint64) {
+	if !h.Withdraw(h.calls[id].Function, id) {
+		return
+	}
+	if _, runs := h.runs[id]; runs {
+		h.t.Fatal("a running call was withdrawn as waiting")
+	}
+	h.ended[id]++
+}
+
+// endAll has everything come to its end.
+func (h *randomHistory) endAll() {
+	for range 100 {
+		h.now += 100 * ms
+		for _, id := range keysOf(h.runs) {
+			h.endCall(id)
+		}
+		for _, id := range keysOf(h.loading) {
+			h.loaded(id)
+		}
+		for _, id := range h.unloads {
+			h.unloaded(id)
+		}
+		h.unloads = h.advance(h.t.Fatalf).Unloads
+	}
+}
+
 // run plays simulated time until a moment: loads take loadTime, runs take runTime, unloads nothing.
 func (s *simulation) run(t *testing.T, until, loadTime, runTime time.Duration, arrive func()) {
 	t.Helper()
@@ -263,7 +292,8 @@
 	lastID := uint64(0)
 	add := func(function, tenant string) uint64 {
 		lastID++
-		s.calls[lastID] = admission.Call{ID: lastID, Function: function, Tenant: tenant, Deadline: s.now + 10*time.Second}
+		deadline := s.now + 10*time.Second
+		s.calls[lastID] = admission.Call{ID: lastID, Function: function, Tenant: tenant, Deadline: deadline}
 		s.Admit(s.now, s.calls[lastID])
 		return lastID
 	}
--- /dev/null
+++ b/internal/worker/advance.go
@@ -0,0 +1,108 @@
+package worker
+
+import (
+	"lupinpond/internal/worker/admission"
+	"lupinpond/internal/workerrpc"
+)
+
+// loadRequest is a gateway's request for replicas until its result is sent.
+type loadRequest struct {
+	function string
+	replicas int
+	reply    func(*workerrpc.LoadResult)
+}
+
+// HandleLoadRequest has replicas of a function loaded.
+func (w *Worker) HandleLoadRequest(_ string, request *workerrpc.LoadRequest, reply func(*workerrpc.LoadResult)) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.faults.Hang {
+		reply = func(*workerrpc.LoadResult) {}
+	}
+	if w.state != serving {
+		reply(&workerrpc.LoadResult{Code: workerrpc.CodeNotStarted, Reason: "draining"})
+		return
+	}
+	_, decision := w.admission.RequestReplicas(request.Function, request.Replicas)
+	if decision != admission.Admitted {
+		reply(&workerrpc.LoadResult{Code: workerrpc.CodeNotFound, Reason: "not here, or too big for this worker"})
+		return
+	}
+	w.loadRequests = append(w.loadRequests, &loadRequest{request.Function, request.Replicas, reply})
+	w.advance()
+}
+
+// onWake is called by the timer that admission asked for.
+func (w *Worker) onWake() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.advance()
+}
+
+// advance carries out what admission decides now; the lock is held.
+func (w *Worker) advance() {
+	if w.state == closed {
+		return
+	}
+	actions := w.admission.Advance(w.now())
+	for _, dropped := range actions.Dropped {
+		w.drop(dropped)
+	}
+	for _, id := range actions.Unloads {
+		if target := w.runningReplica(id); target != nil {
+			target.unloading = true
+			target.process.Stop(nil)
+		}
+	}
+	for _, load := range actions.Loads {
+		w.startLoad(load)
+	}
+	for _, run := range actions.Runs {
+		w.startCall(run)
+	}
+	w.answerLoadRequests()
+	if actions.WakeAfter > 0 {
+		w.wakeTimer.Reset(actions.WakeAfter)
+	}
+}
+
+// drop answers a call that was admitted and is not started; the lock is held.
+func (w *Worker) drop(dropped admission.DroppedCall) {
+	c := w.calls.byID[dropped.CallID]
+	if c == nil {
+		return
+	}
+	if dropped.Reason == admission.LoadFailed {
+		w.respond(c, &workerrpc.AttemptResult{
+			Code:         workerrpc.CodeNotFound,
+			ReplicaState: workerrpc.ReplicaLoadFailed,
+			Reason:       "load failed",
+		})
+		return
+	}
+	w.respond(c, &workerrpc.AttemptResult{
+		Code:   workerrpc.CodeNotStarted,
+		Reason: "its time was up before it could begin",
+	})
+}
+
+// answerLoadRequests answers the load requests whose loads have ended; the lock is held.
+func (w *Worker) answerLoadRequests() {
+	open := w.loadRequests[:0]
+	for _, request := range w.loadRequests {
+		counts := w.admission.Counts(request.function)
+		switch {
+		case counts.Warm >= request.replicas:
+			request.reply(&workerrpc.LoadResult{Code: workerrpc.CodeOK, Replicas: counts.Warm})
+		case counts.Loading+counts.Requested == 0:
+			request.reply(&workerrpc.LoadResult{
+				Code:     workerrpc.CodeOverloaded,
+				Replicas: counts.Warm,
+				Reason:   "no room, or a load failed",
+			})
+		default:
+			open = append(open, request)
+		}
+	}
+	w.loadRequests = open
+}
--- a/internal/worker/bench_test.go
+++ b/internal/worker/bench_test.go
@@ -19,11 +19,20 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// startBenchmarkWorker starts a worker and a link to it.
-func startBenchmarkWorker(b *testing.B, base string) (*worker.Worker, func(function, body string) *workerrpc.AttemptResult, func()) {
-	o, done := options(b.TempDir(), base)
-	o.Limits.MemoryBytes = 1 << 40
-	w, err := worker.New(o)
+// benchmarkWorker is a worker and a gateway's connection to it.
+type benchmarkWorker struct {
+	*worker.Worker
+	b       *testing.B
+	gateway *workerrpc.Client
+	stop    func()
+}
+
+// startBenchmarkWorker starts a worker with the packages of the store at url. The caller stops it.
+func startBenchmarkWorker(b *testing.B, url string) *benchmarkWorker {
+	b.Helper()
+	options, done := newOptions(b.TempDir(), url)
+	options.Limits.MemoryBytes = 1 << 40
+	w, err := worker.New(options)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -31,66 +40,75 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	p := newPeer(ctx, listener.Addr().String())
+	ctx, cancel := context.WithCancel(context.Background())
+	gateway := newGateway("front", listener.Addr().String())
 	ended := make(chan error, 2)
 	go func() { ended <- w.Run(ctx, listener) }()
-	go func() { ended <- p.Run(ctx) }()
-	call := func(function, body string) *workerrpc.AttemptResult {
-		got := make(chan workerrpc.Outcome, 1)
-		p.Send(workerrpc.Attempt{RequestID: "e", Function: function, Body: []byte(body)}, time.Minute, func(o workerrpc.Outcome) { got <- o })
-		o := <-got
-		if o.AttemptResult == nil {
-			b.Fatal(o.Err)
-		}
-		return o.AttemptResult
-	}
-	return w, call, func() {
-		stop()
+	go func() { ended <- gateway.Run(ctx) }()
+	stop := func() {
+		cancel()
 		<-ended
 		<-ended
 		done()
 	}
+	return &benchmarkWorker{Worker: w, b: b, gateway: gateway, stop: stop}
+}
+
+// call runs a request and waits for its result.
+func (w *benchmarkWorker) call(function, body string) *workerrpc.AttemptResult {
+	got := make(chan workerrpc.Outcome, 1)
+	attempt := workerrpc.Attempt{RequestID: "e", Function: function, Body: []byte(body)}
+	w.gateway.Send(attempt, time.Minute, func(outcome workerrpc.Outcome) { got <- outcome })
+	outcome := <-got
+	if outcome.AttemptResult == nil {
+		w.b.Fatal(outcome.Err)
+	}
+	return outcome.AttemptResult
+}
+
+// mustCall is a call that has to succeed.
+func (w *benchmarkWorker) mustCall(function, body string) {
+	if result := w.call(function, body); result.Code != workerrpc.CodeOK {
+		w.b.Fatal(result.Reason)
+	}
 }
 
-// BenchmarkWarmCall is a call of the model on a copy that stands, of both kinds, over the link; direct is the same
-// function called in this process.
+// BenchmarkWarmCall is a call of the model on a warm replica, of both kinds, over the worker protocol; direct is the
+// same function called in this process.
 func BenchmarkWarmCall(b *testing.B) {
 	b.Run("direct", func(b *testing.B) {
 		for range b.N {
-			if _, err := score.Score([]byte(`{"features":[1,2,3]}`)); err != nil {
+			if _, err := score.Score([]byte(modelInput)); err != nil {
 				b.Fatal(err)
 			}
 		}
 	})
 	for _, kind := range []string{manifest.Process, manifest.Wasm} {
 		b.Run(kind, func(b *testing.B) {
-			_, call, end := startBenchmarkWorker(b, storeURL)
-			defer end()
-			call("preview-"+kind, `{"features":[1,2,3]}`)
+			w := startBenchmarkWorker(b, storeURL)
+			defer w.stop()
+			w.call("preview-"+kind, modelInput)
 			b.ResetTimer()
 			for range b.N {
-				if a := call("preview-"+kind, `{"features":[1,2,3]}`); a.Code != workerrpc.CodeOK {
-					b.Fatal(a.Reason)
-				}
+				w.mustCall("preview-"+kind, modelInput)
 			}
 		})
 	}
 }
 
-// BenchmarkConcurrentCalls is events a second of warm copies with 16 in hand at a time, of both kinds.
+// BenchmarkConcurrentCalls is requests a second on warm replicas with 16 in flight, of both kinds.
 func BenchmarkConcurrentCalls(b *testing.B) {
 	for _, kind := range []string{manifest.Process, manifest.Wasm} {
 		b.Run(kind, func(b *testing.B) {
-			_, call, end := startBenchmarkWorker(b, storeURL)
-			defer end()
-			call("preview-"+kind, `{"features":[1,2,3]}`)
+			w := startBenchmarkWorker(b, storeURL)
+			defer w.stop()
+			w.call("preview-"+kind, modelInput)
 			b.SetParallelism(max(1, 16/runtime.GOMAXPROCS(0)))
 			b.ResetTimer()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					if a := call("preview-"+kind, `{"features":[1,2,3]}`); a.Code != workerrpc.CodeOK {
-						b.Error(a.Reason)
+					if result := w.call("preview-"+kind, modelInput); result.Code != workerrpc.CodeOK {
+						b.Error(result.Reason)
 					}
 				}
 			})
@@ -105,106 +123,133 @@
 		b.Run(kind, func(b *testing.B) {
 			var sum worker.LoadTimings
 			for range b.N {
-				w, call, end := startBenchmarkWorker(b, storeURL)
-				call("preview-"+kind, `{"features":[1,2,3]}`)
-				l := w.LoadTimings()[0]
-				sum.Fetch, sum.Verify, sum.Start = sum.Fetch+l.Fetch, sum.Verify+l.Verify, sum.Start+l.Start
-				sum.Compile += l.Compile
-				end()
+				w := startBenchmarkWorker(b, storeURL)
+				w.call("preview-"+kind, modelInput)
+				timings := w.LoadTimings()[0]
+				sum.Fetch += timings.Fetch
+				sum.Verify += timings.Verify
+				sum.Compile += timings.Compile
+				sum.Start += timings.Start
+				w.stop()
 			}
-			for name, d := range map[string]time.Duration{"fetch": sum.Fetch, "verify": sum.Verify, "compile": sum.Compile,
-				"start": sum.Start} {
-				b.ReportMetric(float64(d.Microseconds())/1000/float64(b.N), name+"-ms")
+			for name, total := range map[string]time.Duration{
+				"fetch":   sum.Fetch,
+				"verify":  sum.Verify,
+				"compile": sum.Compile,
+				"start":   sum.Start,
+			} {
+				b.ReportMetric(float64(total.Microseconds())/1000/float64(b.N), name+"-ms")
 			}
 		})
 	}
 }
 
-// BenchmarkNoisyNeighbour is the p99 of a well-behaved function while another one spins, allocates, exits and floods without
-// end, over that without it. Run it with -benchtime 1x.
+// BenchmarkNoisyNeighbour is the p99 of a well-behaved function while another one spins, allocates, exits and floods
+// without end, over that without it. Run it with -benchtime 1x.
 func BenchmarkNoisyNeighbour(b *testing.B) {
 	for range b.N {
-		_, call, end := startBenchmarkWorker(b, storeURL)
-		call("preview-process", `{"features":[1,2,3]}`)
-		p99 := func() time.Duration {
-			var took []time.Duration
-			for range 1500 {
-				at := time.Now()
-				if a := call("preview-process", `{"features":[1,2,3]}`); a.Code != workerrpc.CodeOK {
-					b.Fatal(a.Reason)
-				}
-				took = append(took, time.Since(at))
-				time.Sleep(2 * time.Millisecond)
-			}
-			slices.Sort(took)
-			return took[len(took)*99/100]
-		}
-		alone := p99()
-		stop, gone := make(chan struct{}), make(chan struct{})
+		w := startBenchmarkWorker(b, storeURL)
+		w.call(modelFunction, modelInput)
+		alone := w.latencyP99()
+		stop, stopped := make(chan struct{}), make(chan struct{})
 		go func() {
-			defer close(gone)
+			defer close(stopped)
 			for i := 0; ; i++ {
 				select {
 				case <-stop:
 					return
 				default:
-					call("misbehave-process", []string{"spin", "allocate", "exit", "flood"}[i%4])
+					w.call(faultyFunction, []string{"spin", "allocate", "exit", "flood"}[i%4])
 				}
 			}
 		}()
-		beside := p99()
+		beside := w.latencyP99()
 		close(stop)
-		<-gone
-		end()
+		<-stopped
+		w.stop()
 		b.ReportMetric(float64(alone.Microseconds()), "alone-p99-us")
 		b.ReportMetric(float64(beside.Microseconds()), "beside-p99-us")
 		b.ReportMetric(float64(beside)/float64(alone), "ratio")
 	}
 }
 
-// BenchmarkIdleReplicas is the memory of 1, 10 and 100 idle copies, by the worker's own report.
+// latencyP99 is the 99th percentile of the model's latency.
+func (w *benchmarkWorker) latencyP99() time.Duration {
+	var latencies []time.Duration
+	for range 1500 {
+		start := time.Now()
+		w.mustCall(modelFunction, modelInput)
+		latencies = append(latencies, time.Since(start))
+		time.Sleep(2 * time.Millisecond)
+	}
+	slices.Sort(latencies)
+	return latencies[len(latencies)*99/100]
+}
+
+// BenchmarkIdleReplicas is the memory of 1, 10 and 100 idle replicas, by the worker's own report.
 func BenchmarkIdleReplicas(b *testing.B) {
 	for _, kind := range []string{manifest.Process, manifest.Wasm} {
-		for _, n := range []int{1, 10, 100} {
-			b.Run(fmt.Sprint(kind, "-", n), func(b *testing.B) {
+		for _, count := range []int{1, 10, 100} {
+			b.Run(fmt.Sprint(kind, "-", count), func(b *testing.B) {
 				for range b.N {
-					many := b.TempDir()
-					for i := range n {
-						from, name := filepath.Join(packagesDir, "preview-"+kind, "1"), fmt.Sprint("f", i)
-						to := filepath.Join(many, name, "1")
-						if err := os.CopyFS(to, os.DirFS(from)); err != nil {
-							b.Fatal(err)
-						}
-						if err := os.Chmod(filepath.Join(to, "entry"), 0o755); err != nil {
-							b.Fatal(err)
-						}
-						if _, err := manifest.Write(to, manifest.Manifest{Name: name, Version: "1", Type: "t", Kind: kind, Concurrency: 1, MemoryLimit: 64 << 20,
-							Timeout: config.Duration(time.Second), EntryPoint: "entry"}); err != nil {
-							b.Fatal(err)
-						}
-					}
-					own, err := localfleet.OpenStore(b.TempDir(), localfleet.AmpleCapacity)
-					if err == nil {
-						err = own.PublishAll(b.Context(), many)
-					}
-					if err != nil {
-						b.Fatal(err)
-					}
-					w, call, end := startBenchmarkWorker(b, own.Client.BaseURL)
-					time.Sleep(50 * time.Millisecond)
-					before := w.LoadReport().MemoryBytes
-					at := time.Now()
-					for i := range n {
-						call(fmt.Sprint("f", i), "{}")
-					}
-					took := time.Since(at)
-					time.Sleep(100 * time.Millisecond)
-					b.ReportMetric(float64(w.LoadReport().MemoryBytes-before)/float64(n)/(1<<20), "MiB/copy")
-					b.ReportMetric(float64(took.Milliseconds())/float64(n), "ms/load")
-					end()
-					own.Close()
+					measureIdleReplicas(b, kind, count)
 				}
 			})
 		}
 	}
 }
+
+// measureIdleReplicas loads a replica each of so many functions.
+func measureIdleReplicas(b *testing.B, kind string, count int) {
+	b.Helper()
+	packages := b.TempDir()
+	for i := range count {
+		copyModel(b, kind, packages, fmt.Sprint("f", i))
+	}
+	store, err := localfleet.OpenStore(b.TempDir(), localfleet.AmpleCapacity)
+	if err == nil {
+		err = store.PublishAll(b.Context(), packages)
+	}
+	if err != nil {
+		b.Fatal(err)
+	}
+	defer store.Close()
+	w := startBenchmarkWorker(b, store.Client.BaseURL)
+	defer w.stop()
+	time.Sleep(50 * time.Millisecond)
+	before := w.LoadReport().MemoryBytes
+	start := time.Now()
+	for i := range count {
+		w.call(fmt.Sprint("f", i), "{}")
+	}
+	elapsed := time.Since(start)
+	time.Sleep(100 * time.Millisecond)
+	used := w.LoadReport().MemoryBytes - before
+	b.ReportMetric(float64(used)/float64(count)/(1<<20), "MiB/copy")
+	b.ReportMetric(float64(elapsed.Milliseconds())/float64(count), "ms/load")
+}
+
+// copyModel makes a package of the model under another name.
+func copyModel(b *testing.B, kind, packages, name string) {
+	b.Helper()
+	folder := filepath.Join(packages, name, "1")
+	if err := os.CopyFS(folder, os.DirFS(filepath.Join(packagesDir, "preview-"+kind, "1"))); err != nil {
+		b.Fatal(err)
+	}
+	if err := os.Chmod(filepath.Join(folder, "entry"), 0o755); err != nil {
+		b.Fatal(err)
+	}
+	_, err := manifest.Write(folder, manifest.Manifest{
+		Name:        name,
+		Version:     "1",
+		Type:        "t",
+		Kind:        kind,
+		Concurrency: 1,
+		MemoryLimit: 64 << 20,
+		Timeout:     config.Duration(time.Second),
+		EntryPoint:  "entry",
+	})
+	if err != nil {
+		b.Fatal(err)
+	}
+}
--- /dev/null
+++ b/internal/worker/calls.go
@@ -0,0 +1,283 @@
+package worker
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"lupinpond/internal/worker/admission"
+	"lupinpond/internal/worker/idempotency"
+	"lupinpond/internal/worker/runner"
+	"lupinpond/internal/workerrpc"
+)
+
+// claimTimeoutShare is the part of a request's time left that is waited for its claim. The rest is for running it.
+const claimTimeoutShare = 0.25
+
+// call is an admitted attempt until its result is sent.
+type call struct {
+	id              uint64
+	attempt         *workerrpc.Attempt
+	reply           func(*workerrpc.AttemptResult)
+	replicaState    workerrpc.ReplicaState
+	concurrentCalls int // of its function on this worker when it was admitted
+}
+
+// callTable has the calls that wait or run.
+type callTable struct {
+	byID   map[uint64]*call
+	lastID uint64
+}
+
+// HandleAttempt admits an attempt or rejects it. The function returned cancels it; nil: it is rejected.
+func (w *Worker) HandleAttempt(
+	_ string, attempt *workerrpc.Attempt, reply func(*workerrpc.AttemptResult),
+) (cancel func()) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.faults.Hang {
+		reply = func(*workerrpc.AttemptResult) {}
+	}
+	c := w.newCall(attempt, reply)
+	if code, reason := w.admit(c); code != workerrpc.CodeOK {
+		reply(&workerrpc.AttemptResult{Code: code, Reason: reason, Report: w.loadReport()})
+		return nil
+	}
+	w.calls.byID[c.id] = c
+	w.recordAdmission(c)
+	w.advance()
+	return func() { w.cancel(c) }
+}
+
+// newCall describes an attempt before it is admitted; the lock is held.
+func (w *Worker) newCall(attempt *workerrpc.Attempt, reply func(*workerrpc.AttemptResult)) *call {
+	counts := w.admission.Counts(attempt.Function)
+	state := workerrpc.ReplicaWarm
+	switch {
+	case counts.Warm > 0:
+	case counts.Loading > 0:
+		state = workerrpc.ReplicaLoadAwaited
+	default:
+		state = workerrpc.ReplicaLoadStarted
+	}
+	w.calls.lastID++
+	return &call{
+		id:              w.calls.lastID,
+		attempt:         attempt,
+		reply:           reply,
+		replicaState:    state,
+		concurrentCalls: counts.Waiting + counts.Busy,
+	}
+}
+
+// admit decides on a call; any code but CodeOK rejects it for the reason given. The lock is held.
+func (w *Worker) admit(c *call) (code workerrpc.Code, reason string) {
+	switch {
+	case w.state != serving:
+		return workerrpc.CodeNotStarted, "draining"
+	case w.faults.FailRequests:
+		return workerrpc.CodeFailed, "told to fail"
+	case w.faults.RejectTenant != "" && w.faults.RejectTenant == c.attempt.Tenant:
+		return workerrpc.CodeOverloaded, "full"
+	}
+	now := w.now()
+	decision := w.admission.Admit(now, admission.Call{
+		ID:       c.id,
+		Function: c.attempt.Function,
+		Tenant:   c.attempt.Tenant,
+		Deadline: now + c.attempt.TimeLeft,
+	})
+	switch decision {
+	case admission.Full:
+		return workerrpc.CodeOverloaded, "full"
+	case admission.Missing:
+		return workerrpc.CodeNotFound, "not here"
+	case admission.TooLarge:
+		return workerrpc.CodeNotFound, "its package needs more memory than this worker has"
+	}
+	return workerrpc.CodeOK, ""
+}
+
+// recordAdmission counts an admitted call, and journals it if it depends on a load; the lock is held.
+func (w *Worker) recordAdmission(c *call) {
+	cold := c.replicaState != workerrpc.ReplicaWarm
+	if w.coldStarts.add(cold) {
+		elapsed := w.now()
+		w.options.Log.Info("worker warmed up", "after", elapsed)
+		if err := w.journal.append(journalRecord{Kind: recordWarmedUp, Duration: elapsed}); err != nil {
+			// the next incarnation reports an older warm-up, or none
+			w.options.Log.Error("journal warm-up failed", "err", err)
+		}
+	}
+	if cold {
+		err := w.journal.append(journalRecord{
+			Kind:      recordAdmitted,
+			Function:  c.attempt.Function,
+			RequestID: c.attempt.RequestID,
+		})
+		if err != nil {
+			// if the worker dies during the load, the request counts as one that may have run
+			w.options.Log.Error("journal admitted request failed", "err", err)
+		}
+	}
+}
+
+// cancel withdraws a call for its gateway.
+func (w *Worker) cancel(c *call) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.calls.byID[c.id] == nil {
+		return
+	}
+	if w.admission.Withdraw(c.attempt.Function, c.id) {
+		w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "withdrawn before its start"})
+		return
+	}
+	// it runs: what was started is not stopped, but its result is not waited for
+	w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeCancelled, Reason: "withdrawn"})
+}
+
+// respond ends a call for its gateway; later results of it change nothing. The lock is held.
+func (w *Worker) respond(c *call, result *workerrpc.AttemptResult) {
+	if w.calls.byID[c.id] == nil {
+		return
+	}
+	delete(w.calls.byID, c.id)
+	if result.ReplicaState == workerrpc.ReplicaStateUnknown {
+		result.ReplicaState = c.replicaState
+	}
+	result.ConcurrentRequests = c.concurrentCalls
+	result.Report = w.loadReport()
+	if c.replicaState != workerrpc.ReplicaWarm {
+		if err := w.journal.append(journalRecord{Kind: recordAnswered, RequestID: c.attempt.RequestID}); err != nil {
+			w.options.Log.Error("journal answered request failed", "err", err)
+		}
+	}
+	c.reply(result)
+}
+
+// startCall hands a call to its replica, after a claim if it has an idempotency key; the lock is held.
+func (w *Worker) startCall(run admission.Run) {
+	c := w.calls.byID[run.CallID]
+	target := w.runningReplica(run.ReplicaID)
+	if c == nil || target == nil { // cancelled meanwhile, or the replica has exited
+		w.abandonRun(run)
+		if c != nil {
+			w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "its copy ended"})
+		}
+		return
+	}
+	if c.attempt.IdempotencyKey == "" {
+		w.execute(run, c, target, "")
+		return
+	}
+	w.background.Go(func() { w.claimAndExecute(run, c) })
+}
+
+// abandonRun frees the place of a call that can't be started. Admission is asked again from the timer, as it may be
+// in the middle of a list of actions. The lock is held.
+func (w *Worker) abandonRun(run admission.Run) {
+	w.admission.CallEnded(w.now(), run.CallID)
+	w.wakeTimer.Reset(0)
+}
+
+// claimAndExecute runs a request with an idempotency key unless it is a duplicate.
+func (w *Worker) claimAndExecute(run admission.Run, c *call) {
+	key := scopedKey(c.attempt)
+	timeout := time.Duration(claimTimeoutShare * float64(c.attempt.TimeLeft))
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	claim, decision, response := w.claims.Claim(ctx, key, c.attempt.IdempotencyWindow)
+	cancel()
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if decision == idempotency.DecisionExecute {
+		if target := w.runningReplica(run.ReplicaID); target != nil && w.calls.byID[c.id] != nil {
+			w.execute(run, c, target, claim)
+			return
+		}
+		w.claims.Release(key, claim) // cancelled meanwhile, or the replica has exited
+	}
+	w.admission.CallEnded(w.now(), run.CallID)
+	w.respond(c, notExecuted(decision, response))
+	w.advance()
+}
+
+// notExecuted is the result of a request that is not run after the decision on its claim.
+func notExecuted(decision idempotency.Decision, response []byte) *workerrpc.AttemptResult {
+	switch decision {
+	case idempotency.DecisionCompleted:
+		return &workerrpc.AttemptResult{
+			Code:         workerrpc.CodeOK,
+			Deduplicated: true,
+			Body:         response,
+			Reason:       "a repeat inside its window",
+		}
+	case idempotency.DecisionDuplicate:
+		return &workerrpc.AttemptResult{
+			Code:         workerrpc.CodeFailed,
+			Deduplicated: true,
+			Reason:       "a repeat of one that may have run",
+		}
+	case idempotency.DecisionExecute:
+		return &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "its copy ended"}
+	default:
+		return &workerrpc.AttemptResult{
+			Code:   workerrpc.CodeNotStarted,
+			Reason: "it is not known whether it is a repeat",
+		}
+	}
+}
+
+// scopedKey is an idempotency key made unique among those of all request types and tenants.
+func scopedKey(attempt *workerrpc.Attempt) string {
+	return attempt.Type + "\n" + attempt.Tenant + "\n" + attempt.IdempotencyKey
+}
+
+// execute hands a call to a replica; claim is empty without an idempotency key. The lock is held.
+func (w *Worker) execute(run admission.Run, c *call, target *replica, claim string) {
+	attempt := c.attempt
+	if c.replicaState != workerrpc.ReplicaWarm {
+		// a request that is not journaled as started must not run
+		if err := w.journal.append(journalRecord{Kind: recordStarted, RequestID: attempt.RequestID}); err != nil {
+			if claim != "" {
+				w.claims.Release(scopedKey(attempt), claim)
+			}
+			w.abandonRun(run)
+			w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: err.Error()})
+			return
+		}
+	}
+	slowFactor := w.faults.SlowFactor
+	w.background.Add(1)
+	target.process.Call(attempt.Body, attempt.TimeLeft, func(result runner.Result) {
+		defer w.background.Done()
+		if slowFactor > 1 {
+			time.Sleep(time.Duration(float64(result.Duration) * (slowFactor - 1)))
+		}
+		w.completeCall(run.CallID, c, claim, result)
+	})
+}
+
+// completeCall takes the result of a call from its replica.
+func (w *Worker) completeCall(id uint64, c *call, claim string, outcome runner.Result) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.admission.CallEnded(w.now(), id)
+	result := &workerrpc.AttemptResult{Code: workerrpc.CodeOK, Body: outcome.Body, CPUTime: outcome.Duration}
+	if outcome.Err != nil {
+		result.Code, result.Reason = workerrpc.CodeFailed, outcome.Err.Error()
+	}
+	if errors.Is(outcome.Err, runner.ErrNotStarted) {
+		result.Code = workerrpc.CodeNotStarted
+	}
+	if claim != "" {
+		switch result.Code {
+		case workerrpc.CodeOK:
+			w.claims.Complete(scopedKey(c.attempt), claim, result.Body)
+		case workerrpc.CodeNotStarted:
+			w.claims.Release(scopedKey(c.attempt), claim)
+		}
+	}
+	w.respond(c, result)
+	w.advance()
+}
--- a/internal/worker/export_test.go
+++ b/internal/worker/export_test.go
@@ -13,36 +13,39 @@
 	"lupinpond/internal/base/durable"
 )
 
-// ShiftJournalClock rewrites a journal as if the system's clock had been off by so much all through the life that wrote it.
-func ShiftJournalClock(t *testing.T, path string, by time.Duration) {
-	in, err := os.Open(path)
+// ShiftJournalClock rewrites a journal as if the system's clock had been off by so much all through the incarnation
+// that wrote it.
+func ShiftJournalClock(t *testing.T, path string, offset time.Duration) {
+	t.Helper()
+	original, err := os.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer in.Close()
-	out, err := os.Create(path + ".new")
+	defer original.Close()
+	shifted, err := os.Create(path + ".new")
 	if err != nil {
 		t.Fatal(err)
 	}
-	dec, enc := cbor.NewDecoder(bufio.NewReader(in)), durable.EncMode().NewEncoder(out)
+	decoder := cbor.NewDecoder(bufio.NewReader(original))
+	encoder := durable.EncMode().NewEncoder(shifted)
 	for {
-		var x journalRecord
-		if err := dec.Decode(&x); errors.Is(err, io.EOF) {
+		var record journalRecord
+		if err := decoder.Decode(&record); errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
 			t.Fatal(err)
 		}
-		if !x.ExpiresAt.IsZero() {
-			x.ExpiresAt = x.ExpiresAt.Add(by)
+		if !record.ExpiresAt.IsZero() {
+			record.ExpiresAt = record.ExpiresAt.Add(offset)
 		}
-		if x.ClockMark != nil {
-			x.ClockMark.Time = x.ClockMark.Time.Add(by)
+		if record.ClockMark != nil {
+			record.ClockMark.Time = record.ClockMark.Time.Add(offset)
 		}
-		if err := enc.Encode(x); err != nil {
+		if err := encoder.Encode(record); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := errors.Join(out.Close(), os.Rename(path+".new", path)); err != nil {
+	if err := errors.Join(shifted.Close(), os.Rename(path+".new", path)); err != nil {
 		t.Fatal(err)
 	}
 }
--- /dev/null
+++ b/internal/worker/idempotency_test.go
@@ -0,0 +1,166 @@
+package worker_test
+
+import (
+	"log/slog"
+	"net/http/httptest"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"lupinpond/internal/worker"
+	"lupinpond/internal/worker/idempotency"
+	"lupinpond/internal/workerrpc"
+)
+
+// A duplicate inside its window does not run, also across a restart; outside it runs.
+func TestIdempotencyAcrossRestart(t *testing.T) {
+	folder := t.TempDir()
+	t.Run("first incarnation", func(t *testing.T) {
+		h := startWorkerIn(t, folder, storeURL, nil)
+		if result := h.keyedRequest("", "one", "k", time.Minute); !ranOK(result) {
+			t.Errorf("%+v", result)
+		}
+		if result := h.keyedRequest("", "two", "k", time.Minute); !duplicateOf(result, "one") {
+			t.Errorf("%+v", result)
+		}
+		if result := h.keyedRequest("", "exit", "gone", time.Minute); result.Code != workerrpc.CodeFailed {
+			t.Errorf("%+v", result)
+		}
+		if result := h.keyedRequest("", "short", "s", time.Millisecond); !ranOK(result) {
+			t.Errorf("%+v", result)
+		}
+		if log := h.readReplicaLog(); strings.Contains(log, "effect two") {
+			t.Error(log)
+		}
+	})
+	h := startWorkerIn(t, folder, storeURL, nil)
+	for key, want := range map[string]workerrpc.Code{"k": workerrpc.CodeOK, "gone": workerrpc.CodeFailed} {
+		result := h.keyedRequest("", "again", key, time.Minute)
+		if !result.Deduplicated || result.Code != want {
+			t.Errorf("%s: %+v", key, result)
+		}
+	}
+	if result := h.keyedRequest("", "new", "s", time.Minute); !ranOK(result) {
+		t.Errorf("outside its window: %+v", result)
+	}
+}
+
+// ranOK reports whether a request ran and succeeded.
+func ranOK(result *workerrpc.AttemptResult) bool {
+	return !result.Deduplicated && result.Code == workerrpc.CodeOK
+}
+
+// duplicateOf reports whether a request is a duplicate of one that was completed with a response.
+func duplicateOf(result *workerrpc.AttemptResult, response string) bool {
+	return result.Deduplicated && result.Code == workerrpc.CodeOK && string(result.Body) == response
+}
+
+// Two workers of a group deduplicate each other's requests, also when one of three registers is away; with two away, a
+// request with a key is rejected as never run.
+func TestIdempotencyInGroup(t *testing.T) {
+	addresses, registers := startRegisters(t, 3)
+	first, second := startWorkerOfGroup(t, addresses), startWorkerOfGroup(t, addresses)
+	send := func(h *harness, body, tenant, key string) *workerrpc.AttemptResult {
+		t.Helper()
+		return h.keyedRequest(tenant, body, key, time.Minute)
+	}
+	// registers are notified of completed requests a little later
+	waitForDuplicate := func(h *harness, body, key, response string) {
+		t.Helper()
+		h.waitFor(key+" is a duplicate", func() bool { return duplicateOf(send(h, body, "x", key), response) })
+	}
+	if result := send(first, "one", "x", "k"); !ranOK(result) {
+		t.Errorf("%+v", result)
+	}
+	waitForDuplicate(second, "two", "k", "one")
+	if result := send(second, "other tenant", "y", "k"); !ranOK(result) {
+		t.Errorf("%+v", result)
+	}
+	if result := send(first, "exit", "x", "gone"); result.Code != workerrpc.CodeFailed {
+		t.Errorf("%+v", result)
+	}
+	if result := send(second, "exit again", "x", "gone"); result.Code != workerrpc.CodeFailed || !result.Deduplicated {
+		t.Errorf("%+v", result)
+	}
+	registers[0].Close()
+	if result := send(second, "three", "x", "k3"); !ranOK(result) {
+		t.Errorf("%+v", result)
+	}
+	waitForDuplicate(first, "four", "k3", "three")
+	registers[1].Close()
+	if result := send(first, "five", "x", "k5"); result.Code != workerrpc.CodeNotStarted {
+		t.Errorf("%+v", result)
+	}
+	for _, h := range []*harness{first, second} {
+		log := h.readReplicaLog()
+		for _, never := range []string{"two", "exit again", "four", "five"} {
+			if strings.Contains(log, "effect "+never+"\n") {
+				t.Error(never, " ran")
+			}
+		}
+	}
+}
+
+// startRegisters starts so many registers.
+func startRegisters(t *testing.T, count int) (addresses []string, servers []*httptest.Server) {
+	t.Helper()
+	for range count {
+		register, err := idempotency.Open(t.TempDir(), 1000)
+		if err != nil {
+			t.Fatal(err)
+		}
+		server := httptest.NewServer(register.Handler())
+		t.Cleanup(func() {
+			server.Close()
+			register.Close()
+		})
+		addresses = append(addresses, strings.TrimPrefix(server.URL, "http://"))
+		servers = append(servers, server)
+	}
+	return addresses, servers
+}
+
+// startWorkerOfGroup starts a worker that deduplicates by registers.
+func startWorkerOfGroup(t *testing.T, registers []string) *harness {
+	t.Helper()
+	group, err := idempotency.NewGroup(registers, 10*time.Second, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(group.Close)
+	return startWorker(t, func(options *worker.Options) { options.IdempotencyGroup = group })
+}
+
+// A worker whose system's clock was a day off, and was set right between two incarnations, knows a key as long as its
+// window is, no shorter and no longer.
+func TestClockJump(t *testing.T) {
+	const window = 3 * time.Second
+	for _, offset := range []time.Duration{24 * time.Hour, -24 * time.Hour} {
+		folder := t.TempDir()
+		var first time.Time
+		t.Run("first incarnation", func(t *testing.T) {
+			h := startWorkerIn(t, folder, storeURL, nil)
+			h.expectAnswer(faultyFunction, "echo", workerrpc.CodeOK, "echo")
+			first = time.Now()
+			if result := h.keyedRequest("", "a", "k", window); result.Code != workerrpc.CodeOK {
+				t.Fatalf("%+v", result)
+			}
+		})
+		worker.ShiftJournalClock(t, filepath.Join(folder, "journal"), offset)
+		h := startWorkerIn(t, folder, storeURL, nil)
+		for {
+			sent := time.Now()
+			if result := h.keyedRequest("", "b", "k", window); !result.Deduplicated {
+				if since := time.Since(first); since < window {
+					t.Errorf("off by %v: a duplicate ran %v after the first, inside its window", offset, since)
+				}
+				break
+			}
+			if sent.Sub(first) > window+time.Minute {
+				t.Fatalf("off by %v: a key outlives its window because of a clock", offset)
+			}
+			time.Sleep(10 * time.Millisecond)
+		}
+	}
+}
--- a/internal/worker/journal_fault_test.go
+++ b/internal/worker/journal_fault_test.go
@@ -6,6 +6,7 @@
 	"os"
 	"os/signal"
 	"path/filepath"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
@@ -14,8 +15,8 @@
 	"lupinpond/internal/worker/idempotency"
 )
 
-// withFileSizeLimit calls f while no file of this process may grow beyond size bytes: a write across it is cut short there
-// and fails, as on a full disk.
+// withFileSizeLimit calls f while no file of this process may grow beyond size bytes: a write across it is cut short
+// there and fails, as on a full disk.
 func withFileSizeLimit(t *testing.T, size int64, f func()) {
 	t.Helper()
 	signal.Ignore(syscall.SIGXFSZ)
@@ -34,87 +35,89 @@
 	}
 }
 
-// A record that a full disk cuts short leaves no trace once there is room again: the next life reads every later record,
-// and a keyed request that ran does not run a second time.
+// claimFor claims a key for an hour.
+func claimFor(j *journal, name string) idempotency.Decision {
+	_, decision, _ := j.Claim(context.Background(), name, time.Hour)
+	return decision
+}
+
+// A record that a full disk cuts short leaves no trace once there is room again: the next incarnation reads every later
+// record, and a keyed request that ran does not run a second time.
 func TestRecordTruncatedByFullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "journal")
 	j, err := openJournal(path, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	claim := func(j *journal, name string) idempotency.Decision {
-		_, v, _ := j.Claim(context.Background(), name, time.Hour)
-		return v
-	}
-	if v := claim(j, "before"); v != idempotency.DecisionExecute {
-		t.Fatal(v)
+	if decision := claimFor(j, "before"); decision != idempotency.DecisionExecute {
+		t.Fatal(decision)
 	}
-	is, err := os.Stat(path)
+	info, err := os.Stat(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cut := strings.Repeat("k", 500)
-	withFileSizeLimit(t, is.Size()+40, func() {
-		if v := claim(j, cut); v != idempotency.DecisionUnknown {
-			t.Error("a claim that is not written down:", v)
+	truncated := strings.Repeat("k", 500)
+	withFileSizeLimit(t, info.Size()+40, func() {
+		if decision := claimFor(j, truncated); decision != idempotency.DecisionUnknown {
+			t.Error("a claim that is not written down:", decision)
 		}
 	})
-	if v := claim(j, "after"); v != idempotency.DecisionExecute {
-		t.Fatal(v)
+	if decision := claimFor(j, "after"); decision != idempotency.DecisionExecute {
+		t.Fatal(decision)
 	}
 	if err := j.close(); err != nil {
 		t.Fatal(err)
 	}
 	next, err := openJournal(path, slog.New(slog.DiscardHandler))
 	if err != nil {
-		t.Fatal("the next life does not start:", err)
+		t.Fatal("the next incarnation does not start:", err)
 	}
 	defer next.close()
 	for _, name := range []string{"before", "after"} {
-		if v := claim(next, name); v != idempotency.DecisionDuplicate {
-			t.Errorf("the request of key %q may run a second time: verdict %v", name, v)
+		if decision := claimFor(next, name); decision != idempotency.DecisionDuplicate {
+			t.Errorf("the request of key %q may run a second time: decision %v", name, decision)
 		}
 	}
-	if v := claim(next, cut); v != idempotency.DecisionExecute {
-		t.Error("a claim that was never granted counts:", v)
+	if decision := claimFor(next, truncated); decision != idempotency.DecisionExecute {
+		t.Error("a claim that was never granted counts:", decision)
 	}
 }
 
-// Zeros at the end, as a machine that fails may leave them behind what was synced, hide nothing before them; anything else
-// that can't be read is an error.
+// Zeros at the end, as a machine that fails may leave them behind what was synced, hide nothing before them; anything
+// else that can't be read is an error.
 func TestJournalEndingInZeros(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "journal")
 	j, err := openJournal(path, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, v, _ := j.Claim(context.Background(), "k", time.Hour); v != idempotency.DecisionExecute {
-		t.Fatal(v)
+	if decision := claimFor(j, "k"); decision != idempotency.DecisionExecute {
+		t.Fatal(decision)
 	}
 	if err := j.close(); err != nil {
 		t.Fatal(err)
 	}
-	whole, err := os.ReadFile(path)
+	complete, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(path, append(whole[:len(whole):len(whole)], make([]byte, 5000)...), 0o600); err != nil {
+	if err := os.WriteFile(path, slices.Concat(complete, make([]byte, 5000)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	next, err := openJournal(path, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, v, _ := next.Claim(context.Background(), "k", time.Hour); v != idempotency.DecisionDuplicate {
-		t.Error("the request may run a second time:", v)
+	if decision := claimFor(next, "k"); decision != idempotency.DecisionDuplicate {
+		t.Error("the request may run a second time:", decision)
 	}
 	if err := next.close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(path, append(append(whole, 0, 0, 0), "text"...), 0o600); err != nil {
+	if err := os.WriteFile(path, append(append(complete, 0, 0, 0), "text"...), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := openJournal(path, slog.New(slog.DiscardHandler)); err == nil {
-		t.Error("a spoilt journal is taken")
+		t.Error("an unreadable journal is opened")
 	}
 }
