--- a/cmd/lpctl/up.go
+++ b/cmd/lpctl/up.go
@@ -31,13 +31,14 @@
 	if err != nil {
 		return err
 	}
-	return scenario.RunLocal(ctx, f, c.Fronts, c.Workers, log, func(fronts []string, list string) {
-		fmt.Printf("front ends: %v\nlist of workers: %s\n\ntry:\n", fronts, list)
+	ready := func(gateways []string, registry string) {
+		fmt.Printf("gateways: %v\nregistry: %s\n\ntry:\n", gateways, registry)
 		fn := f.Functions[0].Name
-		fmt.Printf("  lpctl invoke --front http://%s %s 'a salary'\n", fronts[0], fn)
-		fmt.Printf("  curl -i -d 'a salary' -H 'ce-id: 1' -H 'Prefer: wait=2' http://%s/v1/functions/%s/invocations\n", fronts[0], fn)
-		fmt.Printf("  lpctl workers --list %s\n", list)
-	})
+		fmt.Printf("  lpctl invoke --front http://%s %s 'a salary'\n", gateways[0], fn)
+		fmt.Printf("  curl -i -d 'a salary' -H 'ce-id: 1' -H 'Prefer: wait=2' http://%s/v1/functions/%s/invocations\n", gateways[0], fn)
+		fmt.Printf("  lpctl workers --list %s\n", registry)
+	}
+	return scenario.RunLocal(ctx, scenario.LocalOptions{Config: f, Gateways: c.Fronts, Workers: c.Workers, Log: log, Ready: ready})
 }
 
 type invokeCmd struct {
--- a/internal/testbed/scenario/clients.go
+++ b/internal/testbed/scenario/clients.go
@@ -1,231 +1,101 @@
 package scenario
 
 import (
-	"bufio"
 	"context"
-	"fmt"
-	"io"
-	"net"
-	"net/http"
-	"strconv"
 	"sync"
 	"time"
 
-	"lupinpond/internal/gateway/invoke"
+	"lupinpond/internal/gateway/fleetconfig"
 )
 
-// clientPool send events over connections of their own: net/http's client would resend some requests by itself.
-type clientPool struct {
-	scenario Scenario
-	addrs    []string
-	slack    time.Duration
-
-	mu              sync.Mutex
-	idle            map[string][]*clientConn
-	disconnectAfter map[string]time.Duration // by tenant: leaves so early and repeats at once
-	stats           ClientStats
-}
-
-// clientConn is a kept connection.
-type clientConn struct {
-	conn   net.Conn
-	reader *bufio.Reader
-}
-
-// ClientStats is how events ended for their clients.
-type ClientStats struct {
-	Requests   int `json:"Events"`
-	Served     int
-	InTime     int
-	Failed     int `json:"Dead"`
-	Abandoned  int `json:"GaveUp"`
-	Unanswered int
-	Attempts   int             `json:"Tries"`
-	Latencies  []time.Duration `json:"Took"` // of those served, from the first try
-}
-
-// attemptOutcome of a try.
-type attemptOutcome int
-
 const (
-	outcomeServed attemptOutcome = iota
-	outcomeRejected
-	outcomeFailed
-	outcomeNotAccepted    // not taken
-	outcomeUnreachable    // no connection
-	outcomeConnectionLost // the connection broke: it may have been taken
-	outcomeUnanswered     // the time and the slack are over
-	outcomeDisconnected   // the client did not wait
+	// minAttemptTime is the time that has to be left for another attempt.
+	minAttemptTime = 50 * time.Millisecond
+	// deadlineMargin is how long a client waits beyond its time and the gateway's slack before it counts as unanswered.
+	deadlineMargin = time.Second
 )
 
-// send makes one try; repeat marks it as one of an event that a front end had before.
-func (c *clientPool) send(ctx context.Context, addr string, a arrival, try int, repeat bool, patience, leave time.Duration,
-) (attemptOutcome, time.Duration) {
-	l, err := c.acquire(addr)
-	if err != nil {
-		return outcomeUnreachable, 0
-	}
-	deadline := time.Now().Add(patience + c.slack + time.Second)
-	if leave > 0 {
-		deadline = time.Now().Add(leave)
-	}
-	stop := context.AfterFunc(ctx, func() { l.conn.Close() })
-	defer stop()
-	body := a.name + " " + a.work.String()
-	head := fmt.Sprintf("POST /v1/functions/%s/invocations HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n"+
-		"ce-specversion: 1.0\r\nce-source: rehearsal\r\nce-id: %s.%d\r\nPrefer: wait=%.3f\r\n",
-		a.function.Name, addr, len(body), a.name, try, patience.Seconds())
-	if a.function.Tenant != "" {
-		head += invoke.HeaderTenant + ": " + a.function.Tenant + "\r\n"
-	}
-	head += "Idempotency-Key: " + a.name + "\r\n"
-	if repeat {
-		head += invoke.HeaderRetry + ": 1\r\n"
-	}
-	_ = l.conn.SetDeadline(deadline)
-	if _, err := l.conn.Write([]byte(head + "\r\n" + body)); err != nil {
-		l.conn.Close()
-		return outcomeConnectionLost, 0
-	}
-	resp, err := http.ReadResponse(l.reader, nil)
-	if err != nil {
-		l.conn.Close()
-		if slow, is := err.(net.Error); is && slow.Timeout() {
-			if leave > 0 {
-				return outcomeDisconnected, 0
-			}
-			return outcomeUnanswered, 0
-		}
-		return outcomeConnectionLost, 0
-	}
-	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		l.conn.Close()
-		return outcomeConnectionLost, 0
-	}
-	back := time.Duration(0)
-	if ms, err := strconv.Atoi(resp.Header.Get(invoke.HeaderRetryAfterMillis)); err == nil {
-		back = time.Duration(ms) * time.Millisecond
-	}
-	if resp.Close {
-		l.conn.Close()
-	} else {
-		c.release(addr, l)
-	}
-	switch {
-	case resp.StatusCode == http.StatusOK:
-		return outcomeServed, 0
-	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(invoke.HeaderRequestID) != "":
-		return outcomeRejected, back
-	case resp.StatusCode == http.StatusBadGateway:
-		return outcomeFailed, 0
-	}
-	return outcomeNotAccepted, back
-}
+// clientPool sends requests over connections of its own: net/http's client would resend some requests by itself.
+type clientPool struct {
+	behavior ClientBehavior
+	addrs    []string      // of the gateways
+	slack    time.Duration // that a gateway has beyond a client's time
 
-func (c *clientPool) acquire(addr string) (l *clientConn, err error) {
-	c.mu.Lock()
-	if n := len(c.idle[addr]); n > 0 {
-		l = c.idle[addr][n-1]
-		c.idle[addr] = c.idle[addr][:n-1]
-		c.mu.Unlock()
-		// a connection that the front end closed meanwhile shows it at once
-		_ = l.conn.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
-		_, err := l.reader.Peek(1)
-		if slow, is := err.(net.Error); is && slow.Timeout() {
-			return &clientConn{conn: l.conn, reader: bufio.NewReader(l.conn)}, nil
-		}
-		l.conn.Close()
-		return c.acquire(addr)
-	}
-	c.mu.Unlock()
-	conn, err := net.DialTimeout("tcp", addr, time.Second)
-	if err != nil {
-		return nil, err
-	}
-	return &clientConn{conn: conn, reader: bufio.NewReader(conn)}, nil
+	mu              sync.Mutex
+	idle            map[string][]*clientConn // by gateway address
+	disconnectAfter map[string]time.Duration // by tenant: its clients disconnect so early, and retry at once
+	stats           ClientStats
 }
 
-func (c *clientPool) release(addr string, l *clientConn) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.idle[addr]) >= 64 {
-		l.conn.Close()
-		return
+func newClientPool(scenario Scenario, addrs []string, slack time.Duration) *clientPool {
+	return &clientPool{
+		behavior:        scenario.Clients,
+		addrs:           addrs,
+		slack:           slack,
+		idle:            map[string][]*clientConn{},
+		disconnectAfter: map[string]time.Duration{},
 	}
-	c.idle[addr] = append(c.idle[addr], l)
 }
 
-func (c *clientPool) close() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, lines := range c.idle {
-		for _, l := range lines {
-			l.conn.Close()
-		}
+// setDisconnectAfter has the clients of a tenant disconnect early; 0: no more.
+func (p *clientPool) setDisconnectAfter(tenant string, after time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if after > 0 {
+		p.disconnectAfter[tenant] = after
+	} else {
+		delete(p.disconnectAfter, tenant)
 	}
-	c.idle = map[string][]*clientConn{}
 }
 
-// runRequest plays one event from its first try to its end.
-func (c *clientPool) runRequest(ctx context.Context, a arrival, target, maxAge time.Duration, effect, group string) {
-	began := time.Now()
-	front := a.gateway
-	end, tries, reached := outcomeUnreachable, 0, false
-	for tries < c.scenario.Clients.MaxAttempts && ctx.Err() == nil {
-		remains := maxAge - time.Since(began)
-		if remains < 50*time.Millisecond {
+// runRequest plays one request from its first attempt to its end.
+func (p *clientPool) runRequest(ctx context.Context, request arrival, requestType fleetconfig.RequestType) {
+	start := time.Now()
+	target := request.gateway
+	outcome, attempts, reached := outcomeUnreachable, 0, false
+	for attempts < p.behavior.MaxAttempts && ctx.Err() == nil {
+		remains := requestType.MaxAge.Std() - time.Since(start)
+		if remains < minAttemptTime {
 			break
 		}
-		c.mu.Lock()
-		leave := c.disconnectAfter[a.function.Tenant]
-		c.mu.Unlock()
-		if effect != "redeliverable" {
-			leave = 0 // repeats at once would be the client's own doubles
+		next := clientAttempt{
+			arrival:         request,
+			number:          attempts,
+			retry:           reached,
+			maxWait:         min(request.maxWait, remains),
+			disconnectAfter: p.earlyDisconnect(request, requestType),
 		}
-		var back time.Duration
-		end, back = c.send(ctx, c.addrs[front], a, tries, reached, min(a.maxWait, remains), leave)
-		tries++
-		reached = reached || end != outcomeUnreachable && end != outcomeNotAccepted
-		again := false
-		switch end {
-		case outcomeRejected, outcomeNotAccepted, outcomeUnreachable:
-			again = true
-		case outcomeFailed, outcomeConnectionLost:
-			again = effect == "redeliverable" || effect == "keyed" && group == "all"
-		case outcomeUnanswered, outcomeDisconnected:
-			again = effect == "redeliverable"
-		}
-		if !again {
+		var retryAfter time.Duration
+		outcome, retryAfter = p.send(ctx, p.addrs[target], next)
+		attempts++
+		reached = reached || outcome != outcomeUnreachable && outcome != outcomeNotAccepted
+		if !outcome.retryable(requestType) {
 			break
 		}
-		if end == outcomeUnreachable || end == outcomeConnectionLost || end == outcomeNotAccepted {
-			front = (front + 1) % len(c.addrs)
+		if outcome == outcomeUnreachable || outcome == outcomeConnectionLost || outcome == outcomeNotAccepted {
+			target = (target + 1) % len(p.addrs)
 		}
-		if end != outcomeDisconnected { // one that did not wait repeats at once
-			select {
-			case <-ctx.Done():
-			case <-time.After(max(back, c.scenario.Clients.RetryDelay.Std())):
-			}
+		if outcome == outcomeDisconnected {
+			continue // one that did not wait retries at once
 		}
-	}
-	took := time.Since(began)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	r := &c.stats
-	r.Requests++
-	r.Attempts += tries
-	switch end {
-	case outcomeServed:
-		r.Served++
-		r.Latencies = append(r.Latencies, took)
-		if took <= target {
-			r.InTime++
+		select {
+		case <-ctx.Done():
+		case <-time.After(max(retryAfter, p.behavior.RetryDelay.Std())):
 		}
-	case outcomeFailed:
-		r.Failed++
-	case outcomeUnanswered:
-		r.Unanswered++
-	default:
-		r.Abandoned++
 	}
+	latency := time.Since(start)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.stats.add(outcome, attempts, latency, requestType.Objective.Std())
+}
+
+// earlyDisconnect is when a request's client disconnects; 0: it waits. A client that disconnects retries at once, which
+// for a request that may not run twice would be the client's own duplicate.
+func (p *clientPool) earlyDisconnect(request arrival, requestType fleetconfig.RequestType) time.Duration {
+	if requestType.Effect != "redeliverable" {
+		return 0
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.disconnectAfter[request.function.Tenant]
 }
--- /dev/null
+++ b/internal/testbed/scenario/gateways.go
@@ -0,0 +1,169 @@
+package scenario
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"sync"
+	"time"
+
+	"lupinpond/internal/base/capture"
+	"lupinpond/internal/gateway"
+	"lupinpond/internal/registry"
+	"lupinpond/internal/testbed/checker"
+)
+
+// gatewayInstance is one incarnation of a gateway, from a start to the next stop.
+type gatewayInstance struct {
+	gateway     *gateway.Gateway
+	tap         *capture.Tap // nil: nothing is captured
+	drain       context.CancelFunc
+	kill        context.CancelFunc
+	done        chan error
+	recording   *os.File // of the core; nil: none
+	finalCounts gateway.Counts
+	stopped     bool
+
+	mu      sync.Mutex
+	capture *checker.GatewayCapture
+}
+
+// startGateways starts all gateways of the scenario on free ports.
+func (r *run) startGateways() (addrs []string, err error) {
+	for i := range r.scenario.Gateways {
+		addr, err := r.startGateway(i, "127.0.0.1:0")
+		if err != nil {
+			return nil, err
+		}
+		addrs = append(addrs, addr)
+	}
+	return addrs, nil
+}
+
+// startGateway starts an incarnation of a gateway, with the endpoint list that the one before has cached.
+func (r *run) startGateway(index int, addr string) (listenAddr string, err error) {
+	listener, err := net.Listen("tcp", addr)
+	if err != nil {
+		return "", err
+	}
+	r.mu.Lock()
+	name := fmt.Sprintf("front-%d.%d", index, len(r.instances))
+	var cached *registry.WatchEvent
+	if event, is := r.cachedEndpoints[index]; is {
+		cached = &event
+		r.deliveries = append(r.deliveries, checker.Delivery{Gateway: name, At: time.Since(r.startedAt), Event: event})
+	}
+	r.mu.Unlock()
+	instance := &gatewayInstance{capture: &checker.GatewayCapture{Name: name, Index: index}, done: make(chan error, 1)}
+	if !r.captureDisabled {
+		instance.tap = capture.NewTap(r.startedAt, instance.record)
+	}
+	config := r.options.Config
+	config.Gateway.RegistryURL = "http://" + r.registryAddr
+	options := gateway.Options{
+		Name:            name,
+		Index:           index,
+		GatewayCount:    r.scenario.Gateways,
+		Seed:            r.scenario.Seed + uint64(index),
+		Config:          config,
+		Listener:        listener,
+		Tap:             instance.tap,
+		Log:             r.options.Log,
+		CachedEndpoints: cached,
+		OnEndpoints: func(event registry.WatchEvent) {
+			r.mu.Lock()
+			defer r.mu.Unlock()
+			r.cachedEndpoints[index] = event
+		},
+	}
+	if r.options.OutputDir != "" {
+		if instance.recording, err = os.Create(filepath.Join(r.options.OutputDir, name+".core")); err != nil {
+			return "", errors.Join(err, listener.Close())
+		}
+		options.Record = instance.recording
+	}
+	if instance.gateway, err = gateway.New(options); err != nil {
+		return "", errors.Join(err, listener.Close(), instance.closeRecording())
+	}
+	instance.start()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.instances = append(r.instances, instance)
+	for len(r.running) <= index {
+		r.running = append(r.running, nil)
+	}
+	r.running[index] = instance
+	return listener.Addr().String(), nil
+}
+
+// drainGateways shuts all gateways down gracefully: every request in flight is answered.
+func (r *run) drainGateways() (err error) {
+	for _, instance := range r.running {
+		err = errors.Join(err, instance.shutDown())
+	}
+	return err
+}
+
+// killGateways kills the gateways that have not been stopped.
+func (r *run) killGateways() {
+	for _, instance := range r.running {
+		_ = instance.crash() // of a run that has failed, or an instance that has stopped already
+	}
+}
+
+func (g *gatewayInstance) record(record capture.Record) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.capture.Records = append(g.capture.Records, record)
+}
+
+func (g *gatewayInstance) start() {
+	var draining, killed context.Context
+	draining, g.drain = context.WithCancel(context.Background())
+	killed, g.kill = context.WithCancel(context.Background())
+	go func() { g.done <- g.gateway.Run(draining, killed) }()
+}
+
+// shutDown drains an instance and waits for its end.
+func (g *gatewayInstance) shutDown() error {
+	if g.stopped {
+		return nil
+	}
+	g.stopped = true
+	g.drain()
+	err := <-g.done
+	g.finalCounts = g.gateway.FinalCounts()
+	return g.finish(err)
+}
+
+// crash ends an instance at once, as the end of its process does.
+func (g *gatewayInstance) crash() error {
+	if g.stopped {
+		return nil
+	}
+	g.stopped = true
+	g.finalCounts = g.gateway.Counts(context.Background())
+	g.tap.Crashed()
+	g.kill()
+	return g.finish(<-g.done)
+}
+
+// finish releases what an instance holds; err is how it ended.
+func (g *gatewayInstance) finish(err error) error {
+	g.drain()
+	g.kill()
+	if closeErr := g.closeRecording(); err == nil {
+		err = closeErr
+	}
+	return err
+}
+
+func (g *gatewayInstance) closeRecording() error {
+	if g.recording == nil {
+		return nil
+	}
+	return g.recording.Close()
+}
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -20,108 +20,133 @@
 	"lupinpond/scenarios"
 )
 
-// Every rehearsed day keeps the five rules, judged from the sockets; every event taken has one ending, no client was
-// left without an answer, no at-most-once event ran twice at the workers, and every core's recording replays alike.
-func TestScenariosUpholdRules(t *testing.T) { play(t, "", nil) }
+// suite is a number of scenarios and how they are played.
+type suite struct {
+	settings      fleetconfig.File
+	payrollBinary string   // for the worker runtime; "": emulated workers
+	only          []string // one after the other; none: all scenarios, side by side
+}
+
+// Every scenario upholds the five rules, checked on the sockets' traffic; every accepted request has one outcome, no
+// client was left without a response, no at-most-once request ran twice at the workers, and every core's recording
+// replays alike.
+func TestScenariosUpholdRules(t *testing.T) {
+	suite{settings: defaultSettings(t)}.play(t)
+}
 
-// Four of the days on the worker runtime, one after the other: its copies are processes, and the machine is to be late for
-// nobody. lpctl rehearse --all --workers runtime plays them all.
+// Four of the scenarios on the worker runtime, one after the other: its replicas are processes, and the machine is to
+// be late for nobody. lpctl scenario --all --workers runtime plays them all.
 func TestScenariosOnWorkerRuntime(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "payroll")
 	if err := localfleet.Build(binary, "lupinpond/examples/payroll", manifest.Process); err != nil {
 		t.Fatal(err)
 	}
-	play(t, binary, nil, "crash-and-kill", "drains", "hang", "silence")
+	suite{
+		settings:      defaultSettings(t),
+		payrollBinary: binary,
+		only:          []string{"crash-and-kill", "drains", "hang", "silence"},
+	}.play(t)
 }
 
-// Three days of a deployment of another shape, by settings alone: workers answer a miss, there are no tenants, reports tell
-// no waiting events, the list tells sizes, and crossing zones costs.
+// Three scenarios of an alternate deployment, by settings alone: workers answer a miss, there are no tenants, load
+// reports have no queue depth, the endpoint list has sizes, and crossing zones costs.
 func TestScenariosWithAlternateDeployment(t *testing.T) {
-	play(t, "", func(f *fleetconfig.File) { localfleet.AlternateDeployment(f, "zone-0") }, "drains", "hang", "quiet")
+	settings := defaultSettings(t)
+	localfleet.AlternateDeployment(&settings, "zone-0")
+	suite{settings: settings, only: []string{"drains", "hang", "quiet"}}.play(t)
 }
 
-func play(t *testing.T, payroll string, change func(*fleetconfig.File), only ...string) {
-	defer goleak.VerifyNone(t)
-	f, err := fleetconfig.Default()
+func defaultSettings(t *testing.T) fleetconfig.File {
+	t.Helper()
+	settings, err := fleetconfig.Default()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if change != nil {
-		change(&f)
-	}
-	all, err := scenario.LoadAll(scenarios.Files, f)
+	return settings
+}
+
+func (s suite) play(t *testing.T) {
+	t.Helper()
+	defer goleak.VerifyNone(t)
+	all, err := scenario.LoadAll(scenarios.Files, s.settings)
 	if err != nil || len(all) < 12 {
-		t.Fatalf("%d days: %v", len(all), err)
+		t.Fatalf("%d scenarios: %v", len(all), err)
 	}
-	t.Run("days", func(t *testing.T) {
-		for _, d := range all {
-			if len(only) > 0 && !slices.Contains(only, d.Name) {
+	t.Run("scenarios", func(t *testing.T) {
+		for _, played := range all {
+			if len(s.only) > 0 && !slices.Contains(s.only, played.Name) {
 				continue
 			}
-			t.Run(d.Name, func(t *testing.T) {
-				if len(only) == 0 {
+			t.Run(played.Name, func(t *testing.T) {
+				if len(s.only) == 0 {
 					t.Parallel()
 				}
-				dir := t.TempDir()
-				r, err := scenario.Play(t.Context(), d, scenario.Options{Config: f, OutputDir: dir, PayrollBinary: payroll})
-				if err != nil {
-					t.Fatal(err)
-				}
-				v := r.Verdict
-				for _, b := range v.Violations {
-					t.Error(b)
-				}
-				if len(r.DuplicateExecutions) > 0 {
-					t.Error("ran twice at the workers: ", r.DuplicateExecutions)
-				}
-				if v.Requests != v.Completed+v.Rejected+v.Failed+v.Disconnected+v.Lost || v.Requests < r.Arrivals-r.Clients.Abandoned {
-					t.Errorf("%d events taken of %d that arrived: %+v", v.Requests, r.Arrivals, v)
-				}
-				if r.Clients.Unanswered > 0 || r.Clients.Requests != r.Arrivals {
-					t.Errorf("clients: %+v", r.Clients)
-				}
-				facts, err := checker.Load(dir)
-				if err != nil {
-					t.Fatal(err)
-				}
-				if again, err := checker.Check(facts); err != nil || len(again.Violations) != len(v.Violations) || again.Requests != v.Requests {
-					t.Errorf("judged from its folder: %d breaches, %d tries, %v", len(again.Violations), again.Requests, err)
-				}
-				cores, err := filepath.Glob(filepath.Join(dir, "*.core"))
-				if err != nil || len(cores) < d.Gateways {
-					t.Fatal(cores, err)
-				}
-				for _, name := range cores {
-					replayRecording(t, name)
-				}
+				s.playOne(t, played)
 			})
 		}
 	})
 }
 
-func replayRecording(t *testing.T, name string) {
-	in, err := os.Open(name)
+func (s suite) playOne(t *testing.T, played scenario.Scenario) {
+	t.Helper()
+	dir := t.TempDir()
+	options := scenario.Options{Config: s.settings, OutputDir: dir, PayrollBinary: s.payrollBinary}
+	result, err := scenario.Play(t.Context(), played, options)
+	if err != nil {
+		t.Fatal(err)
+	}
+	verdict := result.Verdict
+	for _, violation := range verdict.Violations {
+		t.Error(violation)
+	}
+	if len(result.DuplicateExecutions) > 0 {
+		t.Error("ran twice at the workers: ", result.DuplicateExecutions)
+	}
+	outcomes := verdict.Completed + verdict.Rejected + verdict.Failed + verdict.Disconnected + verdict.Lost
+	if verdict.Requests != outcomes || verdict.Requests < result.Arrivals-result.Clients.Abandoned {
+		t.Errorf("%d requests accepted of %d that arrived: %+v", verdict.Requests, result.Arrivals, verdict)
+	}
+	if result.Clients.Unanswered > 0 || result.Clients.Requests != result.Arrivals {
+		t.Errorf("clients: %+v", result.Clients)
+	}
+	saved, err := checker.Load(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer in.Close()
-	if told, err := replay.Replay(in, nil); err != nil || told.Inputs == 0 || told.Truncated {
-		t.Errorf("replay of %s: %+v, %v", filepath.Base(name), told, err)
+	again, err := checker.Check(saved)
+	if err != nil || len(again.Violations) != len(verdict.Violations) || again.Requests != verdict.Requests {
+		t.Errorf("checked from its folder: %d violations, %d requests, %v", len(again.Violations), again.Requests, err)
+	}
+	recordings, err := filepath.Glob(filepath.Join(dir, "*.core"))
+	if err != nil || len(recordings) < played.Gateways {
+		t.Fatal(recordings, err)
+	}
+	for _, name := range recordings {
+		replayRecording(t, name)
 	}
 }
 
-// A day that can't be played is refused with file, line and column.
-func TestParseErrorsHavePosition(t *testing.T) {
-	f, err := fleetconfig.Default()
+func replayRecording(t *testing.T, name string) {
+	t.Helper()
+	recording, err := os.Open(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := scenarios.Files.ReadFile("drains.yaml")
+	defer recording.Close()
+	if summary, err := replay.Replay(recording, nil); err != nil || summary.Inputs == 0 || summary.Truncated {
+		t.Errorf("replay of %s: %+v, %v", filepath.Base(name), summary, err)
+	}
+}
+
+// A scenario that can't be played is rejected with file, line and column.
+func TestParseErrorsHavePosition(t *testing.T) {
+	settings := defaultSettings(t)
+	text, err := scenarios.Files.ReadFile("drains.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ old, new, want string }{
-		{"what: drain", "what: flood", `no trouble "flood"`},
+		{"what: drain", "what: flood", `unknown fault "flood"`},
 		{"workers: [0, 1]}", "workers: [0, 12]}", "troubles[0].workers: no worker 12"},
 		{"for: 2s, what: drain", "what: drain", "drain needs for"},
 		{"what: drain, workers", "what: drain, tenant: x, workers", "drain has no use for tenant"},
@@ -130,7 +155,7 @@
 		{"lasts: 11s", "lasts: 11", "no time with a unit"},
 		{"fronts: 3", "ends: 3", "unknown field"},
 	} {
-		_, err := scenario.Parse("d.yaml", []byte(strings.Replace(string(b), c.old, c.new, 1)), f)
+		_, err := scenario.Parse("d.yaml", []byte(strings.Replace(string(text), c.old, c.new, 1)), settings)
 		var at *config.Error
 		if !errors.As(err, &at) || at.Line < 2 || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %s", c.new, err, c.want)
