--- a/internal/gateway/rpctransport.go
+++ b/internal/gateway/rpctransport.go
@@ -25,7 +25,13 @@
 }
 
 // Cancel cancels the call.
-func (c cancellableCall) Cancel() { c.Call.Cancel(c.notifyWorker) }
+func (c cancellableCall) Cancel() {
+	if c.notifyWorker {
+		c.Call.Cancel()
+	} else {
+		c.Call.Abandon()
+	}
+}
 
 // Send sends an attempt to a worker.
 func (t rpcTransport) Send(request *Request, attempt int, worker string, permit *SendPermit,
--- a/internal/workerrpc/frame.go
+++ b/internal/workerrpc/frame.go
@@ -1,6 +1,7 @@
-// Package workerrpc is the worker protocol: length-prefixed frames with CBOR bodies over TCP, many launches a connection.
-// docs/link.md has the protocol for other languages. Every outcome says whether the launch never ran or may have run,
-// by what was written and what the worker said; nothing is guessed, and nothing is ever sent a second time by itself.
+// Package workerrpc is the protocol between gateways and workers: length-prefixed frames with CBOR bodies over TCP,
+// many attempts on a connection. docs/link.md specifies it for other languages. Every outcome states whether the
+// attempt never ran or may have run, by what was written and what the worker answered; nothing is guessed, and
+// nothing is ever sent a second time by itself.
 package workerrpc
 
 import (
@@ -8,22 +9,30 @@
 	"errors"
 	"fmt"
 	"io"
-	"time"
 
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ProtocolVersion is the protocol's version; peers of another one are refused.
+// ProtocolVersion is the protocol's version; peers of another one are rejected.
 const ProtocolVersion = 1
 
-// MaxFrame bounds a frame's body in bytes.
+// MaxFrame bounds the body of a frame, in bytes.
 const MaxFrame = 16 << 20
 
+// lengthPrefix is the length of a frame's length, in bytes.
+const lengthPrefix = 4
+
+// readChunk is how far a reader's buffer grows ahead of the bytes that have arrived.
+const readChunk = 64 << 10
+
+// maxIdleReadBuffer is the longest buffer that a reader keeps between frames.
+const maxIdleReadBuffer = 4 * readChunk
+
 // Kind is the type of a frame.
 type Kind byte
 
-// The kinds. Hello goes both ways first; launch, cancel, order and probe go to the worker, the rest come from it;
-// goodbye goes both ways.
+// The kinds. A handshake goes both ways first; attempts, cancels, load requests and probes go to the worker, their
+// results come from it; a drain notice goes both ways.
 const (
 	KindHandshake Kind = iota + 1
 	KindAttempt
@@ -36,133 +45,8 @@
 	KindDrainNotice
 )
 
-// Handshake opens a connection. A worker says its name, its start and how many launches it takes on the connection.
-type Handshake struct {
-	Version          int               `cbor:"1,keyasint"`
-	Name             string            `cbor:"2,keyasint"`
-	Started          time.Time         `cbor:"3,keyasint,omitempty"` // of the worker's process
-	MaxAttempts      int               `cbor:"4,keyasint,omitempty"` // most launches outstanding on this connection
-	MaxFrame         int               `cbor:"5,keyasint,omitempty"` // longest body that the sender takes
-	InterruptedLoads []InterruptedLoad `cbor:"6,keyasint,omitempty"` // of a worker: loads that its last life did not end
-	// WarmUpTime is how long the last life of the worker was warming up, as it measured it; 0: not known.
-	WarmUpTime time.Duration `cbor:"7,keyasint,omitempty"`
-}
-
-// InterruptedLoad is a load that a worker had begun when it died. It failed; the events had been taken for it, and for each the
-// worker says whether it may have run.
-type InterruptedLoad struct {
-	Function string               `cbor:"1,keyasint"`
-	Version  string               `cbor:"2,keyasint"`
-	Requests []InterruptedRequest `cbor:"3,keyasint,omitempty"`
-}
-
-// InterruptedRequest is an event that a worker had taken when it died.
-type InterruptedRequest struct {
-	RequestID  string `cbor:"1,keyasint"`
-	MayHaveRun bool   `cbor:"2,keyasint"`
-}
-
-// Attempt asks a worker to run an event.
-type Attempt struct {
-	Seq               uint64        `cbor:"1,keyasint"` // of the connection's calls
-	RequestID         string        `cbor:"2,keyasint"`
-	Number            int           `cbor:"3,keyasint"` // launch of the event, from 0
-	Function          string        `cbor:"4,keyasint"`
-	Type              string        `cbor:"5,keyasint"`
-	Tenant            string        `cbor:"6,keyasint"`
-	IdempotencyKey    string        `cbor:"7,keyasint,omitempty"`  // of a keyed event: repeats of it are dropped
-	IdempotencyWindow time.Duration `cbor:"8,keyasint,omitempty"`  // for so long
-	TimeLeft          time.Duration `cbor:"9,keyasint"`            // of the client's time
-	ClientRequestID   string        `cbor:"10,keyasint,omitempty"` // the client's own name of the event
-	Body              []byte        `cbor:"11,keyasint,omitempty"`
-}
-
-// Code is what a worker says of a launch or an order.
-type Code int
-
-// The codes. Full, Missing and NotStarted say that the launch never ran.
-const (
-	CodeOK         Code = iota // handled; of an order: the copies stand
-	CodeFailed                 // an error: it may have run
-	CodeOverloaded             // turned away unseen
-	CodeNotFound               // the function is not there
-	CodeNotStarted             // withdrawn or refused before it started
-	CodeCancelled              // withdrawn, it may have run
-)
-
-// NeverRan tells whether the worker said that the launch never ran.
-func (c Code) NeverRan() bool { return c == CodeOverloaded || c == CodeNotFound || c == CodeNotStarted }
-
-// LoadReport is a worker's load at the moment of an answer.
-type LoadReport struct {
-	QueueDepth     int     `cbor:"1,keyasint"` // events that wait there
-	Running        int     `cbor:"2,keyasint"`
-	CPUUtilization float64 `cbor:"3,keyasint"`           // part of its cores in use
-	MemoryBytes    int64   `cbor:"4,keyasint"`           // bytes held
-	ColdStartRate  float64 `cbor:"5,keyasint,omitempty"` // part of its last launches that found no warm copy
-}
-
-// ReplicaState is what an answer tells of the copy that the event found.
-type ReplicaState int
-
-// The kinds of warmth.
-const (
-	ReplicaStateUnknown ReplicaState = iota
-	ReplicaWarm
-	ReplicaLoadStarted
-	ReplicaLoadAwaited
-	ReplicaLoadFailed
-)
-
-// AttemptResult ends a launch.
-type AttemptResult struct {
-	Seq                uint64        `cbor:"1,keyasint"`
-	RequestID          string        `cbor:"2,keyasint"`
-	Code               Code          `cbor:"3,keyasint"`
-	ReplicaState       ReplicaState  `cbor:"4,keyasint,omitempty"`
-	ConcurrentRequests int           `cbor:"5,keyasint,omitempty"` // events of the function held there when it came
-	CPUTime            time.Duration `cbor:"6,keyasint,omitempty"` // time on a core
-	Report             *LoadReport   `cbor:"7,keyasint,omitempty"`
-	Deduplicated       bool          `cbor:"8,keyasint,omitempty"` // dropped as a repeat: the answer is that of its first run
-	Reason             string        `cbor:"9,keyasint,omitempty"`
-	Body               []byte        `cbor:"10,keyasint,omitempty"`
-}
-
-// Cancel asks a worker to give a launch up; an answer still comes.
-type Cancel struct {
-	Seq uint64 `cbor:"1,keyasint"`
-}
-
-// LoadRequest asks for so many copies of a function in all.
-type LoadRequest struct {
-	Seq      uint64 `cbor:"1,keyasint"`
-	Function string `cbor:"2,keyasint"`
-	Replicas int    `cbor:"3,keyasint"`
-}
-
-// LoadResult answers an order.
-type LoadResult struct {
-	Seq      uint64 `cbor:"1,keyasint"`
-	Code     Code   `cbor:"2,keyasint"`
-	Replicas int    `cbor:"3,keyasint"` // that stand now
-	Reason   string `cbor:"4,keyasint,omitempty"`
-}
-
-// Probe asks for a report.
-type Probe struct {
-	Seq uint64 `cbor:"1,keyasint"`
-}
-
-// ProbeReply answers a probe.
-type ProbeReply struct {
-	Seq    uint64      `cbor:"1,keyasint"`
-	Report *LoadReport `cbor:"2,keyasint"`
-}
-
-// DrainNotice says that its sender starts nothing new; what is outstanding is still answered.
-type DrainNotice struct {
-	Reason string `cbor:"1,keyasint,omitempty"`
-}
+// ErrProtocol reports that a peer violated the protocol; the connection is closed.
+var ErrProtocol = errors.New("worker protocol violated")
 
 var encMode, decMode = newModes()
 
@@ -179,10 +63,7 @@
 	return enc, dec
 }
 
-// ErrProtocol says that a peer sent what the protocol does not have; the connection ends.
-var ErrProtocol = errors.New("worker protocol broken")
-
-// kindOf names the kind of a frame's body, or 0.
+// kindOf returns the kind of a frame's body; 0: there is none.
 func kindOf(body any) Kind {
 	switch body.(type) {
 	case *Handshake:
@@ -207,12 +88,37 @@
 	return 0
 }
 
-// AppendFrame adds a frame to b: four bytes of length in network order, which counts the kind and the body, one byte of
-// kind, the body. It fails if the body is longer than MaxFrame.
+// newBody creates an empty body of a kind; nil: there is none.
+func newBody(kind Kind) any {
+	switch kind {
+	case KindHandshake:
+		return new(Handshake)
+	case KindAttempt:
+		return new(Attempt)
+	case KindAttemptResult:
+		return new(AttemptResult)
+	case KindCancel:
+		return new(Cancel)
+	case KindLoadRequest:
+		return new(LoadRequest)
+	case KindLoadResult:
+		return new(LoadResult)
+	case KindProbe:
+		return new(Probe)
+	case KindProbeReply:
+		return new(ProbeReply)
+	case KindDrainNotice:
+		return new(DrainNotice)
+	}
+	return nil
+}
+
+// AppendFrame appends a frame to b: four bytes of length in network order, which counts the kind and the body, one
+// byte of kind, the body. It fails if the body is longer than MaxFrame.
 func AppendFrame(b []byte, body any) ([]byte, error) {
 	kind := kindOf(body)
 	if kind == 0 {
-		return b, fmt.Errorf("%w: no frame holds a %T", ErrProtocol, body)
+		return b, fmt.Errorf("%w: no frame has a body of type %T", ErrProtocol, body)
 	}
 	encoded, err := encMode.Marshal(body)
 	if err != nil {
@@ -230,64 +136,43 @@
 	if len(frame) == 0 {
 		return nil, fmt.Errorf("%w: a frame of no length", ErrProtocol)
 	}
-	var body any
-	switch Kind(frame[0]) {
-	case KindHandshake:
-		body = new(Handshake)
-	case KindAttempt:
-		body = new(Attempt)
-	case KindAttemptResult:
-		body = new(AttemptResult)
-	case KindCancel:
-		body = new(Cancel)
-	case KindLoadRequest:
-		body = new(LoadRequest)
-	case KindLoadResult:
-		body = new(LoadResult)
-	case KindProbe:
-		body = new(Probe)
-	case KindProbeReply:
-		body = new(ProbeReply)
-	case KindDrainNotice:
-		body = new(DrainNotice)
-	default:
+	body := newBody(Kind(frame[0]))
+	if body == nil {
 		return nil, fmt.Errorf("%w: frame of unknown kind %d", ErrProtocol, frame[0])
 	}
 	if err := decMode.Unmarshal(frame[1:], body); err != nil {
-		return nil, fmt.Errorf("%w: kind %d: %w", ErrProtocol, frame[0], err)
+		return nil, fmt.Errorf("%w: decode frame of kind %d: %w", ErrProtocol, frame[0], err)
 	}
 	return body, nil
 }
 
-// FrameReader reads frames. Memory grows with the bytes that have come, not with the length that a peer claims.
+// FrameReader reads frames. Its memory grows with the bytes that have arrived, not with the length that a peer claims.
 type FrameReader struct {
-	source       io.Reader
-	limit        int
-	lengthPrefix [4]byte
-	buffer       []byte
+	source io.Reader
+	limit  int
+	length [lengthPrefix]byte
+	buffer []byte
 }
 
-// NewFrameReader reads frames of up to limit bytes from in.
-func NewFrameReader(in io.Reader, limit int) *FrameReader {
-	return &FrameReader{source: in, limit: limit}
+// NewFrameReader reads frames of up to limit bytes from source.
+func NewFrameReader(source io.Reader, limit int) *FrameReader {
+	return &FrameReader{source: source, limit: limit}
 }
 
-// Next reads one frame. io.EOF comes only between frames.
+// Next reads one frame and returns its body. io.EOF comes only between frames.
 func (r *FrameReader) Next() (any, error) {
-	if _, err := io.ReadFull(r.source, r.lengthPrefix[:]); err != nil {
+	if _, err := io.ReadFull(r.source, r.length[:]); err != nil {
 		return nil, err
 	}
-	n := int(binary.BigEndian.Uint32(r.lengthPrefix[:]))
-	if n == 0 || n > r.limit {
-		return nil, fmt.Errorf("%w: a frame of %d bytes, 1 to %d are taken", ErrProtocol, n, r.limit)
+	length := int(binary.BigEndian.Uint32(r.length[:]))
+	if length == 0 || length > r.limit {
+		return nil, fmt.Errorf("%w: a frame of %d bytes, 1 to %d are taken", ErrProtocol, length, r.limit)
 	}
-	const step = 64 << 10
 	r.buffer = r.buffer[:0]
-	for len(r.buffer) < n {
-		at := len(r.buffer)
-		more := min(step, n-at)
-		r.buffer = append(r.buffer, make([]byte, more)...)
-		if _, err := io.ReadFull(r.source, r.buffer[at:]); err != nil {
+	for len(r.buffer) < length {
+		read := len(r.buffer)
+		r.buffer = append(r.buffer, make([]byte, min(readChunk, length-read))...)
+		if _, err := io.ReadFull(r.source, r.buffer[read:]); err != nil {
 			if errors.Is(err, io.EOF) {
 				err = io.ErrUnexpectedEOF
 			}
@@ -295,7 +180,7 @@
 		}
 	}
 	body, err := ParseFrame(r.buffer)
-	if cap(r.buffer) > 4*step {
+	if cap(r.buffer) > maxIdleReadBuffer {
 		r.buffer = nil
 	}
 	return body, err
--- a/internal/workerrpc/golden_test.go
+++ b/internal/workerrpc/golden_test.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// TestGoldenRefusals: frames that are not of the protocol, and one with a field that this version does not know.
-func TestGoldenRefusals(t *testing.T) {
+// TestGoldenInvalidFrames: frames that are not of the protocol, and one with a field that this version does not know.
+func TestGoldenInvalidFrames(t *testing.T) {
 	for name, text := range map[string]string{
 		"no length":              "00000000",
 		"over the limit":         "01000001",
@@ -196,11 +196,11 @@
 // goldenHandler is a handler that answers a keyed launch at once and any other when it is cancelled.
 type goldenHandler struct{ got chan any }
 
-func (h goldenHandler) HandleAttempt(front string, l *workerrpc.Attempt, reply func(*workerrpc.AttemptResult)) func() {
+func (h goldenHandler) HandleAttempt(gateway string, l *workerrpc.Attempt, reply func(*workerrpc.AttemptResult)) func() {
 	h.got <- l
 	if l.IdempotencyKey == "" {
 		return func() {
-			reply(&workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "cancelled by " + front})
+			reply(&workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "cancelled by " + gateway})
 		}
 	}
 	reply(&workerrpc.AttemptResult{Seq: 1, RequestID: "other", Code: workerrpc.CodeOK, Body: []byte("ok")}) // the server sets seq and event
@@ -254,9 +254,9 @@
 	send(t, conn, golden(t, "order-full"))
 	expect(t, conn, "server-ordered", golden(t, "server-ordered"))
 	send(t, conn, golden(t, "probe-full"))
-	echo := golden(t, "echo-full") // of call 81; the probe is call 71
-	echo[bytes.Index(echo, []byte{0x18, 81})+1] = 71
-	expect(t, conn, "server-echo", echo)
+	reply := golden(t, "echo-full") // of call 81; the probe is call 71
+	reply[bytes.Index(reply, []byte{0x18, 81})+1] = 71
+	expect(t, conn, "server-echo", reply)
 	s.NotifyDraining("r-91")
 	expect(t, conn, "server-goodbye", golden(t, "goodbye-full"))
 	for i, want := range []any{goldenFrames()[2].body, goldenFrames()[3].body, &workerrpc.LoadRequest{Seq: 51, Function: "f-52", Replicas: 53}} {
@@ -309,10 +309,10 @@
 	expect(t, there, "peer-hello", golden(t, "peer-hello"))
 	send(t, there, golden(t, "hello-full"))
 	expect(t, there, "peer-probe", []byte{0, 0, 0, 4, 7, 0xa1, 1, 1})
-	echo := golden(t, "echo-full") // of call 81; the probe is call 1
-	echo = bytes.Replace(echo, []byte{0x18, 81}, []byte{1}, 1)
-	echo[3]--
-	send(t, there, echo)
+	reply := golden(t, "echo-full") // of call 81; the probe is call 1
+	reply = bytes.Replace(reply, []byte{0x18, 81}, []byte{1}, 1)
+	reply[3]--
+	send(t, there, reply)
 	if o, want := receiveOutcome(t, outcomes), (&workerrpc.ProbeReply{Seq: 1, Report: fullReport()}); o.Status != workerrpc.StatusAnswered || !reflect.DeepEqual(o.ProbeReply, want) {
 		t.Errorf("probe: got %+v, want answered, %+v", o, want)
 	}
@@ -337,7 +337,7 @@
 
 	c := p.Send(workerrpc.Attempt{RequestID: "e-2"}, 0, done)
 	expect(t, there, "peer-launch-short", golden(t, "peer-launch-short"))
-	c.Cancel(true)
+	c.Cancel()
 	expect(t, there, "peer-cancel", []byte{0, 0, 0, 4, 4, 0xa1, 1, 4})
 	if o := receiveOutcome(t, outcomes); o.Status != workerrpc.StatusCancelled || o.NeverRan() {
 		t.Errorf("recalled launch: got %+v, want recalled, may have run", o)
--- /dev/null
+++ b/internal/workerrpc/serverconn.go
@@ -0,0 +1,251 @@
+package workerrpc
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"sync"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+)
+
+const (
+	// handshakeTimeout is how long a gateway may take for its handshake.
+	handshakeTimeout = 5 * time.Second
+	// writeTimeout is how long a write may take; a longer one ends the connection.
+	writeTimeout = 5 * time.Second
+	// maxExtraFrames is how many frames beyond one for each attempt a gateway may leave unread, and how many load
+	// requests beyond one for each attempt it may have in flight.
+	maxExtraFrames = 256
+)
+
+// serverConn is a worker's side of one connection.
+type serverConn struct {
+	server      *Server
+	conn        net.Conn
+	gateway     string // its name; set by the handshake
+	maxAttempts int    // most attempts in flight
+	wakeup      chan struct{}
+
+	mu           sync.Mutex
+	outQueue     [][]byte          // frames to write
+	cancels      map[uint64]func() // of the attempts in flight, by sequence number; nil once the connection is lost
+	loadRequests int               // in flight
+}
+
+func newServerConn(server *Server, conn net.Conn) *serverConn {
+	return &serverConn{
+		server:      server,
+		conn:        conn,
+		maxAttempts: max(1, server.Handshake.MaxAttempts),
+		wakeup:      make(chan struct{}, 1),
+		cancels:     map[uint64]func(){},
+	}
+}
+
+// serve serves the connection until it is closed or lost, and then cancels its attempts.
+func (c *serverConn) serve(ctx context.Context) {
+	group, ctx := errgroup.WithContext(ctx)
+	group.Go(func() error {
+		<-ctx.Done()
+		return c.conn.Close()
+	})
+	group.Go(c.readLoop)
+	group.Go(func() error { return c.writeLoop(ctx) })
+	_ = group.Wait() // the gateway sees a lost connection, whatever ended it
+	c.mu.Lock()
+	cancels := c.cancels
+	c.cancels = nil
+	c.mu.Unlock()
+	for _, cancel := range cancels {
+		if cancel != nil {
+			cancel()
+		}
+	}
+}
+
+// send queues a message. A result that is too long for a frame is replaced by a failure.
+func (c *serverConn) send(body any) {
+	frame, err := AppendFrame(nil, body)
+	if result, ok := body.(*AttemptResult); ok && err != nil {
+		frame, err = AppendFrame(nil, &AttemptResult{Seq: result.Seq, RequestID: result.RequestID, Code: CodeFailed,
+			CPUTime: result.CPUTime, Report: result.Report, Reason: err.Error()})
+	}
+	if err != nil {
+		return
+	}
+	c.mu.Lock()
+	if c.cancels != nil {
+		c.outQueue = append(c.outQueue, frame)
+	}
+	c.mu.Unlock()
+	select {
+	case c.wakeup <- struct{}{}:
+	default:
+	}
+}
+
+// writeLoop writes queued frames until ctx ends or the connection is lost.
+func (c *serverConn) writeLoop(ctx context.Context) error {
+	for {
+		c.mu.Lock()
+		frames := c.outQueue
+		c.outQueue = nil
+		c.mu.Unlock()
+		if len(frames) == 0 {
+			select {
+			case <-ctx.Done():
+				return nil
+			case <-c.wakeup:
+			}
+			continue
+		}
+		for _, frame := range frames {
+			if err := c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+				return err
+			}
+			if _, err := c.conn.Write(frame); err != nil {
+				return fmt.Errorf("write to %s: %w", c.gateway, err)
+			}
+		}
+	}
+}
+
+// queuedFrames is the number of frames that are not written yet.
+func (c *serverConn) queuedFrames() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.outQueue)
+}
+
+// readLoop reads the gateway's messages. It always returns an error: io.EOF where the gateway closed the connection
+// in order.
+func (c *serverConn) readLoop() error {
+	reader := NewFrameReader(c.conn, MaxFrame)
+	if err := c.handshake(reader); err != nil {
+		return err
+	}
+	for {
+		body, err := reader.Next()
+		if err != nil {
+			return err
+		}
+		if c.queuedFrames() > c.maxAttempts+maxExtraFrames {
+			return fmt.Errorf("%w: %s does not read its results", ErrProtocol, c.gateway)
+		}
+		if err := c.dispatch(body); err != nil {
+			return err
+		}
+	}
+}
+
+// handshake reads the gateway's handshake and sends the worker's, also to a gateway of another version.
+func (c *serverConn) handshake(reader *FrameReader) error {
+	if err := c.conn.SetReadDeadline(time.Now().Add(handshakeTimeout)); err != nil {
+		return err
+	}
+	body, err := reader.Next()
+	if err != nil {
+		return err
+	}
+	received, ok := body.(*Handshake)
+	if !ok {
+		return fmt.Errorf("%w: %T instead of a handshake", ErrProtocol, body)
+	}
+	if err := c.conn.SetReadDeadline(time.Time{}); err != nil {
+		return err
+	}
+	c.gateway = received.Name
+	sent := c.server.Handshake
+	sent.Version, sent.MaxFrame = ProtocolVersion, MaxFrame
+	c.send(&sent)
+	if received.Version != ProtocolVersion {
+		return fmt.Errorf("%w: %q speaks version %d", ErrProtocol, received.Name, received.Version)
+	}
+	return nil
+}
+
+// dispatch handles one message of the gateway; io.EOF after a drain notice.
+func (c *serverConn) dispatch(body any) error {
+	switch message := body.(type) {
+	case *Attempt:
+		return c.handleAttempt(message)
+	case *Cancel:
+		c.handleCancel(message)
+		return nil
+	case *LoadRequest:
+		return c.handleLoadRequest(message)
+	case *Probe:
+		c.send(&ProbeReply{Seq: message.Seq, Report: c.server.Handler.LoadReport()})
+		return nil
+	case *DrainNotice:
+		return io.EOF
+	default:
+		return fmt.Errorf("%w: %s sent a %T", ErrProtocol, c.gateway, body)
+	}
+}
+
+// handleAttempt has the handler run an attempt.
+func (c *serverConn) handleAttempt(attempt *Attempt) error {
+	c.mu.Lock()
+	_, duplicate := c.cancels[attempt.Seq]
+	over := len(c.cancels) >= c.maxAttempts
+	if !duplicate && !over {
+		c.cancels[attempt.Seq] = nil
+	}
+	c.mu.Unlock()
+	if duplicate || over {
+		return fmt.Errorf("%w: %s has more than %d attempts in flight or uses a sequence number twice", ErrProtocol,
+			c.gateway, c.maxAttempts)
+	}
+	cancel := c.server.Handler.HandleAttempt(c.gateway, attempt, func(result *AttemptResult) {
+		c.mu.Lock()
+		_, inFlight := c.cancels[attempt.Seq]
+		delete(c.cancels, attempt.Seq)
+		c.mu.Unlock()
+		if inFlight {
+			result.Seq, result.RequestID = attempt.Seq, attempt.RequestID
+			c.send(result)
+		}
+	})
+	c.mu.Lock()
+	if _, inFlight := c.cancels[attempt.Seq]; inFlight {
+		c.cancels[attempt.Seq] = cancel
+	}
+	c.mu.Unlock()
+	return nil
+}
+
+// handleCancel cancels an attempt, unless it has its result.
+func (c *serverConn) handleCancel(message *Cancel) {
+	c.mu.Lock()
+	cancel := c.cancels[message.Seq]
+	c.mu.Unlock()
+	if cancel != nil {
+		cancel()
+	}
+}
+
+// handleLoadRequest has the handler carry out a load request.
+func (c *serverConn) handleLoadRequest(request *LoadRequest) error {
+	c.mu.Lock()
+	c.loadRequests++
+	over := c.loadRequests > c.maxAttempts+maxExtraFrames
+	c.mu.Unlock()
+	if over {
+		return fmt.Errorf("%w: %s has too many load requests in flight", ErrProtocol, c.gateway)
+	}
+	var once sync.Once
+	c.server.Handler.HandleLoadRequest(c.gateway, request, func(result *LoadResult) {
+		once.Do(func() {
+			c.mu.Lock()
+			c.loadRequests--
+			c.mu.Unlock()
+			result.Seq = request.Seq
+			c.send(result)
+		})
+	})
+	return nil
+}
--- a/internal/workerrpc/workerrpc_test.go
+++ b/internal/workerrpc/workerrpc_test.go
@@ -20,7 +20,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var limits = workerrpc.Limits{DialTimeout: 2 * time.Second, QueueTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second, MaxQueuedCalls: 8, MaxQueuedBytes: 1 << 20}
+var limits = workerrpc.Limits{
+	DialTimeout:    2 * time.Second,
+	QueueTimeout:   5 * time.Second,
+	WriteTimeout:   5 * time.Second,
+	MaxQueuedCalls: 8,
+	MaxQueuedBytes: 1 << 20,
+}
 
 // fakeWorker is a worker's end of a pipe that does just what a test says.
 type fakeWorker struct {
@@ -29,218 +35,229 @@
 	frames *workerrpc.FrameReader
 }
 
-func (s *fakeWorker) send(body any) {
-	s.t.Helper()
+func (w *fakeWorker) send(body any) {
+	w.t.Helper()
 	frame, err := workerrpc.AppendFrame(nil, body)
 	if err == nil {
-		_, err = s.Write(frame)
+		_, err = w.Write(frame)
 	}
 	if err != nil {
-		s.t.Error(err)
+		w.t.Error(err)
 	}
 }
 
-// discardRest reads whatever still comes.
-func (s *fakeWorker) discardRest() { _, _ = io.Copy(io.Discard, s) }
+// discardRest reads until the connection is closed.
+func (w *fakeWorker) discardRest() { _, _ = io.Copy(io.Discard, w) }
 
-func (s *fakeWorker) next() any {
-	s.t.Helper()
-	body, err := s.frames.Next()
+// next reads one message.
+func (w *fakeWorker) next() any {
+	w.t.Helper()
+	body, err := w.frames.Next()
 	if err != nil {
-		s.t.Error(err)
+		w.t.Error(err)
 	}
 	return body
 }
 
-// startClient starts a Peer of worker w whose connections are played by play, over pipes: a byte is written when it is read.
-func startClient(t *testing.T, l workerrpc.Limits, play ...func(*fakeWorker)) *workerrpc.Client {
+// startClient runs a client of worker w until the test ends. Its connections are served by behaviors, one after the
+// other, over pipes: a byte is written when it is read.
+func startClient(t *testing.T, limits workerrpc.Limits, behaviors ...func(*fakeWorker)) *workerrpc.Client {
+	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	var scripts sync.WaitGroup
-	n := 0
-	p := workerrpc.NewClient("front", "w", "addr", l, func(context.Context, string) (net.Conn, error) {
-		if n++; n > len(play) {
+	var workers sync.WaitGroup
+	dialed := 0
+	client := workerrpc.NewClient("front", "w", "addr", limits, func(context.Context, string) (net.Conn, error) {
+		if dialed++; dialed > len(behaviors) {
 			return nil, errors.New("nobody listens")
 		}
-		here, there := net.Pipe()
-		scripts.Go(func() {
-			s := &fakeWorker{Conn: there, t: t, frames: workerrpc.NewFrameReader(there, workerrpc.MaxFrame)}
-			s.next() // hello
-			s.send(&workerrpc.Handshake{Version: workerrpc.ProtocolVersion, Name: "w", MaxAttempts: 2})
-			play[n-1](s)
-			there.Close()
+		behave := behaviors[dialed-1]
+		gatewayConn, workerConn := net.Pipe()
+		workers.Go(func() {
+			worker := &fakeWorker{Conn: workerConn, t: t, frames: workerrpc.NewFrameReader(workerConn, workerrpc.MaxFrame)}
+			worker.next() // handshake
+			worker.send(&workerrpc.Handshake{Version: workerrpc.ProtocolVersion, Name: "w", MaxAttempts: 2})
+			behave(worker)
+			workerConn.Close()
 		})
-		return here, nil
+		return gatewayConn, nil
 	})
 	ended := make(chan error, 1)
-	go func() { ended <- p.Run(ctx) }()
+	go func() { ended <- client.Run(ctx) }()
 	t.Cleanup(func() {
 		stop()
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
-		scripts.Wait()
+		workers.Wait()
 	})
-	return p
+	return client
 }
 
-// sendAttempt sends event id and hands out its outcome.
-func sendAttempt(p *workerrpc.Client, id string) (*workerrpc.Call, <-chan workerrpc.Outcome) {
-	got := make(chan workerrpc.Outcome, 2)
-	return p.Send(workerrpc.Attempt{RequestID: id}, time.Minute, func(o workerrpc.Outcome) { got <- o }), got
+// sendAttempt sends an attempt of a request and returns its outcomes, of which there should be one.
+func sendAttempt(client *workerrpc.Client, id string) (*workerrpc.Call, <-chan workerrpc.Outcome) {
+	outcomes := make(chan workerrpc.Outcome, 2)
+	call := client.Send(workerrpc.Attempt{RequestID: id}, time.Minute, func(o workerrpc.Outcome) { outcomes <- o })
+	return call, outcomes
 }
 
-func wantOutcome(t *testing.T, got <-chan workerrpc.Outcome, fate workerrpc.Status, neverRan bool) workerrpc.Outcome {
+// wantOutcome waits for an outcome and compares it.
+func wantOutcome(t *testing.T, outcomes <-chan workerrpc.Outcome, status workerrpc.Status,
+	neverRan bool) workerrpc.Outcome {
 	t.Helper()
-	o := <-got
-	if o.Status != fate || o.NeverRan() != neverRan {
-		t.Errorf("fate %d, never ran %v (%v); want %d, %v", o.Status, o.NeverRan(), o.Err, fate, neverRan)
+	outcome := <-outcomes
+	if outcome.Status != status || outcome.NeverRan() != neverRan {
+		t.Errorf("status %d, never ran %v (%v); want %d, %v", outcome.Status, outcome.NeverRan(), outcome.Err,
+			status, neverRan)
 	}
-	return o
+	return outcome
 }
 
-// A worker that answers twice, or an event it never had, is counted; the events' own outcomes stand.
+// Results of a worker for an attempt that it never had, or has answered before, are counted; the requests' own
+// outcomes stand.
 func TestUnmatchedResponses(t *testing.T) {
-	p := startClient(t, limits, func(s *fakeWorker) {
-		a := s.next().(*workerrpc.Attempt)
-		s.send(&workerrpc.AttemptResult{Seq: a.Seq + 7, RequestID: "never"})
-		s.send(&workerrpc.AttemptResult{Seq: a.Seq, RequestID: "another"})
-		s.send(&workerrpc.AttemptResult{Seq: a.Seq, RequestID: a.RequestID, Code: workerrpc.CodeOK})
-		s.send(&workerrpc.AttemptResult{Seq: a.Seq, RequestID: a.RequestID, Code: workerrpc.CodeFailed})
-		b := s.next().(*workerrpc.Attempt)
-		s.send(&workerrpc.AttemptResult{Seq: b.Seq, RequestID: b.RequestID, Code: workerrpc.CodeOverloaded})
-		s.discardRest()
+	client := startClient(t, limits, func(w *fakeWorker) {
+		a := w.next().(*workerrpc.Attempt)
+		w.send(&workerrpc.AttemptResult{Seq: a.Seq + 7, RequestID: "never"})
+		w.send(&workerrpc.AttemptResult{Seq: a.Seq, RequestID: "another"})
+		w.send(&workerrpc.AttemptResult{Seq: a.Seq, RequestID: a.RequestID, Code: workerrpc.CodeOK})
+		w.send(&workerrpc.AttemptResult{Seq: a.Seq, RequestID: a.RequestID, Code: workerrpc.CodeFailed})
+		b := w.next().(*workerrpc.Attempt)
+		w.send(&workerrpc.AttemptResult{Seq: b.Seq, RequestID: b.RequestID, Code: workerrpc.CodeOverloaded})
+		w.discardRest()
 	})
-	_, got := sendAttempt(p, "a")
-	if o := wantOutcome(t, got, workerrpc.StatusAnswered, false); o.AttemptResult.Code != workerrpc.CodeOK {
-		t.Error("the second answer counted")
+	_, outcomes := sendAttempt(client, "a")
+	if o := wantOutcome(t, outcomes, workerrpc.StatusAnswered, false); o.AttemptResult.Code != workerrpc.CodeOK {
+		t.Error("the second result counted")
 	}
-	_, got = sendAttempt(p, "b")
-	wantOutcome(t, got, workerrpc.StatusAnswered, true)
-	if n := p.Counts().UnmatchedResponses; n != 3 {
-		t.Errorf("%d stray answers, want 3", n)
+	_, outcomes = sendAttempt(client, "b")
+	wantOutcome(t, outcomes, workerrpc.StatusAnswered, true)
+	if n := client.Counts().UnmatchedResponses; n != 3 {
+		t.Errorf("%d unmatched responses, want 3", n)
 	}
-	p.NotifyDraining()
+	client.NotifyDraining()
 }
 
-// A launch that must not leave any more when it is about to be written is withheld, and the one behind it is sent.
+// An attempt that must not be sent any more when it is about to be written is withheld, and the one behind it is sent.
 func TestWithheldAttempt(t *testing.T) {
-	p := startClient(t, limits, func(s *fakeWorker) {
-		b := s.next().(*workerrpc.Attempt)
+	client := startClient(t, limits, func(w *fakeWorker) {
+		b := w.next().(*workerrpc.Attempt)
 		if b.RequestID != "b" {
 			t.Error(b.RequestID, "was sent")
 		}
-		s.send(&workerrpc.AttemptResult{Seq: b.Seq, RequestID: b.RequestID, Code: workerrpc.CodeOK})
-		s.discardRest()
+		w.send(&workerrpc.AttemptResult{Seq: b.Seq, RequestID: b.RequestID, Code: workerrpc.CodeOK})
+		w.discardRest()
 	})
 	withheld := make(chan workerrpc.Outcome, 2)
-	p.SendIf(workerrpc.Attempt{RequestID: "a"}, time.Minute, func() bool { return false }, func(o workerrpc.Outcome) { withheld <- o })
-	_, got := sendAttempt(p, "b")
+	maySend := func() bool { return false }
+	client.SendIf(workerrpc.Attempt{RequestID: "a"}, time.Minute, maySend, func(o workerrpc.Outcome) { withheld <- o })
+	_, outcomes := sendAttempt(client, "b")
 	if o := wantOutcome(t, withheld, workerrpc.StatusUnsent, true); !errors.Is(o.Err, workerrpc.ErrWithheld) {
 		t.Error(o.Err)
 	}
-	wantOutcome(t, got, workerrpc.StatusAnswered, false)
-	p.NotifyDraining()
+	wantOutcome(t, outcomes, workerrpc.StatusAnswered, false)
+	client.NotifyDraining()
 }
 
-// A launch half written when the connection breaks may have run; one behind it, still in the queue, never did. Nothing
-// is sent a second time.
+// An attempt partly written when the connection is lost may have run; one behind it, still queued, never did.
+// Nothing is sent a second time.
 func TestPartlyWrittenAttempt(t *testing.T) {
 	waits := make(chan struct{})
-	p := startClient(t, limits, func(s *fakeWorker) {
-		if _, err := io.ReadFull(s, make([]byte, 6)); err != nil { // the length, the kind and a little
+	client := startClient(t, limits, func(w *fakeWorker) {
+		if _, err := io.ReadFull(w, make([]byte, 6)); err != nil { // the length, the kind and one byte
 			t.Error(err)
 		}
 		<-waits
 	})
-	_, first := sendAttempt(p, "half")
-	_, second := sendAttempt(p, "behind")
+	_, first := sendAttempt(client, "half")
+	_, second := sendAttempt(client, "behind")
 	close(waits)
 	wantOutcome(t, first, workerrpc.StatusConnectionLost, false)
 	wantOutcome(t, second, workerrpc.StatusUnsent, true)
-	if n := p.Counts().Connections; n != 1 {
+	if n := client.Counts().Connections; n != 1 {
 		t.Errorf("%d connections", n)
 	}
 }
 
-// A drain told while launches wait: those are unsent at once, a write under way is broken off after the grace, and
-// nothing new is taken until the worker is back.
+// A stop while attempts are queued: those are unsent at once, a write that is not completed breaks the connection
+// after the grace, and nothing new is sent until the worker is in service again.
 func TestDrainWithQueuedAttempts(t *testing.T) {
 	waits, begun := make(chan struct{}), make(chan struct{})
-	p := startClient(t, limits, func(s *fakeWorker) { // the second launch finds a reader that has stopped
-		s.next()
-		if _, err := io.ReadFull(s, make([]byte, 2)); err != nil {
+	client := startClient(t, limits, func(w *fakeWorker) { // the second attempt finds a reader that has stopped
+		w.next()
+		if _, err := io.ReadFull(w, make([]byte, 2)); err != nil {
 			t.Error(err)
 		}
 		close(begun)
 		<-waits
-	}, func(s *fakeWorker) {
-		a := s.next().(*workerrpc.Attempt)
-		s.send(&workerrpc.AttemptResult{Seq: a.Seq, RequestID: a.RequestID})
-		s.discardRest()
+	}, func(w *fakeWorker) {
+		a := w.next().(*workerrpc.Attempt)
+		w.send(&workerrpc.AttemptResult{Seq: a.Seq, RequestID: a.RequestID})
+		w.discardRest()
 	})
-	_, first := sendAttempt(p, "sent")
-	_, second := sendAttempt(p, "writing")
-	_, third := sendAttempt(p, "waiting")
+	_, first := sendAttempt(client, "sent")
+	_, second := sendAttempt(client, "writing")
+	_, third := sendAttempt(client, "waiting")
 	<-begun
-	p.Stop(20 * time.Millisecond)
+	client.Stop(20 * time.Millisecond)
 	wantOutcome(t, third, workerrpc.StatusUnsent, true)
-	_, fourth := sendAttempt(p, "too late")
+	_, fourth := sendAttempt(client, "too late")
 	if o := wantOutcome(t, fourth, workerrpc.StatusUnsent, true); !errors.Is(o.Err, workerrpc.ErrStopped) {
 		t.Error(o.Err)
 	}
 	wantOutcome(t, first, workerrpc.StatusConnectionLost, false)
 	wantOutcome(t, second, workerrpc.StatusConnectionLost, false)
 	close(waits)
-	p.Resume()
-	_, fifth := sendAttempt(p, "back")
+	client.Resume()
+	_, fifth := sendAttempt(client, "back")
 	wantOutcome(t, fifth, workerrpc.StatusAnswered, false)
-	p.NotifyDraining()
+	client.NotifyDraining()
 }
 
-// A cancel that crosses an answer: the launch is recalled once the cancel has left; the answer is late and dropped.
+// A cancel that races with a result: the attempt is cancelled once the cancel is written; the result is late and
+// dropped.
 func TestCancelRacesWithResult(t *testing.T) {
-	both, told := make(chan struct{}), make(chan struct{})
-	p := startClient(t, limits, func(s *fakeWorker) {
-		a := s.next().(*workerrpc.Attempt)
-		b := s.next().(*workerrpc.Attempt)
+	both, cancelled := make(chan struct{}), make(chan struct{})
+	client := startClient(t, limits, func(w *fakeWorker) {
+		a := w.next().(*workerrpc.Attempt)
+		b := w.next().(*workerrpc.Attempt)
 		close(both)
-		if c, is := s.next().(*workerrpc.Cancel); !is || c.Seq != a.Seq {
-			t.Error("no cancel of the first launch")
+		if cancel, ok := w.next().(*workerrpc.Cancel); !ok || cancel.Seq != a.Seq {
+			t.Error("no cancel of the first attempt")
 		}
-		<-told
-		s.send(&workerrpc.AttemptResult{Seq: a.Seq, RequestID: a.RequestID})
-		s.send(&workerrpc.AttemptResult{Seq: b.Seq, RequestID: b.RequestID, Code: workerrpc.CodeNotStarted})
-		s.discardRest()
+		<-cancelled
+		w.send(&workerrpc.AttemptResult{Seq: a.Seq, RequestID: a.RequestID})
+		w.send(&workerrpc.AttemptResult{Seq: b.Seq, RequestID: b.RequestID, Code: workerrpc.CodeNotStarted})
+		w.discardRest()
 	})
-	call, first := sendAttempt(p, "a")
-	_, second := sendAttempt(p, "b")
+	call, first := sendAttempt(client, "a")
+	_, second := sendAttempt(client, "b")
 	<-both
-	call.Cancel(true)
+	call.Cancel()
 	wantOutcome(t, first, workerrpc.StatusCancelled, false)
-	close(told)
+	close(cancelled)
 	wantOutcome(t, second, workerrpc.StatusAnswered, true)
-	call.Cancel(true)
-	if n := p.Counts(); len(first) != 0 || n.LateResponses != 1 || n.UnmatchedResponses != 0 {
-		t.Errorf("%d more outcomes, %+v", len(first), n)
+	call.Cancel()
+	if counts := client.Counts(); len(first) != 0 || counts.LateResponses != 1 || counts.UnmatchedResponses != 0 {
+		t.Errorf("%d more outcomes, %+v", len(first), counts)
 	}
-	p.NotifyDraining()
+	client.NotifyDraining()
 }
 
-// A peer that stops reading holds a bounded number of calls and bytes; the rest is unsent at once.
+// While a worker does not read, a bounded number of calls and bytes is queued; the rest is unsent at once.
 func TestQueueIsBoundedWhileNobodyReads(t *testing.T) {
 	waits := make(chan struct{})
-	p := startClient(t, limits, func(s *fakeWorker) { <-waits })
-	var got []<-chan workerrpc.Outcome
+	client := startClient(t, limits, func(w *fakeWorker) { <-waits })
+	var all []<-chan workerrpc.Outcome
 	for i := range 40 {
-		_, o := sendAttempt(p, fmt.Sprint(i))
-		got = append(got, o)
+		_, outcomes := sendAttempt(client, fmt.Sprint(i))
+		all = append(all, outcomes)
 	}
 	full := 0
 	for range 40 - limits.MaxQueuedCalls - 1 {
-		for _, o := range got {
+		for _, outcomes := range all {
 			select {
-			case x := <-o:
-				if errors.Is(x.Err, workerrpc.ErrQueueFull) && x.NeverRan() {
+			case outcome := <-outcomes:
+				if errors.Is(outcome.Err, workerrpc.ErrQueueFull) && outcome.NeverRan() {
 					full++
 				}
 			case <-time.After(time.Microsecond):
@@ -248,15 +265,16 @@
 		}
 	}
 	if full < 40-limits.MaxQueuedCalls-1 {
-		t.Errorf("%d of 40 were refused, at most %d may wait", full, limits.MaxQueuedCalls)
+		t.Errorf("%d of 40 were rejected, at most %d may be queued", full, limits.MaxQueuedCalls)
 	}
 	over := make(chan workerrpc.Outcome, 1)
-	p.Send(workerrpc.Attempt{RequestID: "big", Body: make([]byte, limits.MaxQueuedBytes+1)}, time.Minute, func(o workerrpc.Outcome) { over <- o })
+	big := workerrpc.Attempt{RequestID: "big", Body: make([]byte, limits.MaxQueuedBytes+1)}
+	client.Send(big, time.Minute, func(o workerrpc.Outcome) { over <- o })
 	wantOutcome(t, over, workerrpc.StatusUnsent, true)
 	close(waits)
 }
 
-// Frames that no peer should send are refused with a reason and without memory for what they claim.
+// Frames that no peer should send are rejected with a reason and without memory for what they claim.
 func TestInvalidFrames(t *testing.T) {
 	nested := append([]byte{byte(workerrpc.KindAttemptResult)}, bytes.Repeat([]byte{0x81}, 5000)...)
 	for _, c := range []struct {
@@ -278,8 +296,13 @@
 }
 
 func FuzzFrameReader(f *testing.F) {
-	for _, body := range []any{&workerrpc.Handshake{Version: 1, Name: "w"}, &workerrpc.Attempt{Seq: 1, RequestID: "e", Body: []byte("x")},
-		&workerrpc.AttemptResult{Seq: 1, Report: &workerrpc.LoadReport{}}, &workerrpc.LoadRequest{Seq: 2, Replicas: 3}, &workerrpc.DrainNotice{}} {
+	for _, body := range []any{
+		&workerrpc.Handshake{Version: 1, Name: "w"},
+		&workerrpc.Attempt{Seq: 1, RequestID: "e", Body: []byte("x")},
+		&workerrpc.AttemptResult{Seq: 1, Report: &workerrpc.LoadReport{}},
+		&workerrpc.LoadRequest{Seq: 2, Replicas: 3},
+		&workerrpc.DrainNotice{},
+	} {
 		frame, err := workerrpc.AppendFrame(nil, body)
 		if err != nil {
 			f.Fatal(err)
@@ -288,9 +311,9 @@
 	}
 	f.Add([]byte{255, 255, 255, 255})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		r := workerrpc.NewFrameReader(bytes.NewReader(b), 1<<16)
+		reader := workerrpc.NewFrameReader(bytes.NewReader(b), 1<<16)
 		for {
-			body, err := r.Next()
+			body, err := reader.Next()
 			if err != nil {
 				return
 			}
