--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -46,7 +46,7 @@
 	return text + "\n" + w.Body.String()
 }
 
-func refusal(status int, reason string) string {
+func rejection(status int, reason string) string {
 	return fmt.Sprintf("%d\nContent-Type: text/plain; charset=utf-8\nX-Content-Type-Options: nosniff\n\n%s\n", status, reason)
 }
 
@@ -63,24 +63,24 @@
 		{"PUT", "/v1/workers/w-1", fullJSON, none},
 		{"PUT", "/v1/workers/w-0?lease=1h", emptyJSON, none},
 		{"GET", "/v1/workers", "", listed + "[" + emptyJSON + "," + fullJSON + "]\n"},
-		{"PUT", "/v1/workers/w-2", fullJSON, refusal(400, needed)},
-		{"PUT", "/v1/workers/w-2", `{"name":"w-2","state":"in"}`, refusal(400, needed)},
-		{"PUT", "/v1/workers/w-2", `{"name":"w-2","addr":"a","state":"out"}`, refusal(400, needed)},
-		{"PUT", "/v1/workers/w-2", `{"name":"w-2","addr":"a"}`, refusal(400, needed)},
-		{"PUT", "/v1/workers/w-2", `{"name":"w-2","other":1}`, refusal(400, `entry: json: unknown field "other"`)},
-		{"PUT", "/v1/workers/w-2", ``, refusal(400, "entry: EOF")},
-		{"PUT", "/v1/workers/w-2", `{"name":"` + strings.Repeat("x", 64<<10) + `"}`, refusal(400, "entry: http: request body too large")},
-		{"PUT", "/v1/workers/w-1?lease=soon", fullJSON, refusal(400, "lease: a duration such as 3s")},
-		{"PUT", "/v1/workers/w-1?lease=-1s", fullJSON, refusal(400, "lease: a duration such as 3s")},
+		{"PUT", "/v1/workers/w-2", fullJSON, rejection(400, needed)},
+		{"PUT", "/v1/workers/w-2", `{"name":"w-2","state":"in"}`, rejection(400, needed)},
+		{"PUT", "/v1/workers/w-2", `{"name":"w-2","addr":"a","state":"out"}`, rejection(400, needed)},
+		{"PUT", "/v1/workers/w-2", `{"name":"w-2","addr":"a"}`, rejection(400, needed)},
+		{"PUT", "/v1/workers/w-2", `{"name":"w-2","other":1}`, rejection(400, `entry: json: unknown field "other"`)},
+		{"PUT", "/v1/workers/w-2", ``, rejection(400, "entry: EOF")},
+		{"PUT", "/v1/workers/w-2", `{"name":"` + strings.Repeat("x", 64<<10) + `"}`, rejection(400, "entry: http: request body too large")},
+		{"PUT", "/v1/workers/w-1?lease=soon", fullJSON, rejection(400, "lease: a duration such as 3s")},
+		{"PUT", "/v1/workers/w-1?lease=-1s", fullJSON, rejection(400, "lease: a duration such as 3s")},
 		{"POST", "/v1/workers/w-1/drain", "", none},
 		{"GET", "/v1/workers", "", listed + "[" + emptyJSON + "," + strings.Replace(fullJSON, `"in"`, `"draining"`, 1) + "]\n"},
 		{"POST", "/v1/workers/w-1/gone", "", none},
 		{"GET", "/v1/workers", "", listed + "[" + emptyJSON + "]\n"},
-		{"POST", "/v1/workers/w-9/drain", "", refusal(404, "no such worker")},
-		{"POST", "/v1/workers/w-9/gone", "", refusal(404, "no such worker")},
+		{"POST", "/v1/workers/w-9/drain", "", rejection(404, "no such worker")},
+		{"POST", "/v1/workers/w-9/gone", "", rejection(404, "no such worker")},
 		{"POST", "/v1/workers", "", "405\nAllow: GET, HEAD\nContent-Type: text/plain; charset=utf-8\nX-Content-Type-Options: nosniff\n\nMethod Not Allowed\n"},
 		{"GET", "/v1/workers/w-0", "", "405\nAllow: PUT\nContent-Type: text/plain; charset=utf-8\nX-Content-Type-Options: nosniff\n\nMethod Not Allowed\n"},
-		{"GET", "/health", "", refusal(404, "404 page not found")},
+		{"GET", "/health", "", rejection(404, "404 page not found")},
 	} {
 		if got := exchange(h, x.method, x.target, x.body); got != x.want {
 			t.Errorf("%d: %s %s\n got %q\nwant %q", i, x.method, x.target, got, x.want)
@@ -91,11 +91,11 @@
 // TestGoldenStream: the lines of the subscription. Empty lines are beats and come by the clock; they are left out.
 func TestGoldenStream(t *testing.T) {
 	var mu sync.Mutex
-	var fronts []string
-	r := registry.New(func(front string, _ time.Time, _ registry.WatchEvent) {
+	var gateways []string
+	r := registry.New(func(gateway string, _ time.Time, _ registry.WatchEvent) {
 		mu.Lock()
 		defer mu.Unlock()
-		fronts = append(fronts, front)
+		gateways = append(gateways, gateway)
 	})
 	s := httptest.NewServer(r.Handler())
 	defer s.Close()
@@ -137,8 +137,8 @@
 	line(`{"version":3,"whole":false,"entries":[` + strings.Replace(fullJSON, `"in"`, `"gone"`, 1) + "]}\n")
 	mu.Lock()
 	defer mu.Unlock()
-	if want := []string{"front-1", "front-1", "front-1"}; !reflect.DeepEqual(fronts, want) {
-		t.Errorf("front ends told: got %q, want %q", fronts, want)
+	if want := []string{"front-1", "front-1", "front-1"}; !reflect.DeepEqual(gateways, want) {
+		t.Errorf("front ends told: got %q, want %q", gateways, want)
 	}
 }
 
@@ -237,7 +237,7 @@
 // TestGoldenWatch: the request of a subscription, the messages it hands over and how it ends.
 func TestGoldenWatch(t *testing.T) {
 	const base = "http://list:8710"
-	whole := `{"version":7,"whole":true,"entries":[` + fullJSON + "]}\n"
+	complete := `{"version":7,"whole":true,"entries":[` + fullJSON + "]}\n"
 	seven := registry.WatchEvent{Version: 7, Complete: true, Entries: []registry.Entry{full()}}
 	for _, x := range []struct {
 		name   string
@@ -246,9 +246,9 @@
 		want   []registry.WatchEvent
 		err    string
 	}{
-		{"ends", 200, "\n" + whole + "\n" + `{"version":8,"whole":false,"entries":null}` + "\n", []registry.WatchEvent{seven, {Version: 8}},
+		{"ends", 200, "\n" + complete + "\n" + `{"version":8,"whole":false,"entries":null}` + "\n", []registry.WatchEvent{seven, {Version: 8}},
 			"watch the list: unexpected EOF"},
-		{"bad state", 200, whole + `{"version":8,"whole":false,"entries":[{"name":"w-1","state":"out"}]}` + "\n", []registry.WatchEvent{seven},
+		{"bad state", 200, complete + `{"version":8,"whole":false,"entries":[{"name":"w-1","state":"out"}]}` + "\n", []registry.WatchEvent{seven},
 			`watch the list: list version 8, entry 0: worker "w-1" in state "out"`},
 		{"no JSON", 200, "x\n", nil, "watch the list: invalid character 'x' looking for beginning of value"},
 		{"refused", 503, "", nil, "watch the list: status 503 Service Unavailable"},
--- /dev/null
+++ b/internal/registry/handler.go
@@ -0,0 +1,111 @@
+package registry
+
+import (
+	"encoding/json"
+	"io"
+	"net/http"
+	"slices"
+	"time"
+)
+
+// heartbeatInterval is the time between empty lines of a watch while nothing changes.
+const heartbeatInterval = time.Second
+
+// maxEntryBytes bounds the body of a registration.
+const maxEntryBytes = 64 << 10
+
+// Handler serves GET /v1/list (a watch, with ?front=NAME), GET /v1/workers (the present list), PUT
+// /v1/workers/{name} (an entry, with ?lease=DURATION renewed by each PUT) and POST /v1/workers/{name}/drain and
+// /gone.
+func (r *Registry) Handler() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /v1/list", r.serveWatch)
+	mux.HandleFunc("GET /v1/workers", r.serveList)
+	mux.HandleFunc("PUT /v1/workers/{name}", r.serveRegister)
+	mux.HandleFunc("POST /v1/workers/{name}/drain", r.serveSetState(Draining))
+	mux.HandleFunc("POST /v1/workers/{name}/gone", r.serveSetState(Removed))
+	return mux
+}
+
+func (r *Registry) serveList(w http.ResponseWriter, _ *http.Request) {
+	w.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(w).Encode(r.List()) // it fails only where the client has disconnected
+}
+
+func (r *Registry) serveRegister(w http.ResponseWriter, req *http.Request) {
+	var entry Entry
+	decoder := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxEntryBytes))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&entry); err != nil {
+		http.Error(w, "entry: "+err.Error(), http.StatusBadRequest)
+		return
+	}
+	if entry.Name == "" || !entry.State.valid() || entry.Name != req.PathValue("name") || entry.Addr == "" {
+		http.Error(w, "entry: a name as in the address, an addr and a known state are needed", http.StatusBadRequest)
+		return
+	}
+	if text := req.URL.Query().Get("lease"); text != "" {
+		lease, err := time.ParseDuration(text)
+		if err != nil || lease <= 0 {
+			http.Error(w, "lease: a duration such as 3s", http.StatusBadRequest)
+			return
+		}
+		r.renew(entry.Name, lease)
+	}
+	if !slices.Contains(r.List(), entry) {
+		r.Set(entry)
+	}
+	w.WriteHeader(http.StatusNoContent)
+}
+
+func (r *Registry) serveSetState(state State) http.HandlerFunc {
+	return func(w http.ResponseWriter, req *http.Request) {
+		if !r.SetState(req.PathValue("name"), state) {
+			http.Error(w, "no such worker", http.StatusNotFound)
+			return
+		}
+		w.WriteHeader(http.StatusNoContent)
+	}
+}
+
+// serveWatch sends the complete list and then every change, until the gateway disconnects.
+func (r *Registry) serveWatch(w http.ResponseWriter, req *http.Request) {
+	gateway := req.URL.Query().Get("front")
+	out := http.NewResponseController(w)
+	encoder := json.NewEncoder(w)
+	w.Header().Set("Content-Type", "application/x-ndjson")
+	complete, version := true, uint64(0)
+	for {
+		event, next, changed := r.changesSince(version)
+		if err := out.SetWriteDeadline(time.Now().Add(2 * heartbeatInterval)); err != nil {
+			return
+		}
+		var err error
+		if complete || len(event.Entries) > 0 {
+			event.Complete = complete
+			complete, version = false, event.Version
+			if r.onSend != nil {
+				r.onSend(gateway, time.Now(), event)
+			}
+			err = encoder.Encode(event)
+		} else {
+			_, err = io.WriteString(w, "\n")
+		}
+		if err != nil || out.Flush() != nil {
+			return
+		}
+		pause := heartbeatInterval
+		if !next.IsZero() {
+			pause = min(heartbeatInterval, max(time.Millisecond, time.Until(next)))
+		}
+		timer := time.NewTimer(pause)
+		select {
+		case <-req.Context().Done():
+			timer.Stop()
+			return
+		case <-changed:
+		case <-timer.C:
+		}
+		timer.Stop()
+	}
+}
