--- a/cmd/gateway/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -20,7 +20,7 @@
 	"lupinpond/internal/gateway/thrift"
 )
 
-// The test's own program is the gateway where this is set, to its name and arguments.
+// programEnv, where it is set to a name and arguments, has the test's own program be the gateway.
 const programEnv = "LPGATE_TEST_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -32,24 +32,26 @@
 	os.Exit(m.Run())
 }
 
-// startWorker answers every command well, after saw, which may be nil, was told of it; it tells its address.
-func startWorker(t *testing.T, saw func(words []string)) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// startWorker starts a worker that answers every command with a success and returns its address; onCommand, which
+// may be nil, is called with each command before.
+func startWorker(t *testing.T, onCommand func(words []string)) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
 				defer conn.Close()
-				_ = resp.ReadCommands(conn, 1<<20, func(words []string, _ int) error { // until the front end ends it
-					if saw != nil {
-						saw(words)
+				_ = resp.ReadCommands(conn, 1<<20, func(words []string, _ int) error { // until the gateway closes it
+					if onCommand != nil {
+						onCommand(words)
 					}
 					_, err := conn.Write(resp.AppendArray(nil, words[1], "ok", "n=1,how=ready", "body"))
 					return err
@@ -57,47 +59,51 @@
 			}()
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-// roundTrip sends one message and tells whether its answer was not an exception; an error where none came.
-func roundTrip(conn net.Conn, frame []byte) (good bool, err error) {
+// roundTrip sends one message and reports whether its answer is not an exception; an error where there is none.
+func roundTrip(conn net.Conn, frame []byte) (ok bool, err error) {
 	if err := conn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		return false, err
 	}
 	if _, err := conn.Write(frame); err != nil {
 		return false, err
 	}
-	var head [4]byte
-	if _, err := io.ReadFull(conn, head[:]); err != nil {
+	var length [4]byte
+	if _, err := io.ReadFull(conn, length[:]); err != nil {
 		return false, err
 	}
-	b := make([]byte, binary.BigEndian.Uint32(head[:]))
-	if _, err := io.ReadFull(conn, b); err != nil {
+	answer := make([]byte, binary.BigEndian.Uint32(length[:]))
+	if _, err := io.ReadFull(conn, answer); err != nil {
 		return false, err
 	}
-	m, err := thrift.Parse(b)
-	return err == nil && m.Type == thrift.Reply && m.Args[2] == 0, err
+	message, err := thrift.Parse(answer)
+	return err == nil && message.Type == thrift.Reply && message.Args[2] == 0, err
 }
 
+// healthCheckFrame is a health check.
 func healthCheckFrame() []byte {
 	w := thrift.NewWriter("alive", thrift.Call, 1)
 	w.Bool(1, false)
 	return w.Frame()
 }
 
+// dispatchFrame is request n, of function n.
 func dispatchFrame(n int) []byte { return requestFrame(n, n, 900*time.Millisecond) }
 
-// requestFrame is a request of a function under an id that its client waits for so long.
+// requestFrame is a request of a function with an id whose client waits for a time.
 func requestFrame(id, function int, wait time.Duration) []byte {
 	w := thrift.NewWriter("dispatch", thrift.Call, 1)
-	w.StringMap(1, "class", "call", "id", fmt.Sprintf("%016x", id), "key", fmt.Sprintf("%016x", function), "wait", strconv.FormatInt(wait.Milliseconds(), 10))
+	w.StringMap(1, "class", "call", "id", fmt.Sprintf("%016x", id), "key", fmt.Sprintf("%016x", function),
+		"wait", strconv.FormatInt(wait.Milliseconds(), 10))
 	w.Binary(2, nil)
 	return w.Frame()
 }
 
-// Idle clients take every descriptor that they can get while the journal is down, and every worker has been asked: the front
-// end goes on serving, hears of the list as soon as the journal is back, and ends with status 0.
+// Idle clients occupy every descriptor that they can get while the journal is down, and every worker has been sent
+// requests: the gateway goes on serving, gets the endpoint list as soon as the journal is back, and exits with
+// status 0.
 func TestIdleClientsExhaustDescriptors(t *testing.T) {
 	const sockets, workers = 64, 30
 	journal, err := net.Listen("tcp", "127.0.0.1:0")
@@ -111,16 +117,20 @@
 	}
 	listener.Close()
 	host := func(name, addr, health string) string {
-		return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"z","class":"k","block":0,"health":%q,"share":4,"born_ms":0}`, name, addr, health)
+		return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"z","class":"k","block":0,"health":%q,"share":4,"born_ms":0}`,
+			name, addr, health)
 	}
-	var known, gone []string
+	var known, removed []string
 	for i := range workers {
-		addr := startWorker(t, nil)
-		known, gone = append(known, host(fmt.Sprint("w", i), addr, "up")), append(gone, host(fmt.Sprint("w", i), addr, "removed"))
+		name, addr := fmt.Sprint("w", i), startWorker(t, nil)
+		known = append(known, host(name, addr, "up"))
+		removed = append(removed, host(name, addr, "removed"))
 	}
-	config := fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","journal":%q,"limits":{"cores":1,"memory_mb":64,"sockets":%d},
+	config := fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","journal":%q,
+		"limits":{"cores":1,"memory_mb":64,"sockets":%d},
 		"known":{"pos":1,"entries":[{"pos":1,"hosts":{"whole":true,"hosts":[%s]}}]},
-		"settings":{"index":0,"instances":1,"quantum":0.001,"family_info":{"keep":5,"orders":true,"miss_mode":"load","order_limit":4},
+		"settings":{"index":0,"instances":1,"quantum":0.001,
+		"family_info":{"keep":5,"orders":true,"miss_mode":"load","order_limit":4},
 		"policy_limits":{"conn_idle":600,"dial_timeout":0.25,"max_streams":32,"send_cap":3},
 		"rules":{"stop_sending_within":0.5},"request_classes":[{"name":"call","effect":"pure","aim":0.5,"give_up":1}]}}`,
 		listener.Addr(), journal.Addr(), sockets, strings.Join(known, ","))
@@ -135,9 +145,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { program.Process.Kill() })
-	end := time.Now().Add(time.Minute)
+	deadline := time.Now().Add(time.Minute)
 	dial := func() net.Conn {
-		for time.Now().Before(end) {
+		for time.Now().Before(deadline) {
 			conn, err := net.Dial("tcp", listener.Addr().String())
 			if err == nil {
 				return conn
@@ -147,35 +157,36 @@
 		t.Fatal("nobody listens")
 		return nil
 	}
-	ask := func(frame []byte) (bool, error) {
+	request := func(frame []byte) (bool, error) {
 		conn := dial()
 		defer conn.Close()
 		return roundTrip(conn, frame)
 	}
-	idle := func() {
+	idleClients := func() {
 		for range 2 * sockets {
 			conn := dial()
 			t.Cleanup(func() { conn.Close() })
-			if good, err := roundTrip(conn, healthCheckFrame()); err != nil || !good {
-				t.Error("not alive:", good, err)
+			if ok, err := roundTrip(conn, healthCheckFrame()); err != nil || !ok {
+				t.Error("not alive:", ok, err)
 			}
 		}
 	}
-	idle()
-	for n := range 10 * workers { // of so many functions that each worker gets some
-		if good, err := ask(dispatchFrame(n)); err != nil || !good {
-			t.Error("event", n, "handled:", good, err)
+	idleClients()
+	for n := range 10 * workers { // of enough functions that each worker gets some
+		if ok, err := request(dispatchFrame(n)); err != nil || !ok {
+			t.Error("request", n, "completed:", ok, err)
 		}
 	}
-	idle()
-	heard := make(chan struct{}, 1000)
+	idleClients()
+	polled := make(chan struct{}, 1000)
 	last := startWorker(t, nil)
 	service := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("tail") == "1" {
-			fmt.Fprintf(w, `{"pos":2,"entries":[{"pos":2,"hosts":{"whole":false,"hosts":[%s,%s]}}]}`, strings.Join(gone, ","), host("new", last, "up"))
+			fmt.Fprintf(w, `{"pos":2,"entries":[{"pos":2,"hosts":{"whole":false,"hosts":[%s,%s]}}]}`,
+				strings.Join(removed, ","), host("new", last, "up"))
 			return
 		}
-		heard <- struct{}{} // it has event 2
+		polled <- struct{}{} // it has event 2
 		<-r.Context().Done()
 	}))
 	service.Listener.Close()
@@ -185,12 +196,12 @@
 	service.Start()
 	defer service.Close()
 	select {
-	case <-heard:
+	case <-polled:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the list is not heard of")
+		t.Fatal("the endpoint list does not arrive")
 	}
-	if good, err := ask(dispatchFrame(1 << 20)); err != nil || !good {
-		t.Error("after that, handled:", good, err)
+	if ok, err := request(dispatchFrame(1 << 20)); err != nil || !ok {
+		t.Error("after that, completed:", ok, err)
 	}
 	if err := program.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
--- a/cmd/gateway/process_test.go
+++ b/cmd/gateway/process_test.go
@@ -10,28 +10,27 @@
 	"path/filepath"
 	"strconv"
 	"strings"
-	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 )
 
-// program is the gateway as a process of its own, with one worker that a test reads.
+// program is the gateway as a process of its own, with one worker whose requests a test reads.
 type program struct {
 	*exec.Cmd
 	t        *testing.T
 	addr     string
-	attempts chan []string // requests as they came to the worker, with when
-	came     chan time.Time
+	attempts chan []string  // requests as they arrived at the worker
+	arrivals chan time.Time // when each of them did
 }
 
-// startProgram starts the gateway with arguments and waits until it is ready; log gets its log.
+// startProgram starts the gateway with arguments and waits until it is ready; log receives its log.
 func startProgram(t *testing.T, log *os.File, args ...string) *program {
 	t.Helper()
-	p := &program{t: t, attempts: make(chan []string, 10000), came: make(chan time.Time, 10000)}
-	at := startWorker(t, func(words []string) {
+	p := &program{t: t, attempts: make(chan []string, 10000), arrivals: make(chan time.Time, 10000)}
+	worker := startWorker(t, func(words []string) {
 		if words[0] == "FN" {
-			p.came <- time.Now()
+			p.arrivals <- time.Now()
 			p.attempts <- words
 		}
 	})
@@ -43,18 +42,21 @@
 	}
 	p.addr = listener.Addr().String()
 	listener.Close()
-	config := fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","journal":%q,"limits":{"cores":1,"memory_mb":64,"sockets":128},
-		"known":{"pos":1,"entries":[{"pos":1,"hosts":{"whole":true,"hosts":[{"host":"w","dial":%q,"site":"z","class":"k","block":0,"health":"up","share":4,"born_ms":0}]}}]},
+	config := fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","journal":%q,
+		"limits":{"cores":1,"memory_mb":64,"sockets":128},
+		"known":{"pos":1,"entries":[{"pos":1,"hosts":{"whole":true,"hosts":[
+		{"host":"w","dial":%q,"site":"z","class":"k","block":0,"health":"up","share":4,"born_ms":0}]}}]},
 		"settings":{"index":0,"instances":1,"quantum":0.001,"family_info":{"keep":5,"orders":false,"miss_mode":"load"},
 		"policy_limits":{"conn_idle":15,"dial_timeout":0.25,"max_streams":32,"send_cap":3},
 		"rules":{"stop_sending_within":0.5},"request_classes":[{"name":"call","effect":"pure","aim":0.5,"give_up":3}]}}`,
-		p.addr, journal.Listener.Addr(), at)
+		p.addr, journal.Listener.Addr(), worker)
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p.Cmd = exec.Command(os.Args[0], args...)
-	p.Env = append(os.Environ(), programEnv+"="+strings.Join(append([]string{"gateway"}, args...), " "), "GW_CONFIG="+path)
+	command := strings.Join(append([]string{"gateway"}, args...), " ")
+	p.Env = append(os.Environ(), programEnv+"="+command, "GW_CONFIG="+path)
 	p.Stderr = log
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
@@ -63,12 +65,12 @@
 		_ = p.Process.Kill() // it may have ended
 		_ = p.Wait()
 	})
-	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		if conn, err := net.Dial("tcp", p.addr); err == nil {
 			conn.Close()
 			return p
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			t.Fatal("nobody listens")
 		}
 	}
@@ -87,50 +89,53 @@
 	return conn
 }
 
-// A request that waits in the kernel while the process stands still is older than it looks: its worker is told no more time than its
-// client has left, and one whose client has left meanwhile is not sent at all, though its end is read later.
+// A request that waits in the kernel while the process is paused is older than it looks: its worker is told no more
+// time than its client has left, and one whose client has disconnected meanwhile is not sent at all, though its
+// disconnect is read later.
 func TestPausedWithQueuedRequests(t *testing.T) {
-	const paused, wait = 700 * time.Millisecond, 2500 * time.Millisecond
+	const pause = 700 * time.Millisecond
+	const clientWait = 2500 * time.Millisecond
 	p := startProgram(t, os.Stderr)
-	first := p.send(requestFrame(1, 1, wait)) // the replica is warm from now on
+	first := p.send(requestFrame(1, 1, clientWait)) // the replica is warm from now on
 	defer first.Close()
 	<-p.attempts
-	<-p.came
+	<-p.arrivals
 	if err := p.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
 	sent := time.Now()
-	const left = 20
-	for n := range left {
-		p.send(requestFrame(100+n, 1, wait)).Close()
+	const disconnected = 20
+	for n := range disconnected {
+		p.send(requestFrame(100+n, 1, clientWait)).Close()
 	}
-	waiting := p.send(requestFrame(2, 1, wait))
+	waiting := p.send(requestFrame(2, 1, clientWait))
 	defer waiting.Close()
-	time.Sleep(paused)
+	time.Sleep(pause)
 	if err := p.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	if good, err := roundTrip(waiting, nil); err != nil || !good {
-		t.Error("the request that is waited for:", good, err)
+	if ok, err := roundTrip(waiting, nil); err != nil || !ok {
+		t.Error("the request that is waited for:", ok, err)
 	}
 	for len(p.attempts) > 0 {
-		words, came := <-p.attempts, <-p.came
+		words, arrivedAt := <-p.attempts, <-p.arrivals
 		if words[1] != fmt.Sprintf("%016x", 2) {
-			t.Errorf("request %s was sent %v after its client had left", words[1], came.Sub(sent))
+			t.Errorf("request %s was sent %v after its client had disconnected", words[1], arrivedAt.Sub(sent))
 			continue
 		}
-		_, told, _ := strings.Cut(words[2], "wait=")
-		ms, err := strconv.Atoi(told)
+		_, wait, _ := strings.Cut(words[2], "wait=")
+		stated, err := strconv.Atoi(wait)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if has := wait - came.Sub(sent); time.Duration(ms)*time.Millisecond > has+150*time.Millisecond {
-			t.Errorf("the worker is told %d ms, the client has %v left", ms, has)
+		if left := clientWait - arrivedAt.Sub(sent); time.Duration(stated)*time.Millisecond > left+150*time.Millisecond {
+			t.Errorf("the worker is told %d ms, the client has %v left", stated, left)
 		}
 	}
 }
 
-// Nobody reads the log: first its reader stands still until the pipe is full, then it is gone. Requests are served all the same.
+// Nobody reads the log: first its reader stalls until the pipe is full, then it is closed. Requests are served all
+// the same.
 func TestLogReaderStalled(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
@@ -138,13 +143,14 @@
 	}
 	p := startProgram(t, writer, "--log-level", "debug")
 	writer.Close()
-	number := atomic.Int64{}
+	number := 0
 	serve := func(times int) {
 		t.Helper()
 		for range times {
+			number++
 			conn := p.send(nil)
-			if good, err := roundTrip(conn, requestFrame(int(number.Add(1)), 1, 2*time.Second)); err != nil || !good {
-				t.Fatal("request", number.Load(), good, err)
+			if ok, err := roundTrip(conn, requestFrame(number, 1, 2*time.Second)); err != nil || !ok {
+				t.Fatal("request", number, ok, err)
 			}
 			conn.Close()
 		}
@@ -156,6 +162,6 @@
 		t.Fatal(err)
 	}
 	if err := p.Wait(); err != nil {
-		t.Error("it does not end well:", err)
+		t.Error("it does not exit with status 0:", err)
 	}
 }
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -1,4 +1,4 @@
-// Command registry keeps the list of workers and pushes its changes to front ends.
+// Command registry is the worker registry: workers register under a lease, gateways watch the endpoint list.
 package main
 
 import (
@@ -22,16 +22,24 @@
 	"lupinpond/internal/registry"
 )
 
+const (
+	// readHeaderTimeout is how long a client may take for the headers of a request.
+	readHeaderTimeout = 5 * time.Second
+	// maxHeaderBytes bounds the headers of a request.
+	maxHeaderBytes = 16 << 10
+)
+
+// flags are the command line. Aliases are the names of earlier versions.
 type flags struct {
 	telemetry.Flags
-	Listen     string        `default:"127.0.0.1:8710" help:"Where front ends and workers come."`
-	WatchDelay time.Duration `name:"late" help:"Tell every change so much later, as a slow list would."`
+	Listen     string        `default:"127.0.0.1:8710" help:"Address for gateways and workers."`
+	WatchDelay time.Duration `aliases:"late" help:"Send every change so much later, as a slow registry would."`
 }
 
 func main() {
 	var f flags
-	kong.Parse(&f, kong.Name("registry"), kong.Description("The list of workers. Workers put themselves on it under a lease; "+
-		"front ends subscribe to its changes."))
+	kong.Parse(&f, kong.Name("registry"), kong.Description("The worker registry. Workers register under a lease; "+
+		"gateways watch the endpoint list."))
 	if err := run(f); err != nil {
 		fmt.Fprintln(os.Stderr, "registry:", err)
 		os.Exit(1)
@@ -43,24 +51,29 @@
 		return err
 	}
 	if f.WatchDelay < 0 {
-		return errors.New("--late: at least 0s")
+		return errors.New("--watch-delay: at least 0s")
 	}
 	log := telemetry.NewLogger(os.Stderr, f.Flags)
 	listener, err := net.Listen("tcp", f.Listen)
 	if err != nil {
 		return err
 	}
-	r := registry.New(func(front string, _ time.Time, n registry.WatchEvent) {
-		log.Debug("list told", "front", front, "version", n.Version, "whole", n.Complete, "entries", len(n.Entries))
+	workers := registry.New(func(gateway string, _ time.Time, event registry.WatchEvent) {
+		log.Debug("watch event sent", "gateway", gateway, "version", event.Version, "complete", event.Complete,
+			"entries", len(event.Entries))
 	})
-	r.SetDelay(f.WatchDelay)
+	workers.SetDelay(f.WatchDelay)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	server := &http.Server{Handler: r.Handler(), ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 16 << 10,
-		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
-	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return r.Run(ctx) })
-	g.Go(func() error { return httpserver.Serve(ctx, server, listener, 0) })
-	log.Info("list of workers listens", "address", listener.Addr().String())
-	return g.Wait()
+	server := &http.Server{
+		Handler:           workers.Handler(),
+		ReadHeaderTimeout: readHeaderTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+	}
+	group, ctx := errgroup.WithContext(ctx)
+	group.Go(func() error { return workers.Run(ctx) })
+	group.Go(func() error { return httpserver.Serve(ctx, server, listener, 0) })
+	log.Info("registry listening", "address", listener.Addr().String())
+	return group.Wait()
 }
