--- a/cmd/worker/serve.go
+++ b/cmd/worker/serve.go
@@ -62,8 +62,8 @@
 	Lease    time.Duration `default:"3s" help:"Time after which the registry drops the worker unless it renews."`
 	Zone     string        `default:"zone-0"`
 	Cell     string        `default:"0"`
-	Kind     string        `help:"Kind of machine, as fleet.workers.kinds names it; empty: not told."`
-	Cores    float64       `default:"2" help:"Cores, as the registry tells them."`
+	Kind     string        `help:"Kind of machine, as fleet.workers.kinds names it; empty: unknown."`
+	Cores    float64       `default:"2" help:"Cores, as the registry lists them."`
 
 	Memory      int64         `default:"2048" help:"MiB for all replicas."`
 	Running     int           `default:"8" help:"Requests at a time."`
--- a/function/host.go
+++ b/function/host.go
@@ -27,7 +27,7 @@
 )
 
 // errReplicaStopping ends the other goroutines once the interface has said that the replica is to exit.
-var errReplicaStopping = errors.New("the copy ends")
+var errReplicaStopping = errors.New("replica is stopping")
 
 // Main serves the runtime interface, one request at a time, until the replica is asked to exit.
 func Main() { MainConcurrent(1) }
@@ -92,7 +92,7 @@
 type runtimeClient struct {
 	http        *http.Client
 	base        string
-	compileTime time.Duration // 0: not told
+	compileTime time.Duration // 0: unknown
 }
 
 // invocation is a request as the runtime interface hands it out.
@@ -103,7 +103,7 @@
 }
 
 // errNoInvocation says that a poll brought nothing, and that the next one may.
-var errNoInvocation = errors.New("the event is over")
+var errNoInvocation = errors.New("request is over")
 
 // serveOne takes one request and posts its result. errReplicaStopping: there are no more.
 func (c *runtimeClient) serveOne(ctx context.Context, handle Handler) error {
@@ -135,7 +135,7 @@
 		if ctx.Err() != nil {
 			return invocation{}, errReplicaStopping
 		}
-		return invocation{}, fmt.Errorf("next event: %w", err)
+		return invocation{}, fmt.Errorf("poll request: %w", err)
 	}
 	input, err := io.ReadAll(response.Body)
 	response.Body.Close()
@@ -145,13 +145,13 @@
 	case response.StatusCode == http.StatusConflict:
 		return invocation{}, errNoInvocation
 	case response.StatusCode != http.StatusOK:
-		return invocation{}, fmt.Errorf("next event: status %s", response.Status)
+		return invocation{}, fmt.Errorf("poll request: status %s", response.Status)
 	case err != nil:
-		return invocation{}, fmt.Errorf("next event: status %s: %w", response.Status, err)
+		return invocation{}, fmt.Errorf("poll request: status %s: %w", response.Status, err)
 	}
 	millis, err := strconv.ParseInt(response.Header.Get(headerTimeLeft), 10, 64)
 	if err != nil {
-		return invocation{}, fmt.Errorf("next event: %s: %w", headerTimeLeft, err)
+		return invocation{}, fmt.Errorf("poll request: %s: %w", headerTimeLeft, err)
 	}
 	return invocation{
 		id:       response.Header.Get(headerInvocation),
--- a/internal/worker/advance.go
+++ b/internal/worker/advance.go
@@ -20,12 +20,12 @@
 		reply = func(*workerrpc.LoadResult) {}
 	}
 	if w.state != serving {
-		reply(&workerrpc.LoadResult{Code: workerrpc.CodeNotStarted, Reason: "draining"})
+		reply(&workerrpc.LoadResult{Code: workerrpc.CodeNotStarted, Reason: reasonDraining})
 		return
 	}
 	_, decision := w.admission.RequestReplicas(request.Function, request.Replicas)
 	if decision != admission.Admitted {
-		reply(&workerrpc.LoadResult{Code: workerrpc.CodeNotFound, Reason: "not here, or too big for this worker"})
+		reply(&workerrpc.LoadResult{Code: workerrpc.CodeNotFound, Reason: reasonUnloadable})
 		return
 	}
 	w.loadRequests = append(w.loadRequests, &loadRequest{request.Function, request.Replicas, reply})
@@ -76,13 +76,13 @@
 		w.respond(c, &workerrpc.AttemptResult{
 			Code:         workerrpc.CodeNotFound,
 			ReplicaState: workerrpc.ReplicaLoadFailed,
-			Reason:       "load failed",
+			Reason:       reasonLoadFailed,
 		})
 		return
 	}
 	w.respond(c, &workerrpc.AttemptResult{
 		Code:   workerrpc.CodeNotStarted,
-		Reason: "its time was up before it could begin",
+		Reason: reasonExpired,
 	})
 }
 
@@ -98,7 +98,7 @@
 			request.reply(&workerrpc.LoadResult{
 				Code:     workerrpc.CodeOverloaded,
 				Replicas: counts.Warm,
-				Reason:   "no room, or a load failed",
+				Reason:   reasonNotLoaded,
 			})
 		default:
 			open = append(open, request)
--- a/internal/worker/calls.go
+++ b/internal/worker/calls.go
@@ -14,6 +14,25 @@
 // claimTimeoutShare is the part of a request's time left that is waited for its claim. The rest is for running it.
 const claimTimeoutShare = 0.25
 
+// Reasons in results. They go over the wire: their texts stay.
+const (
+	reasonDraining      = "draining"
+	reasonFull          = "full"
+	reasonFault         = "told to fail"
+	reasonUnknown       = "not here"
+	reasonTooLarge      = "its package needs more memory than this worker has"
+	reasonLoadFailed    = "load failed"
+	reasonExpired       = "its time was up before it could begin"
+	reasonReplicaExited = "its copy ended"
+	reasonNotStarted    = "withdrawn before its start"
+	reasonCancelled     = "withdrawn"
+	reasonDuplicate     = "a repeat inside its window"
+	reasonMayHaveRun    = "a repeat of one that may have run"
+	reasonNoDecision    = "it is not known whether it is a repeat"
+	reasonUnloadable    = "not here, or too big for this worker"
+	reasonNotLoaded     = "no room, or a load failed"
+)
+
 // call is an admitted attempt until its result is sent.
 type call struct {
 	id              uint64
@@ -74,11 +93,11 @@
 func (w *Worker) admit(c *call) (code workerrpc.Code, reason string) {
 	switch {
 	case w.state != serving:
-		return workerrpc.CodeNotStarted, "draining"
+		return workerrpc.CodeNotStarted, reasonDraining
 	case w.faults.FailRequests:
-		return workerrpc.CodeFailed, "told to fail"
+		return workerrpc.CodeFailed, reasonFault
 	case w.faults.RejectTenant != "" && w.faults.RejectTenant == c.attempt.Tenant:
-		return workerrpc.CodeOverloaded, "full"
+		return workerrpc.CodeOverloaded, reasonFull
 	}
 	now := w.now()
 	decision := w.admission.Admit(now, admission.Call{
@@ -89,11 +108,11 @@
 	})
 	switch decision {
 	case admission.Full:
-		return workerrpc.CodeOverloaded, "full"
+		return workerrpc.CodeOverloaded, reasonFull
 	case admission.Missing:
-		return workerrpc.CodeNotFound, "not here"
+		return workerrpc.CodeNotFound, reasonUnknown
 	case admission.TooLarge:
-		return workerrpc.CodeNotFound, "its package needs more memory than this worker has"
+		return workerrpc.CodeNotFound, reasonTooLarge
 	}
 	return workerrpc.CodeOK, ""
 }
@@ -130,11 +149,11 @@
 		return
 	}
 	if w.admission.Withdraw(c.attempt.Function, c.id) {
-		w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "withdrawn before its start"})
+		w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: reasonNotStarted})
 		return
 	}
 	// it runs: what was started is not stopped, but its result is not waited for
-	w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeCancelled, Reason: "withdrawn"})
+	w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeCancelled, Reason: reasonCancelled})
 }
 
 // respond ends a call for its gateway; later results of it change nothing. The lock is held.
@@ -163,7 +182,7 @@
 	if c == nil || target == nil { // cancelled meanwhile, or the replica has exited
 		w.abandonRun(run)
 		if c != nil {
-			w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "its copy ended"})
+			w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: reasonReplicaExited})
 		}
 		return
 	}
@@ -210,20 +229,20 @@
 			Code:         workerrpc.CodeOK,
 			Deduplicated: true,
 			Body:         response,
-			Reason:       "a repeat inside its window",
+			Reason:       reasonDuplicate,
 		}
 	case idempotency.DecisionDuplicate:
 		return &workerrpc.AttemptResult{
 			Code:         workerrpc.CodeFailed,
 			Deduplicated: true,
-			Reason:       "a repeat of one that may have run",
+			Reason:       reasonMayHaveRun,
 		}
 	case idempotency.DecisionExecute:
-		return &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "its copy ended"}
+		return &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: reasonReplicaExited}
 	default:
 		return &workerrpc.AttemptResult{
 			Code:   workerrpc.CodeNotStarted,
-			Reason: "it is not known whether it is a repeat",
+			Reason: reasonNoDecision,
 		}
 	}
 }
--- a/internal/worker/crash_test.go
+++ b/internal/worker/crash_test.go
@@ -31,7 +31,7 @@
 	}
 	options.FailPoint = func(reached string) {
 		if reached == point {
-			killSelf()
+			crash()
 		}
 	}
 	w, err := worker.New(options)
@@ -52,11 +52,11 @@
 		close(answered)
 	})
 	<-answered
-	killSelf()
+	crash()
 }
 
-// killSelf ends this process as a crash would.
-func killSelf() {
+// crash ends this process as a crash would.
+func crash() {
 	_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
 	select {}
 }
@@ -130,7 +130,7 @@
 	}
 	cmd := exec.Command(executable)
 	cmd.Env = append(os.Environ(),
-		envKillPoint+"="+point, envFolder+"="+folder, envStore+"="+storeURL, envReplicaLog+"="+replicaLog)
+		envFailPoint+"="+point, envFolder+"="+folder, envStore+"="+storeURL, envReplicaLog+"="+replicaLog)
 	var stderr bytes.Buffer
 	cmd.Stderr = &stderr
 	err = cmd.Run()
--- a/internal/worker/faultinject/silencer.go
+++ b/internal/worker/faultinject/silencer.go
@@ -1,4 +1,4 @@
-// Package faultinject has the faults that workers, real and emulated, can be told to have.
+// Package faultinject has the faults that workers, real and emulated, have on demand.
 package faultinject
 
 import (
--- a/internal/worker/harness_test.go
+++ b/internal/worker/harness_test.go
@@ -32,7 +32,7 @@
 
 // Environment of a worker that is to be killed.
 const (
-	envKillPoint  = "LP_TEST_KILL"
+	envFailPoint  = "LP_TEST_KILL"
 	envFolder     = "LP_TEST_FOLDER"
 	envStore      = "LP_TEST_STORE"
 	envReplicaLog = "LP_TEST_EFFECTS"
@@ -48,7 +48,7 @@
 	if len(os.Args) > 1 && os.Args[1] == "wasm-copy" {
 		runWasmReplica(os.Args[2:])
 	}
-	if point := os.Getenv(envKillPoint); point != "" {
+	if point := os.Getenv(envFailPoint); point != "" {
 		runUntilFailPoint(point)
 	}
 	folder, err := os.MkdirTemp("", "packages")
@@ -252,9 +252,9 @@
 }
 
 // waitFor waits for a condition.
-func (h *harness) waitFor(what string, holds func() bool) {
+func (h *harness) waitFor(what string, condition func() bool) {
 	h.t.Helper()
-	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			h.t.Fatal("never came: ", what)
 		}
--- a/internal/worker/idempotency/idempotency_test.go
+++ b/internal/worker/idempotency/idempotency_test.go
@@ -204,7 +204,7 @@
 }
 
 // A register that is killed at any moment knows every claim that it granted.
-func TestRegisterSurvivesKill(t *testing.T) {
+func TestRegisterSurvivesCrash(t *testing.T) {
 	dir := t.TempDir()
 	granted := 0
 	for round := range 5 {
--- a/internal/worker/replicas.go
+++ b/internal/worker/replicas.go
@@ -13,7 +13,7 @@
 	"lupinpond/internal/worker/runner"
 )
 
-// Steps of a load, as Options.FailPoint is told them.
+// Steps of a load, as Options.FailPoint gets them.
 const (
 	PointJournaled = "noted"    // the load's start is in the journal, nothing has begun
 	PointFetched   = "fetched"  // the package's content is installed
@@ -29,7 +29,7 @@
 type LoadTimings struct{ Fetch, Verify, Compile, Start time.Duration }
 
 // errLoadFault is why a load fails while that fault is injected.
-var errLoadFault = errors.New("told to fail")
+var errLoadFault = errors.New(reasonFault)
 
 // replica is a replica as the worker knows it.
 type replica struct {
--- a/internal/worker/runner/replica.go
+++ b/internal/worker/runner/replica.go
@@ -30,7 +30,7 @@
 
 	readyOnce   sync.Once
 	ready       chan struct{} // closed when the child polls for the first time
-	compileTime time.Duration // told by the child before ready is closed
+	compileTime time.Duration // as the child says, before ready is closed
 
 	mu         sync.Mutex
 	calls      map[string]*call
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -211,7 +211,7 @@
 	w.mu.Lock()
 	w.state = max(w.state, draining)
 	w.mu.Unlock()
-	w.server.NotifyDraining("draining")
+	w.server.NotifyDraining(reasonDraining)
 }
 
 // Reset breaks all connections; the worker goes on serving.
