--- a/internal/simadapter/simprotocol/write.go
+++ b/internal/simadapter/simprotocol/writer.go
@@ -8,32 +8,36 @@
 	"time"
 )
 
+// writeBuffer is the size of a Writer's buffer, in bytes.
+const writeBuffer = 1 << 16
+
 // Writer writes lines.
 type Writer struct {
 	out *bufio.Writer
 }
 
-// NewWriter writes to out.
-func NewWriter(out io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(out, 1<<16)} }
+// NewWriter makes a Writer to out.
+func NewWriter(out io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(out, writeBuffer)} }
 
-// Line writes a message and its values: text, whole numbers, and times in seconds.
+// Line writes a message and its values: text, whole numbers, and times in seconds, rounded up to microseconds. Flush
+// returns its errors.
 func (w *Writer) Line(message string, values ...any) {
-	var spare [32]byte
+	var buffer [32]byte
 	w.out.WriteString(message)
-	for _, v := range values {
+	for _, value := range values {
 		w.out.WriteByte(' ')
-		switch v := v.(type) {
+		switch value := value.(type) {
 		case string:
-			w.out.WriteString(v)
+			w.out.WriteString(value)
 		case uint64:
-			w.out.Write(strconv.AppendUint(spare[:0], v, 10))
+			w.out.Write(strconv.AppendUint(buffer[:0], value, 10))
 		case int:
-			w.out.Write(strconv.AppendInt(spare[:0], int64(v), 10))
+			w.out.Write(strconv.AppendInt(buffer[:0], int64(value), 10))
 		case time.Duration:
-			us := (v + time.Microsecond - 1) / time.Microsecond
-			w.out.Write(strconv.AppendFloat(spare[:0], float64(us)/1e6, 'f', -1, 64))
+			microseconds := (value + time.Microsecond - 1) / time.Microsecond
+			w.out.Write(strconv.AppendFloat(buffer[:0], float64(microseconds)/1e6, 'f', -1, 64))
 		default:
-			fmt.Fprint(w.out, v)
+			fmt.Fprint(w.out, value)
 		}
 	}
 	w.out.WriteByte('\n')
