--- a/internal/gateway/stall/stall.go
+++ b/internal/gateway/stall/stall.go
@@ -1,5 +1,5 @@
-// Package stall notices that the process did not run for a while: stopped by a signal, or without a processor. What is read
-// right after may have waited in the kernel for as long.
+// Package stall detects that the process did not run for a while: it was stopped by a signal, or had no processor.
+// What is read right after may have waited in the kernel for as long.
 package stall
 
 import (
@@ -9,67 +9,73 @@
 )
 
 const (
+	// tickInterval is the time between two ticks.
 	tickInterval = 50 * time.Millisecond
-	minStall     = 2 * tickInterval      // a tick later than that after the one before tells of a stall
-	SettleTime   = 20 * time.Millisecond // within that after a stall, what came meanwhile has been read
+
+	// minStall is the time between two ticks from which on the process has stalled.
+	minStall = 2 * tickInterval
+
+	// SettleTime is how long after a stall it takes until what came meanwhile has been read.
+	SettleTime = 20 * time.Millisecond
 )
 
-// Detector notices stalls while Run runs. It may be used by several goroutines.
+// Detector detects stalls while Run runs. It may be used by several goroutines.
 type Detector struct {
 	mu           sync.Mutex
-	lastTick     time.Time // the last tick; zero: it does not run
-	stalledSince time.Time // of the last stall: the tick before it
-	settledAt    time.Time // what came during it has been read by then
+	lastTick     time.Time // zero: Run does not run
+	stalledSince time.Time // the tick before the last stall
+	settledAt    time.Time // when what came during the last stall has been read
 }
 
-// Run watches until ctx ends.
-func (w *Detector) Run(ctx context.Context) error {
+// Run ticks until ctx ends.
+func (d *Detector) Run(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	w.observe(time.Now())
+	d.observe(time.Now())
 	for {
 		select {
 		case <-ctx.Done():
-			w.mu.Lock()
-			w.lastTick = time.Time{}
-			w.mu.Unlock()
+			d.mu.Lock()
+			d.lastTick = time.Time{}
+			d.mu.Unlock()
 			return nil
 		case <-ticker.C:
-			w.observe(time.Now())
+			d.observe(time.Now())
 		}
 	}
 }
 
-// observe notes that the process runs. The lock may not be held.
-func (w *Detector) observe(now time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.observeLocked(now)
-	w.lastTick = now
+// observe notes a tick.
+func (d *Detector) observe(now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.observeLocked(now)
+	d.lastTick = now
 }
 
-func (w *Detector) observeLocked(now time.Time) {
-	if !w.lastTick.IsZero() && now.Sub(w.lastTick) > minStall {
-		w.stalledSince, w.settledAt = w.lastTick, now.Add(SettleTime)
-		w.lastTick = now
+// observeLocked notes that the process runs. The lock is held.
+func (d *Detector) observeLocked(now time.Time) {
+	if !d.lastTick.IsZero() && now.Sub(d.lastTick) > minStall {
+		d.stalledSince, d.settledAt = d.lastTick, now.Add(SettleTime)
+		d.lastTick = now
 	}
 }
 
-// Lag is how long what is read at now may have waited because the process did not run; 0 where it ran.
-func (w *Detector) Lag(now time.Time) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.observeLocked(now)
-	if now.Before(w.settledAt) {
-		return now.Sub(w.stalledSince)
+// Lag is how long what is read now may have waited because the process stalled; 0 where it ran.
+func (d *Detector) Lag(now time.Time) time.Duration {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.observeLocked(now)
+	if now.Before(d.settledAt) {
+		return now.Sub(d.stalledSince)
 	}
 	return 0
 }
 
-// EndedAfter tells whether a stall has ended after a time: what was due then could not be done.
-func (w *Detector) EndedAfter(t time.Time, now time.Time) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.observeLocked(now)
-	return w.settledAt.After(t.Add(SettleTime))
+// EndedAfter reports whether a stall has ended after a time: what was due then may be late.
+func (d *Detector) EndedAfter(t, now time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.observeLocked(now)
+	return d.settledAt.After(t.Add(SettleTime))
 }
