--- a/internal/gateway/settings/core.go
+++ b/internal/gateway/settings/core.go
@@ -3,59 +3,96 @@
 import (
 	"strconv"
 	"strings"
+	"time"
 
 	"lupinpond/internal/gateway/core"
 	"lupinpond/scheduler"
 )
 
+// minSubscribeInterval is the interval where endpoints are to be polled for and the settings name none: not 0, which
+// would mean that they come unasked.
+const minSubscribeInterval time.Duration = 1
+
 // Core is what a core is started with.
-func (p Values) Core(seed uint64) core.Settings {
-	f := core.Settings{Seed: seed, Index: int(p.Number("index", 0)), Gateways: int(p.Number("instances", 1)),
-		MinTickInterval: p.Duration("quantum", 0)}
-	for i := range int(p.Number("request_classes.count", 0)) {
-		at := "request_classes." + strconv.Itoa(i) + "."
-		age := p.Duration(at+"give_up", 0)
-		f.Types = append(f.Types, scheduler.RequestType{Name: p[at+"name"], Effect: parseEffect(p[at+"effect"]),
-			DedupScope: parseGroup(p[at+"dedup_scope"]), DedupWindow: p.Duration(at+"window", 0),
-			Objective: p.Duration(at+"aim", age)})
+func (v Values) Core(seed uint64) core.Settings {
+	s := core.Settings{
+		Seed:            seed,
+		Index:           int(v.Number("index", 0)),
+		Gateways:        int(v.Number("instances", 1)),
+		MinTickInterval: v.Duration("quantum", 0),
+		Types:           v.requestTypes(),
+		Tenants:         v.tenants(),
+		MaxAttempts:     int(v.Number("policy_limits.send_cap", 1)),
+		Cancel:          v.Bool("policy_limits.cancel", false),
+		Probe:           v.Bool("policy_limits.probing", false),
+		LoadPolicy: core.LoadPolicy{
+			RequestLoads:       v.Bool("family_info.orders", false),
+			LoadOnMiss:         v["family_info.miss_mode"] != "miss",
+			ReplicaIdleTimeout: v.Duration("family_info.keep", 0),
+			RequestTimeout:     v.Duration("family_info.order_limit", 0),
+			RateWindow:         v.Duration("family_info.loads_within", 0),
+			RateBurst:          v.Number("family_info.loads_anyway", 0),
+			RatePerRequest:     v.Number("family_info.load_part", 0),
+		},
+		SlowStart: core.SlowStart{
+			InitialShare:  v.Number("rules.cold_from", 0),
+			WarmUpTime:    v.Duration("rules.warm_after", 0),
+			CrashMultiple: v.Number("rules.fall_multiple", 0),
+			CrashWindow:   v.Duration("rules.fall", 0),
+		},
+		WorkerKinds: v.workerKinds(),
 	}
-	for i := range int(p.Number("orgs.count", 0)) {
-		at := "orgs." + strconv.Itoa(i) + "."
-		f.Tenants = append(f.Tenants, core.Tenant{Name: p[at+"name"], Quota: p.Number(at+"quota_per_s", 0)})
+	if v.Bool("policy_limits.retry_after", false) {
+		s.MaxRetryAfter = v.Duration("policy_limits.max_retry_after", 0)
 	}
-	if p.Number("prices.cross_zone", 0) > 0 {
-		f.Zone = p["locality"]
+	if v.Number("prices.cross_zone", 0) > 0 {
+		s.Zone = v["locality"]
 	}
-	kinds, memory := strings.Split(p["kinds"], ","), strings.Split(p["family_info.machine_mb"], ",")
-	for i := range min(len(kinds), len(memory)) {
-		mb, _ := strconv.ParseFloat(memory[i], 64) // what is no number is not believed
-		f.WorkerKinds = append(f.WorkerKinds, core.WorkerKind{Name: kinds[i], Memory: mb})
+	if v["registry_mode"] == "ask" {
+		s.SubscribeInterval = max(v.Duration("rules.must_ask_in", 0), minSubscribeInterval)
 	}
-	if p.Bool("policy_limits.retry_after", false) {
-		f.MaxRetryAfter = p.Duration("policy_limits.max_retry_after", 0)
+	return s
+}
+
+// UsesWorkerSizes reports whether the sizes on the endpoint list count.
+func (v Values) UsesWorkerSizes() bool {
+	return v["weight_source"] == "nominal" || v["weight_source"] == "rough"
+}
+
+func (v Values) requestTypes() (types []scheduler.RequestType) {
+	for i := range int(v.Number("request_classes.count", 0)) {
+		at := "request_classes." + strconv.Itoa(i) + "."
+		maxAge := v.Duration(at+"give_up", 0)
+		types = append(types, scheduler.RequestType{
+			Name:        v[at+"name"],
+			Effect:      parseEffect(v[at+"effect"]),
+			DedupScope:  parseDedupScope(v[at+"dedup_scope"]),
+			DedupWindow: v.Duration(at+"window", 0),
+			Objective:   v.Duration(at+"aim", maxAge),
+		})
 	}
-	f.MaxAttempts = int(p.Number("policy_limits.send_cap", 1))
-	f.Cancel, f.Probe = p.Bool("policy_limits.cancel", false), p.Bool("policy_limits.probing", false)
-	f.LoadPolicy = core.LoadPolicy{RequestLoads: p.Bool("family_info.orders", false),
-		LoadOnMiss: p["family_info.miss_mode"] != "miss", ReplicaIdleTimeout: p.Duration("family_info.keep", 0),
-		RequestTimeout: p.Duration("family_info.order_limit", 0), RateWindow: p.Duration("family_info.loads_within", 0),
-		RateBurst: p.Number("family_info.loads_anyway", 0), RatePerRequest: p.Number("family_info.load_part", 0)}
-	f.SlowStart = core.SlowStart{InitialShare: p.Number("rules.cold_from", 0),
-		WarmUpTime: p.Duration("rules.warm_after", 0), CrashMultiple: p.Number("rules.fall_multiple", 0),
-		CrashWindow: p.Duration("rules.fall", 0)}
-	if p["registry_mode"] == "ask" {
-		f.SubscribeInterval = max(p.Duration("rules.must_ask_in", 0), 1)
+	return types
+}
+
+func (v Values) tenants() (tenants []core.Tenant) {
+	for i := range int(v.Number("orgs.count", 0)) {
+		at := "orgs." + strconv.Itoa(i) + "."
+		tenants = append(tenants, core.Tenant{Name: v[at+"name"], Quota: v.Number(at+"quota_per_s", 0)})
 	}
-	return f
+	return tenants
 }
 
-// UsesWorkerSizes tells whether the list of workers tells sizes that count.
-func (p Values) UsesWorkerSizes() bool {
-	return p["weight_source"] == "nominal" || p["weight_source"] == "rough"
+func (v Values) workerKinds() (kinds []core.WorkerKind) {
+	names, memory := strings.Split(v["kinds"], ","), strings.Split(v["family_info.machine_mb"], ",")
+	for i := range min(len(names), len(memory)) {
+		mb, _ := strconv.ParseFloat(memory[i], 64) // what is no number counts as 0
+		kinds = append(kinds, core.WorkerKind{Name: names[i], Memory: mb})
+	}
+	return kinds
 }
 
-func parseEffect(word string) scheduler.Effect {
-	switch word {
+func parseEffect(text string) scheduler.Effect {
+	switch text {
 	case "pure":
 		return scheduler.Idempotent
 	case "token":
@@ -64,8 +101,8 @@
 	return scheduler.AtMostOnce
 }
 
-func parseGroup(word string) scheduler.DedupScope {
-	switch word {
+func parseDedupScope(text string) scheduler.DedupScope {
+	switch text {
 	case "all":
 		return scheduler.ScopeAll
 	case "zone":
--- a/internal/gateway/settings/golden_test.go
+++ b/internal/gateway/settings/golden_test.go
@@ -11,7 +11,7 @@
 	"lupinpond/internal/gateway/settings"
 )
 
-// goldenObject sets every key that a front end's core reads.
+// goldenObject sets every key that a gateway's core reads.
 const goldenObject = `{"index":1,"instances":3,"quantum":0.001,"kinds":["fast","std"],"weight_source":"nominal","locality":"north",
 "registry_mode":"ask","prices":{"cross_zone":0.5},
 "family_info":{"machine_mb":[1000,2000.5],"orders":true,"miss_mode":"miss","keep":4.75,"order_limit":4,"loads_within":10,"loads_anyway":20,
@@ -24,8 +24,8 @@
 "orgs":[{"name":"x","quota_per_s":188}],
 "rules":{"cold_from":0.2,"warm_after":17,"fall_multiple":2.5,"fall":1,"must_ask_in":12}}`
 
-// goldenPaths are the keys, each of which changes what a core is started with, or whether sizes count. A number is a place in a
-// list. d's dedup_scope and e's effect are the defaults.
+// goldenPaths are the keys, each of which changes what a core is started with, or whether sizes count. A number is a
+// place in a list. d's dedup_scope and e's effect are the defaults.
 const goldenPaths = `family_info.keep family_info.load_part family_info.loads_anyway family_info.loads_within family_info.machine_mb
 family_info.miss_mode family_info.order_limit family_info.orders index instances kinds locality orgs.0.name orgs.0.quota_per_s orgs.count
 policy_limits.cancel policy_limits.max_retry_after policy_limits.probing policy_limits.retry_after policy_limits.send_cap prices.cross_zone
@@ -36,25 +36,26 @@
 request_classes.count rules.cold_from rules.fall rules.fall_multiple rules.must_ask_in rules.warm_after weight_source`
 
 func golden(t *testing.T) settings.Values {
-	decode := json.NewDecoder(strings.NewReader(goldenObject))
-	decode.UseNumber()
+	t.Helper()
+	decoder := json.NewDecoder(strings.NewReader(goldenObject))
+	decoder.UseNumber()
 	var object map[string]any
-	if err := decode.Decode(&object); err != nil {
+	if err := decoder.Decode(&object); err != nil {
 		t.Fatal(err)
 	}
 	return settings.Flatten(object)
 }
 
-// started is what a core is started with, as values without the names of their fields.
-func started(p settings.Values) string {
-	return fmt.Sprintf("%v sized %v", p.Core(9), p.UsesWorkerSizes())
+// startValues is what a core is started with, without the names of fields.
+func startValues(values settings.Values) string {
+	return fmt.Sprintf("%v sized %v", values.Core(9), values.UsesWorkerSizes())
 }
 
 // The object with every key gives these values.
-func TestGoldenFront(t *testing.T) {
+func TestGoldenCore(t *testing.T) {
 	const want = "{9 1 3 1ms [{a 0 2 0s 1.5s} {b 1 0 5s 2s} {c 1 1 6s 1s} {d 1 2 7s 1s} {e 2 2 0s 1s}] [{x 188}] 6 true true 2s {true " +
 		"false 4.75s 4s 10s 20 0.1} {0.2 17s 2.5 1s} 12s [{fast 1000} {std 2000.5}] north false} sized true"
-	if got := started(golden(t)); got != want {
+	if got := startValues(golden(t)); got != want {
 		t.Errorf("\n got %s\nwant %s", got, want)
 	}
 }
@@ -62,12 +63,12 @@
 // These keys are read and no others: without one of them what a core is started with is another.
 func TestGoldenKeys(t *testing.T) {
 	all := golden(t)
-	whole := started(all)
+	complete := startValues(all)
 	var read []string
 	for _, path := range slices.Sorted(maps.Keys(all)) {
 		without := maps.Clone(all)
 		delete(without, path)
-		if started(without) != whole {
+		if startValues(without) != complete {
 			read = append(read, path)
 		}
 	}
--- a/internal/gateway/settings/values.go
+++ b/internal/gateway/settings/values.go
@@ -1,5 +1,5 @@
-// Package settings reads the operators' settings object, which the simulator's first message and the configuration of
-// a front end on the platform both hold, under the same names and units.
+// Package settings reads the operators' settings object, which the simulator's first message and the configuration of a
+// gateway on the platform both hold, under the same names and in the same units.
 package settings
 
 import (
@@ -10,85 +10,90 @@
 	"time"
 )
 
-// Values holds settings by path: a list of values is one text with commas, a list of objects has its count and numbers.
+// Values holds settings by path. A list of scalars is one text with commas; a list of objects has its count, and its
+// elements by their index.
 type Values map[string]string
 
-// Flatten makes Paths of nested JSON, as json decodes it with numbers kept as they are written.
+// Flatten makes Values of nested JSON, decoded with numbers as json.Number.
 func Flatten(object map[string]any) Values {
-	p := Values{}
-	p.flatten("", object)
-	return p
+	values := Values{}
+	values.flatten("", object)
+	return values
 }
 
-func (p Values) flatten(at string, v any) {
-	switch v := v.(type) {
+func (v Values) flatten(path string, value any) {
+	switch value := value.(type) {
 	case map[string]any:
-		for name, part := range v {
-			p.flatten(at+"."+name, part)
+		for name, part := range value {
+			v.flatten(path+"."+name, part)
 		}
 	case []any:
-		var words []string
-		for i, part := range v {
-			if word, is := scalarText(part); is {
-				words = append(words, word)
+		var texts []string
+		for i, part := range value {
+			if text, ok := scalarText(part); ok {
+				texts = append(texts, text)
 			} else {
-				p.flatten(at+"."+strconv.Itoa(i), part)
+				v.flatten(path+"."+strconv.Itoa(i), part)
 			}
 		}
-		p[strings.TrimPrefix(at+".count", ".")] = strconv.Itoa(len(v))
-		p[strings.TrimPrefix(at, ".")] = strings.Join(words, ",")
+		v[strings.TrimPrefix(path+".count", ".")] = strconv.Itoa(len(value))
+		v[strings.TrimPrefix(path, ".")] = strings.Join(texts, ",")
 	default:
-		if word, is := scalarText(v); is {
-			p[strings.TrimPrefix(at, ".")] = word
+		if text, ok := scalarText(value); ok {
+			v[strings.TrimPrefix(path, ".")] = text
 		}
 	}
 }
 
-func scalarText(v any) (string, bool) {
-	switch v := v.(type) {
+// scalarText is the text of a string, a number or a truth value.
+func scalarText(value any) (text string, ok bool) {
+	switch value := value.(type) {
 	case string:
-		return v, true
+		return value, true
 	case json.Number:
-		return v.String(), true
+		return value.String(), true
 	case bool:
-		return strconv.FormatBool(v), true
+		return strconv.FormatBool(value), true
 	}
 	return "", false
 }
 
-// Number returns the number at path, or absent.
-func (p Values) Number(path string, absent float64) float64 {
-	n, err := strconv.ParseFloat(p[path], 64)
+// Number returns the number at a path, or fallback where there is none.
+func (v Values) Number(path string, fallback float64) float64 {
+	n, err := strconv.ParseFloat(v[path], 64)
 	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
-		return absent
+		return fallback
 	}
 	return n
 }
 
-// Duration returns the time at path, or absent.
-func (p Values) Duration(path string, absent time.Duration) time.Duration {
-	if n := p.Number(path, -1); n >= 0 {
+// Duration returns the duration at a path, which is in seconds, or fallback where there is none.
+func (v Values) Duration(path string, fallback time.Duration) time.Duration {
+	if n := v.Number(path, -1); n >= 0 {
 		return Seconds(n)
 	}
-	return absent
+	return fallback
 }
 
-// Bool returns the truth value at path, or absent.
-func (p Values) Bool(path string, absent bool) bool {
-	switch p[path] {
+// Bool returns the truth value at a path, or fallback where there is none.
+func (v Values) Bool(path string, fallback bool) bool {
+	switch v[path] {
 	case "true", "1":
 		return true
 	case "false", "0":
 		return false
 	}
-	return absent
+	return fallback
 }
 
-// Seconds turns seconds into a Duration, to the nearest microsecond.
-func Seconds(s float64) time.Duration {
-	us := math.Round(s * 1e6)
-	if us > math.MaxInt64/4000 {
-		us = math.MaxInt64 / 4000
+// maxMicroseconds is the longest duration, a quarter of what a Duration holds, so that sums of them don't overflow.
+const maxMicroseconds = math.MaxInt64 / 4000
+
+// Seconds converts seconds to a Duration, to the nearest microsecond.
+func Seconds(seconds float64) time.Duration {
+	microseconds := math.Round(seconds * 1e6)
+	if microseconds > maxMicroseconds {
+		microseconds = maxMicroseconds
 	}
-	return time.Duration(us) * time.Microsecond
+	return time.Duration(microseconds) * time.Microsecond
 }
