--- a/cmd/gateway/flags_test.go
+++ b/cmd/gateway/flags_test.go
@@ -21,7 +21,8 @@
 	}{
 		{"none", nil, nil, names{gatewayCount: 1}},
 		{"present", []string{"--gateways", "3", "--endpoint-cache", "/c", "--metrics", "a"}, nil, names{3, "/c", "a"}},
-		{"former", []string{"--peers", "3", "--keep-list", "/c"}, map[string]string{"LPGATE_METRICS": "a"}, names{3, "/c", "a"}},
+		{"former", []string{"--peers", "3", "--keep-list", "/c"}, map[string]string{"LPGATE_METRICS": "a"},
+			names{3, "/c", "a"}},
 		{"present environment", nil, map[string]string{"GATEWAY_METRICS": "a"}, names{1, "", "a"}},
 		{"flag over environment", []string{"--metrics", "a"}, map[string]string{"LPGATE_METRICS": "b"}, names{1, "", "a"}},
 	} {
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -6,6 +6,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"io/fs"
 	"log/slog"
 	"net"
 	"os"
@@ -119,7 +120,7 @@
 	}
 	if f.EndpointCache != "" {
 		options.CachedEndpoints, err = gateway.ReadEndpointCache(f.EndpointCache)
-		if err != nil { // the gateway starts without: the registry sends the list anew
+		if err != nil && !errors.Is(err, fs.ErrNotExist) { // the gateway starts without: the registry sends the list anew
 			log.Warn("endpoint cache not read", "err", err)
 		}
 		options.OnEndpoints = func(event registry.WatchEvent) {
--- a/cmd/gateway/process_test.go
+++ b/cmd/gateway/process_test.go
@@ -7,7 +7,6 @@
 	"net/http/httptest"
 	"os"
 	"os/exec"
-	"path/filepath"
 	"strconv"
 	"strings"
 	"syscall"
@@ -36,24 +35,16 @@
 	})
 	journal := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	t.Cleanup(journal.Close)
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	p.addr = listener.Addr().String()
-	listener.Close()
-	config := fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","journal":%q,
-		"limits":{"cores":1,"memory_mb":64,"sockets":128},
-		"known":{"pos":1,"entries":[{"pos":1,"hosts":{"whole":true,"hosts":[
-		{"host":"w","dial":%q,"site":"z","class":"k","block":0,"health":"up","share":4,"born_ms":0}]}}]},
-		"settings":{"index":0,"instances":1,"quantum":0.001,"family_info":{"keep":5,"orders":false,"miss_mode":"load"},
-		"policy_limits":{"conn_idle":15,"dial_timeout":0.25,"max_streams":32,"send_cap":3},
-		"rules":{"stop_sending_within":0.5},"request_classes":[{"name":"call","effect":"pure","aim":0.5,"give_up":3}]}}`,
-		p.addr, journal.Listener.Addr(), worker)
-	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	p.addr = unusedAddr(t)
+	path := platformConfig{
+		listen:     p.addr,
+		journal:    journal.Listener.Addr().String(),
+		sockets:    128,
+		hosts:      []string{hostJSON("w", worker, "up")},
+		familyInfo: `{"keep":5,"orders":false,"miss_mode":"load"}`,
+		connIdle:   15,
+		giveUp:     3,
+	}.write(t)
 	p.Cmd = exec.Command(os.Args[0], args...)
 	command := strings.Join(append([]string{"gateway"}, args...), " ")
 	p.Env = append(os.Environ(), programEnv+"="+command, "GW_CONFIG="+path)
