--- a/internal/gateway/endpointcache.go
+++ b/internal/gateway/endpointcache.go
@@ -2,9 +2,7 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
-	"io/fs"
 	"os"
 
 	"github.com/google/renameio/v2"
@@ -12,12 +10,9 @@
 	"lupinpond/internal/registry"
 )
 
-// ReadEndpointCache reads the endpoint list that WriteEndpointCache wrote; nil where there is none yet.
+// ReadEndpointCache reads the endpoint list that WriteEndpointCache wrote; fs.ErrNotExist where there is none yet.
 func ReadEndpointCache(path string) (*registry.WatchEvent, error) {
 	content, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) {
-		return nil, nil
-	}
 	if err != nil {
 		return nil, fmt.Errorf("read endpoint cache: %w", err)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -67,7 +67,7 @@
 	lastEventAt     time.Time // when the registry last sent an event; zero: not since the start
 
 	background        *errgroup.Group // the event loop, the registry watch and the workers' clients
-	killCtx           context.Context // ends background
+	abortCtx          context.Context // ends background
 	subscribeRequests chan struct{}   // holds a token when the core has subscribed
 }
 
@@ -117,23 +117,23 @@
 }
 
 // Run serves until ctx ends. Then it shuts down gracefully: it accepts no new requests, answers every request in
-// flight, notifies the workers and returns, at the latest after the longest max age and the answer slack. kill, if
+// flight, notifies the workers and returns, at the latest after the longest max age and the answer slack. abort, if
 // it ends, ends everything at once and notifies nobody.
-func (g *Gateway) Run(ctx, kill context.Context) error {
-	killable, stop := context.WithCancel(kill)
+func (g *Gateway) Run(ctx, abort context.Context) error {
+	abortable, stop := context.WithCancel(abort)
 	defer stop()
-	g.background, g.killCtx = errgroup.WithContext(killable)
+	g.background, g.abortCtx = errgroup.WithContext(abortable)
 	defer g.logRecordingError()
 
-	server := g.newServer(g.killCtx)
+	server := g.newServer(g.abortCtx)
 	listener := &limitedListener{Listener: g.options.Tap.Listener(g.options.Listener), open: &g.openConnections,
 		limit: int64(g.options.Config.Gateway.Limits.Connections)}
 	if g.options.CachedEndpoints != nil {
 		g.applyWatchEvent(*g.options.CachedEndpoints)
 		g.lastEventAt = time.Time{} // a cache tells nothing about when the workers of the next event started
 	}
-	g.background.Go(func() error { return g.EventLoop.Run(g.killCtx) })
-	g.background.Go(func() error { return g.watchRegistry(g.killCtx) })
+	g.background.Go(func() error { return g.EventLoop.Run(g.abortCtx) })
+	g.background.Go(func() error { return g.watchRegistry(g.abortCtx) })
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(listener) }()
 	g.log.Info("gateway listening", "address", g.options.Listener.Addr().String())
@@ -144,9 +144,9 @@
 		err = g.drain(server)
 	case err = <-served:
 		served <- err
-	case <-g.killCtx.Done():
+	case <-g.abortCtx.Done():
 	}
-	if kill.Err() != nil {
+	if abort.Err() != nil {
 		err = nil
 	}
 	stop()
@@ -179,7 +179,7 @@
 	for _, requestType := range fleet.Types {
 		timeout = max(timeout, requestType.MaxAge.Std()+fleet.AnswerSlack.Std())
 	}
-	ctx, stop := context.WithTimeout(g.killCtx, timeout)
+	ctx, stop := context.WithTimeout(g.abortCtx, timeout)
 	defer stop()
 	err := server.Shutdown(ctx)
 	if err != nil {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"io"
 	"net"
 	"strconv"
 	"strings"
@@ -149,11 +148,11 @@
 	}
 }
 
-// A killed gateway stops at once; a hundred clients retry at its next incarnation, and are served.
-func TestRetryStormAfterKill(t *testing.T) {
+// An aborted gateway stops at once; a hundred clients retry at its next incarnation, and are served.
+func TestRetryStormAfterAbort(t *testing.T) {
 	r := startHarness(t, nil)
 	r.wantResponse("preview", "1", 2*time.Second, 200, " released")
-	r.kill()
+	r.abort()
 	<-r.done
 	listener, err := net.Listen("tcp", r.addr)
 	if err != nil {
@@ -201,22 +200,10 @@
 		f.Gateway.Limits.Body, f.Gateway.Limits.Header, f.Gateway.Limits.InFlight = 64, 4096, 1
 		f.Gateway.Limits.Read, f.Gateway.Limits.Connections = config.Duration(300*time.Millisecond), 20
 	})
-	send := func(path, head, body string) int {
-		conn, err := net.Dial("tcp", r.addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer conn.Close()
-		_, _ = fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: x\r\nConnection: close\r\n%s\r\n%s", path, head, body)
-		b, _ := io.ReadAll(conn)
-		status := 0
-		_, _ = fmt.Sscanf(string(b), "HTTP/1.1 %d", &status)
-		return status
-	}
 	const path = "/v1/functions/preview/invocations"
 	for _, c := range []struct {
-		path, head, body string
-		want             int
+		path, headers, body string
+		want                int
 	}{
 		{path, "Content-Length: 65\r\n", strings.Repeat("x", 65), 413},
 		{path, "Content-Length: 1\r\nX: " + strings.Repeat("x", 20000) + "\r\n", "x", 431},
@@ -227,8 +214,8 @@
 		{"/v1/functions/tax-slab/invocations", "Content-Length: 1\r\n", "x", 400}, // without an idempotency key
 		{path, "Content-Length: 1\r\nLupin-Tenant: ravi-foods\r\n", "x", 403},
 	} {
-		if got := send(c.path, c.head, c.body); got != c.want {
-			t.Errorf("%s %.40q: status %d, want %d", c.path, c.head, got, c.want)
+		if got := r.rawStatus(c.path, c.headers, c.body); got != c.want {
+			t.Errorf("%s %.40q: status %d, want %d", c.path, c.headers, got, c.want)
 		}
 	}
 	r.wantResponse("gross-salary", "0", 2*time.Second, 200, " released") // loaded
@@ -238,23 +225,8 @@
 	r.waitFor("one in flight", func() bool { return r.executions("salary-release") == 2 })
 	r.wantResponse("preview", "2", time.Second, 503, invoke.ProblemNotAccepted)
 	one.Wait()
-	var open []net.Conn
-	closed := 0
-	for range 40 {
-		conn, err := net.Dial("tcp", r.addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		open = append(open, conn)
-	}
-	for _, conn := range open {
-		_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-		if _, err := conn.Read(make([]byte, 1)); err == io.EOF || err != nil {
-			closed++ // past the limit at once, the others when they send nothing
-		}
-		conn.Close()
-	}
-	if closed != 40 {
+	// Those over the limit are closed at once, the others as they send nothing.
+	if closed := r.closedIdleConnections(40); closed != 40 {
 		t.Errorf("%d of 40 idle connections were closed", closed)
 	}
 	if c := r.gateway.Counts(context.Background()); c.Accepted != 2 || c.NotAccepted != 1 || c.InvalidRequests != 7 {
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -52,15 +52,15 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\nConnection: close\r\n%sContent-Length: %d\r\n\r\n%s", path, headers, len(body), body)
 }
 
-// refusal is the response to a refused request.
-func refusal(status, body string) string {
+// rejection is the response to a refused request.
+func rejection(status, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Type: application/problem+json\r\nDate: D\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s",
 		status, len(body), body)
 }
 
-// closing is a refusal after which the server closes the connection whatever the client asks: the header comes first.
+// closing is a rejection after which the server closes the connection whatever the client asks: the header comes first.
 func closing(status, body string) string {
-	first, rest, _ := strings.Cut(strings.Replace(refusal(status, body), "Connection: close\r\n", "", 1), "\r\n")
+	first, rest, _ := strings.Cut(strings.Replace(rejection(status, body), "Connection: close\r\n", "", 1), "\r\n")
 	return first + "\r\nConnection: close\r\n" + rest
 }
 
@@ -69,15 +69,15 @@
 	r := startHarness(t, func(f *fleetconfig.File) { f.Gateway.Limits.Body = 64 })
 	const path = "/v1/functions/preview/invocations"
 	for _, c := range []struct{ request, want string }{
-		{postRequest("/v1/functions/none/invocations", "", "x"), refusal("404 Not Found",
+		{postRequest("/v1/functions/none/invocations", "", "x"), rejection("404 Not Found",
 			`{"type":"urn:lupinpond:request","title":"Not Found","status":404,"detail":"no function \"none\""}`+"\n")},
-		{postRequest("/v2", "", ""), refusal("404 Not Found",
+		{postRequest("/v2", "", ""), rejection("404 Not Found",
 			`{"type":"urn:lupinpond:request","title":"Not Found","status":404,"detail":"POST /v2"}`+"\n")},
-		{"GET " + path + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", refusal("404 Not Found",
+		{"GET " + path + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", rejection("404 Not Found",
 			`{"type":"urn:lupinpond:request","title":"Not Found","status":404,"detail":"GET `+path+`"}`+"\n")},
-		{postRequest(path, "Prefer: respond-async\r\n", ""), refusal("501 Not Implemented",
+		{postRequest(path, "Prefer: respond-async\r\n", ""), rejection("501 Not Implemented",
 			`{"type":"urn:lupinpond:request","title":"Not Implemented","status":501,"detail":"deferred calls (respond-async) are not built yet"}`+"\n")},
-		{postRequest(path, "Lupin-Tenant: ravi-foods\r\n", ""), refusal("403 Forbidden",
+		{postRequest(path, "Lupin-Tenant: ravi-foods\r\n", ""), rejection("403 Forbidden",
 			`{"type":"urn:lupinpond:request","title":"Forbidden","status":403,"detail":"preview belongs to another tenant"}`+"\n")},
 		{postRequest(path, "", strings.Repeat("x", 65)), closing("413 Request Entity Too Large",
 			`{"type":"urn:lupinpond:request","title":"Request Entity Too Large","status":413,"detail":"the body is longer than 64 bytes"}`+"\n")},
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -55,7 +55,7 @@
 	effects   string // path of the file in which the replicas log what ran
 	recording bytes.Buffer
 	drain     context.CancelFunc
-	kill      context.CancelFunc
+	abort     context.CancelFunc
 	done      chan struct{} // closed once the gateway has stopped
 }
 
@@ -125,16 +125,16 @@
 		r.t.Fatal(err)
 	}
 	ctx, drain := context.WithCancel(context.Background())
-	killed, kill := context.WithCancel(context.Background())
-	r.drain, r.kill = drain, kill
+	aborted, abort := context.WithCancel(context.Background())
+	r.drain, r.abort = drain, abort
 	go func() {
 		defer close(r.done)
-		if err := r.gateway.Run(ctx, killed); err != nil {
+		if err := r.gateway.Run(ctx, aborted); err != nil {
 			r.t.Error(err)
 		}
 	}()
 	r.t.Cleanup(func() {
-		kill()
+		abort()
 		<-r.done
 		drain()
 	})
@@ -174,6 +174,41 @@
 	return resp
 }
 
+// rawStatus posts a request as bytes and returns the status of the response; 0: there is none.
+func (r *harness) rawStatus(path, headers, body string) (status int) {
+	r.t.Helper()
+	conn, err := net.Dial("tcp", r.addr)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	defer conn.Close()
+	_, _ = fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: x\r\nConnection: close\r\n%s\r\n%s", path, headers, body)
+	response, _ := io.ReadAll(conn)
+	_, _ = fmt.Sscanf(string(response), "HTTP/1.1 %d", &status)
+	return status
+}
+
+// closedIdleConnections opens connections that send nothing, and returns how many of them the gateway closes.
+func (r *harness) closedIdleConnections(n int) (closed int) {
+	r.t.Helper()
+	var conns []net.Conn
+	for range n {
+		conn, err := net.Dial("tcp", r.addr)
+		if err != nil {
+			r.t.Fatal(err)
+		}
+		conns = append(conns, conn)
+	}
+	for _, conn := range conns {
+		_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+		if _, err := conn.Read(make([]byte, 1)); err != nil {
+			closed++
+		}
+		conn.Close()
+	}
+	return closed
+}
+
 // waitFor waits for a condition.
 func (r *harness) waitFor(condition string, isTrue func() bool) {
 	r.t.Helper()
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -162,7 +162,7 @@
 	dial := g.options.Tap.Dialer(capture.Worker, entry.Name, func(ctx context.Context, addr string) (net.Conn, error) {
 		return dialer.DialContext(ctx, "tcp", addr)
 	})
-	ctx, stop := context.WithCancel(g.killCtx)
+	ctx, stop := context.WithCancel(g.abortCtx)
 	client := &workerClient{Client: workerrpc.NewClient(g.options.Name, entry.Name, entry.Addr, limits, dial), stop: stop}
 	client.OnHandshake = g.logHandshake
 	g.background.Go(func() error { return client.Run(ctx) })
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -18,7 +18,7 @@
 const maxEventBytes = 8 << 20
 
 // ErrWatchSilent reports that a watch received nothing, not even a heartbeat, for several heartbeat intervals.
-var ErrWatchSilent = errors.New("the list has gone silent")
+var ErrWatchSilent = errors.New("no heartbeat from the registry")
 
 // Watch watches the endpoint list of the registry at base for a gateway and calls handle with every event, until
 // the stream is disconnected or ctx ends. It always returns an error.
