--- a/internal/gateway/invariants_test.go
+++ b/internal/gateway/invariants_test.go
@@ -298,7 +298,7 @@
 		"c.actor.Reject(decision.Request, decision.RetryAfter, tracked.mayHaveRun); c.actor.Reject(decision.Request, 0, false)",
 		invariant.AnsweredTwice},
 	{"Rejected", "core/core.go", "c.actor.Reject(decision.Request, decision.RetryAfter, tracked.mayHaveRun)", "", invariant.NeverAnswered},
-	{"ManyLoads", "../../scheduler/loads.go", "return !s.loadRateLimited ||", "return true ||", invariant.LoadOverLimit},
+	{"ManyLoads", "../../scheduler/loads.go", "return s.loadPolicy.RateWindow <= 0 ||", "return true ||", invariant.LoadOverLimit},
 }
 
 // Without its guard, each invariant is violated, and that is counted.
--- a/scheduler/complete.go
+++ b/scheduler/complete.go
@@ -36,7 +36,7 @@
 		return s.rejectOrFail(request, AttemptWithheld, now)
 	case s.mustNotRunAgain(request, now):
 		return s.rejectOrFail(request, NotRetryable, now)
-	case request.attempts >= s.maxAttempts:
+	case request.attempts >= s.attemptPolicy.MaxAttempts:
 		return s.rejectOrFail(request, AttemptsExhausted, now)
 	case now+s.deadlineMargin(request) >= request.deadline:
 		return s.rejectOrFail(request, NoTimeLeft, now)
@@ -58,8 +58,8 @@
 	case Completed:
 		s.completedWork.Add(now, s.expectedWork(request))
 		w.recordSuccess(now)
-		replicas.replicas = max(1, replicas.replicas)
-		replicas.assumedUntil = now + s.replicaIdleTimeout
+		replicas.loaded = max(1, replicas.loaded)
+		replicas.assumedUntil = now + s.loadPolicy.ReplicaIdleTimeout
 		delete(w.rejections, request.Tenant)
 		if outcome.ReplicaState == ReplicaWarm || outcome.ReplicaState == ReplicaUnknown && !request.sentCold {
 			f.runTimes.Add(outcome.Duration, functionSamples)
@@ -75,7 +75,7 @@
 			s.recordFailure(w, now)
 		}
 	case Failed, NotFound:
-		replicas.replicas = 0
+		replicas.loaded = 0
 		if outcome.Result == Failed && outcome.ReplicaState != ReplicaLoadFailed {
 			s.recordFailure(w, now)
 		}
@@ -106,7 +106,7 @@
 	if s.mustNotRunAgain(request, now) || request.mayHaveRun != nil && !request.typ.retryableAnywhere() {
 		return Decision{Request: request, Action: Fail}
 	}
-	longest := min(s.maxRetryAfter, request.typ.Objective/2)
+	longest := min(s.attemptPolicy.MaxRetryAfter, request.typ.Objective/2)
 	retryAfter := longest/2 + time.Duration(s.rng.IntN(int(longest/2)+1)) // spread, so that they do not come back together
 	return Decision{Request: request, Action: Reject, RetryAfter: retryAfter}
 }
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -24,6 +24,6 @@
 //  6. the loads in flight follow what becomes of them (loads.go)
 //
 // What differs among workers and deployments is reported or learned: the weights of worker kinds (kinds.go), the
-// queue at a worker (estimateQueueDepth), what each queued request costs (recordQueueDelay), how many first replicas
+// queue at a worker (estimateQueueDepth), what each queued request costs (queueDelay), how many first replicas
 // the memory of the workers holds (estimatePlacement).
 package scheduler
--- a/scheduler/ejection.go
+++ b/scheduler/ejection.go
@@ -31,7 +31,7 @@
 	for _, w := range s.busy.All() {
 		silence := 0.0
 		for _, request := range w.attempts {
-			usual := max(request.typ.meanLatency, request.typ.Objective/minUsualLatencies)
+			usual := max(request.typ.meanLatency, request.typ.Objective/usualLatencyDivisor)
 			silence += float64(now-max(request.sentAt, w.lastSuccess)) / (float64(usual) / s.warmUpShare(w, now))
 		}
 		if silence > silenceThreshold && now >= w.ejectedUntil && !w.halfOpen {
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -6,13 +6,13 @@
 type counter int
 
 const (
-	eligible              counter = iota // the registry lets them have something new
-	ejected                              // ejected, or half-open
-	withCapacity                         // with capacity for an attempt
-	withCapacityOrEjected                // the same, with ejections ignored
-	recentlyReported                     // with a recent load report
-	withoutQueue                         // of these, those where no requests but ours wait
-	attemptsInFlight                     // attempts at workers that are not half-open
+	eligible                      counter = iota // the registry lets them have something new
+	ejected                                      // ejected, or half-open
+	withCapacity                                 // with capacity for an attempt
+	withCapacityIgnoringEjections                // the same, with ejections ignored
+	recentlyReported                             // with a recent load report
+	withoutQueue                                 // of these, those where no requests but ours wait
+	attemptsInFlight                             // attempts at workers that are not half-open
 	counterCount
 )
 
@@ -58,10 +58,10 @@
 	s.expireDeadlines(now)
 	counts := &s.counters
 	s.inFlight = int(counts[attemptsInFlight])
-	s.limitRounding = float64(s.rng.IntN(1000)) / 1000
+	s.limitRounding = s.drawFraction()
 	available := counts[withCapacity]
 	if s.ejectionsIgnored {
-		available = counts[withCapacityOrEjected]
+		available = counts[withCapacityIgnoringEjections]
 	}
 	s.ejectionsIgnored = float64(counts[ejected]) > maxEjectedShare*float64(counts[eligible])
 	s.overloaded = s.atFleetLimit() ||
@@ -99,7 +99,7 @@
 	available := w.acceptsNew() && float64(len(w.attempts)) < w.limit && !backlogged
 	counts.set(eligible, w.acceptsNew())
 	counts.set(ejected, ejectedNow || w.halfOpen)
-	counts.set(withCapacityOrEjected, available)
+	counts.set(withCapacityIgnoringEjections, available)
 	counts.set(withCapacity, available && !ejectedNow && (!w.halfOpen || len(w.attempts) == 0))
 	if w.reportedAt > 0 && before(w.reportedAt+reportCountedObjectives*s.longestObjective) {
 		counts.set(recentlyReported, true)
--- a/scheduler/function.go
+++ b/scheduler/function.go
@@ -29,16 +29,16 @@
 // replicaSet is what is assumed of one function at one worker.
 type replicaSet struct {
 	worker         *worker
-	replicas       int // assumed loaded
+	loaded         int // replicas assumed loaded
 	inFlight       int // attempts of this gateway there
 	assumedUntil   time.Duration
-	loading        int // loads in flight
+	loading        int // replicas being loaded
 	loadDeadline   time.Duration
 	rejectingUntil time.Duration
 }
 
 // empty tells that no replica is assumed there, nor being loaded.
-func (r *replicaSet) empty() bool { return r.replicas+r.loading == 0 }
+func (r *replicaSet) empty() bool { return r.loaded+r.loading == 0 }
 
 // functionFor is the function of a request, made if it is not known.
 func (s *Scheduler) functionFor(request *Request, now time.Duration) *function {
@@ -70,7 +70,7 @@
 func (s *Scheduler) expireAssumptions(f *function, now time.Duration) {
 	f.replicaSets = slices.DeleteFunc(f.replicaSets, func(r *replicaSet) bool {
 		if now > r.assumedUntil && r.inFlight == 0 {
-			r.replicas = 0
+			r.loaded = 0
 		}
 		if now > r.loadDeadline {
 			r.loading = 0
--- a/scheduler/limits.go
+++ b/scheduler/limits.go
@@ -25,7 +25,9 @@
 // present one, and the fleet's by what the objective accepts.
 func (s *Scheduler) adaptLimits(w *worker, request *Request, latency, now time.Duration) {
 	stats := request.typ
-	s.recordQueueDelay(request, latency)
+	if request.queuedAhead > 0 {
+		s.queueDelay.record(request.queuedAhead, latency-stats.minLatency)
+	}
 	s.recordSlowness(w.kind, request.function, latency)
 	stats.recordLatency(latency)
 	if stats.sampleCount < minLatencySamples {
--- a/scheduler/loads.go
+++ b/scheduler/loads.go
@@ -52,7 +52,7 @@
 		w := replicas.worker
 		rejectingUntil := max(replicas.rejectingUntil, w.rejections[f.tenant].until)
 		if s.usable(w, now) && !w.probeOverdue(now) && now >= rejectingUntil {
-			loaded += replicas.replicas
+			loaded += replicas.loaded
 			loading += replicas.loading
 		}
 	}
@@ -93,7 +93,7 @@
 	if s.requestLoadAt(f, w, now, due) {
 		return true
 	}
-	if !s.loadsOnMiss && s.loadRequestsEnabled || len(f.queue) == 0 || !s.mayRunOn(f.queue[0], w, now) ||
+	if !s.loadPolicy.LoadOnMiss && s.loadPolicy.RequestLoads || len(f.queue) == 0 || !s.mayRunOn(f.queue[0], w, now) ||
 		!s.slowStartAllows(w, f.queue[0], now) {
 		return false
 	}
@@ -116,23 +116,23 @@
 func (s *Scheduler) requestLoadAt(f *function, w *worker, now time.Duration, due *TickResult) bool {
 	s.ensureFreshReport(w, now)
 	replicas := f.replicaSetAt(w)
-	if !s.loadRequestsEnabled || !s.loadAllowed(now) || replicas.replicas+replicas.loading >= maxReplicasPerWorker {
+	if !s.loadPolicy.RequestLoads || !s.loadAllowed(now) || replicas.loaded+replicas.loading >= maxReplicasPerWorker {
 		return false
 	}
 	replicas.loading++
 	timeout := fractionOf(loadTimeoutFactor*max(1, s.loadSlowdown), f.expectedLoadTime())
-	replicas.loadDeadline = now + min(timeout, s.loadTimeout)
+	replicas.loadDeadline = now + min(timeout, s.loadPolicy.RequestTimeout)
 	s.loadsSent.Add(now, 1)
 	s.loadsInFlight++
 	due.LoadRequests = append(due.LoadRequests,
-		LoadRequest{Worker: w.Worker, Function: f.id, Replicas: replicas.replicas + replicas.loading})
+		LoadRequest{Worker: w.Worker, Function: f.id, Replicas: replicas.loaded + replicas.loading})
 	return true
 }
 
 // loadAllowed keeps load requests within their rate limit (rule 5), this one included, rounded to the safe side.
 func (s *Scheduler) loadAllowed(now time.Duration) bool {
-	return !s.loadRateLimited ||
-		s.loadsSent.UpperSum(now)+1 <= s.loadBurst+s.loadsPerRequest*s.submitted.LowerSum(now)
+	return s.loadPolicy.RateWindow <= 0 ||
+		s.loadsSent.UpperSum(now)+1 <= s.loadPolicy.RateBurst+s.loadPolicy.RatePerRequest*s.submitted.LowerSum(now)
 }
 
 // LoadCompleted takes the result of a load request and the time that it took.
@@ -146,7 +146,7 @@
 	if result != Completed {
 		duration = max(duration, fractionOf(loadTimeoutFactor, expected))
 	}
-	if duration > expected/alreadyLoadedFraction { // a busy artifact store shows in loads that fail or take long
+	if duration > expected/alreadyLoadedDivisor { // a busy artifact store shows in loads that fail or take long
 		s.adjustLimit(&s.loadLimit, now, duration, slowLoadFactor*float64(expected), s.loadsInFlight, 1)
 		s.loadSlowdown += (float64(duration)/float64(expected) - s.loadSlowdown) / functionSamples
 	}
@@ -154,9 +154,9 @@
 	replicas.loading = max(0, replicas.loading-1)
 	switch result {
 	case Completed, Failed:
-		replicas.assume(load.Replicas, now+s.replicaIdleTimeout)
+		replicas.assume(load.Replicas, now+s.loadPolicy.ReplicaIdleTimeout)
 	case Full:
-		replicas.assume(load.Replicas, now+s.replicaIdleTimeout)
+		replicas.assume(load.Replicas, now+s.loadPolicy.ReplicaIdleTimeout)
 		replicas.rejectingUntil = now + expected
 	case Unreachable, ConnectionLost:
 		s.recordFailure(w, now)
@@ -164,7 +164,7 @@
 }
 
 // assume sets how many replicas are assumed loaded, and until when.
-func (r *replicaSet) assume(replicas int, until time.Duration) {
-	r.replicas = replicas
+func (r *replicaSet) assume(loaded int, until time.Duration) {
+	r.loaded = loaded
 	r.assumedUntil = until
 }
--- a/scheduler/members.go
+++ b/scheduler/members.go
@@ -119,7 +119,7 @@
 		hash:                random.Hash(name),
 		adaptiveLimit:       s.newLimit(initialWorkerLimit, minWorkerLimit),
 		lastSlowStartSend:   now,
-		slowStartPauseShare: float64(s.rng.IntN(1000)) / 1000,
+		slowStartPauseShare: s.drawFraction(),
 	}
 	w.countersDeadline.Member = w
 	s.workers[name] = w
--- a/scheduler/probes.go
+++ b/scheduler/probes.go
@@ -11,7 +11,7 @@
 // ensureFreshReport tells whether a worker's load is known; if it is not, in a fleet with fewer workers than
 // gateways, it sends a probe. Without an answer in time the worker is used as it is.
 func (s *Scheduler) ensureFreshReport(w *worker, now time.Duration) bool {
-	if !s.probesEnabled || s.gateways <= s.members.Len() ||
+	if !s.attemptPolicy.Probe || s.gateways <= s.members.Len() ||
 		now < w.reportedAt+fractionOf(reportValidityShare, s.longestObjective) {
 		return true
 	}
@@ -83,14 +83,19 @@
 	return queuedPerProbeExcess * max(0, excess/latency.meanExcess-1)
 }
 
-// recordQueueDelay learns what each request queued ahead of an attempt costs: little, until it is seen.
-func (s *Scheduler) recordQueueDelay(request *Request, latency time.Duration) {
-	if request.queuedAhead <= 0 {
-		return
-	}
-	s.queuedAheadSum += request.queuedAhead
-	s.queueDelaySum += float64(max(0, latency-request.typ.minLatency))
-	s.delayPerQueued = s.queueDelaySum / (functionSamples + s.queuedAheadSum)
-	s.queuedAheadSum *= queuedAheadDecay
-	s.queueDelaySum *= queuedAheadDecay
+// queueDelay is what requests that wait at a worker cost those behind them, learned from attempts and slowly
+// forgotten.
+type queueDelay struct {
+	queuedAhead float64 // requests queued ahead of attempts
+	delay       float64 // what those attempts took longer, in nanoseconds
+	perRequest  float64 // nanoseconds for each request queued ahead: little, until it is seen
+}
+
+// record takes an attempt that was sent with so many requests queued ahead.
+func (q *queueDelay) record(queuedAhead float64, delay time.Duration) {
+	q.queuedAhead += queuedAhead
+	q.delay += float64(max(0, delay))
+	q.perRequest = q.delay / (functionSamples + q.queuedAhead)
+	q.queuedAhead *= queuedAheadDecay
+	q.delay *= queuedAheadDecay
 }
--- a/scheduler/reference_test.go
+++ b/scheduler/reference_test.go
@@ -24,10 +24,10 @@
 		ejectedNow, backlogged := now < w.ejectedUntil, now < w.backloggedUntil
 		hasCapacity := in && float64(len(w.attempts)) < w.limit && !backlogged
 		for which, counted := range map[counter]bool{
-			eligible:              in,
-			ejected:               ejectedNow || w.halfOpen,
-			withCapacityOrEjected: hasCapacity,
-			withCapacity:          hasCapacity && !ejectedNow && (!w.halfOpen || len(w.attempts) == 0),
+			eligible:                      in,
+			ejected:                       ejectedNow || w.halfOpen,
+			withCapacityIgnoringEjections: hasCapacity,
+			withCapacity:                  hasCapacity && !ejectedNow && (!w.halfOpen || len(w.attempts) == 0),
 		} {
 			if counted {
 				counts[which]++
@@ -58,7 +58,7 @@
 	counts := walkedCounters(s, now)
 	available := float64(counts[withCapacity])
 	if ignoredBefore {
-		available = float64(counts[withCapacityOrEjected])
+		available = float64(counts[withCapacityIgnoringEjections])
 	}
 	full := float64(counts[attemptsInFlight])+s.limitRounding >= s.fleetLimit.limit
 	backlogged := counts[recentlyReported] >= minOverloadReports &&
--- a/scheduler/replicas.go
+++ b/scheduler/replicas.go
@@ -11,7 +11,7 @@
 	var lowest float64
 	for _, replicas := range f.replicaSets {
 		w := replicas.worker
-		if replicas.inFlight >= replicas.replicas*f.concurrency || w == request.avoid {
+		if replicas.inFlight >= replicas.loaded*f.concurrency || w == request.avoid {
 			continue
 		}
 		rank := s.rendezvousScore(w, f.id)
@@ -46,7 +46,7 @@
 	w := replicas.worker
 	// a request that is late already does not wait long either
 	acceptable := max(request.objectiveDeadline-now, fractionOf(acceptableLatencyShare, request.typ.Objective))
-	return s.delayPerQueued*w.knownQueueDepth(now) <= float64(acceptable) && replicas.replicas > 0 &&
+	return s.queueDelay.perRequest*w.knownQueueDepth(now) <= float64(acceptable) && replicas.loaded > 0 &&
 		now >= max(replicas.rejectingUntil, w.rejections[request.Tenant].until) &&
 		s.hasCapacity(w, now) && !s.atFleetLimit() &&
 		s.mayRunOn(request, w, now) && s.slowStartAllows(w, request, now) &&
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -59,39 +59,24 @@
 	overloaded       bool          // few workers have capacity
 	ejectionsIgnored bool          // too many workers are ejected
 
-	// Attempts.
-	maxAttempts   int
-	maxRetryAfter time.Duration
-	cancelEnabled bool
+	attemptPolicy AttemptPolicy
 
 	// Probes.
-	probesEnabled  bool
 	pendingProbes  []string                 // workers to probe
 	probeLatencies map[string]*probeLatency // by zone
-	queuedAheadSum float64                  // requests queued ahead of attempts, decayed
-	queueDelaySum  float64                  // what those attempts took longer, in nanoseconds, decayed
-	delayPerQueued float64                  // nanoseconds for each request queued ahead
+	queueDelay     queueDelay
 
 	// Load requests.
-	loadRequestsEnabled bool
-	loadsOnMiss         bool
-	replicaIdleTimeout  time.Duration
-	loadTimeout         time.Duration
-	loadRateLimited     bool
-	loadBurst           float64
-	loadsPerRequest     float64
-	loadsSent           *window.Window // over the rate limit's window
-	submitted           *window.Window // requests, over the rate limit's window
-	loadsInFlight       int
-	loadLimit           adaptiveLimit // of them
-	loadSlowdown        float64       // mean load time, over the expected one
+	loadPolicy    LoadPolicy
+	loadsSent     *window.Window // over the rate limit's window
+	submitted     *window.Window // requests, over the rate limit's window
+	loadsInFlight int
+	loadLimit     adaptiveLimit // of them
+	loadSlowdown  float64       // mean load time, over the expected one
 
 	// Slow start.
-	slowStartInitialShare float64
-	warmUpTime            time.Duration
-	crashMultiple         float64
-	crashWindow           time.Duration
-	completedWork         *window.Window // in nanoseconds of mean latency
+	slowStart     SlowStart
+	completedWork *window.Window // in nanoseconds of mean latency
 
 	// Traffic.
 	totalQuota       float64        // requests a second, of all tenants at all gateways
@@ -118,7 +103,7 @@
 		kinds:            map[string]*workerKind{},
 		functions:        map[uint64]*function{},
 		probeLatencies:   map[string]*probeLatency{},
-		maxAttempts:      1,
+		attemptPolicy:    AttemptPolicy{MaxAttempts: 1},
 		placementWidth:   maxPlacementWidth,
 		subscribeAt:      math.MaxInt64,
 		loadsSent:        window.New(0),
@@ -137,6 +122,9 @@
 	request.deadline = min(request.deadline, by)
 }
 
+// drawFraction draws a number from 0 to below 1, in thousandths.
+func (s *Scheduler) drawFraction() float64 { return float64(s.rng.IntN(1000)) / 1000 }
+
 // plausibleOrZero is a reported value, or 0, as if not reported, where it is implausible or not a number.
 func plausibleOrZero(value, limit float64) float64 {
 	if value > 0 && value < limit {
@@ -145,6 +133,7 @@
 	return 0
 }
 
+// fractionOf is a share of a time.
 func fractionOf(share float64, of time.Duration) time.Duration {
 	return time.Duration(share * float64(of))
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -672,8 +672,8 @@
 	// 0 both are used true
 }
 
-// A worker with three times the shortest latency is crowded where it reports queued requests; without any it is slow or
-// has slow functions, and a lower limit would not make it faster.
+// A worker with three times the shortest latency is crowded where it reports queued requests; without any it is slow
+// or has slow functions, and a lower limit would not make it faster.
 func Example_slowWorker() {
 	for _, waiting := range []float64{0, 3} {
 		h := newFleet(0, 2, 1)
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -71,32 +71,22 @@
 
 // SetAttemptPolicy sets what the gateway may do for a request.
 func (s *Scheduler) SetAttemptPolicy(policy AttemptPolicy) {
-	s.maxAttempts = max(1, policy.MaxAttempts)
-	s.cancelEnabled = policy.Cancel
-	s.probesEnabled = policy.Probe
-	s.maxRetryAfter = policy.MaxRetryAfter
+	policy.MaxAttempts = max(1, policy.MaxAttempts)
+	s.attemptPolicy = policy
 }
 
 // SetLoadPolicy sets how functions are loaded by workers.
 func (s *Scheduler) SetLoadPolicy(policy LoadPolicy) {
-	s.loadRequestsEnabled = policy.RequestLoads
-	s.loadsOnMiss = policy.LoadOnMiss
-	s.replicaIdleTimeout = policy.ReplicaIdleTimeout
-	s.loadTimeout = policy.RequestTimeout
-	s.loadRateLimited = policy.RateWindow > 0
-	s.loadBurst = policy.RateBurst
-	s.loadsPerRequest = policy.RatePerRequest
+	s.loadPolicy = policy
 	s.loadsSent = window.New(policy.RateWindow)
 	s.submitted = window.New(policy.RateWindow)
 }
 
 // SetSlowStart sets what a worker that has just started can stand.
 func (s *Scheduler) SetSlowStart(slowStart SlowStart) {
-	s.slowStartInitialShare = slowStart.InitialShare
-	s.warmUpTime = slowStart.WarmUpTime
-	s.crashMultiple = slowStart.CrashMultiple
-	s.crashWindow = max(slowStart.CrashWindow, time.Millisecond)
-	s.completedWork = window.New(completedWorkWindows * s.crashWindow)
+	slowStart.CrashWindow = max(slowStart.CrashWindow, time.Millisecond)
+	s.slowStart = slowStart
+	s.completedWork = window.New(completedWorkWindows * slowStart.CrashWindow)
 }
 
 // SetSubscribeInterval has Tick ask for a subscription to the worker registry, at least so often until it is answered.
--- a/scheduler/submit.go
+++ b/scheduler/submit.go
@@ -36,7 +36,7 @@
 	f.typ = stats
 	f.concurrency = max(1, request.Concurrency)
 	f.replicaMemory = plausibleOrZero(request.Memory, maxPlausibleMemory)
-	f.loadTime = min(max(0, request.LoadTime), time.Hour)
+	f.loadTime = min(max(0, request.LoadTime), maxPlausibleLoadTime)
 	stats.maxTimeLeft = max(stats.maxTimeLeft, request.TimeLeft)
 
 	request.typ = stats
--- a/scheduler/tick.go
+++ b/scheduler/tick.go
@@ -54,8 +54,8 @@
 // cancelAtEjected cancels the attempts at workers just ejected that another attempt can still replace.
 func (s *Scheduler) cancelAtEjected(now time.Duration, due *TickResult) {
 	for _, request := range s.cancelCandidates {
-		if s.cancelEnabled && request.target != nil && !request.closed && request.typ.retryableAnywhere() &&
-			request.attempts < s.maxAttempts && now+s.deadlineMargin(request) < request.deadline {
+		if s.attemptPolicy.Cancel && request.target != nil && !request.closed && request.typ.retryableAnywhere() &&
+			request.attempts < s.attemptPolicy.MaxAttempts && now+s.deadlineMargin(request) < request.deadline {
 			due.Decisions = append(due.Decisions,
 				Decision{Request: request, Action: Cancel, Attempt: request.attempts - 1})
 		}
--- a/scheduler/tuning.go
+++ b/scheduler/tuning.go
@@ -56,8 +56,8 @@
 	// silenceChecks is the number of checks for silence in the longest objective.
 	silenceChecks = 8
 
-	// minUsualLatencies in an objective are the shortest usual latency that silence is measured in.
-	minUsualLatencies = 10
+	// usualLatencyDivisor divides the objective into the least usual latency that silence is measured in.
+	usualLatencyDivisor = 10
 
 	// maxEjectedShare of the eligible workers may be ejected; beyond it ejections are ignored.
 	maxEjectedShare = 0.5
@@ -154,6 +154,9 @@
 	// slowStartDeviations standard deviations of that are left unused, as the gateways do not know of each other's.
 	slowStartDeviations = 1.0
 
+	// slowStartMinDivisor divides that into what is used at the least.
+	slowStartMinDivisor = 4
+
 	// completedWorkWindows crash windows are the span over which the fleet's completed work is averaged.
 	completedWorkWindows = 8
 )
@@ -166,8 +169,8 @@
 	// slowLoadFactor expected load times are the load time up to which the limit of loads does not fall.
 	slowLoadFactor = 2.0
 
-	// alreadyLoadedFraction of the expected load time: an answer that comes earlier found the replicas loaded.
-	alreadyLoadedFraction = 4
+	// alreadyLoadedDivisor divides the expected load time: an answer that comes earlier found the replicas loaded.
+	alreadyLoadedDivisor = 4
 
 	// maxReplicasPerWorker is the most replicas of a function that are requested of one worker.
 	maxReplicasPerWorker = 16
@@ -214,6 +217,9 @@
 
 	// maxPlausibleMemory bounds the memory of replicas and workers, in the unit of the settings; more is not believed.
 	maxPlausibleMemory = 1e15
+
+	// maxPlausibleLoadTime bounds the load times that requests name.
+	maxPlausibleLoadTime = time.Hour
 )
 
 // Subscription to the worker registry.
