--- a/internal/gateway/replay/recorder.go
+++ b/internal/gateway/replay/recorder.go
@@ -32,7 +32,7 @@
 	err     error
 }
 
-// Start starts a core that acts through actor and is recorded to out.
+// Start starts a core that acts through actor, if that is not nil, and is recorded to out.
 func Start(settings core.Settings, actor core.Actor, out io.Writer) (*core.Core, *Recorder) {
 	r := &Recorder{encoder: cbor.NewEncoder(out)}
 	r.write(header{Magic: magic, Version: version, Settings: settings})
--- a/internal/gateway/replay/replay_test.go
+++ b/internal/gateway/replay/replay_test.go
@@ -1,6 +1,9 @@
 package replay_test
 
 import (
+	"bytes"
+	"errors"
+	"io"
 	"maps"
 	"slices"
 	"testing"
@@ -63,3 +66,58 @@
 		t.Error(fields, err)
 	}
 }
+
+// A recording whose actions are left out, or whose inputs are, names the first action in which a replay differs.
+func TestDivergenceNamesTheAction(t *testing.T) {
+	var recording bytes.Buffer
+	c, recorder := replay.Start(core.Settings{Gateways: 1, SubscribeInterval: time.Second}, nil, &recording)
+	c.ProcessDue(time.Second)
+	if recorder.Err() != nil {
+		t.Fatal(recorder.Err())
+	}
+	var items []cbor.RawMessage // header, input, subscription, timer
+	for decoder := cbor.NewDecoder(&recording); ; {
+		var item cbor.RawMessage
+		if err := decoder.Decode(&item); errors.Is(err, io.EOF) {
+			break
+		} else if err != nil {
+			t.Fatal(err)
+		}
+		items = append(items, item)
+	}
+	if len(items) != 4 {
+		t.Fatalf("%d items, want 4", len(items))
+	}
+	for _, c := range []struct {
+		name               string
+		kept               []int
+		item               int
+		recorded, replayed string // verbs
+	}{
+		{"an action is not recorded", []int{0, 1, 2}, 3, "", "wake"},
+		{"an action is not replayed", []int{0, 2}, 1, "ask", ""},
+		{"another action is recorded", []int{0, 1, 3}, 2, "wake", "ask"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var changed []byte
+			for _, i := range c.kept {
+				changed = append(changed, items[i]...)
+			}
+			_, err := replay.Replay(bytes.NewReader(changed), nil)
+			var divergence *replay.DivergenceError
+			if !errors.As(err, &divergence) || !errors.Is(err, replay.ErrDivergence) {
+				t.Fatalf("got error %v, want a DivergenceError", err)
+			}
+			if divergence.Item != c.item || verb(divergence.Recorded) != c.recorded || verb(divergence.Replayed) != c.replayed {
+				t.Errorf("got %v, want item %d, recorded %q, replayed %q", err, c.item, c.recorded, c.replayed)
+			}
+		})
+	}
+}
+
+func verb(action *replay.Action) string {
+	if action == nil {
+		return ""
+	}
+	return action.Verb
+}
