--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -10,6 +10,58 @@
 	"lupinpond/scheduler"
 )
 
+// Rule 4: a worker that has just started gets few requests, a warm one all.
+func Example_coldWorker() {
+	for _, started := range []time.Duration{0, time.Hour} {
+		h := newHarness(1)
+		h.ReplaceMembership(h.now, []scheduler.Member{{Worker: "a", Started: started}})
+		h.submit("e0", "idempotent", 9)
+		h.completeLoads(h.advance(0))
+		h.advance(1000 * ms)
+		sent := 0
+		for range 20 {
+			if h.Submit(h.now, newRequest(9, 32)).Action == scheduler.Send {
+				sent++
+			}
+			h.now += 10 * ms
+		}
+		fmt.Println("sent", sent)
+	}
+	// Output:
+	// 0s e0 enqueue
+	// 0s load 9 x1 on a
+	// 1s e0 send to a
+	// sent 15
+	// 0s e0 enqueue
+	// 0s load 9 x1 on a
+	// 1s e0 send to a
+	// sent 0
+}
+
+// Rule 4 for all gateways together: a hundred that know nothing yet send a new
+// worker about one request a second.
+func Example_coldWorkerOfManyGateways() {
+	sent := 0
+	for index := range 100 {
+		h := newFleet(index, 100, 1)
+		h.ReplaceMembership(h.now, []scheduler.Member{{Worker: "n", Started: h.now}})
+		for range 20 {
+			h.Submit(h.now, newRequest(9, 32))
+			due := h.Tick(h.now)
+			h.completeLoads(due)
+			for _, decision := range append(due.Decisions, h.Tick(h.now).Decisions...) {
+				if decision.Action == scheduler.Send {
+					sent++
+				}
+			}
+			h.now += 50 * ms
+		}
+	}
+	fmt.Println("in the first second", sent)
+	// Output:
+	// in the first second 1
+}
+
 // The fleet that a worker joins cold.
 const (
 	coldFleetTick   = 10 * ms
