--- a/internal/gateway/fleetconfig/golden_test.go
+++ b/internal/gateway/fleetconfig/golden_test.go
@@ -66,7 +66,8 @@
 	}
 	set := map[string]bool{}
 	keys(set, "", reflect.TypeFor[fleetconfig.File](), reflect.ValueOf(f))
-	if got, want := strings.Join(slices.Sorted(maps.Keys(set)), " "), strings.Join(strings.Fields(goldenKeys), " "); got != want {
+	got, want := strings.Join(slices.Sorted(maps.Keys(set)), " "), strings.Join(strings.Fields(goldenKeys), " ")
+	if got != want {
 		t.Errorf("\n got %s\nwant %s", got, want)
 	}
 	for key, is := range set {
@@ -81,7 +82,9 @@
 
 // Times and sizes are written with these units, and read again.
 func TestGoldenUnits(t *testing.T) {
-	b, err := yaml.Marshal(fleetconfig.Function{Name: "pay", Type: "once", Tenant: "acme", Concurrency: 2, Memory: 256 << 20, LoadTime: 1500e6})
+	b, err := yaml.Marshal(fleetconfig.Function{
+		Name: "pay", Type: "once", Tenant: "acme", Concurrency: 2, Memory: 256 << 20, LoadTime: 1500e6,
+	})
 	want := "name: pay\ntype: once\ntenant: acme\nlanes: 2\nmemory: 268435456B\nload-time: 1.5s\n"
 	if err != nil || string(b) != want {
 		t.Errorf("\n got %q, %v\nwant %q", b, err, want)
