--- a/internal/gateway/discovery/golden_test.go
+++ b/internal/gateway/discovery/golden_test.go
@@ -14,6 +14,22 @@
 	"lupinpond/internal/gateway/discovery"
 )
 
+// requestHead reads the head of a request; the address of the test's listener is replaced.
+func requestHead(t *testing.T, in *bufio.Reader, addr string) string {
+	t.Helper()
+	var head strings.Builder
+	for {
+		line, err := in.ReadString('\n')
+		head.WriteString(line)
+		if err != nil {
+			t.Fatalf("got %q, %v", head.String(), err)
+		}
+		if line == "\r\n" {
+			return strings.ReplaceAll(head.String(), addr, "ADDR")
+		}
+	}
+}
+
 // The client sends exactly these bytes, at the start and after event 7; only the address of the test's listener is
 // replaced.
 func TestGoldenRequest(t *testing.T) {
@@ -50,22 +66,9 @@
 		t.Fatal(err)
 	}
 	in := bufio.NewReader(conn)
-	head := func() string {
-		var b strings.Builder
-		for {
-			line, err := in.ReadString('\n')
-			b.WriteString(line)
-			if err != nil {
-				t.Fatalf("got %q, %v", b.String(), err)
-			}
-			if line == "\r\n" {
-				return strings.ReplaceAll(b.String(), addr, "ADDR")
-			}
-		}
-	}
 	const want = "GET /journal?tail=%d&max_wait=60000 HTTP/1.1\r\nHost: ADDR\r\nUser-Agent: Go-http-client/1.1\r\n" +
 		"Accept-Encoding: gzip\r\n\r\n"
-	if got := head(); got != fmt.Sprintf(want, 0) {
+	if got := requestHead(t, in, addr); got != fmt.Sprintf(want, 0) {
 		t.Errorf("\n got %q\nwant %q", got, fmt.Sprintf(want, 0))
 	}
 	const body = `{"pos":7,"entries":[{"pos":7,"hosts":{"whole":true,"hosts":[]}}]}`
@@ -76,7 +79,7 @@
 	if event := <-events; event.Position != 7 {
 		t.Errorf("got event %d, want 7", event.Position)
 	}
-	if got := head(); got != fmt.Sprintf(want, 7) {
+	if got := requestHead(t, in, addr); got != fmt.Sprintf(want, 7) {
 		t.Errorf("\n got %q\nwant %q", got, fmt.Sprintf(want, 7))
 	}
 }
--- a/internal/gateway/platform/golden_test.go
+++ b/internal/gateway/platform/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"bytes"
 	"context"
 	_ "embed" // golden files
 	"encoding/json"
@@ -426,25 +425,30 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	logged := strings.Split(l.text, "\n")
-	at := slices.IndexFunc(logged, func(s string) bool { return strings.Contains(s, `"msg":"status"`) })
-	decode := json.NewDecoder(bytes.NewReader([]byte(logged[at])))
-	var keys []string
-	if _, err := decode.Token(); err != nil {
+	if got := strings.Join(statusKeys(t, l.text), "\n"); got != strings.TrimSpace(goldenStatus) {
+		t.Errorf("\n got %s\nwant %s", got, goldenStatus)
+	}
+}
+
+// statusKeys is the keys of the status line in a log, in their order.
+func statusKeys(t *testing.T, log string) (keys []string) {
+	t.Helper()
+	lines := strings.Split(log, "\n")
+	at := slices.IndexFunc(lines, func(s string) bool { return strings.Contains(s, `"msg":"status"`) })
+	decoder := json.NewDecoder(strings.NewReader(lines[at]))
+	if _, err := decoder.Token(); err != nil {
 		t.Fatal(err)
 	}
-	for decode.More() {
-		key, err := decode.Token()
+	for decoder.More() {
+		key, err := decoder.Token()
 		var value any
 		if err == nil {
-			err = decode.Decode(&value)
+			err = decoder.Decode(&value)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 		keys = append(keys, key.(string))
 	}
-	if got := strings.Join(keys, "\n"); got != strings.TrimSpace(goldenStatus) {
-		t.Errorf("\n got %s\nwant %s", got, goldenStatus)
-	}
+	return keys
 }
--- a/internal/gateway/resp/cancel_race_test.go
+++ b/internal/gateway/resp/cancel_race_test.go
@@ -11,8 +11,9 @@
 	"lupinpond/internal/gateway/resp"
 )
 
-// A call that is cancelled as its response comes ends once, with one of the two, and no connection is kept for it.
-func TestCancelRacesWithResponse(t *testing.T) {
+// serveRequests runs a worker that answers every request at once. It ends when stop is called, and the pool before it.
+func serveRequests(t *testing.T) (addr string, stop func()) {
+	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -36,6 +37,15 @@
 			})
 		}
 	})
+	return listener.Addr().String(), func() {
+		listener.Close()
+		served.Wait()
+	}
+}
+
+// A call that is cancelled as its response comes ends once, with one of the two, and no connection is kept for it.
+func TestCancelRacesWithResponse(t *testing.T) {
+	addr, stopWorker := serveRequests(t)
 	ctx, stop := context.WithCancel(context.Background())
 	pool := resp.NewPool(ctx, resp.Limits{
 		IOTimeout:       time.Second,
@@ -45,7 +55,7 @@
 		MaxConns:        8,
 		MaxElementBytes: 1 << 16,
 	})
-	worker := pool.Worker(listener.Addr().String())
+	worker := pool.Worker(addr)
 	const calls = 500
 	outcomes := map[resp.Outcome]int{}
 	for i := range calls {
@@ -75,6 +85,5 @@
 	pool.AwaitOpenConns(0)
 	stop()
 	pool.Wait()
-	listener.Close()
-	served.Wait()
+	stopWorker()
 }
