--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -91,7 +91,7 @@
 		w := localfleet.NewRuntime(localfleet.RuntimeOptions{Name: name, Folder: filepath.Join(dir, name), Releases: releases, ExecutionLog: effects,
 			Limits: admission.Limits{MemoryBytes: 16 * 64 << 20, MaxRunning: 8, MaxWaiting: 100, MaxLoads: 4, IdleTimeout: time.Minute,
 				LoadOnMiss: file.Fleet.LoadPolicy.OnMiss == "load"}})
-		addr, started, err := w.Start("", true)
+		addr, started, err := w.Start("", localfleet.LongUptime)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testbed/localfleet/build.go
+++ b/internal/testbed/localfleet/build.go
@@ -9,14 +9,14 @@
 	"lupinpond/internal/artifact/manifest"
 )
 
-// Build builds a program of this module, such as lupinpond/examples/payroll, as a package's entry of a kind, with the Go
-// toolchain on the path. It is for tests.
-func Build(entry, program, kind string) error {
-	args, env := []string{"build", "-o", entry}, append(os.Environ(), "CGO_ENABLED=0")
+// Build builds a program of this module, such as lupinpond/examples/payroll, as a package's entry point of a kind, with
+// the Go toolchain on the path. It is for tests.
+func Build(entryPoint, program, kind string) error {
+	args, env := []string{"build", "-o", entryPoint}, append(os.Environ(), "CGO_ENABLED=0")
 	if kind == manifest.Wasm {
 		args, env = append(args, "-buildmode=c-shared"), append(env, "GOOS=wasip1", "GOARCH=wasm")
 	}
-	if err := os.MkdirAll(filepath.Dir(entry), 0o755); err != nil {
+	if err := os.MkdirAll(filepath.Dir(entryPoint), 0o755); err != nil {
 		return err
 	}
 	cmd := exec.Command("go", append(args, program)...)
--- a/internal/testbed/scenario/workers.go
+++ b/internal/testbed/scenario/workers.go
@@ -39,7 +39,7 @@
 		} else {
 			worker = emulator.NewWorker(name, model, functions, r.store, r.executions, groups.ofZone(zone), r.scenario.Seed)
 		}
-		addr, started, err := worker.Start("", true)
+		addr, started, err := worker.Start("", localfleet.LongUptime)
 		if err != nil {
 			return err
 		}
@@ -95,7 +95,7 @@
 	for _, i := range indexes {
 		worker := r.workers[i]
 		worker.Stop()
-		_, started, err := worker.Start(r.entries[i].Addr, false)
+		_, started, err := worker.Start(r.entries[i].Addr, 0)
 		if err != nil {
 			return err
 		}
