--- /dev/null
+++ b/internal/testbed/soak/config.go
@@ -0,0 +1,93 @@
+package soak
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+
+	"lupinpond/internal/gateway/discovery"
+)
+
+// object is a JSON object of the platform's configuration file.
+type object map[string]any
+
+// gatewayConfig is the configuration file of a gateway, which begins with the endpoints of a position.
+func gatewayConfig(g *gatewayProcess, endpoints []discovery.Endpoint, position int64) ([]byte, error) {
+	update := &discovery.Update{Complete: true, Endpoints: endpoints}
+	return json.Marshal(object{
+		"name":     g.name,
+		"listen":   g.listen,
+		"seed":     fmt.Sprintf("%x", g.options.Seed+uint64(g.index)+1),
+		"journal":  g.discoveryProxy.Addr(),
+		"limits":   object{"cores": 1.0, "memory_mb": 64, "sockets": maxSockets},
+		"known":    discovery.Batch{Position: position, Events: []discovery.Event{{Position: position, Update: update}}},
+		"settings": gatewaySettings(g),
+	})
+}
+
+func gatewaySettings(g *gatewayProcess) object {
+	return object{
+		"index":         g.index,
+		"instances":     g.options.Gateways,
+		"quantum":       0.002,
+		"weight_source": "nominal",
+		"kinds":         []string{"std"},
+		"family_info": object{
+			"keep":         10,
+			"orders":       true,
+			"miss_mode":    "load",
+			"order_limit":  4,
+			"machine_mb":   []int{64 << 10},
+			"loads_within": 5,
+			"loads_anyway": 30,
+			"load_part":    0.5,
+		},
+		"policy_limits": object{
+			"cancel":          true,
+			"conn_idle":       4,
+			"dial_timeout":    0.25,
+			"max_streams":     32,
+			"send_cap":        6,
+			"probing":         true,
+			"retry_after":     true,
+			"max_retry_after": 2,
+		},
+		"report": object{"source": "inline", "fields": []string{"inflight", "pending"}},
+		"rules": object{
+			"stop_sending_within": drainGrace.Seconds(),
+			"cold_from":           initialShare,
+			"warm_after":          warmUpTime.Seconds(),
+			"fall_multiple":       crashMultiple,
+			"fall":                crashWindow.Seconds(),
+		},
+		"request_classes": []object{
+			requestClass(classCall, "pure"),
+			requestClass(classAtMostOnce, "side_effect"),
+			requestClass(classKeyed, "token"),
+		},
+	}
+}
+
+func requestClass(name, effect string) object {
+	return object{
+		"name":        name,
+		"effect":      effect,
+		"aim":         0.5,
+		"give_up":     maxWait.Seconds(),
+		"dedup_scope": "all",
+		"window":      keyWindow.Seconds(),
+	}
+}
+
+// writeConfig writes a file at once, or, with interrupt, in two parts with interrupt called between them, as a careless
+// tool does.
+func writeConfig(path string, config []byte, interrupt func()) error {
+	if interrupt == nil {
+		return os.WriteFile(path, config, 0o600)
+	}
+	if err := os.WriteFile(path, config[:len(config)/2], 0o600); err != nil {
+		return err
+	}
+	interrupt()
+	return os.WriteFile(path, config, 0o600)
+}
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"math/rand/v2"
 	"net"
-	"slices"
 	"sync"
 	"syscall"
 	"time"
@@ -17,29 +16,24 @@
 	"lupinpond/internal/testbed/subprocess"
 )
 
-// Report is what a run has found.
-type Report struct {
-	Counts     Counts
-	Violations []Violation
-	Injected   []string // what made system calls fail, by front end
-}
-
-// run is one run.
-type run struct {
-	options   Options
-	checker   *checker
-	discovery *discoverytest.Server
-	gateways  []*gatewayProcess
-	starter   *subprocess.Starter
+const (
+	// zones is in how many zones workers stand.
+	zones = 3
+	// gatewayNet is the network of 127/8 in which gateways listen.
+	gatewayNet = 33
+	// meanFaultInterval is the mean time between two begins of faults: most last longer, so that two or three overlap.
+	meanFaultInterval = 350 * time.Millisecond
+)
 
-	mu               sync.Mutex
-	workers          []*worker
-	lastWorkerNumber int
-	outMu            sync.Mutex
-	activeFaults     sync.WaitGroup
-}
+// The streams of random numbers of a run.
+const (
+	setUpStream   = 1
+	faultsStream  = 2
+	faultStream   = 3
+	clientsStream = 100 // and the ones after it
+)
 
-// Injections that strace makes, each rare enough that a front end goes on.
+// injections are those that strace makes, each rare enough that a gateway goes on.
 var injections = []string{
 	"accept4:error=ENOBUFS:when=3+7",
 	"accept4:error=ECONNABORTED:when=2+5",
@@ -55,30 +49,43 @@
 	"write:error=EINTR:when=50+29",
 }
 
-// Run plays a run. The error is one of the run itself; broken rules are in the report.
-func Run(ctx context.Context, o Options) (Report, error) {
-	r := &run{options: o, checker: newChecker(), starter: subprocess.NewStarter()}
+// run is one run.
+type run struct {
+	options      Options
+	checker      *checker
+	discovery    *discoverytest.Server
+	gateways     []*gatewayProcess
+	starter      *subprocess.Starter
+	activeFaults sync.WaitGroup
+
+	mu               sync.Mutex
+	workers          []*worker // that are on the endpoint list
+	lastWorkerNumber int
+
+	outMu sync.Mutex
+}
+
+// Run plays a run. The error is one of the run itself; violations are in the report.
+func Run(ctx context.Context, options Options) (Report, error) {
+	r := &run{options: options, checker: newChecker(), starter: subprocess.NewStarter()}
 	defer r.starter.Close()
-	watching, unwatch := context.WithCancel(context.Background())
-	defer unwatch()
-	go r.checker.stalls.watch(watching)
+	defer r.checker.stalls.startWatch()()
 	defer r.close()
-	if err := r.setUp(ctx); err != nil {
+	if err := r.start(ctx); err != nil {
 		return Report{}, err
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	clientsDone, stopClients := r.startClients()
+	stopClients := r.startClients()
 	r.injectFaults(ctx)
 	stop()
 	r.activeFaults.Wait()
 	stopClients()
-	clientsDone.Wait()
 	r.checker.checkUnanswered()
-	report := Report{Counts: r.checker.counts, Violations: r.checker.violations}
-	for _, f := range r.gateways {
-		if len(f.wrapper) > 0 {
-			report.Injected = append(report.Injected, f.name+" "+f.wrapper[len(f.wrapper)-2])
+	report := r.checker.report()
+	for _, gateway := range r.gateways {
+		if len(gateway.wrapper) > 0 {
+			report.Injected = append(report.Injected, gateway.name+" "+gateway.wrapper[len(gateway.wrapper)-2])
 		}
 	}
 	return report, nil
@@ -91,184 +98,119 @@
 	}
 	r.outMu.Lock()
 	defer r.outMu.Unlock()
-	_, _ = fmt.Fprintf(r.options.Out, "%7.2f s  "+format+"\n", append([]any{time.Since(r.checker.startedAt).Seconds()}, args...)...)
+	elapsed := time.Since(r.checker.startedAt).Seconds()
+	_, _ = fmt.Fprintf(r.options.Out, "%7.2f s  "+format+"\n", append([]any{elapsed}, args...)...)
 }
 
-// setUp starts workers, the list service and the front ends.
-func (r *run) setUp(ctx context.Context) error {
-	random := rand.New(rand.NewPCG(r.options.Seed, 1))
-	var lines []discovery.Endpoint
-	for range r.options.Workers {
-		w, err := newWorker(r.checker, r.nextWorkerName(), "", len(lines)%3, time.Time{}, random.Uint64())
+// start starts workers, the discovery service and the gateways.
+func (r *run) start(ctx context.Context) error {
+	random := rand.New(rand.NewPCG(r.options.Seed, setUpStream))
+	var endpoints []discovery.Endpoint
+	for i := range r.options.Workers {
+		w, err := newWorker(r.checker, r.nextWorkerName(), "", i%zones, time.Time{}, random.Uint64())
 		if err != nil {
 			return err
 		}
 		r.workers = append(r.workers, w)
-		lines = append(lines, w.endpoint)
+		endpoints = append(endpoints, w.endpoint)
 	}
 	var err error
-	if r.discovery, err = discoverytest.New(lines); err != nil {
+	if r.discovery, err = discoverytest.New(endpoints); err != nil {
 		return err
 	}
 	for i := range r.options.Gateways {
-		f, err := r.newGateway(i, random)
+		gateway, err := r.newGateway(i, random)
 		if err != nil {
 			return err
 		}
-		r.gateways = append(r.gateways, f)
+		r.gateways = append(r.gateways, gateway)
 	}
 	errs := make([]error, len(r.gateways))
 	var starting sync.WaitGroup
-	for i, f := range r.gateways {
-		starting.Go(func() { errs[i] = f.start(ctx) })
+	for i, gateway := range r.gateways {
+		starting.Go(func() { errs[i] = gateway.start(ctx) })
 	}
 	starting.Wait()
 	return errors.Join(errs...)
 }
 
-func (r *run) nextWorkerName() string {
-	r.lastWorkerNumber++
-	return fmt.Sprintf("w%d", r.lastWorkerNumber)
-}
-
 func (r *run) newGateway(index int, random *rand.Rand) (*gatewayProcess, error) {
-	// an address of its own, so that no connection that leaves from 127.0.0.1 has its port while it is down
-	listener, err := net.Listen("tcp", net.JoinHostPort(net.IPv4(127, gatewayNet, byte(index>>8), byte(index)).String(), "0"))
+	listen, err := gatewayAddr(index)
 	if err != nil {
 		return nil, err
 	}
-	f := &gatewayProcess{options: r.options, index: index, name: fmt.Sprintf("f%d", index), listen: listener.Addr().String(), checker: r.checker, spawn: r.starter.Start, endpoints: r.endpoints}
-	if err := listener.Close(); err != nil {
-		return nil, err
+	g := &gatewayProcess{
+		options:   r.options,
+		index:     index,
+		name:      fmt.Sprintf("f%d", index),
+		listen:    listen,
+		checker:   r.checker,
+		spawn:     r.starter.Start,
+		endpoints: r.endpoints,
 	}
-	if f.clientProxy, err = faultproxy.New(f.listen); err != nil {
+	if g.clientProxy, err = faultproxy.New(g.listen); err != nil {
 		return nil, err
 	}
 	for range 2 {
-		way, err := faultproxy.New(r.discovery.Addr)
+		proxy, err := faultproxy.New(r.discovery.Addr)
 		if err != nil {
 			return nil, err
 		}
-		f.discoveryProxies = append(f.discoveryProxies, way)
+		g.discoveryProxies = append(g.discoveryProxies, proxy)
 	}
-	f.discoveryProxy = f.discoveryProxies[0]
+	g.discoveryProxy = g.discoveryProxies[0]
 	if r.options.InjectSyscallErrors && index%3 == 2 {
-		f.wrapper = []string{"strace", "-f", "-q", "--seccomp-bpf", "-o", "/dev/null", "-e", "trace=accept4,connect,socket,epoll_ctl,read,write",
+		g.wrapper = []string{"strace", "-f", "-q", "--seccomp-bpf", "-o", "/dev/null",
+			"-e", "trace=accept4,connect,socket,epoll_ctl,read,write",
 			"-e", "inject=" + injections[random.IntN(len(injections))], "--"}
 	}
-	return f, nil
-}
-
-// gatewayNet is the network of 127/8 in which front ends listen.
-const gatewayNet = 33
-
-// endpoints is the list as it stands.
-func (r *run) endpoints() ([]discovery.Endpoint, int64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	var lines []discovery.Endpoint
-	for _, w := range r.workers {
-		lines = append(lines, w.endpoint)
-	}
-	return lines, r.discovery.Counts().Position
-}
-
-// listedWorkers is the workers that are on the list.
-func (r *run) listedWorkers() []*worker {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return slices.Clone(r.workers)
-}
-
-// drawWorkers takes workers for a trouble of their own; others don't find them any more.
-func (r *run) drawWorkers(random *rand.Rand, n int) (taken []*worker) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	n = min(n, len(r.workers)-2)
-	for range n {
-		i := random.IntN(len(r.workers))
-		taken = append(taken, r.workers[i])
-	}
-	slices.SortFunc(taken, func(a, b *worker) int { return int(a.number()) - int(b.number()) })
-	return slices.Compact(taken)
-}
-
-// publishState publishes the state of workers.
-func (r *run) publishState(workers []*worker, state string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	var lines []discovery.Endpoint
-	for _, w := range workers {
-		w.endpoint.State = state
-		lines = append(lines, w.endpoint)
-		if state == discovery.Removed {
-			r.workers = slices.DeleteFunc(r.workers, func(x *worker) bool { return x == w })
-		}
-	}
-	_, at := r.discovery.Publish(lines)
-	for _, w := range workers {
-		w.markDrained(at)
-	}
+	return g, nil
 }
 
-// clockSteps are how far the wall clock of front ends may be off that of the list: to them, that is a step of theirs.
-var clockSteps = []time.Duration{0, 0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour}
-
-// addWorker starts a worker and publishes it; cold: it has just started, else long ago.
-func (r *run) addWorker(random *rand.Rand, name, addr string, cold bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if name == "" {
-		name = r.nextWorkerName()
-	}
-	born := time.Time{}
-	if cold {
-		born = time.Now()
-	}
-	w, err := newWorker(r.checker, name, addr, random.IntN(3), born, random.Uint64())
+// gatewayAddr is a free address for a gateway. Its host is its own, so that no connection that leaves from 127.0.0.1
+// has its port while it is down.
+func gatewayAddr(index int) (string, error) {
+	host := net.IPv4(127, gatewayNet, byte(index>>8), byte(index)).String()
+	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
-		w, err = newWorker(r.checker, name, "", random.IntN(3), born, random.Uint64())
+		return "", err
 	}
-	if err != nil {
-		r.logf("%v", err)
-		return
-	}
-	if cold {
-		w.endpoint.StartedUnixMilli = born.Add(clockSteps[random.IntN(len(clockSteps))]).UnixMilli()
-	}
-	r.workers = append(r.workers, w)
-	r.discovery.Publish([]discovery.Endpoint{w.endpoint})
+	return listener.Addr().String(), listener.Close()
 }
 
-// startClients has usual clients come to every front end.
-func (r *run) startClients() (done *sync.WaitGroup, stop func()) {
-	ctx, stop := context.WithCancel(context.Background())
-	done = &sync.WaitGroup{}
-	for i, f := range r.gateways {
-		c := &clients{gateway: f, checker: r.checker, random: rand.New(rand.NewPCG(r.options.Seed, uint64(100+i)))}
+// startClients has usual clients send to every gateway; stop ends them and waits for what is open.
+func (r *run) startClients() (stop func()) {
+	ctx, cancel := context.WithCancel(context.Background())
+	var done sync.WaitGroup
+	for i, gateway := range r.gateways {
+		c := &clients{
+			gateway: gateway,
+			checker: r.checker,
+			random:  rand.New(rand.NewPCG(r.options.Seed, clientsStream+uint64(i))),
+		}
 		done.Go(func() { c.run(ctx, r.options.Rate) })
 	}
-	return done, stop
+	return func() {
+		cancel()
+		done.Wait()
+	}
 }
 
-// meanFaultInterval is the mean time between two begins of trouble: most last longer, so that two or three overlap.
-const meanFaultInterval = 350 * time.Millisecond
-
-// injectFaults begins troubles until their time is over.
+// injectFaults begins faults until their time is over, and waits for their ends.
 func (r *run) injectFaults(ctx context.Context) {
-	random := rand.New(rand.NewPCG(r.options.Seed, 2))
-	var kinds []fault
-	for _, t := range faultKinds() {
-		for range t.weight {
-			kinds = append(kinds, t)
+	random := rand.New(rand.NewPCG(r.options.Seed, faultsStream))
+	var weighted []fault
+	for _, kind := range faultKinds() {
+		for range kind.weight {
+			weighted = append(weighted, kind)
 		}
 	}
 	sleep(ctx, r.options.WarmUp)
 	for end := time.Now().Add(r.options.Duration); time.Now().Before(end) && ctx.Err() == nil; {
-		t, own := kinds[random.IntN(len(kinds))], rand.New(rand.NewPCG(random.Uint64(), 3))
-		r.checker.count(func(s *Counts) { s.Faults++ })
-		r.logf("%s", t.name)
-		r.activeFaults.Go(func() { t.inject(r, ctx, own) })
+		drawn, own := weighted[random.IntN(len(weighted))], rand.New(rand.NewPCG(random.Uint64(), faultStream))
+		r.checker.count(func(counts *Counts) { counts.Faults++ })
+		r.logf("%s", drawn.name)
+		r.activeFaults.Go(func() { drawn.inject(r, ctx, own) })
 		sleep(ctx, time.Duration(random.ExpFloat64()*float64(meanFaultInterval)))
 	}
 	r.activeFaults.Wait()
@@ -276,21 +218,21 @@
 
 // close ends all that is left.
 func (r *run) close() {
-	var ending sync.WaitGroup
-	for _, f := range r.gateways {
-		ending.Go(func() {
-			f.stop(syscall.SIGTERM, max(maxWait, 3*time.Second)+700*time.Millisecond)
-			f.clientProxy.Close()
-			for _, way := range f.discoveryProxies {
-				way.Close()
+	var closing sync.WaitGroup
+	for _, gateway := range r.gateways {
+		closing.Go(func() {
+			gateway.stop(syscall.SIGTERM, stopTimeout)
+			gateway.clientProxy.Close()
+			for _, proxy := range gateway.discoveryProxies {
+				proxy.Close()
 			}
 		})
 	}
-	ending.Wait()
+	closing.Wait()
 	for _, w := range r.listedWorkers() {
 		w.crash()
 	}
 	if r.discovery != nil {
-		_ = r.discovery.Close() // nobody asks any more
+		_ = r.discovery.Close() // nobody polls any more
 	}
 }
--- /dev/null
+++ b/internal/testbed/soak/spans.go
@@ -0,0 +1,71 @@
+package soak
+
+import (
+	"context"
+	"sync"
+	"time"
+)
+
+// span is a time in which something was wrong. One that goes on has no end.
+type span struct{ from, to time.Time }
+
+// spans are those of one gateway, or of this process.
+type spans []*span
+
+// overlaps reports whether a span overlaps a time.
+func (s spans) overlaps(from, to time.Time) bool {
+	for _, span := range s {
+		if !span.from.After(to) && (span.to.IsZero() || !span.to.Before(from)) {
+			return true
+		}
+	}
+	return false
+}
+
+// stalls are the times in which this process did not run: what it read then it read late, and can't check.
+type stalls struct {
+	mu    sync.Mutex
+	spans spans
+}
+
+const (
+	// stallTick is how often this process looks whether it runs.
+	stallTick = 5 * time.Millisecond
+	// minStall is the time between two looks from which on it did not run.
+	minStall = 30 * time.Millisecond
+)
+
+// startWatch begins to note stalls; stop ends it.
+func (s *stalls) startWatch() (stop func()) {
+	ctx, cancel := context.WithCancel(context.Background())
+	var watching sync.WaitGroup
+	watching.Go(func() { s.watch(ctx) })
+	return func() {
+		cancel()
+		watching.Wait()
+	}
+}
+
+// watch notes stalls until ctx ends.
+func (s *stalls) watch(ctx context.Context) {
+	ticker := time.NewTicker(stallTick)
+	defer ticker.Stop()
+	last := time.Now()
+	for ctx.Err() == nil {
+		<-ticker.C
+		now := time.Now()
+		if now.Sub(last) > minStall {
+			s.mu.Lock()
+			s.spans = append(s.spans, &span{from: last, to: now})
+			s.mu.Unlock()
+		}
+		last = now
+	}
+}
+
+// overlaps reports whether a stall overlaps a time.
+func (s *stalls) overlaps(from, to time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.spans.overlaps(from, to)
+}
