--- a/cmd/lpctl/scale.go
+++ b/cmd/lpctl/scale.go
@@ -53,7 +53,7 @@
 		fmt.Println(plan.Estimate().Sum)
 		return plan.Check(options.MaxBytes)
 	}
-	if err := plan.CheckGate(c.Gate); err != nil {
+	if err := plan.CheckGatewayProgram(c.Gate); err != nil {
 		return err
 	}
 	if c.Sweep != "none" {
--- /dev/null
+++ b/internal/testbed/discoverytest/server.go
@@ -0,0 +1,224 @@
+// Package discoverytest emulates the platform's discovery service, in its published form: numbered events, polled by
+// GET /journal?tail=N&max_wait=MS.
+package discoverytest
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"net"
+	"net/http"
+	"slices"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"lupinpond/internal/base/httpserver"
+	"lupinpond/internal/gateway/discovery"
+)
+
+const (
+	// maxChanges is how many changes are answered one by one; who has missed more gets the complete list.
+	maxChanges = 1000
+	// headerTimeout is how long the header of a poll may take.
+	headerTimeout = 5 * time.Second
+)
+
+// Server is one endpoint list and the HTTP interface to it.
+type Server struct {
+	mu               sync.Mutex
+	workers          map[string]discovery.Endpoint // by name
+	changes          []discovery.Event             // the last ones, without a gap up to the position
+	position         int64
+	changed          chan struct{} // closed at the next change
+	completeResponse []byte        // with the complete list of the position; nil: not made yet
+
+	polls             atomic.Int64
+	completeResponses atomic.Int64
+	bytes             atomic.Int64
+
+	// Addr is where it listens.
+	Addr    string
+	cancel  context.CancelFunc // nil: stopped
+	stopped chan error
+}
+
+// New makes a service that listens at a free port of loopback.
+func New(workers []discovery.Endpoint) (*Server, error) {
+	s := &Server{workers: map[string]discovery.Endpoint{}, position: 1, changed: make(chan struct{})}
+	for _, worker := range workers {
+		s.workers[worker.Name] = worker
+	}
+	return s, s.listen("127.0.0.1:0")
+}
+
+func (s *Server) listen(addr string) error {
+	listener, err := net.Listen("tcp", addr)
+	if err != nil {
+		return err
+	}
+	s.Addr = listener.Addr().String()
+	ctx, cancel := context.WithCancel(context.Background())
+	stopped := make(chan error, 1)
+	s.cancel, s.stopped = cancel, stopped
+	server := &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout}
+	go func() { stopped <- httpserver.Serve(ctx, server, countingListener{listener, &s.bytes}, 0) }()
+	return nil
+}
+
+// Stop stops the service with all that is under way. What was published stays.
+func (s *Server) Stop() error {
+	if s.cancel == nil {
+		return nil
+	}
+	s.cancel()
+	s.cancel = nil
+	return <-s.stopped
+}
+
+// Resume has a stopped service listen at its address again.
+func (s *Server) Resume() error { return s.listen(s.Addr) }
+
+// Close stops the service for good.
+func (s *Server) Close() error { return s.Stop() }
+
+// Publish publishes one change of some endpoints.
+func (s *Server) Publish(endpoints []discovery.Endpoint) (position int64, at time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, endpoint := range endpoints {
+		if endpoint.State == discovery.Removed {
+			delete(s.workers, endpoint.Name)
+		} else {
+			s.workers[endpoint.Name] = endpoint
+		}
+	}
+	s.position++
+	update := &discovery.Update{Endpoints: endpoints}
+	s.changes = append(s.changes, discovery.Event{Position: s.position, Update: update})
+	if excess := len(s.changes) - maxChanges; excess > 0 {
+		s.changes = slices.Delete(s.changes, 0, excess)
+	}
+	s.completeResponse = nil
+	at = time.Now()
+	close(s.changed)
+	s.changed = make(chan struct{})
+	return s.position, at
+}
+
+// completeLocked is the response with the list as it stands; s.mu is held.
+func (s *Server) completeLocked() ([]byte, error) {
+	if s.completeResponse != nil {
+		return s.completeResponse, nil
+	}
+	update := &discovery.Update{Complete: true}
+	for _, name := range slices.Sorted(maps.Keys(s.workers)) {
+		update.Endpoints = append(update.Endpoints, s.workers[name])
+	}
+	response, err := encodeBatch(s.position, []discovery.Event{{Position: s.position, Update: update}})
+	if err != nil {
+		return nil, err
+	}
+	s.completeResponse = response
+	return response, nil
+}
+
+func encodeBatch(position int64, events []discovery.Event) ([]byte, error) {
+	return json.Marshal(discovery.Batch{Position: position, Events: events})
+}
+
+// after is the response to who knows the events up to tail; nil: there is nothing new until changed is closed.
+func (s *Server) after(tail int64) (response []byte, changed chan struct{}, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	oldest := s.position - int64(len(s.changes)) // the last event that need not be known
+	switch {
+	case tail > s.position:
+		return nil, nil, fmt.Errorf("tail %d is after the last event %d", tail, s.position)
+	case tail == s.position:
+		return nil, s.changed, nil
+	case tail < oldest || tail == 0:
+		s.completeResponses.Add(1)
+		response, err = s.completeLocked()
+	default:
+		response, err = encodeBatch(s.position, s.changes[tail-oldest:])
+	}
+	return response, nil, err
+}
+
+// poll is the response to a poll, which waits for the next change if need be; nil: the client has disconnected.
+func (s *Server) poll(ctx context.Context, tail int64, maxWait time.Duration) ([]byte, error) {
+	response, changed, err := s.after(tail)
+	if err != nil || response != nil {
+		return response, err
+	}
+	timer := time.NewTimer(maxWait)
+	defer timer.Stop()
+	select {
+	case <-changed:
+		response, _, err = s.after(tail)
+		return response, err
+	case <-timer.C:
+		return fmt.Appendf(nil, `{"pos":%d,"entries":[]}`, tail), nil
+	case <-ctx.Done():
+		return nil, nil
+	}
+}
+
+// ServeHTTP answers a poll.
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	s.polls.Add(1)
+	tail, tailErr := strconv.ParseInt(r.URL.Query().Get("tail"), 10, 64)
+	maxWait, waitErr := strconv.ParseInt(r.URL.Query().Get("max_wait"), 10, 64)
+	if tailErr != nil || waitErr != nil || r.URL.Path != "/journal" || maxWait < 0 || tail < 0 {
+		http.Error(w, "GET /journal?tail=N&max_wait=MS", http.StatusBadRequest)
+		return
+	}
+	response, err := s.poll(r.Context(), tail, time.Duration(maxWait)*time.Millisecond)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	if response != nil {
+		_, _ = w.Write(response) // who does not read it polls again
+	}
+}
+
+// Counts are a service's numbers.
+type Counts struct {
+	Polls             int64  `json:"asked"`
+	CompleteResponses int64  `json:"whole"` // with the complete list
+	Bytes             int64  `json:"bytes"` // both ways, with the headers of HTTP
+	Position          int64  `json:"position"`
+	Digest            string `json:"digest"`
+}
+
+// Counts tells what it did.
+func (s *Server) Counts() *Counts {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	states := make(map[string]string, len(s.workers))
+	for name, worker := range s.workers {
+		states[name] = worker.State
+	}
+	return &Counts{
+		Polls:             s.polls.Load(),
+		CompleteResponses: s.completeResponses.Load(),
+		Bytes:             s.bytes.Load(),
+		Position:          s.position,
+		Digest:            Digest(states),
+	}
+}
+
+// Digest names an endpoint list by its workers and their states.
+func Digest(states map[string]string) string {
+	hash := xxhash.New()
+	for _, name := range slices.Sorted(maps.Keys(states)) {
+		_, _ = hash.WriteString(name + "=" + states[name] + "\n") // it never fails
+	}
+	return fmt.Sprintf("%016x", hash.Sum64())
+}
--- a/internal/testbed/scale/child.go
+++ b/internal/testbed/scale/child.go
@@ -12,43 +12,45 @@
 	"lupinpond/internal/testbed/discoverytest"
 )
 
-// Child plays a role for the process that started this one, until in ends: what the parent says comes by in, and what it is
-// answered goes to out.
+// Child plays a role for the process that started this one, until in ends: what the parent says comes by in, and what
+// it is answered goes to out.
 func Child(ctx context.Context, role Role, in io.Reader, out io.Writer) error {
 	p := newPipe(in, out)
 	switch role {
 	case RoleDiscovery:
 		return runDiscovery(p)
 	case RoleWorkers:
-		return runWorkers(ctx, p)
+		return runWorkers(p)
 	case RoleGateways:
 		return runGateways(ctx, p)
 	}
 	return fmt.Errorf("there is no role %q", role)
 }
 
-// runDiscovery plays the role of the list service.
+// runDiscovery plays the role of the discovery service.
 func runDiscovery(p *pipe) error {
-	var s *discoverytest.Server
+	var server *discoverytest.Server
 	defer func() {
-		if s != nil {
-			_ = s.Close() // the process ends
+		if server != nil {
+			_ = server.Close() // the process ends
 		}
 	}()
 	return p.serve(func(c command) (r reply, err error) {
 		switch {
 		case c.Setup != nil:
-			if s, err = discoverytest.New(c.Setup.List); err == nil {
-				r.Addr = s.Addr
+			if server, err = discoverytest.New(c.Setup.List); err == nil {
+				r.Addr = server.Addr
 			}
 		case len(c.Publish) > 0:
-			position, at := s.Publish(c.Publish)
+			position, at := server.Publish(c.Publish)
 			r.Position, r.At = position, at.UnixNano()
+		case c.Unavailable != nil && *c.Unavailable:
+			err = server.Stop()
 		case c.Unavailable != nil:
-			err = s.SetUnavailable(*c.Unavailable)
+			err = server.Resume()
 		case c.Report:
 			if r.Report, err = ownReport(); err == nil {
-				r.Report.Discovery = s.Counts()
+				r.Report.Discovery = server.Counts()
 			}
 		}
 		return r, err
@@ -61,12 +63,12 @@
 	if err := unix.ClockGettime(unix.CLOCK_PROCESS_CPUTIME_ID, &spent); err != nil {
 		return nil, err
 	}
-	resident, descriptors, err := processState(os.Getpid())
-	return &childReport{ProcessorNanos: spent.Nano(), ResidentBytes: resident, Descriptors: descriptors}, err
+	residentBytes, descriptors, err := processState(os.Getpid())
+	return &childReport{ProcessorNanos: spent.Nano(), ResidentBytes: residentBytes, Descriptors: descriptors}, err
 }
 
 // processState tells the memory and the descriptors of a process.
-func processState(pid int) (resident int64, descriptors int, err error) {
+func processState(pid int) (residentBytes int64, descriptors int, err error) {
 	p, err := procfs.NewProc(pid)
 	if err != nil {
 		return 0, 0, err
@@ -79,8 +81,8 @@
 	return int64(stat.ResidentMemory()), descriptors, err
 }
 
-// processorOf tells the processor time that another process has used, to the tick of the system's clock.
-func processorOf(pid int) (nanos int64, err error) {
+// processorTime tells the processor time that another process has used, to the tick of the system's clock.
+func processorTime(pid int) (nanos int64, err error) {
 	p, err := procfs.NewProc(pid)
 	if err != nil {
 		return 0, err
--- a/internal/testbed/scale/messages.go
+++ b/internal/testbed/scale/messages.go
@@ -2,9 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
-	"io"
-	"sync"
 
 	"lupinpond/internal/gateway/discovery"
 	"lupinpond/internal/testbed/discoverytest"
@@ -23,32 +20,32 @@
 // command is a line from the parent to a child. The first one sets the child up; each is answered by one reply.
 type command struct {
 	Setup       *setup               `json:"setup,omitempty"`
-	Publish     []discovery.Endpoint `json:"publish,omitempty"` // the list service: one change
-	Unavailable *bool                `json:"away,omitempty"`    // the list service
+	Publish     []discovery.Endpoint `json:"publish,omitempty"` // the discovery service: one change
+	Unavailable *bool                `json:"away,omitempty"`    // the discovery service: it is unavailable, or no more
 	Stop        []int                `json:"stop,omitempty"`    // workers, by their numbers in the child
 	Silence     []int                `json:"silence,omitempty"` // workers
-	Start       []int                `json:"start,omitempty"`   // workers that stopped or are silent, empty and cold, under new names
-	Restart     int                  `json:"restart,omitempty"` // front ends
-	WithoutList bool                 `json:"empty,omitempty"`   // with Restart: they start without a list
-	Rate        *float64             `json:"rate,omitempty"`    // of each front end
+	Start       []int                `json:"start,omitempty"`   // workers that stopped or are silent, under new names
+	Restart     int                  `json:"restart,omitempty"` // so many gateways
+	WithoutList bool                 `json:"empty,omitempty"`   // with Restart: they start without an endpoint list
+	Rate        *float64             `json:"rate,omitempty"`    // of each gateway
 	Report      bool                 `json:"report,omitempty"`
-	Final       bool                 `json:"final,omitempty"` // with Report: the lists are told too
+	Final       bool                 `json:"final,omitempty"` // with Report: the digests too
 }
 
 // setup is what a child is started with.
 type setup struct {
 	Plan          Plan                 `json:"plan"`
-	First         int                  `json:"first"` // number of its first front end or worker
+	First         int                  `json:"first"` // number of its first gateway or worker
 	Count         int                  `json:"count"`
-	List          []discovery.Endpoint `json:"list,omitempty"`    // for the list service
-	Config        json.RawMessage      `json:"config,omitempty"`  // for front ends, as the platform's file
-	DiscoveryAddr string               `json:"journal,omitempty"` // where the list service is
+	List          []discovery.Endpoint `json:"list,omitempty"`    // for the discovery service
+	Config        json.RawMessage      `json:"config,omitempty"`  // for gateways, as the platform's file
+	DiscoveryAddr string               `json:"journal,omitempty"` // where the discovery service listens
 }
 
 // reply is a line from a child to its parent.
 type reply struct {
 	Error    string               `json:"error,omitempty"`
-	Addr     string               `json:"addr,omitempty"`     // of the list service
+	Addr     string               `json:"addr,omitempty"`     // of the discovery service
 	Workers  []discovery.Endpoint `json:"workers,omitempty"`  // that were started
 	Position int64                `json:"position,omitempty"` // of the change that was published
 	At       int64                `json:"at,omitempty"`       // when, in Unix nanoseconds
@@ -64,15 +61,15 @@
 	Workers        *workerCounts           `json:"workers,omitempty"`
 	Gateways       *gatewayCounts          `json:"front_ends,omitempty"`
 	Applied        map[int64][]application `json:"applied,omitempty"` // by change, since the last report
-	Warm           []byte                  `json:"warm,omitempty"`    // latencies in microseconds, as HdrHistogram encodes them
+	Warm           []byte                  `json:"warm,omitempty"`    // latencies in microseconds, encoded by HdrHistogram
 	Cold           []byte                  `json:"cold,omitempty"`
-	Digests        map[string]int          `json:"digests,omitempty"` // of the lists that front ends have; how many have each
+	Digests        map[string]int          `json:"digests,omitempty"` // of endpoint lists: how many gateways have each
 }
 
-// application is a change that came into force at a front end, in Unix nanoseconds.
+// application is when a change was applied at a gateway, in Unix nanoseconds.
 type application struct {
 	At        int64 `json:"at"`
-	StartedAt int64 `json:"since"` // when the front end was started
+	StartedAt int64 `json:"since"` // when the gateway was started
 }
 
 // workerCounts are those of the workers of one process.
@@ -85,11 +82,11 @@
 	Probes          int64 `json:"probes"`
 	Cancels         int64 `json:"kills"`
 	Rejected        int64 `json:"refused"`
-	ControlBytes    int64 `json:"control_bytes"` // of orders and probes, both ways
-	RequestBytes    int64 `json:"request_bytes"` // of requests and kills, both ways
+	ControlBytes    int64 `json:"control_bytes"` // of load requests and probes, both ways
+	RequestBytes    int64 `json:"request_bytes"` // of requests and cancels, both ways
 }
 
-// gatewayCounts are those of the hollow front ends of one process.
+// gatewayCounts are those of the hollow gateways of one process.
 type gatewayCounts struct {
 	Submitted  int64 `json:"submitted"`
 	Served     int64 `json:"served"`
@@ -100,51 +97,3 @@
 	OutOfOrder int64 `json:"out_of_order"` // changes that came twice or after a gap
 	Restarted  int64 `json:"restarted"`
 }
-
-// pipe carries JSON lines both ways.
-type pipe struct {
-	mu  sync.Mutex
-	in  *json.Decoder
-	out *json.Encoder
-}
-
-func newPipe(in io.Reader, out io.Writer) *pipe {
-	return &pipe{in: json.NewDecoder(in), out: json.NewEncoder(out)}
-}
-
-// call sends a command and waits for its reply.
-func (p *pipe) call(c command) (reply, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if err := p.out.Encode(c); err != nil {
-		return reply{}, err
-	}
-	var r reply
-	if err := p.in.Decode(&r); err != nil {
-		return reply{}, err
-	}
-	if r.Error != "" {
-		return r, errors.New(r.Error)
-	}
-	return r, nil
-}
-
-// serve has handle answer every command until the parent is gone.
-func (p *pipe) serve(handle func(command) (reply, error)) error {
-	for {
-		var c command
-		if err := p.in.Decode(&c); err != nil {
-			if errors.Is(err, io.EOF) {
-				return nil
-			}
-			return err
-		}
-		r, err := handle(c)
-		if err != nil {
-			r.Error = err.Error()
-		}
-		if err := p.out.Encode(r); err != nil {
-			return err
-		}
-	}
-}
--- a/internal/testbed/scale/plan.go
+++ b/internal/testbed/scale/plan.go
@@ -1,7 +1,8 @@
-// Package scale runs a fleet at the size of the capacity page on one machine: real front ends beside hollow ones, which are
-// the real owner, core, worker connections and list watcher with drawn requests in place of clients, and emulated workers and
-// an emulated list service. Hollow front ends and workers share processes. It tells what each role costs, how long a change
-// takes to be in force everywhere, and whether every front end ends with the same list.
+// Package scale runs a fleet at the size of the capacity page on one machine: real gateways beside hollow ones, which
+// are the real owner, core, worker connections and discovery watcher with drawn requests in place of clients, and
+// emulated workers and an emulated discovery service. Hollow gateways and workers share processes. It tells what each
+// role costs, how long a change takes to be in force everywhere, and whether every gateway ends with the same endpoint
+// list.
 package scale
 
 import (
@@ -13,7 +14,7 @@
 	"lupinpond/internal/testbed/workload"
 )
 
-// Plan is one scale run, as its YAML file says.
+// Plan is one scale run, as its YAML file describes it.
 type Plan struct {
 	Name           string          `yaml:"name"`
 	About          string          `yaml:"about"`
@@ -26,7 +27,7 @@
 	Timeline       []TimelineRow   `yaml:"timeline"`
 }
 
-// GatewayPlan is the front ends of a run.
+// GatewayPlan is the gateways of a run.
 type GatewayPlan struct {
 	Hollow    int             `yaml:"hollow"`
 	Processes int             `yaml:"processes"` // that the hollow ones share
@@ -58,10 +59,10 @@
 
 func (p FunctionPlan) catalog() *workload.Catalog { return workload.New(p.Count, p.Skew) }
 
-// TimelineRow is something that happens during a run. What it needs depends on What.
+// TimelineRow is an action during a run. Which fields it needs depends on the action.
 type TimelineRow struct {
 	At         config.Duration `yaml:"at"`
-	Action     string          `yaml:"what" json:"What"`
+	Action     Action          `yaml:"what" json:"What"`
 	Count      int             `yaml:"count"`
 	SpreadOver config.Duration `yaml:"over" json:"Over"` // the time over which Count is spread; 0s: at once
 	Duration   config.Duration `yaml:"for" json:"For"`
@@ -69,48 +70,77 @@
 	Rate       float64         `yaml:"rate"`
 }
 
-// What can happen.
+// Action is what a row of the timeline does.
+type Action string
+
+// The actions.
+const (
+	Drain           Action = "drain"          // Count workers drain, one change each, and come back after For
+	Replace         Action = "replace"        // Count workers stop and others start in their places, in one change each
+	StopWorkers     Action = "stop-workers"   // Count workers of a rack stop and come back cold after For
+	SilenceZone     Action = "silence-zone"   // a zone answers nothing for For and comes back cold
+	StopList        Action = "stop-list"      // the discovery service is unavailable for For
+	RestartGateways Action = "restart-fronts" // Count hollow gateways restart with their first endpoints
+	RestartEmpty    Action = "restart-empty"  // the same, with no endpoints
+	ChangeRate      Action = "change-rate"    // Rate requests a second at each gateway from now on
+)
+
+// Bounds of a plan.
 const (
-	Drain             = "drain"          // Count workers drain, one list change each, and come back after For
-	Replace           = "replace"        // Count workers stop and others start in their places, two lines in one change each
-	StopWorkers       = "stop-workers"   // Count workers next to each other (a rack) stop and come back cold after For
-	SilenceZone       = "silence-zone"   // a zone answers nothing for For and comes back cold
-	StopList          = "stop-list"      // the list service is away for For
-	RestartGateways   = "restart-fronts" // Count hollow front ends stop and start with the list that they were started with
-	RestartEmpty      = "restart-empty"  // the same, with no list
-	ChangeRate        = "change-rate"    // Rate requests a second at each front end from now on
 	minSampleInterval = 100 * time.Millisecond
 	maxRunDuration    = 30 * time.Minute
+	maxWait           = time.Minute
 	maxProcesses      = 300
 	maxHollowGateways = 5000
+	maxRealGateways   = 16
 	maxWorkers        = 50000
 	minSockets        = 64
+	maxSockets        = 1 << 14
 	minMemory         = 32 << 20
 	maxRate           = 10000.0
 	maxFunctions      = 1 << 20
+	maxSkew           = 4
 	maxTimelineRows   = 200
 	maxConcurrency    = 1 << 16
 )
 
 // requiredFields are the fields that a row of the timeline has to have.
-var requiredFields = map[string][]string{Drain: {"count", "for"}, Replace: {"count"}, StopWorkers: {"count", "for"}, SilenceZone: {"for"},
-	StopList: {"for"}, RestartGateways: {"count"}, RestartEmpty: {"count"}, ChangeRate: {}}
+var requiredFields = map[Action][]string{
+	Drain:           {"count", "for"},
+	Replace:         {"count"},
+	StopWorkers:     {"count", "for"},
+	SilenceZone:     {"for"},
+	StopList:        {"for"},
+	RestartGateways: {"count"},
+	RestartEmpty:    {"count"},
+	ChangeRate:      {},
+}
 
-// ReadPlan reads a plan. A mistake has file, line and column.
-func ReadPlan(name string, b []byte) (Plan, error) {
+// ReadPlan parses and validates a plan. A validation error has file, line and column.
+func ReadPlan(name string, text []byte) (Plan, error) {
 	var p Plan
-	if err := config.DecodeStrict(name, b, &p); err != nil {
+	if err := config.DecodeStrict(name, text, &p); err != nil {
 		return p, err
 	}
 	if at, reason := p.firstInvalid(); reason != "" {
-		return p, config.ErrorAt(name, b, at, reason)
+		return p, config.ErrorAt(name, text, at, reason)
 	}
 	return p, nil
 }
 
-// firstInvalid finds the first value that can't be, with its path.
+// firstInvalid finds the first value that can't be, with its path; an empty reason: there is none.
 func (p Plan) firstInvalid() (path, reason string) {
-	f, w := p.Gateways, p.Workers
+	for _, check := range []func(Plan) (string, string){
+		Plan.invalidRun, Plan.invalidGateways, Plan.invalidWorkers, Plan.invalidFunctions, Plan.invalidTimeline,
+	} {
+		if path, reason := check(p); reason != "" {
+			return path, reason
+		}
+	}
+	return "", ""
+}
+
+func (p Plan) invalidRun() (path, reason string) {
 	switch {
 	case p.Name == "":
 		return "$.name", "a plan needs a name"
@@ -118,37 +148,64 @@
 		return "$.lasts", fmt.Sprintf("more than 0s, at most %v", maxRunDuration)
 	case p.SampleInterval.Std() < minSampleInterval || p.SampleInterval > p.Duration:
 		return "$.sample", fmt.Sprintf("at least %v, and no longer than the run", minSampleInterval)
-	case f.Hollow < 1 || f.Hollow > maxHollowGateways:
+	}
+	return "", ""
+}
+
+func (p Plan) invalidGateways() (path, reason string) {
+	gateways := p.Gateways
+	switch {
+	case gateways.Hollow < 1 || gateways.Hollow > maxHollowGateways:
 		return "$.front-ends.hollow", fmt.Sprintf("from 1 to %d", maxHollowGateways)
-	case f.Processes < 1 || f.Processes > f.Hollow:
-		return "$.front-ends.processes", "at least 1, and no more than there are hollow front ends"
-	case f.Real < 0 || f.Real > 16:
-		return "$.front-ends.real", "from 0 to 16"
-	case f.Rate < 0 || f.Rate > maxRate:
+	case gateways.Processes < 1 || gateways.Processes > gateways.Hollow:
+		return "$.front-ends.processes", "at least 1, and no more than there are hollow gateways"
+	case gateways.Real < 0 || gateways.Real > maxRealGateways:
+		return "$.front-ends.real", fmt.Sprintf("from 0 to %d", maxRealGateways)
+	case gateways.Rate < 0 || gateways.Rate > maxRate:
 		return "$.front-ends.rate", fmt.Sprintf("from 0 to %g requests a second", maxRate)
-	case f.Wait <= 0 || f.Wait.Std() > time.Minute:
+	case gateways.Wait <= 0 || gateways.Wait.Std() > maxWait:
 		return "$.front-ends.wait", "more than 0s, at most a minute"
-	case f.Memory < minMemory:
+	case gateways.Memory < minMemory:
 		return "$.front-ends.memory", "at least 32MiB"
-	case f.Sockets < minSockets || f.Sockets > 1<<14:
-		return "$.front-ends.sockets", fmt.Sprintf("from %d to %d", minSockets, 1<<14)
-	case w.Count < 1 || w.Count > maxWorkers:
+	case gateways.Sockets < minSockets || gateways.Sockets > maxSockets:
+		return "$.front-ends.sockets", fmt.Sprintf("from %d to %d", minSockets, maxSockets)
+	}
+	return "", ""
+}
+
+func (p Plan) invalidWorkers() (path, reason string) {
+	workers := p.Workers
+	switch {
+	case workers.Count < 1 || workers.Count > maxWorkers:
 		return "$.workers.count", fmt.Sprintf("from 1 to %d", maxWorkers)
-	case w.Processes < 1 || w.Processes > w.Count:
+	case workers.Processes < 1 || workers.Processes > workers.Count:
 		return "$.workers.processes", "at least 1, and no more than there are workers"
-	case w.Zones < 1 || w.Zones > w.Count:
+	case workers.Zones < 1 || workers.Zones > workers.Count:
 		return "$.workers.zones", "at least 1, and no more than there are workers"
-	case w.Slots < 1 || w.Slots > maxConcurrency || w.QueueLimit < 0 || w.QueueLimit > maxConcurrency:
+	case workers.Slots < 1 || workers.Slots > maxConcurrency ||
+		workers.QueueLimit < 0 || workers.QueueLimit > maxConcurrency:
 		return "$.workers", fmt.Sprintf("slots from 1 and queue from 0, to %d", maxConcurrency)
-	case w.MeanRunTime <= 0 || w.MeanLoadTime <= 0 || w.ReplicaIdleTimeout <= 0:
+	case workers.MeanRunTime <= 0 || workers.MeanLoadTime <= 0 || workers.ReplicaIdleTimeout <= 0:
 		return "$.workers", "answer, load and keep are more than 0s"
-	case p.Functions.Count < 1 || p.Functions.Count > maxFunctions:
+	}
+	return "", ""
+}
+
+func (p Plan) invalidFunctions() (path, reason string) {
+	functions := p.Functions
+	switch {
+	case functions.Count < 1 || functions.Count > maxFunctions:
 		return "$.functions.count", fmt.Sprintf("from 1 to %d", maxFunctions)
-	case p.Functions.Skew < 0 || p.Functions.Skew > 4:
-		return "$.functions.skew", "from 0 to 4"
-	case p.Functions.Concurrency < 1 || p.Functions.Concurrency > maxConcurrency:
+	case functions.Skew < 0 || functions.Skew > maxSkew:
+		return "$.functions.skew", fmt.Sprintf("from 0 to %d", maxSkew)
+	case functions.Concurrency < 1 || functions.Concurrency > maxConcurrency:
 		return "$.functions.lanes", fmt.Sprintf("from 1 to %d", maxConcurrency)
-	case len(p.Timeline) > maxTimelineRows:
+	}
+	return "", ""
+}
+
+func (p Plan) invalidTimeline() (path, reason string) {
+	if len(p.Timeline) > maxTimelineRows {
 		return "$.timeline", fmt.Sprintf("at most %d rows", maxTimelineRows)
 	}
 	for i, row := range p.Timeline {
@@ -164,17 +221,17 @@
 
 func (p Plan) invalidRow(row TimelineRow) (field, reason string) {
 	fields, known := requiredFields[row.Action]
-	most := p.Workers.Count
+	maxCount := p.Workers.Count
 	if row.Action == RestartGateways || row.Action == RestartEmpty {
-		most = p.Gateways.Hollow
+		maxCount = p.Gateways.Hollow
 	}
 	switch {
 	case !known:
-		return "what", fmt.Sprintf("%q is nothing that can happen", row.Action)
+		return "what", fmt.Sprintf("unknown action %q", row.Action)
 	case row.At < 0 || row.At+row.SpreadOver+row.Duration >= p.Duration:
 		return "at", "it has to be over before the run ends"
-	case slices.Contains(fields, "count") && (row.Count < 1 || row.Count > most):
-		return "count", fmt.Sprintf("from 1 to %d", most)
+	case slices.Contains(fields, "count") && (row.Count < 1 || row.Count > maxCount):
+		return "count", fmt.Sprintf("from 1 to %d", maxCount)
 	case slices.Contains(fields, "for") && row.Duration <= 0:
 		return "for", "more than 0s"
 	case row.Action == SilenceZone && (row.Zone < 0 || row.Zone >= p.Workers.Zones):
--- a/internal/testbed/scale/scale_test.go
+++ b/internal/testbed/scale/scale_test.go
@@ -68,8 +68,8 @@
   - {at: 3500ms, what: change-rate, rate: 0}
 `
 
-// smallChanges are the changes that smallPlan tells: a drain and its end are two, what stops and comes back is two, a zone that
-// comes back is one.
+// smallChanges are the changes that smallPlan publishes: a drain and its end are two, what stops and comes back is two,
+// a zone that comes back is one.
 const smallChanges = 3*2 + 5 + 2 + 1 + 4 + 3
 
 const longPlan = `name: long
@@ -119,8 +119,8 @@
 	return scale.Options{Command: c.command, MaxBytes: 4 << 30, Log: slog.New(slog.DiscardHandler)}
 }
 
-// hasExited tells whether a process has ended; one that waits to be collected has.
-func hasExited(t *testing.T, pid int) bool {
+// hasExited reports whether a process has ended; one that waits to be collected has.
+func hasExited(pid int) bool {
 	p, err := procfs.NewProc(pid)
 	if err != nil {
 		return true
@@ -134,7 +134,7 @@
 	t.Helper()
 	end := time.Now().Add(time.Minute)
 	for _, pid := range pids {
-		for !hasExited(t, pid) {
+		for !hasExited(pid) {
 			if time.Now().After(end) {
 				t.Fatalf("process %d is left behind", pid)
 			}
@@ -143,8 +143,8 @@
 	}
 }
 
-// Whatever the clock does: every front end ends with the list of the service, hears each change once and in its order, also
-// over a service that was away and restarts, and no process is left over.
+// Whatever the clock does: every gateway ends with the endpoint list of the service, receives each change once and in
+// order, also over a service that was unavailable and restarts, and no process is left over.
 func TestGatewaysConvergeOnOneList(t *testing.T) {
 	c := &children{}
 	result, err := scale.Run(t.Context(), parse(smallPlan), options(c))
@@ -158,8 +158,8 @@
 		t.Errorf("%d changes, want %d", result.Changes, smallChanges)
 	}
 	var served, submitted int64
-	for _, s := range result.Spans {
-		served, submitted = served+s.Served, submitted+s.Submitted
+	for _, span := range result.Spans {
+		served, submitted = served+span.Served, submitted+span.Submitted
 	}
 	if served == 0 || submitted < served || len(result.Spans) != 11 {
 		t.Errorf("%d of %d requests served in %d spans", served, submitted, len(result.Spans))
@@ -182,7 +182,8 @@
 	}), nil))
 	_, err := scale.Run(t.Context(), parse(longPlan), o)
 	<-killed
-	if !errors.Is(err, scale.ErrChildExited) || !strings.Contains(err.Error(), "workers-0") || !strings.Contains(err.Error(), "killed") {
+	if !errors.Is(err, scale.ErrChildExited) || !strings.Contains(err.Error(), "workers-0") ||
+		!strings.Contains(err.Error(), "killed") {
 		t.Error(err)
 	}
 	requireExited(t, c.started())
@@ -205,8 +206,8 @@
 func TestKilledRunLeavesNothing(t *testing.T) {
 	parent := exec.Command(os.Args[0])
 	parent.Env = append(os.Environ(), parentVariable+"=1")
-	var said bytes.Buffer
-	parent.Stderr = &said
+	var stderr bytes.Buffer
+	parent.Stderr = &stderr
 	if err := parent.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -221,7 +222,7 @@
 		t.Fatal(err)
 	}
 	if err := parent.Wait(); err == nil {
-		t.Error("it ended by itself: ", said.String())
+		t.Error("it ended by itself: ", stderr.String())
 	}
 	requireExited(t, pids)
 }
@@ -240,13 +241,14 @@
 	return pids
 }
 
-// A plan that can't fit is refused with its arithmetic, before anything starts.
+// A plan that can't fit is rejected with its arithmetic, before anything starts.
 func TestTooLargePlanIsRejected(t *testing.T) {
 	c := &children{}
 	o := options(c)
 	o.MaxBytes = 64 << 20
 	_, err := scale.Run(t.Context(), parse(smallPlan), o)
-	if !errors.Is(err, scale.ErrTooLarge) || !strings.Contains(err.Error(), "24 front ends * (1 MiB + 30 lines * 1700 B)") {
+	sum := "24 gateways * (1 MiB + 30 endpoints * 1700 B)"
+	if !errors.Is(err, scale.ErrTooLarge) || !strings.Contains(err.Error(), sum) {
 		t.Error(err)
 	}
 	p := parse(strings.Replace(smallPlan, "count: 30, processes: 2", "count: 400, processes: 299", 1))
@@ -270,7 +272,7 @@
 	requireExited(t, c.started())
 }
 
-// A mistake in a plan is one message with file, line and column.
+// A validation error of a plan is one message with file, line and column.
 func TestPlanValidationErrors(t *testing.T) {
 	for change, want := range map[[2]string]string{
 		{"lasts: 4s", "lasts: 4"}:                      "plan.yaml:3:8: ",
@@ -278,7 +280,7 @@
 		{"seed: 5", "sed: 5"}:                          "plan.yaml:2:1: ",
 		{"hollow: 24", "hollow: 0"}:                    "plan.yaml:5:22: front-ends.hollow: from 1 to 5000",
 		{"zones: 3", "zones: 31"}:                      "plan.yaml:6:43: workers.zones: at least 1",
-		{"what: drain", "what: drown"}:                 "plan.yaml:9:23: timeline[0].what: \"drown\" is nothing that can happen",
+		{"what: drain", "what: drown"}:                 "plan.yaml:9:23: timeline[0].what: unknown action \"drown\"",
 		{"what: replace, count: 5", "what: replace"}:   "plan.yaml:10:6: timeline[1].count: from 1 to 30",
 		{"at: 900ms", "at: 100ms"}:                     "plan.yaml:10:10: timeline[1].at: earlier than the row before",
 		{"zone: 1, for: 300ms", "zone: 1"}:             "timeline[3].for: more than 0s",
@@ -293,7 +295,7 @@
 		}
 	}
 	if _, err := scale.ReadPlan("plan.yaml", nil); err == nil {
-		t.Error("an empty plan was taken")
+		t.Error("an empty plan was accepted")
 	}
 }
 
--- /dev/null
+++ b/internal/testbed/scale/timeline.go
@@ -0,0 +1,90 @@
+package scale
+
+import (
+	"context"
+	"fmt"
+	"time"
+)
+
+// steadySpan is the span before the first row of the timeline.
+const steadySpan = "steady"
+
+// playTimeline plays the rows and samples until the run is over.
+func (r *run) playTimeline(ctx context.Context) (spans []Span, err error) {
+	start := time.Now()
+	r.enterSpan(steadySpan)
+	spanStart, err := r.totals()
+	if err != nil {
+		return nil, err
+	}
+	lastSample := spanStart
+	ticker := time.NewTicker(r.plan.SampleInterval.Std())
+	defer ticker.Stop()
+	end := time.After(r.plan.Duration.Std())
+	rows := r.plan.Timeline
+	for {
+		var rowDue <-chan time.Time
+		if len(rows) > 0 {
+			rowDue = time.After(time.Until(start.Add(rows[0].At.Std())))
+		}
+		over := false
+		select {
+		case <-ctx.Done():
+			r.acting.Wait()
+			return spans, ctx.Err()
+		case <-ticker.C:
+		case <-rowDue:
+		case <-end:
+			over = true
+		}
+		now, err := r.totals()
+		if err != nil {
+			return spans, err
+		}
+		if err := r.sample(lastSample, now); err != nil {
+			return spans, err
+		}
+		lastSample = now
+		for over || len(rows) > 0 && time.Since(start) >= rows[0].At.Std() {
+			spans = append(spans, r.plan.span(r.span, spanStart, now))
+			spanStart = now
+			if over {
+				r.acting.Wait()
+				return spans, nil
+			}
+			r.startRow(ctx, rows[0])
+			rows = rows[1:]
+		}
+	}
+}
+
+// startRow begins a row of the timeline, and its span.
+func (r *run) startRow(ctx context.Context, row TimelineRow) {
+	r.enterSpan(fmt.Sprintf("%v %s", row.At.Std(), row.Action))
+	r.acting.Go(func() {
+		if err := r.runAction(ctx, row); err != nil && ctx.Err() == nil {
+			r.cancel(fmt.Errorf("%s: %w", row.Action, err))
+		}
+	})
+}
+
+func (r *run) enterSpan(span string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.span = span
+}
+
+// sample logs what happened since the last one, and ends a run that takes too much.
+func (r *run) sample(from, to totals) error {
+	span := r.plan.span(r.span, from, to)
+	if span.Seconds <= 0 {
+		return nil
+	}
+	r.peakBytes, r.minIdle = max(r.peakBytes, to.allBytes), min(r.minIdle, span.MachineIdle)
+	r.options.Log.Info("sample", "at", time.Since(r.startedAt).Seconds(), "span", span)
+	if to.allBytes > r.options.MaxBytes {
+		return fmt.Errorf("%w: the processes hold %d MiB, at most %d MiB are allowed", ErrTooLarge, to.allBytes>>20,
+			r.options.MaxBytes>>20)
+	}
+	return nil
+}
