--- a/internal/testbed/costmodel/costmodel_test.go
+++ b/internal/testbed/costmodel/costmodel_test.go
@@ -16,20 +16,22 @@
 		line = append(line, costmodel.Point{Size: size, Value: 50 + 0.2*size})
 	}
 	fit, err := costmodel.FitPoints(power)
-	if err != nil || math.Abs(fit.Power.Slope-0.75) > 1e-9 || math.Abs(fit.Power.Scale-3) > 1e-6 || fit.Power.Residual > 1e-9 {
+	if err != nil || math.Abs(fit.Power.Slope-0.75) > 1e-9 || math.Abs(fit.Power.Scale-3) > 1e-6 ||
+		fit.Power.Residual > 1e-9 {
 		t.Errorf("%+v %v", fit, err)
 	}
 	if fit.From != 100 || fit.To != 25600 || fit.Points != 5 || fit.Linear.Residual < 0.1 {
 		t.Errorf("%+v", fit)
 	}
 	fit, err = costmodel.FitPoints(line)
-	if err != nil || math.Abs(fit.Linear.Slope-0.2) > 1e-9 || math.Abs(fit.Linear.Scale-50) > 1e-6 || fit.Linear.Residual > 1e-9 {
+	if err != nil || math.Abs(fit.Linear.Slope-0.2) > 1e-9 || math.Abs(fit.Linear.Scale-50) > 1e-6 ||
+		fit.Linear.Residual > 1e-9 {
 		t.Errorf("%+v %v", fit, err)
 	}
 }
 
-// A slope from fewer than four sizes, or through figures that are no sizes, is refused.
-func TestFitRefuses(t *testing.T) {
+// A slope from fewer than four sizes, or through figures that are no sizes, is rejected.
+func TestFitRejects(t *testing.T) {
 	var few costmodel.TooFewPointsError
 	if _, err := costmodel.FitPoints(make([]costmodel.Point, 3)); !errors.As(err, &few) || few.Points != 3 {
 		t.Error(err)
@@ -50,8 +52,9 @@
 	if err != nil || first.Counts != again.Counts {
 		t.Errorf("%+v, then %+v %v", first.Counts, again.Counts, err)
 	}
-	if c := first.Counts; c.Requests != 400 || c.Served < 300 || c.LoadRequests == 0 || c.Attempts < c.Served/2 {
-		t.Errorf("%+v", c)
+	counts := first.Counts
+	if counts.Requests != 400 || counts.Served < 300 || counts.LoadRequests == 0 || counts.Attempts < counts.Served/2 {
+		t.Errorf("%+v", counts)
 	}
 	if first.RequestMicros <= 0 || first.WorkerBytes <= 0 || first.ChangeMicros <= 0 || first.IdleTickMicros <= 0 {
 		t.Errorf("%+v", first)
--- /dev/null
+++ b/internal/testbed/costmodel/events.go
@@ -0,0 +1,25 @@
+package costmodel
+
+import "time"
+
+// event is something that happens to the core at a time; those of one time happen in the order of their numbers.
+type event struct {
+	at     time.Duration
+	number uint64
+	run    func(now time.Duration)
+}
+
+// eventQueue is a heap of events, the next one first.
+type eventQueue []event
+
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].number < q[j].number
+}
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return last
+}
--- a/internal/testbed/costmodel/fit.go
+++ b/internal/testbed/costmodel/fit.go
@@ -1,6 +1,7 @@
 package costmodel
 
 import (
+	"errors"
 	"fmt"
 	"math"
 
@@ -29,16 +30,20 @@
 	Residual float64 `json:"residual"` // largest distance of a point from the curve, as a part of the point
 }
 
-// minPoints is the number of sizes below which no slope is told.
+// minPoints is the number of sizes below which no curve is fitted.
 const minPoints = 4
 
-// TooFewPointsError says that a slope was asked for with too few sizes.
+// TooFewPointsError says that a curve was asked for with too few sizes.
 type TooFewPointsError struct{ Points int }
 
+// Error says how many there are and how many are needed.
 func (e TooFewPointsError) Error() string {
 	return fmt.Sprintf("a slope needs figures at %d sizes, there are %d", minPoints, e.Points)
 }
 
+// ErrNotPositive says that a size or a figure is not above 0.
+var ErrNotPositive = errors.New("a slope needs sizes and figures above 0")
+
 // FitPoints fits a power law (least squares on logarithms) and a line through points of positive sizes.
 func FitPoints(points []Point) (Fit, error) {
 	if len(points) < minPoints {
@@ -47,7 +52,7 @@
 	var sizes, values, logSizes, logValues []float64
 	for _, p := range points {
 		if p.Size <= 0 || p.Value <= 0 {
-			return Fit{}, fmt.Errorf("a slope needs sizes and figures above 0, there is %v at %v", p.Value, p.Size)
+			return Fit{}, fmt.Errorf("%w: %v at %v", ErrNotPositive, p.Value, p.Size)
 		}
 		sizes, values = append(sizes, p.Size), append(values, p.Value)
 		logSizes, logValues = append(logSizes, math.Log(p.Size)), append(logValues, math.Log(p.Value))
--- a/internal/testbed/faultproxy/proxy.go
+++ b/internal/testbed/faultproxy/proxy.go
@@ -1,5 +1,5 @@
-// Package faultproxy relays TCP connections on loopback and does to them what networks and machines do: it holds, delays, cuts and
-// resets.
+// Package faultproxy relays TCP connections on loopback and does to them what networks and machines do: it holds,
+// delays, cuts and resets.
 package faultproxy
 
 import (
@@ -11,22 +11,31 @@
 	"time"
 )
 
+const (
+	// pollInterval is how often a relay that is held looks whether it may go on.
+	pollInterval = 2 * time.Millisecond
+	// dialTimeout bounds a dial.
+	dialTimeout = 2 * time.Second
+	// bufferBytes is how much is relayed at a time.
+	bufferBytes = 16 << 10
+)
+
 // Fault is what is done to what passes. The zero value relays.
 type Fault struct {
 	Blackhole       bool          // nothing passes, nothing is closed: a machine that is cut off
 	Delay           time.Duration // of each part that passes, both ways
-	CloseAfterBytes int           // bytes of answers after which a connection ends; 0: none does
+	CloseAfterBytes int           // bytes of responses after which a connection ends; 0: none does
 }
 
 // Proxy relays connections to one address.
 type Proxy struct {
-	target   string
-	listener net.Listener
-	fault    atomic.Pointer[Fault]
-
-	mu         sync.Mutex
-	pairs      map[*connPair]bool
+	target     string
+	listener   net.Listener
+	fault      atomic.Pointer[Fault]
 	background sync.WaitGroup
+
+	mu    sync.Mutex
+	pairs map[*connPair]bool
 }
 
 // connPair is a connection and the one that it is relayed to.
@@ -35,12 +44,6 @@
 	responseBytes  atomic.Int64
 }
 
-const (
-	pollInterval = 2 * time.Millisecond
-	dialTimeout  = 2 * time.Second
-	bufferBytes  = 16 << 10
-)
-
 // New makes a proxy at a free port of loopback.
 func New(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,24 +52,23 @@
 	}
 	p := &Proxy{target: target, listener: listener, pairs: map[*connPair]bool{}}
 	p.fault.Store(&Fault{})
-	p.background.Add(1)
-	go p.accept()
+	p.background.Go(p.accept)
 	return p, nil
 }
 
 // Addr is where it listens.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// SetFault has a fault from now on, on the connections that stand too.
-func (p *Proxy) SetFault(f Fault) { p.fault.Store(&f) }
+// SetFault has a fault from now on, on the open connections too.
+func (p *Proxy) SetFault(fault Fault) { p.fault.Store(&fault) }
 
 // Reset resets every connection, towards both ends.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for x := range p.pairs {
-		ResetConn(x.client)
-		ResetConn(x.server)
+	for pair := range p.pairs {
+		ResetConn(pair.client)
+		ResetConn(pair.server)
 	}
 }
 
@@ -87,7 +89,6 @@
 }
 
 func (p *Proxy) accept() {
-	defer p.background.Done()
 	for {
 		client, err := p.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -97,38 +98,38 @@
 			time.Sleep(pollInterval)
 			continue
 		}
-		p.background.Add(1)
-		go p.relay(client)
+		p.background.Go(func() { p.relay(client) })
 	}
 }
 
 // relay relays one connection until both ways have ended.
 func (p *Proxy) relay(client net.Conn) {
-	defer p.background.Done()
 	server, err := net.DialTimeout("tcp", p.target, dialTimeout)
 	if err != nil {
 		ResetConn(client)
 		return
 	}
-	x := &connPair{client: client, server: server}
+	pair := &connPair{client: client, server: server}
 	p.mu.Lock()
-	p.pairs[x] = true
+	p.pairs[pair] = true
 	p.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { p.copy(x, server, client, false) })
-	both.Go(func() { p.copy(x, client, server, true) })
-	both.Wait()
+	var ways sync.WaitGroup
+	ways.Go(func() { p.copy(server, client, p.forwardRequest) })
+	ways.Go(func() {
+		p.copy(client, server, func(to net.Conn, part []byte) bool { return p.forwardResponse(pair, to, part) })
+	})
+	ways.Wait()
 	p.mu.Lock()
-	delete(p.pairs, x)
-	p.mu.Unlock()
+	defer p.mu.Unlock()
+	delete(p.pairs, pair)
 }
 
-// copy passes one way until it ends, and ends the other end as this one has ended.
-func (p *Proxy) copy(x *connPair, to, from net.Conn, answers bool) {
-	part := make([]byte, bufferBytes)
+// copy forwards one way until it ends, and ends the other end as this one has ended.
+func (p *Proxy) copy(to, from net.Conn, forward func(to net.Conn, part []byte) bool) {
+	buffer := make([]byte, bufferBytes)
 	for {
-		n, err := from.Read(part)
-		if n > 0 && !p.forward(x, to, part[:n], answers) {
+		n, err := from.Read(buffer)
+		if n > 0 && !forward(to, buffer[:n]) {
 			ResetConn(to)
 			ResetConn(from)
 			return
@@ -147,22 +148,35 @@
 	}
 }
 
-// forward passes a part; false: the connection ends.
-func (p *Proxy) forward(x *connPair, to net.Conn, part []byte, answers bool) bool {
-	f := p.fault.Load()
-	if f.Delay > 0 {
-		time.Sleep(f.Delay)
-	}
-	for p.fault.Load().Blackhole {
-		time.Sleep(pollInterval)
-	}
-	if answers && f.CloseAfterBytes > 0 {
-		room := f.CloseAfterBytes - int(x.responseBytes.Add(int64(len(part)))) + len(part)
-		if room < len(part) {
-			_, _ = to.Write(part[:max(0, room)]) // it ends anyway
+// forwardRequest forwards a part towards the server; false: the connection ends.
+func (p *Proxy) forwardRequest(to net.Conn, part []byte) bool {
+	p.await()
+	_, err := to.Write(part)
+	return err == nil
+}
+
+// forwardResponse forwards a part towards the client; false: the connection ends.
+func (p *Proxy) forwardResponse(pair *connPair, to net.Conn, part []byte) bool {
+	fault := p.await()
+	if fault.CloseAfterBytes > 0 {
+		before := int(pair.responseBytes.Add(int64(len(part)))) - len(part)
+		if left := fault.CloseAfterBytes - before; left < len(part) {
+			_, _ = to.Write(part[:max(0, left)]) // it ends anyway
 			return false
 		}
 	}
 	_, err := to.Write(part)
 	return err == nil
 }
+
+// await waits as the fault of now says, and gives it.
+func (p *Proxy) await() *Fault {
+	fault := p.fault.Load()
+	if fault.Delay > 0 {
+		time.Sleep(fault.Delay)
+	}
+	for p.fault.Load().Blackhole {
+		time.Sleep(pollInterval)
+	}
+	return fault
+}
--- a/internal/testbed/faultproxy/proxy_test.go
+++ b/internal/testbed/faultproxy/proxy_test.go
@@ -13,8 +13,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startEchoServer is a server that sends back what it gets.
+// startEchoServer starts a server that sends back what it gets.
 func startEchoServer(t *testing.T) string {
+	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -35,7 +36,7 @@
 	return listener.Addr().String()
 }
 
-// What passes is held, cut and reset as it is told.
+// What passes is held, cut and reset as the fault says.
 func TestFaults(t *testing.T) {
 	p, err := faultproxy.New(startEchoServer(t))
 	if err != nil {
@@ -43,6 +44,7 @@
 	}
 	t.Cleanup(p.Close)
 	dial := func() net.Conn {
+		t.Helper()
 		conn, err := net.Dial("tcp", p.Addr())
 		if err != nil {
 			t.Fatal(err)
@@ -51,25 +53,27 @@
 		return conn
 	}
 	conn := dial()
-	say := func(text string) {
+	send := func(text string) {
+		t.Helper()
 		if _, err := conn.Write([]byte(text)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	hear := func(n int) (string, error) {
-		b := make([]byte, n)
+	receive := func(n int) (string, error) {
+		t.Helper()
+		text := make([]byte, n)
 		if err := conn.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
 			t.Fatal(err)
 		}
-		n, err := io.ReadFull(conn, b)
-		return string(b[:n]), err
+		n, err := io.ReadFull(conn, text)
+		return string(text[:n]), err
 	}
-	say("a")
-	if text, err := hear(1); text != "a" || err != nil {
+	send("a")
+	if text, err := receive(1); text != "a" || err != nil {
 		t.Error(text, err)
 	}
 	p.SetFault(faultproxy.Fault{Blackhole: true})
-	say("b")
+	send("b")
 	if err := conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
@@ -77,17 +81,17 @@
 		t.Error("what is held passes")
 	}
 	p.SetFault(faultproxy.Fault{})
-	if text, err := hear(1); text != "b" || err != nil {
+	if text, err := receive(1); text != "b" || err != nil {
 		t.Error(text, err)
 	}
 	p.Reset()
-	if _, err := hear(1); err == nil {
+	if _, err := receive(1); err == nil {
 		t.Error("a reset connection goes on")
 	}
 	p.SetFault(faultproxy.Fault{CloseAfterBytes: 3})
 	conn = dial()
-	say("12345")
-	if text, err := hear(5); text != "123" || err == nil {
+	send("12345")
+	if text, err := receive(5); text != "123" || err == nil {
 		t.Error(text, err)
 	}
 }
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -207,8 +207,8 @@
 	}
 }
 
-// A gateway whose guard of departures is taken out violates rules that the checker sees, and logs that its invariants are
-// violated.
+// A gateway whose guard of departures is taken out violates rules that the checker sees, and logs that its invariants
+// are violated.
 func TestSoakDetectsGatewayWithoutGuard(t *testing.T) {
 	source, err := filepath.Abs("../../gateway/departure.go")
 	if err != nil {
--- a/internal/testbed/subprocess/subprocess.go
+++ b/internal/testbed/subprocess/subprocess.go
@@ -7,8 +7,8 @@
 	"syscall"
 )
 
-// Starter starts children from one thread, which lives as long as it does: the kernel kills the children that are left when the
-// thread that started them is gone.
+// Starter starts children from one thread, which lives as long as it does: the kernel kills the children that are left
+// when the thread that started them is gone.
 type Starter struct {
 	jobs chan func()
 	done chan struct{}
--- a/internal/testbed/workload/workload.go
+++ b/internal/testbed/workload/workload.go
@@ -11,20 +11,21 @@
 const headOffset = 3.0
 
 // Catalog is a number of functions that are called by a Zipf law.
-type Catalog struct{ cumulativeWeights []float64 }
+type Catalog struct{ cumulative []float64 } // weights, each added to those before
 
 // New makes a catalog of at least one function; skew is the exponent of the law, 0 calls them evenly.
 func New(functions int, skew float64) *Catalog {
-	c := &Catalog{cumulativeWeights: make([]float64, functions)}
+	c := &Catalog{cumulative: make([]float64, functions)}
 	sum := 0.0
-	for i := range c.cumulativeWeights {
+	for i := range c.cumulative {
 		sum += math.Pow(float64(i)+headOffset, -skew)
-		c.cumulativeWeights[i] = sum
+		c.cumulative[i] = sum
 	}
 	return c
 }
 
 // Draw gives the number of a function, counted from 1.
 func (c *Catalog) Draw(random *rand.Rand) uint64 {
-	return uint64(sort.SearchFloat64s(c.cumulativeWeights, random.Float64()*c.cumulativeWeights[len(c.cumulativeWeights)-1])) + 1
+	all := c.cumulative[len(c.cumulative)-1]
+	return uint64(sort.SearchFloat64s(c.cumulative, random.Float64()*all)) + 1
 }
--- a/internal/testbed/workload/workload_test.go
+++ b/internal/testbed/workload/workload_test.go
@@ -7,7 +7,8 @@
 	"lupinpond/internal/testbed/workload"
 )
 
-// Every number drawn is one of the catalogue; with a skew the first functions have most of the calls, without one they do not.
+// Every number drawn is one of the catalogue; with a skew the first functions have most of the calls, without one they
+// do not.
 func TestDraw(t *testing.T) {
 	for _, skew := range []float64{0, 1.7} {
 		random, first := rand.New(rand.NewPCG(1, 1)), 0
