--- a/examples/payroll/main.go
+++ b/examples/payroll/main.go
@@ -1,6 +1,6 @@
-// Command payroll is the example package of rehearsed days: its input is "NAME WORK", it writes "effect NAME" to its log,
-// waits for so long in place of work, as one machine has not the cores of a fleet, and answers. What it writes is counted,
-// so that nothing runs twice unseen.
+// Command payroll is the example package that scenarios run: its input is "NAME WORK", it writes "effect NAME" to its
+// log, waits for so long in place of work, as one machine has not the cores of a fleet, and answers. What it writes is
+// counted, so that nothing runs twice unseen.
 package main
 
 import (
@@ -16,12 +16,12 @@
 func init() {
 	function.Handle(func(_ context.Context, input []byte) ([]byte, error) {
 		name, work, found := strings.Cut(string(input), " ")
-		d, err := time.ParseDuration(work)
+		duration, err := time.ParseDuration(work)
 		if !found || err != nil {
 			return nil, fmt.Errorf("input %q is not NAME WORK", input)
 		}
 		fmt.Fprintf(os.Stderr, "effect %s\n", name)
-		time.Sleep(d)
+		time.Sleep(duration)
 		return fmt.Appendf(nil, "%s released", name), nil
 	})
 }
--- a/examples/preview/score/score.go
+++ b/examples/preview/score/score.go
@@ -14,8 +14,8 @@
 	Features []float64 `json:"features"`
 }
 
-// Score reads features from JSON and answers the score as JSON, between 0 and 1. An input without exactly one number for
-// each weight is an error.
+// Score reads features from JSON and answers the score as JSON, between 0 and 1. An input without exactly one number
+// for each weight is an error.
 func Score(input []byte) ([]byte, error) {
 	var r request
 	if err := json.Unmarshal(input, &r); err != nil {
@@ -25,8 +25,8 @@
 		return nil, fmt.Errorf("%d features, the model has %d", len(r.Features), len(weights)-1)
 	}
 	sum := weights[len(weights)-1]
-	for i, x := range r.Features {
-		sum += weights[i] * x
+	for i, feature := range r.Features {
+		sum += weights[i] * feature
 	}
 	return json.Marshal(map[string]float64{"score": 1 / (1 + math.Exp(-sum))})
 }
--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -1,9 +1,9 @@
-// Package scenarios holds the rehearsed days of trouble, one YAML file each.
+// Package scenarios holds the built-in fault scenarios, one YAML file each.
 package scenarios
 
 import "embed"
 
-// Files are the days' files.
+// Files are the scenarios' files.
 //
 //go:embed *.yaml
 var Files embed.FS
