--- a/examples/misbehave/main.go
+++ b/examples/misbehave/main.go
@@ -26,7 +26,7 @@
 
 func init() { function.Handle(misbehave) }
 
-func main() { function.MainLanes(2) }
+func main() { function.MainConcurrent(2) }
 
 // misbehave does what its input says, and answers its input if it comes to that.
 func misbehave(_ context.Context, input []byte) ([]byte, error) {
--- a/internal/testbed/costmodel/measure.go
+++ b/internal/testbed/costmodel/measure.go
@@ -47,7 +47,7 @@
 	f := newFleet(load)
 	list := members(load.Workers)
 	before := heapBytes()
-	f.core.UpdateMembership(f.now, true, list)
+	f.core.ReplaceMembership(f.now, list)
 	measured.WorkerBytes = (heapBytes() - before) / float64(load.Workers)
 	measured.IdleTickMicros = f.measureIdleTick()
 	measured.ChangeMicros = f.measureChange(list)
@@ -93,7 +93,7 @@
 		f.now += tickInterval
 		for _, condition := range []scheduler.Condition{scheduler.Draining, scheduler.Up} {
 			changed.Condition = condition
-			f.timed(func() { f.core.UpdateMembership(f.now, false, []scheduler.Member{changed}) })
+			f.timed(func() { f.core.UpdateMembership(f.now, []scheduler.Member{changed}) })
 		}
 	}
 	return micros(f.spent) / (2 * changes)
@@ -103,7 +103,7 @@
 func (f *fleet) measureCompleteList(list []scheduler.Member) float64 {
 	f.spent = 0
 	for range completeLists {
-		f.timed(func() { f.core.UpdateMembership(f.now, true, list) })
+		f.timed(func() { f.core.ReplaceMembership(f.now, list) })
 	}
 	return micros(f.spent) / completeLists / 1000
 }
--- a/internal/testbed/discoverytest/server.go
+++ b/internal/testbed/discoverytest/server.go
@@ -201,7 +201,7 @@
 func (s *Server) Counts() *Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	states := make(map[string]string, len(s.workers))
+	states := make(map[string]discovery.State, len(s.workers))
 	for name, worker := range s.workers {
 		states[name] = worker.State
 	}
@@ -215,10 +215,10 @@
 }
 
 // Digest names an endpoint list by its workers and their states.
-func Digest(states map[string]string) string {
+func Digest(states map[string]discovery.State) string {
 	hash := xxhash.New()
 	for _, name := range slices.Sorted(maps.Keys(states)) {
-		_, _ = hash.WriteString(name + "=" + states[name] + "\n") // it never fails
+		_, _ = hash.WriteString(name + "=" + string(states[name]) + "\n") // it never fails
 	}
 	return fmt.Sprintf("%016x", hash.Sum64())
 }
--- a/internal/testbed/scale/gatewaypool.go
+++ b/internal/testbed/scale/gatewaypool.go
@@ -244,7 +244,7 @@
 	if !running {
 		return "ended"
 	}
-	states := map[string]string{}
+	states := map[string]discovery.State{}
 	for _, member := range members {
 		states[member.Worker] = discovery.Up
 		if member.Condition == scheduler.Draining {
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -210,11 +210,11 @@
 // A gateway whose guard of departures is taken out violates rules that the checker sees, and logs that its invariants
 // are violated.
 func TestSoakDetectsGatewayWithoutGuard(t *testing.T) {
-	source, err := filepath.Abs("../../gateway/departure.go")
+	source, err := filepath.Abs("../../gateway/sendpermit.go")
 	if err != nil {
 		t.Fatal(err)
 	}
-	program := build(t, overlayOf(t, source, "d.statedTimeLeft = d.deadline - now", "d.statedTimeLeft = d.deadline - now + time.Second"))
+	program := build(t, overlayOf(t, source, "p.statedTimeLeft = p.deadline - now", "p.statedTimeLeft = p.deadline - now + time.Second"))
 	report, err := Run(context.Background(), Options{
 		Seed:     1,
 		Gateways: 2,
--- a/internal/testbed/soak/workers.go
+++ b/internal/testbed/soak/workers.go
@@ -56,7 +56,7 @@
 }
 
 // publishState publishes the state of workers.
-func (r *run) publishState(workers []*worker, state string) {
+func (r *run) publishState(workers []*worker, state discovery.State) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var endpoints []discovery.Endpoint
--- a/scheduler/loads.go
+++ b/scheduler/loads.go
@@ -2,60 +2,43 @@
 
 import (
 	"math"
-	"slices"
 	"time"
 )
 
-// expireAssumptions lets what is assumed expire and forgets replica sets without any.
-func (c *Scheduler) expireAssumptions(f *function, now time.Duration) {
-	f.replicaSets = slices.DeleteFunc(f.replicaSets, func(s *replicaSet) bool {
-		if now > s.assumedUntil && s.inFlight == 0 {
-			s.replicas = 0
-		}
-		if now > s.loadDeadline {
-			s.loading = 0
-		}
-		return s.replicas == 0 && s.loading == 0 && s.inFlight == 0 && now >= s.rejectingUntil
-	})
+// LoadRequest asks a worker to load replicas of a function until it has so many.
+type LoadRequest struct {
+	Worker   string
+	Function uint64
+	Replicas int `cbor:"Copies"`
 }
 
-func (c *Scheduler) tickInterval(f *function) time.Duration {
-	return max(fractionOf(tickIntervalShare, f.typ.Objective), c.minTickInterval, 1)
+// tickInterval is the time between two ticks of a function.
+func (s *Scheduler) tickInterval(f *function) time.Duration {
+	return max(fractionOf(tickIntervalShare, f.typ.Objective), s.minTickInterval, 1)
 }
 
-// scaleUp is the four-condition rule. It advances only for a queue that is not empty or after arrivals.
-func (c *Scheduler) scaleUp(f *function, now time.Duration, st *TickResult) time.Duration {
+// scaleUp requests the replicas that a function's queue needs, once at each of its ticks, and tells when the next one
+// is.
+func (s *Scheduler) scaleUp(f *function, now time.Duration, due *TickResult) time.Duration {
 	if len(f.queue) == 0 {
-		return math.MaxInt64
-	} else if now < f.nextTick {
-		return f.nextTick
-	}
-	have, under, short, queued := 0, 0, 0, len(f.queue)
-	for _, s := range f.replicaSets { // what stands at a worker that can't be used is no instance
-		if c.usable(s.worker, now) && !s.worker.probeOverdue(now) && now >= max(s.rejectingUntil, s.worker.rejections[f.tenant].until) {
-			have, under = have+s.replicas, under+s.loading
-		}
+		return never
 	}
-	total := have + under
-	// a slot runs one request at least, however long answers take against the tick
-	power := max(1, float64(c.tickInterval(f))/float64(f.meanRunTime())) * float64(f.concurrency)
-	required := int(math.Ceil(float64(queued) / power))
-	switch {
-	case total == 0:
-		short = 1
-	case have == 0:
-		in := max(1, float64(f.typ.Objective)/float64(f.meanRunTime())) * float64(f.concurrency)
-		short = int(math.Ceil(float64(f.arrivalsSinceTick)/in)) - under
-	case total < queued && f.arrivalsSinceTick < queued:
-		short = required - under
-	case float64(f.arrivalsSinceTick) >= power*float64(total):
-		short = required - total
+	if now < f.nextTick {
+		return f.nextTick
 	}
-	if f.nextTick = now + c.tickInterval(f); have > 0 {
-		f.arrivalsSinceTick = 0 // during first loads arrivals add up
+	loaded, loading := s.usableReplicas(f, now)
+	missing := s.missingReplicas(f, loaded, loading)
+	f.nextTick = now + s.tickInterval(f)
+	if loaded > 0 {
+		f.arrivalsSinceTick = 0 // during the first loads arrivals add up
 	}
-	for range min(short, queued) {
-		if !c.requestLoad(f, total == 0, now, st) {
+	total := loaded + loading
+	for range min(missing, len(f.queue)) {
+		if total == 0 {
+			if !s.requestFirstLoad(f, now, due) {
+				break
+			}
+		} else if !s.requestFurtherLoad(f, now, due) {
 			break
 		}
 		total++
@@ -63,62 +46,125 @@
 	return f.nextTick
 }
 
-// requestLoad requests one replica; where none may be sent the oldest request goes there itself to bring
-// it.
-func (c *Scheduler) requestLoad(f *function, first bool, now time.Duration, st *TickResult) bool {
-	if !first && c.overloaded || float64(c.loadsInFlight) >= c.loadLimit.limit {
+// usableReplicas counts a function's replicas at workers that can be used, and the loads in flight there.
+func (s *Scheduler) usableReplicas(f *function, now time.Duration) (loaded, loading int) {
+	for _, replicas := range f.replicaSets {
+		w := replicas.worker
+		rejectingUntil := max(replicas.rejectingUntil, w.rejections[f.tenant].until)
+		if s.usable(w, now) && !w.probeOverdue(now) && now >= rejectingUntil {
+			loaded += replicas.replicas
+			loading += replicas.loading
+		}
+	}
+	return loaded, loading
+}
+
+// missingReplicas is the four-condition rule.
+func (s *Scheduler) missingReplicas(f *function, loaded, loading int) int {
+	queued, total := len(f.queue), loaded+loading
+	if total == 0 {
+		return 1
+	}
+	// a slot runs one request at least, however long one takes against the tick
+	perReplica := max(1, float64(s.tickInterval(f))/float64(f.meanRunTime())) * float64(f.concurrency)
+	required := int(math.Ceil(float64(queued) / perReplica))
+	switch {
+	case loaded == 0:
+		perObjective := max(1, float64(f.typ.Objective)/float64(f.meanRunTime())) * float64(f.concurrency)
+		return int(math.Ceil(float64(f.arrivalsSinceTick)/perObjective)) - loading
+	case total < queued && f.arrivalsSinceTick < queued:
+		return required - loading
+	case float64(f.arrivalsSinceTick) >= perReplica*float64(total):
+		return required - total
+	}
+	return 0
+}
+
+// requestFirstLoad requests a function's first replica. Where no load request may be sent, the oldest request goes to
+// the worker itself to have the function loaded.
+func (s *Scheduler) requestFirstLoad(f *function, now time.Duration, due *TickResult) bool {
+	if float64(s.loadsInFlight) >= s.loadLimit.limit {
 		return false
 	}
-	w := c.placeReplica(f, first, now)
+	w := s.placeFirstReplica(f, now)
 	if w == nil {
 		return false
 	}
-	c.ensureFreshReport(w, now)
-	s := f.replicaSetAt(w)
-	if c.loadRequestsEnabled && c.loadAllowed(now) && s.replicas+s.loading < 16 {
-		s.loading++
-		s.loadDeadline = now + min(fractionOf(loadTimeoutFactor*max(1, c.loadSlowdown), f.expectedLoadTime()), c.loadTimeout)
-		c.loadsSent.Add(now, 1)
-		c.loadsInFlight++
-		st.LoadRequests = append(st.LoadRequests, LoadRequest{Worker: w.Worker, Function: f.id, Replicas: s.replicas + s.loading})
+	if s.requestLoadAt(f, w, now, due) {
 		return true
 	}
-	if !first || !c.loadsOnMiss && c.loadRequestsEnabled || len(f.queue) == 0 || !c.mayRunOn(f.queue[0], w, now) ||
-		!c.slowStartAllows(w, f.queue[0], now) {
+	if !s.loadsOnMiss && s.loadRequestsEnabled || len(f.queue) == 0 || !s.mayRunOn(f.queue[0], w, now) ||
+		!s.slowStartAllows(w, f.queue[0], now) {
 		return false
 	}
-	e := f.queue[0]
+	request := f.queue[0]
 	f.queue = f.queue[1:]
-	st.Decisions = append(st.Decisions, c.send(e, s, true, now))
+	due.Decisions = append(due.Decisions, s.sendCold(request, f.replicaSetAt(w), now))
 	return true
 }
 
-// loadAllowed keeps load requests rate-limited (rule 5), this one included, counted to the safe side.
-func (c *Scheduler) loadAllowed(now time.Duration) bool {
-	return !c.loadRateLimited || c.loadsSent.UpperSum(now)+1 <= c.loadBurst+c.loadsPerRequest*c.submitted.LowerSum(now)
+// requestFurtherLoad requests another replica of a function that has one, unless the fleet is overloaded.
+func (s *Scheduler) requestFurtherLoad(f *function, now time.Duration, due *TickResult) bool {
+	if s.overloaded || float64(s.loadsInFlight) >= s.loadLimit.limit {
+		return false
+	}
+	w := s.randomWorker(f, now)
+	return w != nil && s.requestLoadAt(f, w, now, due)
 }
 
-// LoadCompleted takes the answer to a load request.
-func (c *Scheduler) LoadCompleted(now time.Duration, o LoadRequest, r Result, took time.Duration) {
-	w, f := c.workers[o.Worker], c.functions[o.Function]
-	if c.loadsInFlight--; w == nil || f == nil {
-		return
+// requestLoadAt requests one more replica of a worker, if load requests may be sent.
+func (s *Scheduler) requestLoadAt(f *function, w *worker, now time.Duration, due *TickResult) bool {
+	s.ensureFreshReport(w, now)
+	replicas := f.replicaSetAt(w)
+	if !s.loadRequestsEnabled || !s.loadAllowed(now) || replicas.replicas+replicas.loading >= maxReplicasPerWorker {
+		return false
 	}
-	usual := f.expectedLoadTime()
-	if r != Completed {
-		took = max(took, fractionOf(loadTimeoutFactor, usual))
+	replicas.loading++
+	timeout := fractionOf(loadTimeoutFactor*max(1, s.loadSlowdown), f.expectedLoadTime())
+	replicas.loadDeadline = now + min(timeout, s.loadTimeout)
+	s.loadsSent.Add(now, 1)
+	s.loadsInFlight++
+	due.LoadRequests = append(due.LoadRequests,
+		LoadRequest{Worker: w.Worker, Function: f.id, Replicas: replicas.replicas + replicas.loading})
+	return true
+}
+
+// loadAllowed keeps load requests within their rate limit (rule 5), this one included, rounded to the safe side.
+func (s *Scheduler) loadAllowed(now time.Duration) bool {
+	return !s.loadRateLimited ||
+		s.loadsSent.UpperSum(now)+1 <= s.loadBurst+s.loadsPerRequest*s.submitted.LowerSum(now)
+}
+
+// LoadCompleted takes the result of a load request and the time that it took.
+func (s *Scheduler) LoadCompleted(now time.Duration, load LoadRequest, result Result, duration time.Duration) {
+	w, f := s.workers[load.Worker], s.functions[load.Function]
+	s.loadsInFlight--
+	if w == nil || f == nil {
+		return
 	}
-	if took > usual/4 { // else the replicas stood; a crowded store shows in loads that fail or take long
-		c.adjustLimit(&c.loadLimit, now, took, slowLoadFactor*float64(usual), c.loadsInFlight, 1)
-		c.loadSlowdown += (float64(took)/float64(usual) - c.loadSlowdown) / functionSamples
+	expected := f.expectedLoadTime()
+	if result != Completed {
+		duration = max(duration, fractionOf(loadTimeoutFactor, expected))
 	}
-	s := f.replicaSetAt(w)
-	if s.loading = max(0, s.loading-1); r == Completed || r == Full || r == Failed { // else nothing was heard
-		s.replicas, s.assumedUntil = o.Replicas, now+c.replicaIdleTimeout
+	if duration > expected/alreadyLoadedFraction { // a busy artifact store shows in loads that fail or take long
+		s.adjustLimit(&s.loadLimit, now, duration, slowLoadFactor*float64(expected), s.loadsInFlight, 1)
+		s.loadSlowdown += (float64(duration)/float64(expected) - s.loadSlowdown) / functionSamples
 	}
-	if r == Full {
-		s.rejectingUntil = now + usual
-	} else if r == Unreachable || r == ConnectionLost {
-		c.recordFailure(w, now)
+	replicas := f.replicaSetAt(w)
+	replicas.loading = max(0, replicas.loading-1)
+	switch result {
+	case Completed, Failed:
+		replicas.assume(load.Replicas, now+s.replicaIdleTimeout)
+	case Full:
+		replicas.assume(load.Replicas, now+s.replicaIdleTimeout)
+		replicas.rejectingUntil = now + expected
+	case Unreachable, ConnectionLost:
+		s.recordFailure(w, now)
 	}
 }
+
+// assume sets how many replicas are assumed loaded, and until when.
+func (r *replicaSet) assume(replicas int, until time.Duration) {
+	r.replicas = replicas
+	r.assumedUntil = until
+}
