--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -99,7 +99,7 @@
 		name := fmt.Sprint("w", i)
 		worker := localfleet.NewRuntime(localfleet.RuntimeOptions{Name: name, Folder: filepath.Join(dir, name),
 			Releases: releases, ExecutionLog: effects, Limits: limits})
-		addr, started, err := worker.Start("", true)
+		addr, started, err := worker.Start("", localfleet.LongUptime)
 		if err != nil {
 			r.t.Fatal(err)
 		}
