--- a/internal/gateway/compat_test.go
+++ b/internal/gateway/compat_test.go
@@ -20,7 +20,8 @@
 	}
 	at := time.Date(2026, 12, 1, 2, 3, 4, 567891234, time.UTC)
 	want := registry.WatchEvent{Version: 42, Complete: true, Entries: []registry.Entry{
-		{Name: "a", Addr: "127.0.0.1:7001", Zone: "z1", Cell: "c1", Kind: "big", Cores: 2.5, State: registry.InService, ChunkAddr: "127.0.0.1:8001", Started: at},
+		{Name: "a", Addr: "127.0.0.1:7001", Zone: "z1", Cell: "c1", Kind: "big", Cores: 2.5, State: registry.InService,
+			ChunkAddr: "127.0.0.1:8001", Started: at},
 		{Name: "b", Addr: "127.0.0.1:7002", Cores: 1, State: registry.Draining, Started: at.Add(time.Hour)},
 		{Name: "c", Addr: "127.0.0.1:7003", Zone: "z2", Cores: 1, State: registry.Removed, Started: at},
 	}}
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -49,7 +49,8 @@
 
 // postRequest is a request of the invoke API; headers end with CRLF each.
 func postRequest(path, headers, body string) string {
-	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\nConnection: close\r\n%sContent-Length: %d\r\n\r\n%s", path, headers, len(body), body)
+	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\nConnection: close\r\n%sContent-Length: %d\r\n\r\n%s",
+		path, headers, len(body), body)
 }
 
 // rejection is the response to a refused request.
--- a/internal/gateway/invoke/golden_test.go
+++ b/internal/gateway/invoke/golden_test.go
@@ -33,7 +33,8 @@
 	}{
 		{invoke.Response{Outcome: invoke.Completed, RequestID: "f-1", Attempts: 2, Body: []byte("ran\x00")},
 			"200\nContent-Length: 4\nContent-Type: application/octet-stream\nLupin-Event: f-1\nLupin-Launches: 2\n\nran\x00"},
-		{invoke.Response{Outcome: invoke.Rejected, RequestID: "f-2", Attempts: 1, RetryAfter: 1200 * time.Millisecond, Reason: "no room"},
+		{invoke.Response{Outcome: invoke.Rejected, RequestID: "f-2", Attempts: 1, RetryAfter: 1200 * time.Millisecond,
+			Reason: "no room"},
 			"503\nContent-Type: application/problem+json\nLupin-Back-Ms: 1200\nLupin-Event: f-2\nLupin-Launches: 1\nRetry-After: 2\n\n" +
 				`{"type":"urn:lupinpond:deferred","title":"Deferred: try again later","status":503,"detail":"no room","event":"f-2","launches":1}` + "\n"},
 		{invoke.Response{Outcome: invoke.Rejected, RequestID: "f-2"},
@@ -95,7 +96,8 @@
 			p.Write(w)
 			return
 		}
-		fmt.Fprintf(w, "%s %s %q %q %q %q %v %v %q", c.Function.Name, c.Type.Name, c.Tenant, c.Source, c.ClientID, c.IdempotencyKey, c.TimeLeft, c.Retry, c.Body)
+		fmt.Fprintf(w, "%s %s %q %q %q %q %v %v %q", c.Function.Name, c.Type.Name, c.Tenant, c.Source, c.ClientID,
+			c.IdempotencyKey, c.TimeLeft, c.Retry, c.Body)
 	})
 	return mux
 }
@@ -110,11 +112,13 @@
 	handler := reader(t)
 	for _, c := range []struct{ function, headers, body, want string }{
 		{"pay", "", "x", `200 pay once "acme" "" "" "" 6s false "x"`},
-		{"pay", "Ce-Specversion: 1.0|Ce-Type: once|Ce-Source: s|Ce-Id: i|Lupin-Tenant: acme|Lupin-Repeat: 1|Prefer: wait=1.5|Idempotency-Key: k",
+		{"pay",
+			"Ce-Specversion: 1.0|Ce-Type: once|Ce-Source: s|Ce-Id: i|Lupin-Tenant: acme|Lupin-Repeat: 1|Prefer: wait=1.5|Idempotency-Key: k",
 			"x", `200 pay once "acme" "s" "i" "" 1.5s true "x"`},
 		{"pay", `Prefer: handling=strict, wait="2";x=1`, "", `200 pay once "acme" "" "" "" 2s false ""`},
 		{"pay", "Prefer: wait=60|Lupin-Repeat: true", "", `200 pay once "acme" "" "" "" 6s false ""`},
-		{"tax", `Idempotency-Key: "k"|Lupin-Tenant: other|Ce-Id: i`, "", `200 tax keyed "other" "" "i" "other\ntax\nk" 4s false ""`},
+		{"tax", `Idempotency-Key: "k"|Lupin-Tenant: other|Ce-Id: i`, "",
+			`200 tax keyed "other" "" "i" "other\ntax\nk" 4s false ""`},
 		{"tax", "Ce-Id: i|Ce-Source: s", "", `200 tax keyed "" "s" "i" "\ntax\ns\ni" 4s false ""`},
 		{"none", "", "", problem(404, "Not Found", `no function \"none\"`)},
 		{"pay", "Ce-Specversion: 0.3", "", problem(400, "Bad Request", `ce-specversion \"0.3\", 1.0 is taken`)},
@@ -129,7 +133,8 @@
 		{"tax", "Lupin-Tenant: nobody|Ce-Id: i", "", problem(403, "Forbidden", `no tenant \"nobody\"`)},
 		{"tax", "", "", problem(400, "Bad Request", `an event of the keyed type keyed needs Idempotency-Key or ce-id`)},
 		{"pay", "Prefer: wait=soon", "", problem(400, "Bad Request", `Prefer: wait=soon is no time in seconds`)},
-		{"pay", "Prefer: respond-async", "", problem(501, "Not Implemented", `deferred calls (respond-async) are not built yet`)},
+		{"pay", "Prefer: respond-async", "",
+			problem(501, "Not Implemented", `deferred calls (respond-async) are not built yet`)},
 		{"pay", "", "123456789", problem(413, "Request Entity Too Large", `the body is longer than 8 bytes`)},
 		{"pay", "", "broken", problem(400, "Bad Request", `the body broke off: cut`)},
 	} {
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -32,8 +32,8 @@
 		State: registry.InService, ChunkAddr: "10.0.0.1:8721", Started: time.Date(2021, 3, 4, 5, 6, 7, 89, time.UTC)}
 }
 
-// exchange sends a request to a handler and gives the answer as text: status, the headers that are set, the body. There is
-// no Date header, as the handler is called without a server.
+// exchange sends a request to a handler and gives the answer as text: status, the headers that are set, the body.
+// There is no Date header, as the handler is called without a server.
 func exchange(h http.Handler, method, target, body string) string {
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest(method, target, strings.NewReader(body)))
@@ -47,7 +47,8 @@
 }
 
 func rejection(status int, reason string) string {
-	return fmt.Sprintf("%d\nContent-Type: text/plain; charset=utf-8\nX-Content-Type-Options: nosniff\n\n%s\n", status, reason)
+	return fmt.Sprintf("%d\nContent-Type: text/plain; charset=utf-8\nX-Content-Type-Options: nosniff\n\n%s\n",
+		status, reason)
 }
 
 // TestGoldenHandler: the answers of every endpoint but the stream, in one order, on one list.
@@ -69,17 +70,21 @@
 		{"PUT", "/v1/workers/w-2", `{"name":"w-2","addr":"a"}`, rejection(400, needed)},
 		{"PUT", "/v1/workers/w-2", `{"name":"w-2","other":1}`, rejection(400, `entry: json: unknown field "other"`)},
 		{"PUT", "/v1/workers/w-2", ``, rejection(400, "entry: EOF")},
-		{"PUT", "/v1/workers/w-2", `{"name":"` + strings.Repeat("x", 64<<10) + `"}`, rejection(400, "entry: http: request body too large")},
+		{"PUT", "/v1/workers/w-2", `{"name":"` + strings.Repeat("x", 64<<10) + `"}`,
+			rejection(400, "entry: http: request body too large")},
 		{"PUT", "/v1/workers/w-1?lease=soon", fullJSON, rejection(400, "lease: a duration such as 3s")},
 		{"PUT", "/v1/workers/w-1?lease=-1s", fullJSON, rejection(400, "lease: a duration such as 3s")},
 		{"POST", "/v1/workers/w-1/drain", "", none},
-		{"GET", "/v1/workers", "", listed + "[" + emptyJSON + "," + strings.Replace(fullJSON, `"in"`, `"draining"`, 1) + "]\n"},
+		{"GET", "/v1/workers", "", listed + "[" + emptyJSON + "," + strings.Replace(fullJSON, `"in"`, `"draining"`, 1) +
+			"]\n"},
 		{"POST", "/v1/workers/w-1/gone", "", none},
 		{"GET", "/v1/workers", "", listed + "[" + emptyJSON + "]\n"},
 		{"POST", "/v1/workers/w-9/drain", "", rejection(404, "no such worker")},
 		{"POST", "/v1/workers/w-9/gone", "", rejection(404, "no such worker")},
-		{"POST", "/v1/workers", "", "405\nAllow: GET, HEAD\nContent-Type: text/plain; charset=utf-8\nX-Content-Type-Options: nosniff\n\nMethod Not Allowed\n"},
-		{"GET", "/v1/workers/w-0", "", "405\nAllow: PUT\nContent-Type: text/plain; charset=utf-8\nX-Content-Type-Options: nosniff\n\nMethod Not Allowed\n"},
+		{"POST", "/v1/workers", "",
+			"405\nAllow: GET, HEAD\nContent-Type: text/plain; charset=utf-8\nX-Content-Type-Options: nosniff\n\nMethod Not Allowed\n"},
+		{"GET", "/v1/workers/w-0", "",
+			"405\nAllow: PUT\nContent-Type: text/plain; charset=utf-8\nX-Content-Type-Options: nosniff\n\nMethod Not Allowed\n"},
 		{"GET", "/health", "", rejection(404, "404 page not found")},
 	} {
 		if got := exchange(h, x.method, x.target, x.body); got != x.want {
@@ -182,8 +187,13 @@
 		}
 		c.request += string(b)
 	}
-	return &http.Response{StatusCode: c.status, Status: fmt.Sprintf("%d %s", c.status, http.StatusText(c.status)), Header: http.Header{},
-		Body: io.NopCloser(bytes.NewBufferString(c.body)), Request: req}, nil
+	return &http.Response{
+		StatusCode: c.status,
+		Status:     fmt.Sprintf("%d %s", c.status, http.StatusText(c.status)),
+		Header:     http.Header{},
+		Body:       io.NopCloser(bytes.NewBufferString(c.body)),
+		Request:    req,
+	}, nil
 }
 
 // TestGoldenClient: the requests of the client, and what it makes of the answers.
@@ -203,12 +213,16 @@
 	}{
 		{"put", 204, "", func(c registry.Client) (any, error) { return nil, c.Register(ctx, full(), 3*time.Second) },
 			"PUT " + base + "/v1/workers/w-1?lease=3s\n" + fullJSON, nil, ""},
-		{"put an odd name", 400, "no\n", func(c registry.Client) (any, error) { return nil, c.Register(ctx, odd, 90*time.Second) },
+		{"put an odd name", 400, "no\n", func(c registry.Client) (any, error) {
+			return nil, c.Register(ctx, odd, 90*time.Second)
+		},
 			"PUT " + base + "/v1/workers/w%2F1%20%C3%BC?lease=1m30s\n" + strings.Replace(fullJSON, "w-1", "w/1 ü", 1), nil,
 			"registry: 400 Bad Request: no"},
 		{"drain", 204, "", func(c registry.Client) (any, error) { return nil, c.SetState(ctx, "w-1", registry.Draining) },
 			"POST " + base + "/v1/workers/w-1/drain\n", nil, ""},
-		{"gone", 404, "no such worker\n", func(c registry.Client) (any, error) { return nil, c.SetState(ctx, "w-1", registry.Removed) },
+		{"gone", 404, "no such worker\n", func(c registry.Client) (any, error) {
+			return nil, c.SetState(ctx, "w-1", registry.Removed)
+		},
 			"POST " + base + "/v1/workers/w-1/gone\n", nil, "registry: 404 Not Found: no such worker"},
 		{"in", 204, "", func(c registry.Client) (any, error) { return nil, c.SetState(ctx, "w-1", registry.InService) },
 			"", nil, `a worker can't be marked as "in"`},
@@ -246,16 +260,19 @@
 		want   []registry.WatchEvent
 		err    string
 	}{
-		{"ends", 200, "\n" + complete + "\n" + `{"version":8,"whole":false,"entries":null}` + "\n", []registry.WatchEvent{seven, {Version: 8}},
+		{"ends", 200, "\n" + complete + "\n" + `{"version":8,"whole":false,"entries":null}` + "\n",
+			[]registry.WatchEvent{seven, {Version: 8}},
 			"watch the list: unexpected EOF"},
-		{"bad state", 200, complete + `{"version":8,"whole":false,"entries":[{"name":"w-1","state":"out"}]}` + "\n", []registry.WatchEvent{seven},
+		{"bad state", 200, complete + `{"version":8,"whole":false,"entries":[{"name":"w-1","state":"out"}]}` + "\n",
+			[]registry.WatchEvent{seven},
 			`watch the list: list version 8, entry 0: worker "w-1" in state "out"`},
 		{"no JSON", 200, "x\n", nil, "watch the list: invalid character 'x' looking for beginning of value"},
 		{"refused", 503, "", nil, "watch the list: status 503 Service Unavailable"},
 	} {
 		wire := &canned{status: x.status, body: x.body}
 		var got []registry.WatchEvent
-		err := registry.Watch(context.Background(), &http.Client{Transport: wire}, base, "front 1&x", func(n registry.WatchEvent) { got = append(got, n) })
+		err := registry.Watch(context.Background(), &http.Client{Transport: wire}, base, "front 1&x",
+			func(n registry.WatchEvent) { got = append(got, n) })
 		if want := "GET " + base + "/v1/list?front=front+1%26x\n"; wire.request != want {
 			t.Errorf("%s: request got %q, want %q", x.name, wire.request, want)
 		}
--- a/internal/workerrpc/golden_test.go
+++ b/internal/workerrpc/golden_test.go
@@ -44,7 +44,8 @@
 var started = time.Date(2021, 3, 4, 5, 6, 7, 89, time.FixedZone("", 2*60*60))
 
 func fullReport() *workerrpc.LoadReport {
-	return &workerrpc.LoadReport{QueueDepth: 41, Running: 42, CPUUtilization: 0.4375, MemoryBytes: 1 << 33, ColdStartRate: 0.1}
+	return &workerrpc.LoadReport{QueueDepth: 41, Running: 42, CPUUtilization: 0.4375, MemoryBytes: 1 << 33,
+		ColdStartRate: 0.1}
 }
 
 // goldenFrame is a message, its kind on the wire and the name of the file with its bytes.
@@ -59,14 +60,17 @@
 	return []goldenFrame{
 		{"hello-full", 1, &workerrpc.Handshake{Version: 1, Name: "w-1", Started: started, MaxAttempts: 64, MaxFrame: 16777216,
 			InterruptedLoads: []workerrpc.InterruptedLoad{
-				{Function: "resize", Version: "v7", Requests: []workerrpc.InterruptedRequest{{RequestID: "e-1", MayHaveRun: true}, {RequestID: "e-2"}}},
+				{Function: "resize", Version: "v7", Requests: []workerrpc.InterruptedRequest{
+					{RequestID: "e-1", MayHaveRun: true}, {RequestID: "e-2"}}},
 				{Function: "thumb", Version: "v8"}},
 			WarmUpTime: 1234567890 * time.Nanosecond}},
 		{"hello-empty", 1, &workerrpc.Handshake{}},
-		{"launch-full", 2, &workerrpc.Attempt{Seq: 11, RequestID: "e-12", Number: 13, Function: "f-14", Type: "t-15", Tenant: "n-16",
-			IdempotencyKey: "k-17", IdempotencyWindow: 18 * time.Second, TimeLeft: 19 * time.Millisecond, ClientRequestID: "c-20", Body: []byte{0, 21, 255}}},
+		{"launch-full", 2, &workerrpc.Attempt{Seq: 11, RequestID: "e-12", Number: 13, Function: "f-14", Type: "t-15",
+			Tenant: "n-16", IdempotencyKey: "k-17", IdempotencyWindow: 18 * time.Second, TimeLeft: 19 * time.Millisecond,
+			ClientRequestID: "c-20", Body: []byte{0, 21, 255}}},
 		{"launch-empty", 2, &workerrpc.Attempt{}},
-		{"answer-full", 3, &workerrpc.AttemptResult{Seq: 31, RequestID: "e-32", Code: workerrpc.CodeCancelled, ReplicaState: workerrpc.ReplicaLoadFailed, ConcurrentRequests: 35,
+		{"answer-full", 3, &workerrpc.AttemptResult{Seq: 31, RequestID: "e-32", Code: workerrpc.CodeCancelled,
+			ReplicaState: workerrpc.ReplicaLoadFailed, ConcurrentRequests: 35,
 			CPUTime: 36 * time.Microsecond, Report: fullReport(), Deduplicated: true, Reason: "r-39", Body: []byte("b-40")}},
 		{"answer-empty", 3, &workerrpc.AttemptResult{}},
 		{"cancel-full", 4, &workerrpc.Cancel{Seq: 1 << 40}},
@@ -115,9 +119,11 @@
 	}
 }
 
-// TestGoldenCodes: the numbers of the codes, of the warmth and of the kinds, and which codes say that the launch never ran.
+// TestGoldenCodes: the numbers of the codes, of the replica states and of the kinds, and which codes say that the
+// attempt never ran.
 func TestGoldenCodes(t *testing.T) {
-	for i, c := range []workerrpc.Code{workerrpc.CodeOK, workerrpc.CodeFailed, workerrpc.CodeOverloaded, workerrpc.CodeNotFound, workerrpc.CodeNotStarted, workerrpc.CodeCancelled} {
+	for i, c := range []workerrpc.Code{workerrpc.CodeOK, workerrpc.CodeFailed, workerrpc.CodeOverloaded,
+		workerrpc.CodeNotFound, workerrpc.CodeNotStarted, workerrpc.CodeCancelled} {
 		if int(c) != i {
 			t.Errorf("code: got %d, want %d", c, i)
 		}
@@ -125,12 +131,14 @@
 			t.Errorf("code %d: never ran got %v, want %v", i, got, want)
 		}
 	}
-	for i, w := range []workerrpc.ReplicaState{workerrpc.ReplicaStateUnknown, workerrpc.ReplicaWarm, workerrpc.ReplicaLoadStarted, workerrpc.ReplicaLoadAwaited, workerrpc.ReplicaLoadFailed} {
+	for i, w := range []workerrpc.ReplicaState{workerrpc.ReplicaStateUnknown, workerrpc.ReplicaWarm,
+		workerrpc.ReplicaLoadStarted, workerrpc.ReplicaLoadAwaited, workerrpc.ReplicaLoadFailed} {
 		if int(w) != i {
 			t.Errorf("warmth: got %d, want %d", w, i)
 		}
 	}
-	for i, k := range []workerrpc.Kind{workerrpc.KindHandshake, workerrpc.KindAttempt, workerrpc.KindAttemptResult, workerrpc.KindCancel, workerrpc.KindLoadRequest,
+	for i, k := range []workerrpc.Kind{workerrpc.KindHandshake, workerrpc.KindAttempt, workerrpc.KindAttemptResult,
+		workerrpc.KindCancel, workerrpc.KindLoadRequest,
 		workerrpc.KindLoadResult, workerrpc.KindProbe, workerrpc.KindProbeReply, workerrpc.KindDrainNotice} {
 		if int(k) != i+1 {
 			t.Errorf("kind: got %d, want %d", k, i+1)
@@ -158,7 +166,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if body, err := workerrpc.NewFrameReader(bytes.NewReader(raw), workerrpc.MaxFrame).Next(); !errors.Is(err, workerrpc.ErrProtocol) {
+		body, err := workerrpc.NewFrameReader(bytes.NewReader(raw), workerrpc.MaxFrame).Next()
+		if !errors.Is(err, workerrpc.ErrProtocol) {
 			t.Errorf("%s (%s): got %+v, %v, want %v", name, text, body, err, workerrpc.ErrProtocol)
 		}
 	}
@@ -193,17 +202,19 @@
 	}
 }
 
-// goldenHandler is a handler that answers a keyed launch at once and any other when it is cancelled.
+// goldenHandler answers an attempt with an idempotency key at once and any other when it is cancelled.
 type goldenHandler struct{ got chan any }
 
-func (h goldenHandler) HandleAttempt(gateway string, l *workerrpc.Attempt, reply func(*workerrpc.AttemptResult)) func() {
+func (h goldenHandler) HandleAttempt(gateway string, l *workerrpc.Attempt,
+	reply func(*workerrpc.AttemptResult)) func() {
 	h.got <- l
 	if l.IdempotencyKey == "" {
 		return func() {
 			reply(&workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "cancelled by " + gateway})
 		}
 	}
-	reply(&workerrpc.AttemptResult{Seq: 1, RequestID: "other", Code: workerrpc.CodeOK, Body: []byte("ok")}) // the server sets seq and event
+	// The server sets the sequence number and the request's id.
+	reply(&workerrpc.AttemptResult{Seq: 1, RequestID: "other", Code: workerrpc.CodeOK, Body: []byte("ok")})
 	return nil
 }
 
@@ -214,7 +225,7 @@
 
 func (h goldenHandler) LoadReport() *workerrpc.LoadReport { return fullReport() }
 
-// TestGoldenServer: a worker's bytes on a connection, for each message that a front end sends.
+// TestGoldenServer: a worker's bytes on a connection, for each message that a gateway sends.
 func TestGoldenServer(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -222,7 +233,8 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	h := goldenHandler{got: make(chan any, 4)}
-	s := &workerrpc.Server{Handshake: workerrpc.Handshake{Name: "w-1", Started: started, MaxAttempts: 8, WarmUpTime: 5}, Handler: h}
+	handshake := workerrpc.Handshake{Name: "w-1", Started: started, MaxAttempts: 8, WarmUpTime: 5}
+	s := &workerrpc.Server{Handshake: handshake, Handler: h}
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve(ctx, listener) }()
 	defer func() {
@@ -259,7 +271,8 @@
 	expect(t, conn, "server-echo", reply)
 	s.NotifyDraining("r-91")
 	expect(t, conn, "server-goodbye", golden(t, "goodbye-full"))
-	for i, want := range []any{goldenFrames()[2].body, goldenFrames()[3].body, &workerrpc.LoadRequest{Seq: 51, Function: "f-52", Replicas: 53}} {
+	for i, want := range []any{goldenFrames()[2].body, goldenFrames()[3].body,
+		&workerrpc.LoadRequest{Seq: 51, Function: "f-52", Replicas: 53}} {
 		if got := <-h.got; !reflect.DeepEqual(got, want) {
 			t.Errorf("handler's call %d:\n got %+v\nwant %+v", i, got, want)
 		}
@@ -270,7 +283,7 @@
 	}
 }
 
-// receiveOutcome is what a call of a peer ended with.
+// receiveOutcome returns the outcome of a call.
 func receiveOutcome(t *testing.T, c chan workerrpc.Outcome) workerrpc.Outcome {
 	t.Helper()
 	select {
@@ -282,14 +295,15 @@
 	}
 }
 
-// TestGoldenClient: a front end's bytes on a connection. The time left of a launch depends on the clock, so that one launch
-// has a time that is up (0 on the wire).
+// TestGoldenClient: a gateway's bytes on a connection. The time left of an attempt depends on the clock, so that
+// one attempt has a deadline that is past (0 on the wire).
 func TestGoldenClient(t *testing.T) {
 	here, there := net.Pipe()
 	if err := there.SetDeadline(time.Now().Add(deadline)); err != nil {
 		t.Fatal(err)
 	}
-	p := workerrpc.NewClient("front-1", "w-1", "addr", workerrpc.Limits{DialTimeout: deadline, QueueTimeout: deadline, WriteTimeout: deadline, MaxQueuedCalls: 8, MaxQueuedBytes: 1 << 20},
+	p := workerrpc.NewClient("front-1", "w-1", "addr", workerrpc.Limits{DialTimeout: deadline, QueueTimeout: deadline,
+		WriteTimeout: deadline, MaxQueuedCalls: 8, MaxQueuedBytes: 1 << 20},
 		func(context.Context, string) (net.Conn, error) { return here, nil })
 	greeted := make(chan *workerrpc.Handshake, 1)
 	p.OnHandshake = func(h *workerrpc.Handshake) { greeted <- h }
@@ -313,26 +327,32 @@
 	reply = bytes.Replace(reply, []byte{0x18, 81}, []byte{1}, 1)
 	reply[3]--
 	send(t, there, reply)
-	if o, want := receiveOutcome(t, outcomes), (&workerrpc.ProbeReply{Seq: 1, Report: fullReport()}); o.Status != workerrpc.StatusAnswered || !reflect.DeepEqual(o.ProbeReply, want) {
-		t.Errorf("probe: got %+v, want answered, %+v", o, want)
+	wantReply := &workerrpc.ProbeReply{Seq: 1, Report: fullReport()}
+	o := receiveOutcome(t, outcomes)
+	if o.Status != workerrpc.StatusAnswered || !reflect.DeepEqual(o.ProbeReply, wantReply) {
+		t.Errorf("probe: got %+v, want answered, %+v", o, wantReply)
 	}
-	if h := <-greeted; h.Name != "w-1" || h.MaxAttempts != 64 || !h.Started.Equal(started) || len(h.InterruptedLoads) != 2 {
+	if h := <-greeted; h.Name != "w-1" || h.MaxAttempts != 64 || !h.Started.Equal(started) ||
+		len(h.InterruptedLoads) != 2 {
 		t.Errorf("hello: got %+v, want that of hello-full", h)
 	}
 
 	p.Load(workerrpc.LoadRequest{Seq: 99, Function: "f-52", Replicas: 53}, done)
 	expect(t, there, "peer-order", golden(t, "peer-order"))
 	send(t, there, []byte{0, 0, 0, 8, 6, 0xa3, 1, 2, 2, 3, 3, 4})
-	if o, want := receiveOutcome(t, outcomes), (&workerrpc.LoadResult{Seq: 2, Code: workerrpc.CodeNotFound, Replicas: 4}); o.Status != workerrpc.StatusAnswered || !reflect.DeepEqual(o.LoadResult, want) {
-		t.Errorf("order: got %+v, want answered, %+v", o, want)
+	wantLoad := &workerrpc.LoadResult{Seq: 2, Code: workerrpc.CodeNotFound, Replicas: 4}
+	o = receiveOutcome(t, outcomes)
+	if o.Status != workerrpc.StatusAnswered || !reflect.DeepEqual(o.LoadResult, wantLoad) {
+		t.Errorf("load request: got %+v, want answered, %+v", o, wantLoad)
 	}
 
 	full := *goldenFrames()[2].body.(*workerrpc.Attempt)
 	p.Send(full, 0, done)
 	expect(t, there, "peer-launch", golden(t, "peer-launch"))
 	send(t, there, []byte{0, 0, 0, 12, 3, 0xa3, 1, 3, 2, 0x64, 'e', '-', '1', '2', 3, 2})
-	if o, want := receiveOutcome(t, outcomes), (&workerrpc.AttemptResult{Seq: 3, RequestID: "e-12", Code: workerrpc.CodeOverloaded}); !o.NeverRan() || !reflect.DeepEqual(o.AttemptResult, want) {
-		t.Errorf("launch: got %+v, want never ran, %+v", o, want)
+	wantResult := &workerrpc.AttemptResult{Seq: 3, RequestID: "e-12", Code: workerrpc.CodeOverloaded}
+	if o := receiveOutcome(t, outcomes); !o.NeverRan() || !reflect.DeepEqual(o.AttemptResult, wantResult) {
+		t.Errorf("attempt: got %+v, want never ran, %+v", o, wantResult)
 	}
 
 	c := p.Send(workerrpc.Attempt{RequestID: "e-2"}, 0, done)
