--- a/cmd/lpctl/main.go
+++ b/cmd/lpctl/main.go
@@ -3,133 +3,90 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"log/slog"
-	"net/http"
 	"os"
 	"os/signal"
 	"syscall"
-	"time"
 
 	"github.com/alecthomas/kong"
-	"github.com/jedib0t/go-pretty/v6/table"
 	"github.com/willabides/kongplete"
 
-	"lupinpond/internal/base/httpclient"
 	"lupinpond/internal/base/telemetry"
-	"lupinpond/internal/gateway/fleetconfig"
-	"lupinpond/internal/worker"
 )
 
 // cli is the command line. Results go to standard output, logs to standard error.
 type cli struct {
 	telemetry.Flags
 
-	Up       upCmd            `cmd:"" help:"Start front ends, the list and imitation workers in one process."`
-	Invoke   invokeCmd        `cmd:"" help:"Send one event to a front end."`
-	Check    checkCmd         `cmd:"" help:"Check a file of settings."`
-	Workers  workersCmd       `cmd:"" help:"Show the list of workers, or drain one."`
-	Publish  publishCmd       `cmd:"" help:"Publish a package to the store, and say what it makes workers fetch."`
-	Package  packageCmd       `cmd:"" help:"Look at the packages of the store."`
-	Trouble  injectFaultCmd   `cmd:"" help:"Have a worker misbehave for a time, over its control interface."`
-	Rehearse scenarioCmd      `cmd:"" help:"Play rehearsed days of trouble on loopback and judge the five rules."`
-	Rules    checkCapturesCmd `cmd:"" help:"Judge the five rules from a folder of captures."`
-	Replay   replayCmd        `cmd:"" help:"Replay a recording of a core and compare what it does."`
-	Slopes   costModelCmd     `cmd:"" help:"Measure what the decision core costs as the fleet grows, and fit curves."`
-	Scale    scaleCmd         `cmd:"" help:"Run real and hollow front ends, emulated workers and a list service at a fleet's size on loopback."`
-	Soak     soakCmd          `cmd:"" help:"Play real front ends on loopback through overlapping troubles, and judge the rules from the sockets."`
+	Up          upCmd          `cmd:"" help:"Start gateways, the registry and emulated workers in one process."`
+	Invoke      invokeCmd      `cmd:"" help:"Send one request to a gateway."`
+	Check       checkCmd       `cmd:"" help:"Check a file of settings."`
+	Workers     workersCmd     `cmd:"" help:"Show the registered workers, or drain or remove one."`
+	Publish     publishCmd     `cmd:"" help:"Publish a package to the artifact store, and say what it makes workers fetch."`
+	Package     packageCmd     `cmd:"" help:"Look at the packages of the artifact store."`
+	InjectFault injectFaultCmd `cmd:"" help:"Have a worker misbehave for a time, over its control interface."`
+	Scenario    scenarioCmd    `cmd:"" help:"Play fault scenarios on loopback and check the five rules."`
+	CheckRules  checkRulesCmd  `cmd:"" help:"Check the five rules on a folder of captures."`
+	Replay      replayCmd      `cmd:"" help:"Replay a recording of a core and compare what it does."`
+	CostModel   costModelCmd   `cmd:"" help:"Measure what the decision core costs as the fleet grows, and fit curves."`
+	Scale       scaleCmd       `cmd:"" help:"Run real and hollow gateways, emulated workers and a discovery service at a fleet's size on loopback."`
+	Soak        soakCmd        `cmd:"" help:"Play real gateways on loopback through overlapping faults, and check the rules on the sockets."`
 
 	ScaleChild scaleChildCmd `cmd:"" hidden:"" help:"A process of a scale run."`
 
+	// Commands under the names that scripts may know them by.
+	Trouble  injectFaultCmd `cmd:"" hidden:"" help:"inject-fault under its former name."`
+	Rehearse scenarioCmd    `cmd:"" hidden:"" help:"scenario under its former name."`
+	Rules    checkRulesCmd  `cmd:"" hidden:"" help:"check-rules under its former name."`
+	Slopes   costModelCmd   `cmd:"" hidden:"" help:"cost-model under its former name."`
+
 	Completion kongplete.InstallCompletions `cmd:"" help:"Print how to install shell completion."`
 }
 
-// failed is an end with status 1 that has been told already.
+// The exit statuses that are not success.
+const (
+	exitFailed = 1
+	exitUsage  = 2
+)
+
+// errFailed is an end with exitFailed that has been told already.
 var errFailed = errors.New("failed")
 
-func main() {
-	var c cli
-	parser := kong.Must(&c, kong.Name("lpctl"), kong.UsageOnError(),
-		kong.Description("Run, ask and rehearse lupinpond, a gateway that runs calls on workers which load functions on demand.\n\n"+
-			"Exit status: 0 as wished, 1 a rule was broken, an event was not handled or something failed, 2 wrong arguments."))
+func main() { os.Exit(run(os.Args[1:])) }
+
+// run runs a command line; it gives the exit status.
+func run(args []string) (status int) {
+	parser, flags := newParser()
 	kongplete.Complete(parser)
-	k, err := parser.Parse(os.Args[1:])
+	command, err := parser.Parse(args)
 	if err != nil {
-		var p *kong.ParseError
-		if errors.As(err, &p) {
-			_ = p.Context.PrintUsage(true)
+		var parseErr *kong.ParseError
+		if errors.As(err, &parseErr) {
+			_ = parseErr.Context.PrintUsage(true) // the error says what is wrong anyway
 		}
 		fmt.Fprintln(os.Stderr, "lpctl:", err)
-		os.Exit(2)
+		return exitUsage
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	log := telemetry.NewLogger(os.Stderr, c.Flags)
-	k.BindTo(ctx, (*context.Context)(nil))
-	k.Bind(log)
-	if err := k.Run(log); err != nil {
+	log := telemetry.NewLogger(os.Stderr, flags.Flags)
+	command.BindTo(ctx, (*context.Context)(nil))
+	command.Bind(log)
+	if err := command.Run(log); err != nil {
 		if !errors.Is(err, errFailed) {
 			fmt.Fprintln(os.Stderr, "lpctl:", err)
 		}
-		stop()
-		os.Exit(1)
+		return exitFailed
 	}
+	return 0
 }
 
-// loadConfig reads a file, or the defaults where none is named.
-func loadConfig(path string) (fleetconfig.File, error) {
-	if path == "" {
-		return fleetconfig.Default()
-	}
-	return fleetconfig.Read(path)
-}
-
-// newTable is a table on standard output; Render prints it.
-func newTable(header ...any) table.Writer {
-	t := table.NewWriter()
-	t.SetOutputMirror(os.Stdout)
-	t.SetStyle(table.StyleLight)
-	t.AppendHeader(header)
-	return t
-}
-
-type injectFaultCmd struct {
-	What    string        `arg:"" help:"hang, silence, slow, refuse, errors, fail-loads or false-reports."`
-	Control string        `required:"" help:"The worker's control address, such as http://127.0.0.1:8720."`
-	For     time.Duration `required:"" help:"Then it is undone."`
-	At      time.Duration `help:"From now."`
-	Tenant  string        `help:"Of refuse."`
-	Factor  float64       `help:"Of slow and false-reports."`
-}
-
-// Run sends the order.
-func (c *injectFaultCmd) Run(ctx context.Context, _ *slog.Logger) error {
-	body, err := json.Marshal(worker.FaultRequest{Fault: c.What, Tenant: c.Tenant, Factor: c.Factor, Delay: c.At.String(), Duration: c.For.String()})
-	if err != nil {
-		return err
-	}
-	if _, err := httpclient.Do(ctx, http.DefaultClient, http.MethodPost, c.Control+"/v1/trouble", body, 4096); err != nil {
-		return fmt.Errorf("worker: %w", err)
-	}
-	return nil
-}
-
-type checkCmd struct {
-	File string `arg:"" optional:"" help:"The file; without it the built-in defaults are printed." type:"path"`
-}
-
-// Run checks a file.
-func (c *checkCmd) Run(_ *slog.Logger) error {
-	if c.File == "" {
-		_, err := os.Stdout.Write(fleetconfig.DefaultText())
-		return err
-	}
-	f, err := fleetconfig.Read(c.File)
-	if err != nil {
-		return err
-	}
-	fmt.Printf("%s: %d event types, %d tenants, %d functions\n", c.File, len(f.Fleet.Types), len(f.Fleet.Tenants), len(f.Functions))
-	return nil
+func newParser() (*kong.Kong, *cli) {
+	var flags cli
+	parser := kong.Must(&flags, kong.Name("lpctl"), kong.UsageOnError(),
+		kong.Description("Run, ask and test lupinpond, a gateway that runs calls on workers which load functions on "+
+			"demand.\n\nExit status: 0 as wanted, 1 a rule was violated, a request was not completed or something failed, "+
+			"2 wrong arguments."))
+	return parser, &flags
 }
--- a/cmd/lpctl/packages.go
+++ b/cmd/lpctl/packages.go
@@ -15,6 +15,7 @@
 	"lupinpond/internal/base/httpclient"
 )
 
+// storeFlag is the address of the artifact store.
 type storeFlag struct {
 	Store string `default:"http://127.0.0.1:8730" help:"Address of the artifact store."`
 }
@@ -23,6 +24,7 @@
 	return artifactstore.Client{BaseURL: f.Store, HTTPClient: http.DefaultClient}
 }
 
+// publishCmd publishes a package.
 type publishCmd struct {
 	storeFlag
 	Folder string `arg:"" type:"existingdir" help:"The package: its content and the manifest that worker pack has written."`
@@ -36,19 +38,19 @@
 		return err
 	}
 	old, since := layer.Release{}, "a worker without any release"
-	b, err := c.client().Release(ctx, p.Name, "")
-	var refused *httpclient.StatusError
+	encoded, err := c.client().Release(ctx, p.Name, "")
+	var status *httpclient.StatusError
 	switch {
 	case err == nil:
-		if old, err = layer.Decode(b); err != nil {
+		if old, err = layer.Decode(encoded); err != nil {
 			return err
 		}
-		m, err := old.ParseManifest()
+		newest, err := old.ParseManifest()
 		if err != nil {
 			return err
 		}
-		since = "a worker that has version " + m.Version
-	case !errors.As(err, &refused) || refused.StatusCode != http.StatusNotFound:
+		since = "a worker that has version " + newest.Version
+	case !errors.As(err, &status) || status.StatusCode != http.StatusNotFound:
 		return err
 	}
 	if c.Dry {
@@ -63,7 +65,8 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s version %s, release %.12s: %d chunks, %d sent\n", sent.Name, sent.Version, sent.Digest, sent.Chunks, sent.NewChunks)
+	fmt.Printf("%s version %s, release %.12s: %d chunks, %d sent\n", sent.Name, sent.Version, sent.Digest, sent.Chunks,
+		sent.NewChunks)
 	fmt.Printf("%s fetches %s\n", since, describeFetch(old, sent.Release))
 	return nil
 }
@@ -71,65 +74,69 @@
 // describeFetch says what a worker that has one release fetches for another.
 func describeFetch(old, next layer.Release) string {
 	chunks, bytes, all := layer.Diff(old, next)
-	return fmt.Sprintf("%d chunks, %s of %s (%.1f %%)", chunks, mib(bytes), mib(all), 100*float64(bytes)/float64(max(1, all)))
+	percent := 100 * float64(bytes) / float64(max(1, all))
+	return fmt.Sprintf("%d chunks, %s of %s (%.1f %%)", chunks, mib(bytes), mib(all), percent)
 }
 
-func mib(n int64) string { return fmt.Sprintf("%.2f MiB", float64(n)/(1<<20)) }
-
+// packageCmd looks at packages.
 type packageCmd struct {
 	List packageListCmd `cmd:"" help:"The newest release of every package."`
 	Show packageShowCmd `cmd:"" help:"What a release consists of."`
 	Diff packageDiffCmd `cmd:"" help:"What a worker that has one release would fetch for another."`
 }
 
+// packageListCmd lists packages.
 type packageListCmd struct{ storeFlag }
 
 // Run lists packages.
 func (c *packageListCmd) Run(ctx context.Context, _ *slog.Logger) error {
-	all, err := c.client().Packages(ctx)
+	releases, err := c.client().Packages(ctx)
 	if err != nil {
 		return err
 	}
 	t := newTable("package", "version", "release")
-	for _, e := range all {
-		t.AppendRow(table.Row{e.Name, e.Version, e.Digest[:12]})
+	for _, release := range releases {
+		t.AppendRow(table.Row{release.Name, release.Version, release.Digest[:12]})
 	}
 	t.Render()
 	return nil
 }
 
+// packageShowCmd shows a release.
 type packageShowCmd struct {
 	storeFlag
 	Name    string `arg:""`
 	Version string `arg:"" optional:"" help:"The newest unless named."`
 }
 
+// release fetches a release; an empty version is the newest one.
 func (f storeFlag) release(ctx context.Context, name, version string) (layer.Release, error) {
-	b, err := f.client().Release(ctx, name, version)
+	encoded, err := f.client().Release(ctx, name, version)
 	if err != nil {
 		return layer.Release{}, err
 	}
-	return layer.Decode(b)
+	return layer.Decode(encoded)
 }
 
 // Run shows a release.
 func (c *packageShowCmd) Run(ctx context.Context, _ *slog.Logger) error {
-	r, err := c.release(ctx, c.Name, c.Version)
+	release, err := c.release(ctx, c.Name, c.Version)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s", r.Manifest)
+	fmt.Printf("%s", release.Manifest)
 	t := newTable("layer", "file", "bytes", "chunks")
-	for _, l := range r.Layers {
-		for _, f := range l.Files {
-			t.AppendRow(table.Row{l.Name, f.Path, f.Size(), len(f.Chunks)})
+	for _, layer := range release.Layers {
+		for _, file := range layer.Files {
+			t.AppendRow(table.Row{layer.Name, file.Path, file.Size(), len(file.Chunks)})
 		}
 	}
 	t.Render()
-	fmt.Printf("%d chunks, %s\n", len(r.Chunks()), mib(r.Size()))
+	fmt.Printf("%d chunks, %s\n", len(release.Chunks()), mib(release.Size()))
 	return nil
 }
 
+// packageDiffCmd compares two releases.
 type packageDiffCmd struct {
 	storeFlag
 	Name string `arg:""`
@@ -147,17 +154,18 @@
 	if err != nil {
 		return err
 	}
-	have := old.ChunkSet()
+	oldChunks := old.ChunkSet()
 	t := newTable("layer", "file", "chunks", "new", "new bytes")
-	for _, l := range next.Layers {
-		for _, f := range l.Files {
-			n, size := 0, 0
-			for _, x := range f.Chunks {
-				if !have[x.Digest] {
-					n, size = n+1, size+x.Size
+	for _, layer := range next.Layers {
+		for _, file := range layer.Files {
+			count, bytes := 0, 0
+			for _, chunk := range file.Chunks {
+				if !oldChunks[chunk.Digest] {
+					count++
+					bytes += chunk.Size
 				}
 			}
-			t.AppendRow(table.Row{l.Name, f.Path, len(f.Chunks), n, size})
+			t.AppendRow(table.Row{layer.Name, file.Path, len(file.Chunks), count, bytes})
 		}
 	}
 	t.Render()
--- a/cmd/lpctl/scale.go
+++ b/cmd/lpctl/scale.go
@@ -9,19 +9,18 @@
 	"os"
 	"os/exec"
 
-	"lupinpond/internal/testbed/costmodel"
 	"lupinpond/internal/testbed/scale"
 )
 
 // scaleCmd plays a scale run.
 type scaleCmd struct {
-	Plan    string `arg:"" help:"File of the plan." type:"path"`
-	Gate    string `default:"bin/gateway" help:"Program of the real front ends, as the deploy file builds it." type:"path"`
-	Check   bool   `help:"Only check the plan, and print what it takes."`
-	JSON    bool   `help:"The result as JSON in place of the tables."`
-	Samples string `help:"File for one JSON line a sample." type:"path"`
-	Sweep   string `enum:"none,workers,front-ends,rate" default:"none" help:"Play the plan once for each of --sizes, and fit slopes: ${enum}."`
-	Sizes   []int  `help:"Sizes of --sweep, four at the least."`
+	Plan           string `arg:"" help:"File of the plan." type:"path"`
+	GatewayProgram string `aliases:"gate" default:"bin/gateway" help:"Program of the real gateways, as the deploy file builds it." type:"path"`
+	Check          bool   `help:"Only check the plan, and print what it takes."`
+	JSON           bool   `help:"The result as JSON in place of the tables."`
+	Samples        string `help:"File for one JSON line a sample." type:"path"`
+	Sweep          string `enum:"none,workers,gateways,rate,front-ends" default:"none" help:"Play the plan once for each of --sizes, and fit curves: none, workers, gateways or rate."`
+	Sizes          []int  `help:"Sizes of --sweep, four at the least."`
 }
 
 // scaleChildCmd is a process of a run.
@@ -36,11 +35,11 @@
 
 // Run plays the plan.
 func (c *scaleCmd) Run(ctx context.Context, _ *slog.Logger) error {
-	b, err := os.ReadFile(c.Plan)
+	text, err := os.ReadFile(c.Plan)
 	if err != nil {
 		return err
 	}
-	plan, err := scale.ReadPlan(c.Plan, b)
+	plan, err := scale.ReadPlan(c.Plan, text)
 	if err != nil {
 		return err
 	}
@@ -53,141 +52,124 @@
 		fmt.Println(plan.Estimate().Sum)
 		return plan.Check(options.MaxBytes)
 	}
-	if err := plan.CheckGatewayProgram(c.Gate); err != nil {
+	if err := plan.CheckGatewayProgram(c.GatewayProgram); err != nil {
 		return err
 	}
 	if c.Sweep != "none" {
 		return c.sweep(ctx, plan, options)
 	}
 	result, err := scale.Run(ctx, plan, options)
-	if perr := c.print(result); err == nil {
-		err = perr
-	}
-	return err
+	return errors.Join(err, c.print(result))
 }
 
-func (c *scaleCmd) options() (scale.Options, func(), error) {
+// options are what the run needs beside its plan; closeSamples closes the file of samples.
+func (c *scaleCmd) options() (options scale.Options, closeSamples func(), err error) {
 	self, err := os.Executable()
 	if err != nil {
-		return scale.Options{}, nil, err
+		return options, nil, err
 	}
-	most, err := scale.HalfOfMemory()
+	maxBytes, err := scale.HalfOfMemory()
 	if err != nil {
-		return scale.Options{}, nil, err
+		return options, nil, err
+	}
+	options = scale.Options{
+		GatewayProgram: c.GatewayProgram,
+		MaxBytes:       maxBytes,
+		Log:            slog.New(slog.DiscardHandler),
+		Command:        func(role scale.Role) *exec.Cmd { return exec.Command(self, "scale-child", string(role)) },
 	}
-	o := scale.Options{GatewayProgram: c.Gate, MaxBytes: most, Log: slog.New(slog.DiscardHandler),
-		Command: func(role scale.Role) *exec.Cmd { return exec.Command(self, "scale-child", string(role)) }}
 	if c.Samples == "" {
-		return o, func() {}, nil
+		return options, func() {}, nil
 	}
-	file, err := os.Create(c.Samples)
+	samples, err := os.Create(c.Samples)
 	if err != nil {
-		return o, nil, err
+		return options, nil, err
 	}
-	o.Log = slog.New(slog.NewJSONHandler(file, nil))
-	return o, func() { file.Close() }, nil
+	options.Log = slog.New(slog.NewJSONHandler(samples, nil))
+	return options, func() { samples.Close() }, nil
 }
 
-func (c *scaleCmd) print(r scale.Result) error {
+func (c *scaleCmd) print(result scale.Result) error {
 	if c.JSON {
 		out := json.NewEncoder(os.Stdout)
 		out.SetIndent("", "  ")
-		return out.Encode(r)
-	}
-	fmt.Printf("%s: %d processes, started in %.1f s, %.1f s in all, at most %.0f MiB resident (estimated at most %d)\n", r.Plan, r.Processes,
-		r.StartSeconds, r.Seconds, r.PeakMiB, r.Estimate.Bytes>>20)
-	fmt.Printf("machine: least idle %.0f %% of its cores in a sample\n", 100*r.MinIdle)
-	c.printSpans(r.Spans)
-	applied := newTable("changes of", "in force at a front end: p50 ms", "p99", "worst", "count", "at the last of each: p50", "p99", "worst", "changes")
-	for _, s := range r.Spans {
-		a, l := r.Applied[s.Name], r.AppliedEverywhere[s.Name]
-		if a.Count > 0 {
-			applied.AppendRow([]any{s.Name, a.P50, a.P99, a.Max, a.Count, l.P50, l.P99, l.Max, l.Count})
-		}
-	}
-	applied.Render()
-	latency := newTable("requests", "p50 ms", "p99", "worst", "count")
-	for _, row := range []struct {
-		name string
-		d    scale.Delay
-	}{{"hollow, replica loaded", r.Warm}, {"hollow, cold start", r.Cold}, {"real, replica loaded", r.RealWarm}, {"real, cold start", r.RealCold}} {
-		latency.AppendRow([]any{row.name, row.d.P50, row.d.P99, row.d.Max, row.d.Count})
-	}
-	latency.Render()
-	fmt.Printf("real front ends' clients: %d sent, %d served, %d rejected, %d failed\n", r.Real.Submitted, r.Real.Served, r.Real.Rejected, r.Real.Failed)
-	fmt.Printf("%d changes; lists at the end %v, the service's %s; %d heard out of order\n", r.Changes, r.Lists, r.ExpectedList, r.OutOfOrder)
+		return out.Encode(result)
+	}
+	fmt.Printf("%s: %d processes, started in %.1f s, %.1f s in all, at most %.0f MiB resident (estimated at most %d)\n",
+		result.Plan, result.Processes, result.StartSeconds, result.Seconds, result.PeakMiB, result.Estimate.Bytes>>20)
+	fmt.Printf("machine: least idle %.0f %% of its cores in a sample\n", 100*result.MinIdle)
+	printSpans(result.Spans)
+	printApplied(result)
+	printLatencies(result)
+	fmt.Printf("real gateways' clients: %d sent, %d served, %d rejected, %d failed\n", result.Real.Submitted,
+		result.Real.Served, result.Real.Rejected, result.Real.Failed)
+	fmt.Printf("%d changes; lists at the end %v, the service's %s; %d received out of order\n", result.Changes,
+		result.Lists, result.ExpectedList, result.OutOfOrder)
 	return nil
 }
 
-func (c *scaleCmd) printSpans(spans []scale.Span) {
-	out := newTable("span", "s", "requests/s", "front end: % core", "MiB", "files", "real: % core", "MiB", "files", "control B/s", "list B/s", "orders/s", "probes/s",
-		"handshakes/s", "worker: conns", "loads/s", "list: % core", "MiB", "whole", "served", "cold", "rejected", "none", "failed", "idle %")
-	for _, s := range spans {
-		p := func(v float64) string { return fmt.Sprintf("%.3g", v) }
-		out.AppendRow([]any{s.Name, p(s.Seconds), p(s.RequestRate), p(100 * s.GatewayCPU), p(s.GatewayMiB), p(s.GatewayFDs), p(100 * s.RealGatewayCPU), p(s.RealGatewayMiB),
-			p(s.RealGatewayFDs), p(s.ControlBytes), p(s.DiscoveryBytes), p(s.LoadRequestRate), p(s.ProbeRate), p(s.HandshakeRate), p(s.Connections), p(s.Loads),
-			p(100 * s.DiscoveryCPU), p(s.DiscoveryMiB), s.CompleteLists, s.Served, s.Cold, s.Rejected, s.NoWorker, s.Failed, p(100 * s.MachineIdle)})
-	}
-	out.Render()
+func printSpans(spans []scale.Span) {
+	t := newTable("span", "s", "requests/s", "gateway: % core", "MiB", "files", "real: % core", "MiB", "files",
+		"control B/s", "list B/s", "load requests/s", "probes/s", "handshakes/s", "worker: conns", "loads/s", "discovery: % core",
+		"MiB", "complete", "served", "cold", "rejected", "no worker", "failed", "idle %")
+	digits := func(value float64) string { return fmt.Sprintf("%.3g", value) }
+	for _, span := range spans {
+		t.AppendRow([]any{
+			span.Name,
+			digits(span.Seconds),
+			digits(span.RequestRate),
+			digits(100 * span.GatewayCPU),
+			digits(span.GatewayMiB),
+			digits(span.GatewayFDs),
+			digits(100 * span.RealGatewayCPU),
+			digits(span.RealGatewayMiB),
+			digits(span.RealGatewayFDs),
+			digits(span.ControlBytes),
+			digits(span.DiscoveryBytes),
+			digits(span.LoadRequestRate),
+			digits(span.ProbeRate),
+			digits(span.HandshakeRate),
+			digits(span.Connections),
+			digits(span.Loads),
+			digits(100 * span.DiscoveryCPU),
+			digits(span.DiscoveryMiB),
+			span.CompleteLists,
+			span.Served,
+			span.Cold,
+			span.Rejected,
+			span.NoWorker,
+			span.Failed,
+			digits(100 * span.MachineIdle),
+		})
+	}
+	t.Render()
 }
 
-// errSizes says that a sweep has too few sizes.
-var errSizes = errors.New("--sweep needs --sizes, four at the least")
-
-// sweep plays the plan at several sizes and fits curves through the first span's figures.
-func (c *scaleCmd) sweep(ctx context.Context, plan scale.Plan, options scale.Options) error {
-	if len(c.Sizes) < 4 {
-		return errSizes
-	}
-	figures := map[string][]costmodel.Point{}
-	var names []string
-	note := func(size int, name string, value float64) {
-		if figures[name] == nil {
-			names = append(names, name)
+// printApplied prints how long changes took to be in force, by the span in which they were published.
+func printApplied(result scale.Result) {
+	t := newTable("changes of", "in force at a gateway: p50 ms", "p99", "worst", "count", "at the last of each: p50",
+		"p99", "worst", "changes")
+	for _, span := range result.Spans {
+		each, last := result.Applied[span.Name], result.AppliedEverywhere[span.Name]
+		if each.Count > 0 {
+			t.AppendRow([]any{span.Name, each.P50, each.P99, each.Max, each.Count, last.P50, last.P99, last.Max, last.Count})
 		}
-		figures[name] = append(figures[name], costmodel.Point{Size: float64(size), Value: value})
 	}
-	for _, size := range c.Sizes {
-		sized := plan
-		switch c.Sweep {
-		case "workers":
-			sized.Workers.Count = size
-		case "front-ends":
-			sized.Gateways.Hollow = size
-		case "rate":
-			sized.Gateways.Rate = float64(size)
-		}
-		result, err := scale.Run(ctx, sized, options)
-		fmt.Printf("-- %s %d\n", c.Sweep, size)
-		if perr := c.print(result); perr != nil {
-			return perr
-		}
-		if err != nil {
-			return err
-		}
-		busy, idle := result.Spans[0], result.Spans[len(result.Spans)-1]
-		note(size, "front end with requests, % of a core", 100*busy.GatewayCPU)
-		note(size, "front end with requests, descriptors", busy.GatewayFDs)
-		note(size, "front end with requests, control B/s", busy.ControlBytes)
-		note(size, "front end with requests, handshakes/s", busy.HandshakeRate)
-		note(size, "worker, connections", busy.Connections)
-		note(size, "list service, % of a core", 100*busy.DiscoveryCPU)
-		note(size, "list service, MiB", busy.DiscoveryMiB)
-		note(size, "front end at the end without requests, % of a core", 100*idle.GatewayCPU)
-		note(size, "front end at the end without requests, control B/s", idle.ControlBytes)
-		note(size, "front end at the end, MiB of its process", idle.GatewayMiB)
-		note(size, "real front end at the end, MiB", idle.RealGatewayMiB)
-		for _, d := range result.AppliedEverywhere {
-			note(size, "change at the last front end, ms, p99", d.P99)
-		}
-	}
-	for _, name := range names {
-		fit, err := costmodel.FitPoints(figures[name])
-		if err != nil {
-			fmt.Printf("%s: no fit: %v\n", name, err)
-			continue
-		}
-		fmt.Printf("%s: %v\n", name, fit)
-	}
-	return nil
+	t.Render()
+}
+
+func printLatencies(result scale.Result) {
+	t := newTable("requests", "p50 ms", "p99", "worst", "count")
+	for _, row := range []struct {
+		name  string
+		delay scale.Delay
+	}{
+		{"hollow, replica loaded", result.Warm},
+		{"hollow, cold start", result.Cold},
+		{"real, replica loaded", result.RealWarm},
+		{"real, cold start", result.RealCold},
+	} {
+		t.AppendRow([]any{row.name, row.delay.P50, row.delay.P99, row.delay.Max, row.delay.Count})
+	}
+	t.Render()
 }
