--- a/internal/gateway/platform/golden_test.go
+++ b/internal/gateway/platform/golden_test.go
@@ -9,8 +9,6 @@
 	"io"
 	"log/slog"
 	"net"
-	"net/http"
-	"os"
 	"path/filepath"
 	"regexp"
 	"slices"
@@ -378,38 +376,15 @@
 // Values are left out: they depend on time.
 func TestGoldenMetrics(t *testing.T) {
 	h := start(t)
-	var addrs []string
-	for range 2 {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		addrs = append(addrs, l.Addr().String())
-		l.Close()
-	}
-	path := filepath.Join(t.TempDir(), "config.json")
-	config := strings.Replace(h.config, `"listen":`, `"listen":"`+addrs[0]+`","was":`, 1)
-	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	metricsAddr, path := freeAddr(t), filepath.Join(t.TempDir(), "config.json")
+	writeConfig(t, path, withListen(h.config, freeAddr(t)))
 	l, ended := &logBuffer{changed: make(chan struct{})}, make(chan error, 1)
 	go func() {
-		ended <- platform.Run(path, slog.New(slog.NewJSONHandler(l, nil)), platform.Options{MetricsAddr: addrs[1]})
+		ended <- platform.Run(path, slog.New(slog.NewJSONHandler(l, nil)), platform.Options{MetricsAddr: metricsAddr})
 	}()
 	l.wait("metrics listening", 1)
 	l.wait("gateway listening", 1)
-	client := &http.Client{Timeout: 20 * time.Second}
-	defer client.CloseIdleConnections()
-	response, err := client.Get("http://" + addrs[1] + "/metrics")
-	if err != nil {
-		t.Fatal(err)
-	}
-	b, err := io.ReadAll(response.Body)
-	response.Body.Close()
-	if err != nil {
-		t.Fatal(err)
-	}
-	lines := strings.Split(strings.TrimSpace(string(b)), "\n")
+	lines := strings.Split(strings.TrimSpace(scrape(t, metricsAddr)), "\n")
 	for i, line := range lines {
 		if !strings.HasPrefix(line, "#") {
 			lines[i] = line[:strings.LastIndexByte(line, ' ')]
--- a/internal/gateway/platform/metrics_test.go
+++ b/internal/gateway/platform/metrics_test.go
@@ -2,11 +2,7 @@
 
 import (
 	"io"
-	"log/slog"
-	"net"
 	"net/http"
-	"os"
-	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
@@ -15,44 +11,34 @@
 	"lupinpond/internal/gateway/platform"
 )
 
-// The state of a gateway is served to Prometheus while it runs, and logged at SIGUSR1 and at the end.
-func TestMetrics(t *testing.T) {
-	h := start(t)
-	free := func() string {
-		listener, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer listener.Close()
-		return listener.Addr().String()
-	}
-	var metrics string
-	h.addr, metrics = free(), free()
-	path := filepath.Join(t.TempDir(), "config.json")
-	config := strings.Replace(h.config, `"listen":`, `"listen":"`+h.addr+`","was":`, 1)
-	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	l, ended := &logBuffer{changed: make(chan struct{})}, make(chan error, 1)
-	go func() {
-		ended <- platform.Run(path, slog.New(slog.NewTextHandler(l, nil)), platform.Options{MetricsAddr: metrics})
-	}()
-	l.wait("metrics listening", 1)
-	l.wait("gateway listening", 1)
-	c := h.dial()
-	c.dispatch("a", fields(id(1))...)
-	c.expect("handled", "done a")
+// scrape is the text of the metrics at an address.
+func scrape(t *testing.T, addr string) string {
+	t.Helper()
 	client := &http.Client{Timeout: 20 * time.Second}
 	defer client.CloseIdleConnections()
-	response, err := client.Get("http://" + metrics + "/metrics")
+	response, err := client.Get("http://" + addr + "/metrics")
 	if err != nil {
 		t.Fatal(err)
 	}
+	defer response.Body.Close()
 	b, err := io.ReadAll(response.Body)
-	response.Body.Close()
 	if err != nil {
 		t.Fatal(err)
 	}
+	return string(b)
+}
+
+// The state of a gateway is served to Prometheus while it runs, and logged at SIGUSR1 and at the end.
+func TestMetrics(t *testing.T) {
+	h := start(t)
+	metricsAddr := freeAddr(t)
+	_, l, ended := startProgram(t, h, h.config, platform.Options{MetricsAddr: metricsAddr})
+	l.wait("metrics listening", 1)
+	l.wait("gateway listening", 1)
+	c := h.dial()
+	c.dispatch("a", fields(id(1))...)
+	c.expect("handled", "done a")
+	metrics := scrape(t, metricsAddr)
 	for _, line := range []string{
 		`lupinpond_requests_total{ending="completed"} 1`,
 		`lupinpond_connections 1`,
@@ -61,8 +47,8 @@
 		`lupinpond_requests_given_up_total{reason="no_time_left"} 0`,
 		`lupinpond_overloaded 0`,
 	} {
-		if !strings.Contains(string(b), line+"\n") {
-			t.Errorf("%s is missing:\n%s", line, b)
+		if !strings.Contains(metrics, line+"\n") {
+			t.Errorf("%s is missing:\n%s", line, metrics)
 		}
 	}
 	signal(t, syscall.SIGUSR1)
--- a/internal/gateway/platform/run_test.go
+++ b/internal/gateway/platform/run_test.go
@@ -43,24 +43,45 @@
 	}
 }
 
-// startProgram runs a gateway by a configuration file, as its program does.
-func startProgram(t *testing.T, h *harness, config string) (path string, l *logBuffer, ended chan error) {
+// freeAddr is an address at which nothing listens.
+func freeAddr(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.addr, path = listener.Addr().String(), filepath.Join(t.TempDir(), "config.json")
-	listener.Close()
-	object := strings.Replace(config, `"listen":`, `"listen":"`+h.addr+`","was":`, 1)
-	if err := os.WriteFile(path, []byte(object), 0o600); err != nil {
+	defer listener.Close()
+	return listener.Addr().String()
+}
+
+// withListen is a configuration with another address for clients.
+func withListen(config, addr string) []byte {
+	return []byte(strings.Replace(config, `"listen":`, `"listen":"`+addr+`","was":`, 1))
+}
+
+func writeConfig(t *testing.T, path string, config []byte) {
+	t.Helper()
+	if err := os.WriteFile(path, config, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	l, ended = &logBuffer{changed: make(chan struct{})}, make(chan error, 1)
-	go func() { ended <- platform.Run(path, slog.New(slog.NewTextHandler(l, nil)), platform.Options{}) }()
+}
+
+// startProgram runs a gateway by a configuration file, as its program does; the harness dials it then.
+func startProgram(t *testing.T, h *harness, config string, options platform.Options) (
+	path string, l *logBuffer, ended chan error) {
+	t.Helper()
+	h.addr, path = freeAddr(t), filepath.Join(t.TempDir(), "config.json")
+	writeConfig(t, path, withListen(config, h.addr))
+	l, ended = runProgram(path, options)
 	return path, l, ended
 }
 
+func runProgram(path string, options platform.Options) (l *logBuffer, ended chan error) {
+	l, ended = &logBuffer{changed: make(chan struct{})}, make(chan error, 1)
+	go func() { ended <- platform.Run(path, slog.New(slog.NewTextHandler(l, nil)), options) }()
+	return l, ended
+}
+
 func signal(t *testing.T, s syscall.Signal) {
 	t.Helper()
 	if err := syscall.Kill(os.Getpid(), s); err != nil {
@@ -72,7 +93,7 @@
 // drains; a second SIGTERM changes nothing; all ends without an error.
 func TestSignals(t *testing.T) {
 	h := start(t)
-	path, l, ended := startProgram(t, h, h.config)
+	path, l, ended := startProgram(t, h, h.config, platform.Options{})
 	l.wait("gateway listening", 1)
 	c := h.dial()
 	c.dispatch("a", fields(id(1))...)
@@ -88,18 +109,14 @@
 		`{"name":"n0"}`,
 		strings.Replace(string(good), `"sockets":256`, `"sockets":-1`, 1),
 	} {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
+		writeConfig(t, path, []byte(text))
 		signal(t, syscall.SIGHUP)
 		bad++
 		l.wait("configuration reload failed", bad)
 		c.dispatch("b", fields(id(1+bad))...)
 		c.expect("handled", "done b")
 	}
-	if err := os.WriteFile(path, good, 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeConfig(t, path, good)
 	signal(t, syscall.SIGHUP)
 	l.wait("msg=\"configuration reloaded\"", 1)
 	release := make(chan struct{})
@@ -133,7 +150,8 @@
 		`"request_classes":[`: "request_classes",
 	} {
 		name, value, _ := strings.Cut(change, ":")
-		_, _, ended := startProgram(t, h, strings.Replace(h.config, change, name+`:"x","was":`+value, 1))
+		config := strings.Replace(h.config, change, name+`:"x","was":`+value, 1)
+		_, _, ended := startProgram(t, h, config, platform.Options{})
 		if err := <-ended; err == nil || !strings.Contains(err.Error(), names) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("without %s: %v", names, err)
 		}
@@ -154,27 +172,19 @@
 		t.Fatal(err)
 	}
 	addr, path := listener.Addr().String(), filepath.Join(t.TempDir(), "config.json")
-	object := []byte(strings.Replace(h.config, `"listen":`, `"listen":"`+addr+`","was":`, 1))
-	if err := os.WriteFile(path, object[:len(object)/2], 0o600); err != nil {
-		t.Fatal(err)
-	}
-	l, ended := &logBuffer{changed: make(chan struct{})}, make(chan error, 1)
-	go func() { ended <- platform.Run(path, slog.New(slog.NewTextHandler(l, nil)), platform.Options{}) }()
+	complete := withListen(h.config, addr)
+	incomplete := complete[:len(complete)/2]
+	writeConfig(t, path, incomplete)
+	l, ended := runProgram(path, platform.Options{})
 	time.Sleep(100 * time.Millisecond)
-	if err := os.WriteFile(path, object, 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeConfig(t, path, complete)
 	time.Sleep(100 * time.Millisecond)
 	listener.Close()
 	l.wait("gateway listening", 1)
-	if err := os.WriteFile(path, object[:len(object)/2], 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeConfig(t, path, incomplete)
 	signal(t, syscall.SIGHUP)
 	l.wait("configuration reload failed", 1)
-	if err := os.WriteFile(path, object, 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeConfig(t, path, complete)
 	l.wait("msg=\"configuration reloaded\"", 1)
 	signal(t, syscall.SIGUSR1)
 	l.wait("msg=status", 1)
