--- a/cmd/lpctl/main.go
+++ b/cmd/lpctl/main.go
@@ -36,10 +36,10 @@
 	ScaleChild scaleChildCmd `cmd:"" hidden:"" help:"A process of a scale run."`
 
 	// Commands under the names that scripts may know them by.
-	Trouble  injectFaultCmd `cmd:"" hidden:"" help:"inject-fault under its former name."`
-	Rehearse scenarioCmd    `cmd:"" hidden:"" help:"scenario under its former name."`
-	Rules    checkRulesCmd  `cmd:"" hidden:"" help:"check-rules under its former name."`
-	Slopes   costModelCmd   `cmd:"" hidden:"" help:"cost-model under its former name."`
+	FormerInjectFault injectFaultCmd `cmd:"" name:"trouble" hidden:"" help:"inject-fault under its former name."`
+	FormerScenario    scenarioCmd    `cmd:"" name:"rehearse" hidden:"" help:"scenario under its former name."`
+	FormerCheckRules  checkRulesCmd  `cmd:"" name:"rules" hidden:"" help:"check-rules under its former name."`
+	FormerCostModel   costModelCmd   `cmd:"" name:"slopes" hidden:"" help:"cost-model under its former name."`
 
 	Completion kongplete.InstallCompletions `cmd:"" help:"Print how to install shell completion."`
 }
--- a/cmd/lpctl/scenario.go
+++ b/cmd/lpctl/scenario.go
@@ -147,7 +147,7 @@
 // progress shows how far several scenarios are.
 type progress struct {
 	mu    sync.Mutex
-	bar   *progressbar.ProgressBar
+	shown *progressbar.ProgressBar
 	parts []int // percent of each
 }
 
@@ -157,19 +157,19 @@
 	if silent {
 		out = io.Discard
 	}
-	bar := progressbar.NewOptions(100*count,
+	shown := progressbar.NewOptions(100*count,
 		progressbar.OptionSetWriter(out),
 		progressbar.OptionThrottle(100*time.Millisecond),
 		progressbar.OptionSetDescription("scenarios"),
 		progressbar.OptionClearOnFinish())
-	return &progress{bar: bar, parts: make([]int, count)}
+	return &progress{shown: shown, parts: make([]int, count)}
 }
 
 // set notes how far one is; it never goes back.
 func (p *progress) set(index, percent int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_ = p.bar.Add(max(0, percent-p.parts[index])) // nobody may be looking
+	_ = p.shown.Add(max(0, percent-p.parts[index])) // nobody may be looking
 	p.parts[index] = max(percent, p.parts[index])
 }
 
--- a/internal/testbed/checker/checker_test.go
+++ b/internal/testbed/checker/checker_test.go
@@ -176,6 +176,7 @@
 }
 
 // Every mutant is an edit of ordinary traffic that violates one rule; the checker names that rule and no other.
+// It is long as it is one table.
 func TestMutantsAreCaught(t *testing.T) {
 	for _, m := range []struct {
 		name  string
--- a/internal/testbed/scale/collect.go
+++ b/internal/testbed/scale/collect.go
@@ -39,13 +39,13 @@
 }
 
 // reports asks every child for its report.
-func (r *run) reports(ask command) ([]*childReport, error) {
+func (r *run) reports(request command) ([]*childReport, error) {
 	children := r.children()
 	reports := make([]*childReport, len(children))
 	var group errgroup.Group
 	for i, child := range children {
 		group.Go(func() error {
-			reply, err := child.pipe.call(ask)
+			reply, err := child.pipe.call(request)
 			reports[i] = reply.Report
 			return err
 		})
--- a/internal/testbed/scale/timeline.go
+++ b/internal/testbed/scale/timeline.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// steadySpan is the span before the first row of the timeline.
-const steadySpan = "steady"
+// firstSpan is the span before the first row of the timeline.
+const firstSpan = "steady"
 
 // playTimeline plays the rows and samples until the run is over.
 func (r *run) playTimeline(ctx context.Context) (spans []Span, err error) {
 	start := time.Now()
-	r.enterSpan(steadySpan)
+	r.enterSpan(firstSpan)
 	spanStart, err := r.totals()
 	if err != nil {
 		return nil, err
--- a/internal/testbed/scale/worker_test.go
+++ b/internal/testbed/scale/worker_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-func (c *workerClient) wants(id, word, fields string) {
+func (c *workerClient) wants(id, outcome, fields string) {
 	c.t.Helper()
 	part := make([]byte, 1024)
 	for {
@@ -91,8 +91,8 @@
 		}
 		if taken > 0 {
 			c.rest = c.rest[taken:]
-			if string(words[0]) != id || string(words[1]) != word || !strings.HasPrefix(string(words[2]), fields) {
-				c.t.Errorf("%q, want %s %s %s", words, id, word, fields)
+			if string(words[0]) != id || string(words[1]) != outcome || !strings.HasPrefix(string(words[2]), fields) {
+				c.t.Errorf("%q, want %s %s %s", words, id, outcome, fields)
 			}
 			return
 		}
--- a/internal/testbed/scenario/faults.go
+++ b/internal/testbed/scenario/faults.go
@@ -30,7 +30,7 @@
 // injectFault begins a fault; the result ends it, and is nil where nothing has to be undone.
 func (r *run) injectFault(fault Fault) (end func() error, err error) {
 	switch fault.Kind {
-	case WorkerHang, WorkerSlow, WorkerErrors, WorkerFailLoads, WorkerFalseReports, WorkerRefuse:
+	case WorkerHang, WorkerSlow, WorkerErrors, WorkerFailLoads, WorkerFalseReports, WorkerRejectTenant:
 		return r.injectWorkerFault(fault)
 	case WorkerReset, WorkerSilence, WorkerCrash, WorkerDrain:
 		return r.disconnectWorkers(fault)
@@ -48,11 +48,11 @@
 		return r.injectRegistryFault(fault)
 	case GatewayPause:
 		for _, i := range fault.Gateways {
-			r.running[i].gateway.Pause(fault.Duration.Std())
+			r.instance(i).gateway.Pause(fault.Duration.Std())
 		}
 		return nothing, nil
-	case GatewayKill:
-		return r.crashGateways(fault.Gateways)
+	case GatewayCrash:
+		return r.restartGateways(fault.Gateways)
 	}
 	return nil, errors.New("unknown fault " + string(fault.Kind))
 }
@@ -90,7 +90,7 @@
 		case WorkerCrash:
 			worker.Stop()
 		case WorkerDrain:
-			r.registry.SetState(r.entries[i].Name, registry.Draining)
+			r.registry.SetState(worker.Name(), registry.Draining)
 			worker.Drain()
 		}
 	}
@@ -146,7 +146,7 @@
 	case RegistryEmpty:
 		r.registry.RemoveAll()
 		return func() error {
-			for _, entry := range r.entries {
+			for _, entry := range r.registered() {
 				r.registry.Set(entry)
 			}
 			return nil
@@ -155,10 +155,10 @@
 	return r.startRegistry, r.registryServer.Close()
 }
 
-// crashGateways crashes gateways; the end starts them again at their addresses.
-func (r *run) crashGateways(indexes []int) (end func() error, err error) {
+// restartGateways crashes gateways; the end starts them again at their addresses.
+func (r *run) restartGateways(indexes []int) (end func() error, err error) {
 	for _, i := range indexes {
-		if err := r.running[i].crash(); err != nil {
+		if err := r.instance(i).crash(); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/testbed/scenario/gateways.go
+++ b/internal/testbed/scenario/gateways.go
@@ -21,7 +21,7 @@
 	gateway     *gateway.Gateway
 	tap         *capture.Tap // nil: nothing is captured
 	drain       context.CancelFunc
-	kill        context.CancelFunc
+	abort       context.CancelFunc // of a crash
 	done        chan error
 	recording   *os.File // of the core; nil: none
 	finalCounts gateway.Counts
@@ -99,6 +99,13 @@
 	return listener.Addr().String(), nil
 }
 
+// instance is the running instance of a gateway.
+func (r *run) instance(index int) *gatewayInstance {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.running[index]
+}
+
 // drainGateways shuts all gateways down gracefully: every request in flight is answered.
 func (r *run) drainGateways() (err error) {
 	for _, instance := range r.running {
@@ -107,8 +114,8 @@
 	return err
 }
 
-// killGateways kills the gateways that have not been stopped.
-func (r *run) killGateways() {
+// crashGateways ends the gateways that have not been stopped.
+func (r *run) crashGateways() {
 	for _, instance := range r.running {
 		_ = instance.crash() // of a run that has failed, or an instance that has stopped already
 	}
@@ -121,10 +128,10 @@
 }
 
 func (g *gatewayInstance) start() {
-	var draining, killed context.Context
+	var draining, aborted context.Context
 	draining, g.drain = context.WithCancel(context.Background())
-	killed, g.kill = context.WithCancel(context.Background())
-	go func() { g.done <- g.gateway.Run(draining, killed) }()
+	aborted, g.abort = context.WithCancel(context.Background())
+	go func() { g.done <- g.gateway.Run(draining, aborted) }()
 }
 
 // shutDown drains an instance and waits for its end.
@@ -147,14 +154,14 @@
 	g.stopped = true
 	g.finalCounts = g.gateway.Counts(context.Background())
 	g.tap.Crashed()
-	g.kill()
+	g.abort()
 	return g.finish(<-g.done)
 }
 
 // finish releases what an instance holds; err is how it ended.
 func (g *gatewayInstance) finish(err error) error {
 	g.drain()
-	g.kill()
+	g.abort()
 	if closeErr := g.closeRecording(); err == nil {
 		err = closeErr
 	}
--- a/internal/testbed/scenario/play.go
+++ b/internal/testbed/scenario/play.go
@@ -66,12 +66,12 @@
 	registryAddr string
 	runtime      *runtimeFiles // of workers that are the worker runtime; nil: they are emulated
 	workers      []localfleet.Worker
-	entries      []registry.Entry       // of the workers, as the registry was last given them
 	store        *emulator.Store        // of emulated workers
 	executions   *emulator.ExecutionLog // of emulated workers
 	clients      *clientPool
 
 	mu              sync.Mutex
+	entries         []registry.Entry // of the workers, as the registry was last given them
 	instances       []*gatewayInstance
 	running         []*gatewayInstance          // by gateway
 	cachedEndpoints map[int]registry.WatchEvent // the endpoint list as each gateway last cached it
@@ -143,7 +143,7 @@
 		return Result{}, err
 	}
 	defer r.stopFleet()
-	defer r.killGateways()
+	defer r.crashGateways()
 	addrs, err := r.startGateways()
 	if err != nil {
 		return Result{}, err
--- a/internal/testbed/scenario/workers.go
+++ b/internal/testbed/scenario/workers.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"path/filepath"
+	"slices"
 	"time"
 
 	"lupinpond/internal/artifact/distribution"
@@ -93,18 +94,28 @@
 // restartWorkers has workers start anew, not warmed up, and registers them.
 func (r *run) restartWorkers(indexes []int) error {
 	for _, i := range indexes {
-		worker := r.workers[i]
+		worker, entry := r.workers[i], r.registered()[i]
 		worker.Stop()
-		_, started, err := worker.Start(r.entries[i].Addr, 0)
+		_, started, err := worker.Start(entry.Addr, 0)
 		if err != nil {
 			return err
 		}
-		r.entries[i].Started, r.entries[i].State = started, registry.InService
-		r.registry.Set(r.entries[i])
+		entry.Started, entry.State = started, registry.InService
+		r.mu.Lock()
+		r.entries[i] = entry
+		r.mu.Unlock()
+		r.registry.Set(entry)
 	}
 	return nil
 }
 
+// registered are the workers' entries as the registry was last given them.
+func (r *run) registered() []registry.Entry {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.entries)
+}
+
 // workerModel is what the settings say that workers are like.
 func (r *run) workerModel() emulator.Model {
 	fleet, workers := r.options.Config.Fleet, r.scenario.Workers
--- a/internal/testbed/soak/checker.go
+++ b/internal/testbed/soak/checker.go
@@ -216,8 +216,8 @@
 // checkAttemptTimes checks an attempt whose request and itself came without delay; the lock is held.
 func (c *checker) checkAttemptTimes(r *request, a attempt) {
 	age := a.receivedAt.Sub(r.sentAt)
-	if gone := a.receivedAt.Sub(r.disconnectedAt); !r.disconnectedAt.IsZero() && gone > disconnectSlack {
-		c.violatedBy(r, SentAfterDisconnect, "%v after its client disconnected, %v after it was sent", gone, age)
+	if late := a.receivedAt.Sub(r.disconnectedAt); !r.disconnectedAt.IsZero() && late > disconnectSlack {
+		c.violatedBy(r, SentAfterDisconnect, "%v after its client disconnected, %v after it was sent", late, age)
 	}
 	if left := r.wait - age; a.statedTimeLeft > max(left, 0)+deadlineSlack {
 		c.violatedBy(r, OverstatedDeadline, "stated %v, the client has %v of %v left", a.statedTimeLeft, left, r.wait)
--- a/internal/testbed/soak/gatewayfaults.go
+++ b/internal/testbed/soak/gatewayfaults.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// killTimeout is how long a killed process may take to end.
-	killTimeout = time.Second
+	// crashTimeout is how long a killed process may take to end.
+	crashTimeout = time.Second
 	// writeInterruption is how long a configuration file stays half written.
 	writeInterruption = 30 * time.Millisecond
 	// oldDiscoveryTime is how long the way to the discovery service before a move goes on.
@@ -38,7 +38,7 @@
 	restarted := gateway.excuseLoss()
 	defer restarted()
 	gateway.setAccepting(false)
-	gateway.stop(syscall.SIGKILL, killTimeout)
+	gateway.stop(syscall.SIGKILL, crashTimeout)
 	gateway.clientProxy.Reset() // as the machine does; the proxy may not have noticed
 	r.restart(ctx, gateway)
 }
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// The checker sees each violation, and none where the rules are kept.
+// The checker sees each violation, and none where the rules are kept. It is long as it is one table.
 func TestChecker(t *testing.T) {
 	for _, test := range []struct {
 		name string
