--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -6,15 +6,10 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"net"
-	"net/http"
 	"os"
-	"os/signal"
-	"syscall"
 	"time"
 
 	"github.com/alecthomas/kong"
-	"golang.org/x/sync/errgroup"
 
 	"lupinpond/internal/base/config"
 	"lupinpond/internal/base/httpserver"
@@ -22,13 +17,6 @@
 	"lupinpond/internal/registry"
 )
 
-const (
-	// readHeaderTimeout is how long a client may take for the headers of a request.
-	readHeaderTimeout = 5 * time.Second
-	// maxHeaderBytes bounds the headers of a request.
-	maxHeaderBytes = 16 << 10
-)
-
 // flags are the command line. Aliases are the names of earlier versions.
 type flags struct {
 	telemetry.Flags
@@ -54,26 +42,21 @@
 		return errors.New("--watch-delay: at least 0s")
 	}
 	log := telemetry.NewLogger(os.Stderr, f.Flags)
-	listener, err := net.Listen("tcp", f.Listen)
-	if err != nil {
-		return err
-	}
 	workers := registry.New(func(gateway string, _ time.Time, event registry.WatchEvent) {
 		log.Debug("watch event sent", "gateway", gateway, "version", event.Version, "complete", event.Complete,
 			"entries", len(event.Entries))
 	})
 	workers.SetDelay(f.WatchDelay)
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	server := httpserver.NewServer(workers.Handler())
+	server.ErrorLog = slog.NewLogLogger(log.Handler(), slog.LevelDebug)
+	ctx, stop := httpserver.TerminationContext()
 	defer stop()
-	server := &http.Server{
-		Handler:           workers.Handler(),
-		ReadHeaderTimeout: readHeaderTimeout,
-		MaxHeaderBytes:    maxHeaderBytes,
-		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
-	}
-	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return workers.Run(ctx) })
-	group.Go(func() error { return httpserver.Serve(ctx, server, listener, 0) })
-	log.Info("registry listening", "address", listener.Addr().String())
-	return group.Wait()
+	return httpserver.Service{
+		Name:        "registry",
+		Addr:        f.Listen,
+		Server:      server,
+		GracePeriod: httpserver.CloseAtOnce,
+		Log:         log,
+		Tasks:       []func(context.Context) error{workers.Run},
+	}.Run(ctx)
 }
--- a/cmd/worker/register.go
+++ b/cmd/worker/register.go
@@ -4,13 +4,9 @@
 	"context"
 	"errors"
 	"log/slog"
-	"net"
-	"net/http"
 	"os"
 	"time"
 
-	"golang.org/x/sync/errgroup"
-
 	"lupinpond/internal/base/config"
 	"lupinpond/internal/base/httpserver"
 	"lupinpond/internal/worker/idempotency"
@@ -46,23 +42,20 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, register.Close()) }()
-	listener, err := net.Listen("tcp", c.Listen)
-	if err != nil {
+	sweep := func() error {
+		_, err := register.Sweep()
 		return err
 	}
-	server := &http.Server{
-		Handler:           register.Handler(),
-		ReadHeaderTimeout: readHeaderTimeout,
-		MaxHeaderBytes:    maxHeaderBytes,
-	}
-	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return httpserver.Serve(ctx, server, listener, registerShutdownTimeout) })
-	group.Go(func() error {
-		return httpserver.RunPeriodically(ctx, registerSweepInterval, func() error {
-			_, err := register.Sweep()
-			return err
-		})
-	})
-	log.Info("register listening", "address", listener.Addr().String())
-	return group.Wait()
+	return httpserver.Service{
+		Name:        "register",
+		Addr:        c.Listen,
+		Server:      httpserver.NewServer(register.Handler()),
+		GracePeriod: registerShutdownTimeout,
+		Log:         log,
+		Tasks: []func(context.Context) error{
+			func(ctx context.Context) error {
+				return httpserver.RunPeriodically(ctx, registerSweepInterval, sweep)
+			},
+		},
+	}.Run(ctx)
 }
--- a/internal/gateway/rpctransport.go
+++ b/internal/gateway/rpctransport.go
@@ -52,15 +52,15 @@
 		window = call.Type.DedupWindow.Std()
 	}
 	message := workerrpc.Attempt{
-		RequestID:         request.Scheduled.ID,
-		Number:            attempt,
-		Function:          call.Function.Name,
-		Type:              call.Type.Name,
-		Tenant:            call.Tenant,
-		IdempotencyKey:    call.IdempotencyKey,
-		IdempotencyWindow: window,
-		ClientRequestID:   call.Source + "\n" + call.ClientID,
-		Body:              request.Body,
+		RequestID:       request.Scheduled.ID,
+		Number:          attempt,
+		Function:        call.Function.Name,
+		Type:            call.Type.Name,
+		Tenant:          call.Tenant,
+		IdempotencyKey:  call.IdempotencyKey,
+		DedupWindow:     window,
+		ClientRequestID: call.Source + "\n" + call.ClientID,
+		Body:            request.Body,
 	}
 	maySend := func() bool {
 		_, ok := permit.TimeLeft()
--- a/internal/testbed/emulator/dedup.go
+++ b/internal/testbed/emulator/dedup.go
@@ -32,7 +32,7 @@
 	if now.Before(g.until[attempt.IdempotencyKey]) {
 		return false
 	}
-	g.until[attempt.IdempotencyKey] = now.Add(attempt.IdempotencyWindow)
+	g.until[attempt.IdempotencyKey] = now.Add(attempt.DedupWindow)
 	return true
 }
 
--- a/internal/worker/calls.go
+++ b/internal/worker/calls.go
@@ -205,7 +205,7 @@
 	key := scopedKey(c.attempt)
 	timeout := time.Duration(claimTimeoutShare * float64(c.attempt.TimeLeft))
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
-	claim, decision, response := w.claims.Claim(ctx, key, c.attempt.IdempotencyWindow)
+	claim, decision, response := w.claims.Claim(ctx, key, c.attempt.DedupWindow)
 	cancel()
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/worker/harness_test.go
+++ b/internal/worker/harness_test.go
@@ -237,13 +237,13 @@
 func (h *harness) keyedRequest(tenant, body, key string, window time.Duration) *workerrpc.AttemptResult {
 	h.t.Helper()
 	outcome := <-h.send(workerrpc.Attempt{
-		RequestID:         body,
-		Function:          faultyFunction,
-		Type:              "t",
-		Tenant:            tenant,
-		IdempotencyKey:    key,
-		IdempotencyWindow: window,
-		Body:              []byte(body),
+		RequestID:      body,
+		Function:       faultyFunction,
+		Type:           "t",
+		Tenant:         tenant,
+		IdempotencyKey: key,
+		DedupWindow:    window,
+		Body:           []byte(body),
 	})
 	if outcome.AttemptResult == nil {
 		h.t.Fatalf("%q with key %q: %+v", body, key, outcome)
--- a/internal/workerrpc/golden_test.go
+++ b/internal/workerrpc/golden_test.go
@@ -66,7 +66,7 @@
 			WarmUpTime: 1234567890 * time.Nanosecond}},
 		{"hello-empty", 1, &workerrpc.Handshake{}},
 		{"launch-full", 2, &workerrpc.Attempt{Seq: 11, RequestID: "e-12", Number: 13, Function: "f-14", Type: "t-15",
-			Tenant: "n-16", IdempotencyKey: "k-17", IdempotencyWindow: 18 * time.Second, TimeLeft: 19 * time.Millisecond,
+			Tenant: "n-16", IdempotencyKey: "k-17", DedupWindow: 18 * time.Second, TimeLeft: 19 * time.Millisecond,
 			ClientRequestID: "c-20", Body: []byte{0, 21, 255}}},
 		{"launch-empty", 2, &workerrpc.Attempt{}},
 		{"answer-full", 3, &workerrpc.AttemptResult{Seq: 31, RequestID: "e-32", Code: workerrpc.CodeCancelled,
--- a/internal/workerrpc/messages.go
+++ b/internal/workerrpc/messages.go
@@ -32,17 +32,17 @@
 
 // Attempt asks a worker to run a request.
 type Attempt struct {
-	Seq               uint64        `cbor:"1,keyasint"` // of the connection's calls
-	RequestID         string        `cbor:"2,keyasint"`
-	Number            int           `cbor:"3,keyasint"` // of the request's attempts, from 0
-	Function          string        `cbor:"4,keyasint"`
-	Type              string        `cbor:"5,keyasint"`
-	Tenant            string        `cbor:"6,keyasint"`
-	IdempotencyKey    string        `cbor:"7,keyasint,omitempty"`  // the worker runs a request of a key once
-	IdempotencyWindow time.Duration `cbor:"8,keyasint,omitempty"`  // for so long
-	TimeLeft          time.Duration `cbor:"9,keyasint"`            // until the client's deadline
-	ClientRequestID   string        `cbor:"10,keyasint,omitempty"` // the client's own name of the request
-	Body              []byte        `cbor:"11,keyasint,omitempty"`
+	Seq             uint64        `cbor:"1,keyasint"` // of the connection's calls
+	RequestID       string        `cbor:"2,keyasint"`
+	Number          int           `cbor:"3,keyasint"` // of the request's attempts, from 0
+	Function        string        `cbor:"4,keyasint"`
+	Type            string        `cbor:"5,keyasint"`
+	Tenant          string        `cbor:"6,keyasint"`
+	IdempotencyKey  string        `cbor:"7,keyasint,omitempty"`  // the worker runs a request of a key once
+	DedupWindow     time.Duration `cbor:"8,keyasint,omitempty"`  // for so long
+	TimeLeft        time.Duration `cbor:"9,keyasint"`            // until the client's deadline
+	ClientRequestID string        `cbor:"10,keyasint,omitempty"` // the client's own name of the request
+	Body            []byte        `cbor:"11,keyasint,omitempty"`
 }
 
 // Code is a worker's result of an attempt or a load request.
