--- a/internal/gateway/platform/config.go
+++ b/internal/gateway/platform/config.go
@@ -131,9 +131,9 @@
 	return max(c.Settings.Duration("policy_limits.dial_timeout", defaultDialTimeout), time.Millisecond)
 }
 
-// connIdleTimeout is how long a connection may be open without a request.
+// connIdleTimeout is how long a connection to a client or a worker stays open without a request.
 func (c Config) connIdleTimeout() time.Duration {
-	return c.Settings.Duration("policy_limits.conn_idle", defaultConnIdle)
+	return c.Settings.Duration("policy_limits.conn_idle", defaultConnIdle) / connIdleDivisor
 }
 
 // drainGrace is how long requests may still go to a draining worker.
--- a/internal/gateway/platform/engine.go
+++ b/internal/gateway/platform/engine.go
@@ -55,7 +55,7 @@
 	sockets := c.peerSockets()
 	return resp.Limits{
 		IOTimeout:       c.dialTimeout(),
-		IdleTimeout:     c.connIdleTimeout() / 2, // closed before the worker may close it under a request
+		IdleTimeout:     c.connIdleTimeout(),
 		MaxCallsPerConn: c.maxCallsPerConn(),
 		SoftMaxConns:    sockets / workerSocketDivisor,
 		MaxConns:        sockets/workerSocketDivisor + sockets/extraSocketDivisor,
--- a/internal/gateway/platform/gateway.go
+++ b/internal/gateway/platform/gateway.go
@@ -59,7 +59,7 @@
 		MaxOpenCalls:   maxOpenRequests,
 		MaxConns:       c.peerSockets() / clientSocketDivisor,
 		MessageTimeout: min(messageTimeoutDials*dial, maxMessageTimeout),
-		IdleTimeout:    c.connIdleTimeout() / 2,
+		IdleTimeout:    c.connIdleTimeout(),
 		WriteTimeout:   messageTimeoutDials * dial,
 		FinalRead:      max(dial/finalReadDivisor, 1),
 	}
--- a/internal/gateway/platform/limits.go
+++ b/internal/gateway/platform/limits.go
@@ -61,6 +61,9 @@
 	// defaultConnIdle is how long a connection may be idle where the settings do not say.
 	defaultConnIdle = 15 * time.Second
 
+	// connIdleDivisor ends idle connections after a half of what the platform allows.
+	connIdleDivisor = 2
+
 	// messageTimeoutDials is the number of dial timeouts within which a client's message is complete, or its answer
 	// is read.
 	messageTimeoutDials = 5
