--- a/cmd/lpctl/scale.go
+++ b/cmd/lpctl/scale.go
@@ -110,8 +110,8 @@
 
 func printSpans(spans []scale.Span) {
 	t := newTable("span", "s", "requests/s", "gateway: % core", "MiB", "files", "real: % core", "MiB", "files",
-		"control B/s", "list B/s", "load requests/s", "probes/s", "handshakes/s", "worker: conns", "loads/s", "discovery: % core",
-		"MiB", "complete", "served", "cold", "rejected", "no worker", "failed", "idle %")
+		"control B/s", "list B/s", "load requests/s", "probes/s", "handshakes/s", "worker: conns", "loads/s",
+		"discovery: % core", "MiB", "complete", "served", "cold", "rejected", "no worker", "failed", "idle %")
 	digits := func(value float64) string { return fmt.Sprintf("%.3g", value) }
 	for _, span := range spans {
 		t.AppendRow([]any{
--- a/internal/testbed/costmodel/events.go
+++ b/internal/testbed/costmodel/events.go
@@ -12,12 +12,21 @@
 // eventQueue is a heap of events, the next one first.
 type eventQueue []event
 
+// Len is the number of events.
 func (q eventQueue) Len() int { return len(q) }
+
+// Less reports whether one event happens before another.
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].number < q[j].number
 }
+
+// Swap swaps two events.
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+
+// Push appends an event.
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
+
+// Pop removes the last event.
 func (q *eventQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -214,7 +214,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	program := build(t, overlayOf(t, source, "p.statedTimeLeft = p.deadline - now", "p.statedTimeLeft = p.deadline - now + time.Second"))
+	const guard, without = "p.statedTimeLeft = p.deadline - now", "p.statedTimeLeft = p.deadline - now + time.Second"
+	program := build(t, overlayOf(t, source, guard, without))
 	report, err := Run(context.Background(), Options{
 		Seed:     1,
 		Gateways: 2,
