--- a/internal/gateway/invariants_test.go
+++ b/internal/gateway/invariants_test.go
@@ -9,6 +9,8 @@
 	"testing"
 	"time"
 
+	"golang.org/x/sync/errgroup"
+
 	"lupinpond/internal/gateway"
 	"lupinpond/internal/gateway/core"
 	"lupinpond/internal/gateway/invariant"
@@ -251,11 +253,15 @@
 	},
 }
 
+// stallMessage is logged by a scenario during which the process stalled: invariants are not checked across a stall.
+const stallMessage = "the process stalled"
+
 // No race violates an invariant.
 func TestInvariantsHold(t *testing.T) {
 	for name, run := range scenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
+			started := time.Now()
 			s := run(t)
 			closed := make(chan struct{})
 			go func() {
@@ -268,6 +274,9 @@
 				t.Error("a request is never closed")
 			}
 			s.loop.Pause(0) // it has taken all messages
+			if s.loop.StalledSince(started) {
+				t.Log(stallMessage)
+			}
 			if counts := s.loop.Monitor().Counts(); len(counts) > 0 {
 				t.Errorf("violated: %v", counts)
 			}
@@ -301,14 +310,35 @@
 	{"ManyLoads", "../../scheduler/loads.go", "return s.loadPolicy.RateWindow <= 0 ||", "return true ||", invariant.LoadOverLimit},
 }
 
-// Without its guard, each invariant is violated, and that is counted.
+// maxStalledRuns is how often the run of a mutant is repeated because the process stalled.
+const maxStalledRuns = 20
+
+// Without its guard, each invariant is violated, and that is counted. All mutants are built before the first one runs:
+// an invariant is not checked across a stall of the process, and the compiler may take all processors.
 func TestMutatedGuardsViolateInvariants(t *testing.T) {
-	for _, mutation := range guardMutations {
+	programs := make([]string, len(guardMutations))
+	build, ctx := errgroup.WithContext(t.Context())
+	for i, mutation := range guardMutations {
+		folder := t.TempDir()
+		build.Go(func() (err error) {
+			programs[i], err = mutationtest.BuildTests(ctx, folder, mutation.file, mutation.text, mutation.instead)
+			return err
+		})
+	}
+	if err := build.Wait(); err != nil {
+		t.Fatal(err)
+	}
+	for i, mutation := range guardMutations {
 		t.Run(mutation.kind.String(), func(t *testing.T) {
 			t.Parallel()
 			pattern := "^TestInvariantsHold$/^" + mutation.scenario + "$"
-			out, passed, err := mutationtest.RunTests(t.Context(), t.TempDir(),
-				mutation.file, mutation.text, mutation.instead, pattern)
+			out, passed, err := mutationtest.RunProgram(t.Context(), programs[i], pattern, "-test.v")
+			for range maxStalledRuns { // a run that stalled without a violation shows nothing
+				if err != nil || !passed || !strings.Contains(out, stallMessage) {
+					break
+				}
+				out, passed, err = mutationtest.RunProgram(t.Context(), programs[i], pattern, "-test.v")
+			}
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/testbed/mutationtest/mutationtest.go
+++ b/internal/testbed/mutationtest/mutationtest.go
@@ -36,27 +36,48 @@
 	return overlay, os.WriteFile(overlay, replacements, 0o600)
 }
 
-// RunTests runs tests of the package in the present folder with a text of a source file replaced, and gives what was
-// printed. passed: no test failed. Arguments may follow those of go test.
-func RunTests(
-	ctx context.Context, folder, file, text, instead, run string, more ...string,
-) (out string, passed bool, err error) {
+// BuildTests compiles the tests of the package in the present folder, with a text of a source file replaced, into a
+// program in folder.
+func BuildTests(ctx context.Context, folder, file, text, instead string) (program string, err error) {
 	if file, err = filepath.Abs(file); err != nil {
-		return "", false, err
+		return "", err
 	}
 	source, err := os.ReadFile(file)
 	if err != nil {
-		return "", false, err
+		return "", err
 	}
 	overlay, err := WriteOverlay(folder, file, source, text, instead)
 	if err != nil {
-		return "", false, err
+		return "", err
+	}
+	program = filepath.Join(folder, "mutant.test")
+	printed, err := exec.CommandContext(ctx, "go", "test", "-vet=off", "-overlay", overlay, "-c", "-o", program, ".").
+		CombinedOutput()
+	if err != nil {
+		return "", fmt.Errorf("build tests with %s mutated: %w\n%s", file, err, printed)
 	}
-	args := append([]string{"test", "-vet=off", "-count=1", "-overlay", overlay, "-run", run, "."}, more...)
-	printed, err := exec.CommandContext(ctx, "go", args...).CombinedOutput()
+	return program, nil
+}
+
+// RunProgram runs tests of a program of BuildTests in the present folder, and returns what was printed. passed: no test
+// failed. Arguments may follow those of the test.
+func RunProgram(ctx context.Context, program, run string, more ...string) (out string, passed bool, err error) {
+	args := append([]string{"-test.count=1", "-test.run=" + run}, more...)
+	printed, err := exec.CommandContext(ctx, program, args...).CombinedOutput()
 	var failed *exec.ExitError
 	if errors.As(err, &failed) {
 		return string(printed), false, nil
 	}
 	return string(printed), err == nil, err
 }
+
+// RunTests is BuildTests and RunProgram in one.
+func RunTests(
+	ctx context.Context, folder, file, text, instead, run string, more ...string,
+) (out string, passed bool, err error) {
+	program, err := BuildTests(ctx, folder, file, text, instead)
+	if err != nil {
+		return "", false, err
+	}
+	return RunProgram(ctx, program, run, more...)
+}
