--- a/scheduler/complete.go
+++ b/scheduler/complete.go
@@ -49,8 +49,8 @@
 	return r == Failed || r == TimedOut || r == ConnectionLost || r == Cancelled
 }
 
-// recordOutcome takes what an outcome tells of the worker, of the replicas there and of the function. withoutQueue
-// says that the worker reported, with it, that no request waits there.
+// recordOutcome takes what an outcome tells of the worker, of the replicas there and of the function.
+// withoutQueue says that the worker reported, with it, that no request waits there.
 func (s *Scheduler) recordOutcome(request *Request, replicas *replicaSet, outcome Outcome, withoutQueue bool,
 	now time.Duration) {
 	w, f := replicas.worker, request.function
@@ -67,7 +67,8 @@
 		}
 	case Full:
 		s.recordRejection(request, replicas, withoutQueue, now)
-	case Unreachable, ConnectionLost: // a process that died comes back with a new start; a broken connection does not
+	case Unreachable, ConnectionLost:
+		// a process that died comes back with a new start; a broken connection does not
 		s.recordFailure(w, now)
 	case TimedOut:
 		s.adaptLimits(w, request, outcome.Duration, now)
@@ -82,9 +83,11 @@
 	}
 }
 
-// recordRejection takes a rejection by a worker. Whatever its reason, a tenant that is rejected again and again is
-// served elsewhere, while others stay.
-func (s *Scheduler) recordRejection(request *Request, replicas *replicaSet, withoutQueue bool, now time.Duration) {
+// recordRejection takes a rejection by a worker. Whatever its reason, a tenant that is rejected again and
+// again is served elsewhere, while others stay.
+func (s *Scheduler) recordRejection(
+	request *Request, replicas *replicaSet, withoutQueue bool, now time.Duration,
+) {
 	w, f := replicas.worker, request.function
 	consecutive := min(w.rejections[request.Tenant].consecutive+1, maxRejectionDoublings)
 	replicas.rejectingUntil = now + fractionOf(rejectionBackoffShare, f.typ.Objective)<<consecutive
@@ -107,6 +110,7 @@
 		return Decision{Request: request, Action: Fail}
 	}
 	longest := min(s.attemptPolicy.MaxRetryAfter, request.typ.Objective/2)
-	retryAfter := longest/2 + time.Duration(s.rng.IntN(int(longest/2)+1)) // spread, so that they do not come back together
+	// spread, so that they do not come back together
+	retryAfter := longest/2 + time.Duration(s.rng.IntN(int(longest/2)+1))
 	return Decision{Request: request, Action: Reject, RetryAfter: retryAfter}
 }
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// updateFleetState renews, before each decision, the attempts in flight, whether ejections are ignored, and whether
-// the fleet is overloaded.
+// updateFleetState renews, before each decision, the attempts in flight, whether ejections are ignored, and
+// whether the fleet is overloaded.
 func (s *Scheduler) updateFleetState(now time.Duration) {
 	s.expireDeadlines(now)
 	counts := &s.counters
@@ -70,13 +70,14 @@
 			float64(counts[withoutQueue]) < overloadCapacityShare*float64(counts[recentlyReported])
 }
 
-// atFleetLimit rounds the limit at random: one gateway among many has less than one attempt of the fleet's to itself.
+// atFleetLimit rounds the limit at random: one gateway among many has less than one attempt of the fleet's to
+// itself.
 func (s *Scheduler) atFleetLimit() bool {
 	return float64(s.inFlight)+s.limitRounding >= s.fleetLimit.limit
 }
 
-// usable tells that a worker is neither draining nor removed (rule 3), nor ejected; but ejections are ignored when
-// most workers are, as some must be left to send to.
+// usable tells that a worker is neither draining nor removed (rule 3), nor ejected; but ejections are ignored
+// when most workers are, as some must be left to send to.
 func (s *Scheduler) usable(w *worker, now time.Duration) bool {
 	admitted := now >= w.ejectedUntil && (!w.halfOpen || len(w.attempts) == 0)
 	return w.acceptsNew() && (admitted || s.ejectionsIgnored)
@@ -111,8 +112,8 @@
 	return counts, until
 }
 
-// updateCounters renews the counters after a change of a worker that they depend on, and has it looked at again when
-// time alone changes them.
+// updateCounters renews the counters after a change of a worker that they depend on, and has it looked at
+// again when time alone changes them.
 func (s *Scheduler) updateCounters(w *worker, now time.Duration) {
 	if !w.memberSlot.In() { // another worker has its name by now
 		return
--- a/scheduler/function.go
+++ b/scheduler/function.go
@@ -45,7 +45,11 @@
 	f := s.functions[request.Function]
 	if f == nil {
 		s.forgetIdleFunctions(now)
-		f = &function{id: request.Function, tenant: request.Tenant, arrivals: window.New(arrivalWindows * trafficWindow)}
+		f = &function{
+			id:       request.Function,
+			tenant:   request.Tenant,
+			arrivals: window.New(arrivalWindows * trafficWindow),
+		}
 		s.functions[request.Function] = f
 	}
 	if f.tenant != request.Tenant { // a rejection says nothing of one of several tenants
--- a/scheduler/internal/fleetindex/list.go
+++ b/scheduler/internal/fleetindex/list.go
@@ -6,8 +6,8 @@
 // In tells whether the member is in its List.
 func (s *Slot) In() bool { return s.position > 0 }
 
-// List holds members in no order of its own: the last one takes the place of one that is removed. The zero value is
-// empty.
+// List holds members in no order of its own: the last one takes the place of one that is removed. The zero
+// value is empty.
 type List[M any] struct {
 	members []M
 	slots   []*Slot
--- a/scheduler/internal/fleetindex/merged.go
+++ b/scheduler/internal/fleetindex/merged.go
@@ -12,8 +12,8 @@
 // Add adds a ring.
 func (m *MergedRing[M]) Add(ring *ScaledRing[M]) { m.rings = append(m.rings, ring) }
 
-// Walk starts a walk that visits every member once, the nearest after any of the starts first. It ends the walk
-// before.
+// Walk starts a walk that visits every member once, the nearest after any of the starts first. It ends the
+// walk before.
 func (m *MergedRing[M]) Walk(starts []uint64) {
 	for _, ring := range m.rings {
 		ring.Ring.Walk(starts)
--- a/scheduler/internal/fleetindex/ring.go
+++ b/scheduler/internal/fleetindex/ring.go
@@ -7,9 +7,9 @@
 	lastWalk uint64 // number of the last walk that visited it
 }
 
-// Ring holds members at points of a circle of 2^64. Adding, removing and finding the first member after a point take
-// a time that does not grow with the number of members, where their points are spread like random numbers. The zero
-// value is an empty ring. It is not safe for use by several goroutines.
+// Ring holds members at points of a circle of 2^64. Adding, removing and finding the first member after a
+// point take a time that does not grow with the number of members, where their points are spread like random
+// numbers. The zero value is an empty ring. It is not safe for use by several goroutines.
 type Ring[M any] struct {
 	buckets [][]*Node[M] // equal arcs of the circle, each in the order of its points
 	shift   uint         // a point's bucket is its leading bits
--- a/scheduler/internal/fleetindex/walk.go
+++ b/scheduler/internal/fleetindex/walk.go
@@ -20,9 +20,9 @@
 	index    int // in the bucket, of node
 }
 
-// Walk starts a walk that visits every member once, in the order of its least distance after any of the starts. It
-// ends the walk before; members must not be added or removed during one. A walk costs what it visits; a long one
-// sorts what is left.
+// Walk starts a walk that visits every member once, in the order of its least distance after any of the
+// starts. It ends the walk before; members must not be added or removed during one. A walk costs what it
+// visits; a long one sorts what is left.
 func (r *Ring[M]) Walk(starts []uint64) {
 	r.walkNumber++
 	r.starts = append(r.starts[:0], starts...)
@@ -84,8 +84,8 @@
 	}
 }
 
-// advance moves the first cursor by one member. Once the cursors have made half as many steps as there are members,
-// most of those that they meet have been visited: then it is cheaper to sort the others.
+// advance moves the first cursor by one member. Once the cursors have made half as many steps as there are
+// members, most of those that they meet have been visited: then it is cheaper to sort the others.
 func (r *Ring[M]) advance() {
 	r.steps++
 	if 2*r.steps > r.count {
--- a/scheduler/kinds.go
+++ b/scheduler/kinds.go
@@ -27,7 +27,8 @@
 	return s.kinds[name]
 }
 
-// addToKind counts a member among those of its kind. Those that may get something new are in the shared order.
+// addToKind counts a member among those of its kind. Those that may get something new are in the shared
+// order.
 func (s *Scheduler) addToKind(w *worker) {
 	w.kind = s.kindFor(w.Kind)
 	w.kind.weightSum += w.listedWeight()
@@ -52,7 +53,8 @@
 	w.ringNode = nil
 }
 
-// updateMeanWeight renews the mean weight of the members after a membership update or an outcome has changed one.
+// updateMeanWeight renews the mean weight of the members after a membership update or an outcome has changed
+// one.
 func (s *Scheduler) updateMeanWeight() {
 	s.meanWeight = 0
 	for _, kind := range s.orderedKinds {
@@ -60,6 +62,6 @@
 	}
 }
 
-// relativeWeight is a worker's share of the work over that of a mean one. It is its kind's: each worker's own weight
-// is roughly reported, and slowness is learned of kinds.
+// relativeWeight is a worker's share of the work over that of a mean one. It is its kind's: each worker's own
+// weight is roughly reported, and slowness is learned of kinds.
 func (s *Scheduler) relativeWeight(w *worker) float64 { return w.kind.effectiveWeight() / s.meanWeight }
--- a/scheduler/limits.go
+++ b/scheduler/limits.go
@@ -21,8 +21,8 @@
 	return adaptiveLimit{minimum: minimum, limit: max(minimum, initial/float64(s.gateways))}
 }
 
-// adaptLimits takes the latency of an attempt: it moves the worker's limit by the ratio of the shortest latency to the
-// present one, and the fleet's by what the objective accepts.
+// adaptLimits takes the latency of an attempt: it moves the worker's limit by the ratio of the shortest
+// latency to the present one, and the fleet's by what the objective accepts.
 func (s *Scheduler) adaptLimits(w *worker, request *Request, latency, now time.Duration) {
 	stats := request.typ
 	if request.queuedAhead > 0 {
@@ -45,7 +45,8 @@
 		acceptableLatencyShare*float64(stats.Objective), s.inFlight, share)
 }
 
-// recordSlowness takes the latency of a function's request at a worker into the slowness of the worker's kind.
+// recordSlowness takes the latency of a function's request at a worker into the slowness of the worker's
+// kind.
 func (s *Scheduler) recordSlowness(kind *workerKind, f *function, latency time.Duration) {
 	kind.sampleCount = min(kind.sampleCount+1, typeSamples)
 	slowdown := min(float64(latency)/float64(f.meanRunTime()), maxSlowdown)
@@ -59,8 +60,8 @@
 	t.meanLatency += (latency - t.meanLatency) / t.sampleCount
 }
 
-// updateMinLatency raises the shortest mean latency a little, so that an old one is forgotten, or lowers it to the
-// present mean.
+// updateMinLatency raises the shortest mean latency a little, so that an old one is forgotten, or lowers it
+// to the present mean.
 func (t *typeStats) updateMinLatency() {
 	t.minLatency += t.minLatency / minLatencyDecaySamples
 	if t.minLatency == 0 || t.meanLatency < t.minLatency {
@@ -68,11 +69,12 @@
 	}
 }
 
-// adjustLimit moves a limit by the ratio of acceptable latencies to those seen; share is this gateway's share of what
-// is limited. The fleet's limit is what holds for a gateway among many: it meets each worker too seldom to judge it,
-// and the minimums of all workers add up.
-func (s *Scheduler) adjustLimit(limit *adaptiveLimit, now, latency time.Duration, allowed float64, inFlight int,
-	share float64) {
+// adjustLimit moves a limit by the ratio of acceptable latencies to those seen; share is this gateway's share
+// of what is limited. The fleet's limit is what holds for a gateway among many: it meets each worker too
+// seldom to judge it, and the minimums of all workers add up.
+func (s *Scheduler) adjustLimit(
+	limit *adaptiveLimit, now, latency time.Duration, allowed float64, inFlight int, share float64,
+) {
 	if limit.latencies == nil { // most workers of a large fleet never answer this gateway
 		limit.latencies = window.New(limitWindowObjectives * s.longestObjective)
 		limit.allowedLatencies = window.New(limitWindowObjectives * s.longestObjective)
--- a/scheduler/loads.go
+++ b/scheduler/loads.go
@@ -17,8 +17,8 @@
 	return max(fractionOf(tickIntervalShare, f.typ.Objective), s.minTickInterval, 1)
 }
 
-// scaleUp requests the replicas that a function's queue needs, once at each of its ticks, and tells when the next one
-// is.
+// scaleUp requests the replicas that a function's queue needs, once at each of its ticks, and tells when the
+// next one is.
 func (s *Scheduler) scaleUp(f *function, now time.Duration, due *TickResult) time.Duration {
 	if len(f.queue) == 0 {
 		return never
@@ -80,8 +80,8 @@
 	return 0
 }
 
-// requestFirstLoad requests a function's first replica. Where no load request may be sent, the oldest request goes to
-// the worker itself to have the function loaded.
+// requestFirstLoad requests a function's first replica. Where no load request may be sent, the oldest request
+// goes to the worker itself to have the function loaded.
 func (s *Scheduler) requestFirstLoad(f *function, now time.Duration, due *TickResult) bool {
 	if float64(s.loadsInFlight) >= s.loadLimit.limit {
 		return false
@@ -93,8 +93,8 @@
 	if s.requestLoadAt(f, w, now, due) {
 		return true
 	}
-	if !s.loadPolicy.LoadOnMiss && s.loadPolicy.RequestLoads || len(f.queue) == 0 || !s.mayRunOn(f.queue[0], w, now) ||
-		!s.slowStartAllows(w, f.queue[0], now) {
+	if !s.loadPolicy.LoadOnMiss && s.loadPolicy.RequestLoads || len(f.queue) == 0 ||
+		!s.mayRunOn(f.queue[0], w, now) || !s.slowStartAllows(w, f.queue[0], now) {
 		return false
 	}
 	request := f.queue[0]
@@ -116,7 +116,8 @@
 func (s *Scheduler) requestLoadAt(f *function, w *worker, now time.Duration, due *TickResult) bool {
 	s.ensureFreshReport(w, now)
 	replicas := f.replicaSetAt(w)
-	if !s.loadPolicy.RequestLoads || !s.loadAllowed(now) || replicas.loaded+replicas.loading >= maxReplicasPerWorker {
+	if !s.loadPolicy.RequestLoads || !s.loadAllowed(now) ||
+		replicas.loaded+replicas.loading >= maxReplicasPerWorker {
 		return false
 	}
 	replicas.loading++
@@ -129,14 +130,17 @@
 	return true
 }
 
-// loadAllowed keeps load requests within their rate limit (rule 5), this one included, rounded to the safe side.
+// loadAllowed keeps load requests within their rate limit (rule 5), this one included, rounded to the safe
+// side.
 func (s *Scheduler) loadAllowed(now time.Duration) bool {
 	return s.loadPolicy.RateWindow <= 0 ||
 		s.loadsSent.UpperSum(now)+1 <= s.loadPolicy.RateBurst+s.loadPolicy.RatePerRequest*s.submitted.LowerSum(now)
 }
 
 // LoadCompleted takes the result of a load request and the time that it took.
-func (s *Scheduler) LoadCompleted(now time.Duration, load LoadRequest, result Result, duration time.Duration) {
+func (s *Scheduler) LoadCompleted(
+	now time.Duration, load LoadRequest, result Result, duration time.Duration,
+) {
 	w, f := s.workers[load.Worker], s.functions[load.Function]
 	s.loadsInFlight--
 	if w == nil || f == nil {
--- a/scheduler/members.go
+++ b/scheduler/members.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// WatchFailed notes that a subscription failed or was lost. The next attempt comes at a random time, not with those of
-// all gateways.
+// WatchFailed notes that a subscription failed or was lost. The next attempt comes at a random time, not with
+// those of all gateways.
 func (s *Scheduler) WatchFailed(now time.Duration) {
 	s.subscribeAt = now + s.subscribeInterval/2 + time.Duration(s.rng.IntN(int(s.subscribeInterval)))
 }
@@ -112,8 +112,8 @@
 	s.updateCounters(w, now)
 }
 
-// addMember makes a worker a member of the fleet. Its slow start begins with a random part of the pause: not all
-// gateways that learn of its start send at once.
+// addMember makes a worker a member of the fleet. Its slow start begins with a random part of the pause: not
+// all gateways that learn of its start send at once.
 func (s *Scheduler) addMember(name string, now time.Duration) *worker {
 	w := &worker{
 		hash:                random.Hash(name),
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -9,8 +9,8 @@
 	"lupinpond/internal/base/random"
 )
 
-// rendezvousScore orders the workers of a function for this gateway by weighted rendezvous hashing: a worker of twice
-// the weight comes first twice as often.
+// rendezvousScore orders the workers of a function for this gateway by weighted rendezvous hashing: a worker
+// of twice the weight comes first twice as often.
 func (s *Scheduler) rendezvousScore(w *worker, functionID uint64) float64 {
 	drawn := random.Mix(w.hash ^ random.Mix(functionID+uint64(s.index+1)<<44))
 	score := -math.Log1p(-float64(drawn>>11)/(1<<53)) / s.relativeWeight(w)
@@ -22,8 +22,8 @@
 
 // walkSharedOrder starts a walk through the order of workers that all gateways share for a function. It is
 // multi-probe consistent hashing: a worker is as far as its point on a circle lies after the nearest of the
-// function's points, over its weight. Each worker's place depends on itself alone: one that joins or leaves moves
-// only what is its own.
+// function's points, over its weight. Each worker's place depends on itself alone: one that joins or leaves
+// moves only what is its own.
 func (s *Scheduler) walkSharedOrder(f *function) {
 	s.functionPoints = s.functionPoints[:0]
 	point := random.Mix(f.id)
@@ -37,10 +37,13 @@
 // acceptsLoad tells whether a worker may be asked to load a function.
 func (s *Scheduler) acceptsLoad(w *worker, f *function, now time.Duration) bool {
 	return s.hasCapacity(w, now) && now >= w.rejections[f.tenant].until &&
-		!slices.ContainsFunc(f.replicaSets, func(r *replicaSet) bool { return r.worker == w && now < r.rejectingUntil })
+		!slices.ContainsFunc(f.replicaSets, func(r *replicaSet) bool {
+			return r.worker == w && now < r.rejectingUntil
+		})
 }
 
-// placeFirstReplica chooses the worker for a function's first replica: one of the preferred ones, if any accepts it.
+// placeFirstReplica chooses the worker for a function's first replica: one of the preferred ones, if any
+// accepts it.
 func (s *Scheduler) placeFirstReplica(f *function, now time.Duration) *worker {
 	preferred := s.preferredWorkers(f, now)
 	if len(preferred) == 0 {
@@ -51,8 +54,8 @@
 	})
 }
 
-// preferredWorkers gives the first workers of the shared order that accept a function; those near their limit come
-// last. Where hardly any accept, it does not look through the whole fleet.
+// preferredWorkers gives the first workers of the shared order that accept a function; those near their limit
+// come last. Where hardly any accept, it does not look through the whole fleet.
 func (s *Scheduler) preferredWorkers(f *function, now time.Duration) []*worker {
 	wanted := s.preferredCount(f, now)
 	preferred, deprioritized := s.preferredBuffer[:0], s.deprioritizedBuffer[:0]
@@ -76,7 +79,8 @@
 	return preferred
 }
 
-// randomWorker draws one of the workers that accept a function, each as likely; nil: none was found in maxDraws draws.
+// randomWorker draws one of the workers that accept a function, each as likely; nil: none was found in
+// maxDraws draws.
 func (s *Scheduler) randomWorker(f *function, now time.Duration) *worker {
 	all := s.members.All()
 	if len(all) > maxDraws {
@@ -100,16 +104,16 @@
 	return accepting[s.rng.IntN(len(accepting))]
 }
 
-// preferredCount is the number of preferred workers of a function, by its share of the traffic: each gateway sends
-// few of its requests to the first worker of the shared order, and all together would overload it.
+// preferredCount is the number of preferred workers of a function, by its share of the traffic: each gateway
+// sends few of its requests to the first worker of the shared order, and all together would overload it.
 func (s *Scheduler) preferredCount(f *function, now time.Duration) int {
 	share := (f.arrivals.UpperSum(now) - s.arrivalDiscount) / (s.arrivals.UpperSum(now) + priorArrivals)
 	return max(1, int(s.placementWidth*share*float64(min(s.gateways, s.members.Len()))))
 }
 
 // estimatePlacement estimates how many of a function's arrivals are chance (absolute discounting): all where
-// functions are called once only, few where those seen once are called twice as a rule. It fits first replicas into
-// the workers' memory too.
+// functions are called once only, few where those seen once are called twice as a rule. It fits first
+// replicas into the workers' memory too.
 func (s *Scheduler) estimatePlacement(now time.Duration) {
 	s.nextPlacementEstimate = now + trafficWindow/placementEstimates
 	seen, once, twice := 0.0, 0.0, 0.0
--- a/scheduler/probes.go
+++ b/scheduler/probes.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// applyReport takes a plausible load report, and tells whether it was one. Where more requests wait than ours, others
-// take the slots; ours obey the limit.
+// applyReport takes a plausible load report, and tells whether it was one. Where more requests wait than
+// ours, others take the slots; ours obey the limit.
 func (s *Scheduler) applyReport(w *worker, report LoadReport, now time.Duration) bool {
 	if !report.Reported || !(report.QueueDepth >= 0 && report.QueueDepth < maxPlausibleValue) {
 		return false
@@ -66,8 +66,8 @@
 }
 
 // estimateQueueDepth estimates the requests queued at a worker from a probe's round trip: its excess over the
-// shortest one of the zone, against the mean excess. It is fresh where reports are late. Where the excess hardly
-// varies, probes are answered beside the queue and tell nothing.
+// shortest one of the zone, against the mean excess. It is fresh where reports are late. Where the excess
+// hardly varies, probes are answered beside the queue and tell nothing.
 func (s *Scheduler) estimateQueueDepth(w *worker, roundTrip time.Duration) float64 {
 	latency := s.probeLatencies[w.Zone]
 	if latency == nil {
--- a/scheduler/replicas.go
+++ b/scheduler/replicas.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// freeReplica finds a free slot of a replica that is assumed warm: the first by this gateway's order of the workers,
-// with deprioritized ones last. It avoids the worker of the last attempt.
+// freeReplica finds a free slot of a replica that is assumed warm: the first by this gateway's order of the
+// workers, with deprioritized ones last. It avoids the worker of the last attempt.
 func (s *Scheduler) freeReplica(f *function, request *Request, now time.Duration) (best *replicaSet) {
 	var lowest float64
 	for _, replicas := range f.replicaSets {
@@ -26,8 +26,8 @@
 	return best
 }
 
-// spillReplica finds a replica at which a request queues when no slot is free: where the fewest wait for the weight
-// of the worker.
+// spillReplica finds a replica at which a request queues when no slot is free: where the fewest wait for the
+// weight of the worker.
 func (s *Scheduler) spillReplica(f *function, request *Request, now time.Duration) (best *replicaSet) {
 	var lowest float64
 	for _, replicas := range f.replicaSets {
@@ -40,8 +40,8 @@
 	return best
 }
 
-// canSend tells whether a request may go to replicas that are assumed warm. A half-open worker gets requests first
-// that may run again.
+// canSend tells whether a request may go to replicas that are assumed warm. A half-open worker gets requests
+// first that may run again.
 func (s *Scheduler) canSend(replicas *replicaSet, request *Request, now time.Duration) bool {
 	w := replicas.worker
 	// a request that is late already does not wait long either
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -55,7 +55,7 @@
 	mayHaveRun        *worker       // worker of the first attempt that may have run
 	mayHaveRunSince   time.Duration
 	avoid             *worker // worker of the last attempt that failed
-	queuedAhead       float64 // requests queued at the worker when the last attempt was sent, as far as was known
+	queuedAhead       float64 // requests queued at the worker when the last attempt was sent, if known
 	overQuota         bool    // beyond its tenant's quota when it was submitted
 	closed            bool    // nothing more is decided for it
 	reason            Reason  // why it was rejected or failed
@@ -95,11 +95,12 @@
 	return request.mayHaveRun != nil && (late || request.typ.Effect == AtMostOnce)
 }
 
-// mayRunOn keeps effects from happening twice (rule 2): a request that may have run goes again only as its type
-// allows, one with an idempotency key inside its deduplication scope and window.
+// mayRunOn keeps effects from happening twice (rule 2): a request that may have run goes again only as its
+// type allows, one with an idempotency key inside its deduplication scope and window.
 func (s *Scheduler) mayRunOn(request *Request, w *worker, now time.Duration) bool {
 	return !s.mustNotRunAgain(request, now) && (request.mayHaveRun == nil || request.typ.retryableAnywhere() ||
-		w.Zone == request.mayHaveRun.Zone && (request.typ.DedupScope == ScopeZone || w.Cell == request.mayHaveRun.Cell))
+		w.Zone == request.mayHaveRun.Zone &&
+			(request.typ.DedupScope == ScopeZone || w.Cell == request.mayHaveRun.Cell))
 }
 
 // expectedWork is the work of a request, in nanoseconds of mean latency.
@@ -107,7 +108,8 @@
 	return float64(max(request.typ.meanLatency, initialLatency))
 }
 
-// deadlineMargin is how long before its deadline a request is rejected or failed: no answer can be had after that.
+// deadlineMargin is how long before its deadline a request is rejected or failed: no answer can be had after
+// that.
 func (s *Scheduler) deadlineMargin(request *Request) time.Duration {
 	return max(2*s.minTickInterval, min(2*s.expectedDuration(request.function), request.TimeLeft/2))
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -48,7 +48,7 @@
 	functionPoints        []uint64                       // of the function whose order is walked
 	preferredBuffer       []*worker                      // reused by walks
 	deprioritizedBuffer   []*worker                      // reused by walks
-	placementWidth        float64                        // workers for first replicas, over those that a function fills
+	placementWidth        float64                        // workers for first replicas, beyond those filled
 	arrivalDiscount       float64                        // of a function's arrivals, what may be chance
 	nextPlacementEstimate time.Duration
 
@@ -88,8 +88,8 @@
 	subscribeInterval time.Duration
 }
 
-// New makes the Scheduler of gateway number index of so many gateways. minTickInterval is the least time between two
-// calls of Tick.
+// New makes the Scheduler of gateway number index of so many gateways. minTickInterval is the least time
+// between two calls of Tick.
 func New(seed uint64, index, gateways int, minTickInterval time.Duration) *Scheduler {
 	return &Scheduler{
 		rng:              random.New(seed),
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -20,7 +20,7 @@
 	LoadOnMiss         bool          `cbor:"2,keyasint"` // workers load a function that a request does not find
 	ReplicaIdleTimeout time.Duration `cbor:"3,keyasint"` // an idle replica stays so long
 	RequestTimeout     time.Duration `cbor:"4,keyasint"` // a load request without an answer by then is lost
-	RateWindow         time.Duration `cbor:"5,keyasint"` // window of the rate limit of load requests; 0: no limit
+	RateWindow         time.Duration `cbor:"5,keyasint"` // of the rate limit of load requests; 0: no limit
 	RateBurst          float64       `cbor:"6,keyasint"` // load requests in the window in any case
 	RatePerRequest     float64       `cbor:"7,keyasint"` // load requests in the window for each request
 }
@@ -29,7 +29,7 @@
 type SlowStart struct {
 	InitialShare  float64       `cbor:"1,keyasint"` // least share of its capacity at its start
 	WarmUpTime    time.Duration `cbor:"2,keyasint"` // until it has all of its capacity
-	CrashMultiple float64       `cbor:"3,keyasint"` // so much of its present capacity makes it crash; 0: no slow start
+	CrashMultiple float64       `cbor:"3,keyasint"` // so much of its capacity makes it crash; 0: no slow start
 	CrashWindow   time.Duration `cbor:"4,keyasint"` // when it is sent for so long
 }
 
@@ -89,7 +89,8 @@
 	s.completedWork = window.New(completedWorkWindows * slowStart.CrashWindow)
 }
 
-// SetSubscribeInterval has Tick ask for a subscription to the worker registry, at least so often until it is answered.
+// SetSubscribeInterval has Tick ask for a subscription to the worker registry, at least so often until it is
+// answered.
 func (s *Scheduler) SetSubscribeInterval(interval time.Duration) {
 	s.subscribeAt = 0
 	s.subscribeInterval = max(interval/subscribeRetries, time.Millisecond)
--- a/scheduler/submit.go
+++ b/scheduler/submit.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// withinQuota tells whether a request is accepted: its tenant's retries are limited, and in an overload its arrivals
-// too.
+// withinQuota tells whether a request is accepted: its tenant's retries are limited, and in an overload its
+// arrivals too.
 func (s *Scheduler) withinQuota(request *Request, now time.Duration) bool {
 	if t := s.tenants[request.Tenant]; t != nil {
 		quota := t.quota * s.trafficShare(now) * trafficWindow.Seconds()
--- a/scheduler/tick.go
+++ b/scheduler/tick.go
@@ -9,8 +9,8 @@
 // never is a time that does not come.
 const never time.Duration = math.MaxInt64
 
-// queuePass is one of the two passes over the queues at a tick: requests that can meet their latency objective are
-// sent before all that cannot, so that late ones do not make others late.
+// queuePass is one of the two passes over the queues at a tick: requests that can meet their latency
+// objective are sent before all that cannot, so that late ones do not make others late.
 type queuePass int
 
 const (
@@ -74,9 +74,11 @@
 	s.rebalanceCandidates = s.rebalanceCandidates[:0]
 }
 
-// releaseQueue sends a function's queued requests, oldest first, and rejects or fails those that can't be served any
-// more (rule 1: in time). It tells when it is to be called again if nothing happens.
-func (s *Scheduler) releaseQueue(f *function, pass queuePass, now time.Duration, due *TickResult) (wake time.Duration) {
+// releaseQueue sends a function's queued requests, oldest first, and rejects or fails those that can't be
+// served any more (rule 1: in time). It tells when it is to be called again if nothing happens.
+func (s *Scheduler) releaseQueue(
+	f *function, pass queuePass, now time.Duration, due *TickResult,
+) (wake time.Duration) {
 	wake = never
 	queued := f.queue[:0]
 	for _, request := range f.queue {
@@ -112,7 +114,8 @@
 	return onTimePass
 }
 
-// unservableReason tells why a queued request can't be served any more, if it can't; last is when it is too late.
+// unservableReason tells why a queued request can't be served any more, if it can't; last is when it is too
+// late.
 func (s *Scheduler) unservableReason(request *Request, last, now time.Duration) Reason {
 	switch {
 	case now >= last:
@@ -123,9 +126,11 @@
 	return NoReason
 }
 
-// dispatch finds replicas to which a queued request goes now, or a reason to reject it. Where there is neither, it
-// stays in the queue, to be looked at again by a time.
-func (s *Scheduler) dispatch(request *Request, pass queuePass, now time.Duration) (*replicaSet, Reason, time.Duration) {
+// dispatch finds replicas to which a queued request goes now, or a reason to reject it. Where there is
+// neither, it stays in the queue, to be looked at again by a time.
+func (s *Scheduler) dispatch(
+	request *Request, pass queuePass, now time.Duration,
+) (*replicaSet, Reason, time.Duration) {
 	f := request.function
 	if replicas := s.freeReplica(f, request, now); replicas != nil {
 		w := replicas.worker
--- a/scheduler/tuning.go
+++ b/scheduler/tuning.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// The tuned values of all mechanisms. "Of the objective" is a share of the latency objective of a request type;
-// "longest objectives" are multiples of the longest one of all request types.
+// The tuned values of all mechanisms. "Of the objective" is a share of the latency objective of a request
+// type; "longest objectives" are multiples of the longest one of all request types.
 
 // Queues and ticks of a function.
 const (
 	// tickIntervalShare of the objective lies between two ticks of a function.
 	tickIntervalShare = 0.2
 
-	// spillWaitShare of the objective is how long a request waits for a free slot before it may queue at a replica.
+	// spillWaitShare of the objective is how long a request waits for a free slot before it may queue at a
+	// replica.
 	spillWaitShare = 0.25
 )
 
 // Learned averages.
 const (
-	// functionSamples is the number of outcomes in a function's average run time, and the weight of what is assumed
-	// beforehand in other averages.
+	// functionSamples is the number of outcomes in a function's average run time, and the weight of what is
+	// assumed beforehand in other averages.
 	functionSamples = 10
 
 	// typeSamples is the most outcomes that count in a request type's or a worker kind's moving average.
@@ -32,7 +33,8 @@
 	// initialLatencyShare of the objective is the mean latency of a request type before its first outcome.
 	initialLatencyShare = 0.125
 
-	// maxSlowdown is the highest ratio of an outcome's latency to its function's mean that counts for its worker's kind.
+	// maxSlowdown is the highest ratio of an outcome's latency to its function's mean that counts for its
+	// worker's kind.
 	maxSlowdown = 4
 
 	// trafficWindow is the span over which arrivals, quotas and retries are counted.
@@ -77,12 +79,12 @@
 	// latencyTolerance shortest latencies are the latency up to which a worker's limit does not fall.
 	latencyTolerance = 1.1
 
-	// acceptableLatencyShare of the objective is the latency up to which the fleet's limit does not fall, and the least
-	// delay that a request may meet behind others at a worker.
+	// acceptableLatencyShare of the objective is the latency up to which the fleet's limit does not fall, and
+	// the least delay that a request may meet behind others at a worker.
 	acceptableLatencyShare = 0.5
 
-	// uncrowdedLatencyShare of the objective is the latency up to which the limit of a worker without a queue does not
-	// fall.
+	// uncrowdedLatencyShare of the objective is the latency up to which the limit of a worker without a queue
+	// does not fall.
 	uncrowdedLatencyShare = 0.2
 
 	// minGrowthShare of the traffic is the least that a limit grows by while latencies are acceptable.
@@ -103,7 +105,8 @@
 
 // Queues at workers: load reports and probes.
 const (
-	// reportValidityShare of the longest objective is how long a reported queue is believed and no probe is sent.
+	// reportValidityShare of the longest objective is how long a reported queue is believed and no probe is
+	// sent.
 	reportValidityShare = 0.5
 
 	// reportCountedObjectives longest objectives are how long a report counts in the fleet's state.
@@ -112,10 +115,12 @@
 	// queuedPerProbeExcess is the queue, in requests, behind a probe of twice the mean excess latency.
 	queuedPerProbeExcess = 4.0
 
-	// maxProbeExcess is the highest excess of a probe's latency over its zone's shortest that counts, in shortest ones.
+	// maxProbeExcess is the highest excess of a probe's latency over its zone's shortest that counts, in
+	// shortest ones.
 	maxProbeExcess = 8.0
 
-	// minProbeExcess is the mean excess below which a zone's probes tell of the network only, in shortest latencies.
+	// minProbeExcess is the mean excess below which a zone's probes tell of the network only, in shortest
+	// latencies.
 	minProbeExcess = 0.25
 
 	// queuedAheadDecay is what each new outcome leaves of the delays seen behind queued requests.
@@ -151,7 +156,8 @@
 	// slowStartBudgetShare of what a worker that is warming up can stand is used.
 	slowStartBudgetShare = 0.9
 
-	// slowStartDeviations standard deviations of that are left unused, as the gateways do not know of each other's.
+	// slowStartDeviations standard deviations of that are left unused, as the gateways do not know of each
+	// other's.
 	slowStartDeviations = 1.0
 
 	// slowStartMinDivisor divides that into what is used at the least.
@@ -169,7 +175,8 @@
 	// slowLoadFactor expected load times are the load time up to which the limit of loads does not fall.
 	slowLoadFactor = 2.0
 
-	// alreadyLoadedDivisor divides the expected load time: an answer that comes earlier found the replicas loaded.
+	// alreadyLoadedDivisor divides the expected load time: an answer that comes earlier found the replicas
+	// loaded.
 	alreadyLoadedDivisor = 4
 
 	// maxReplicasPerWorker is the most replicas of a function that are requested of one worker.
@@ -205,8 +212,8 @@
 	// maxDraws is the most workers that are looked at for one that accepts a load.
 	maxDraws = 64
 
-	// maxVisitsPerWanted is the most workers of the shared order that are visited for each that is wanted, beyond
-	// maxDraws.
+	// maxVisitsPerWanted is the most workers of the shared order that are visited for each that is wanted,
+	// beyond maxDraws.
 	maxVisitsPerWanted = 4
 )
 
@@ -215,7 +222,8 @@
 	// maxPlausibleValue bounds weights and queue depths; more is not believed.
 	maxPlausibleValue = 1e5
 
-	// maxPlausibleMemory bounds the memory of replicas and workers, in the unit of the settings; more is not believed.
+	// maxPlausibleMemory bounds the memory of replicas and workers, in the unit of the settings; more is not
+	// believed.
 	maxPlausibleMemory = 1e15
 
 	// maxPlausibleLoadTime bounds the load times that requests name.
@@ -224,7 +232,8 @@
 
 // Subscription to the worker registry.
 const (
-	// subscribeRetries is the number of subscription attempts in the interval that the settings allow without one.
+	// subscribeRetries is the number of subscription attempts in the interval that the settings allow without
+	// one.
 	subscribeRetries = 8
 
 	// resubscribeIntervals retry intervals after an unanswered subscription the next one is due.
