--- a/internal/gateway/core/core.go
+++ b/internal/gateway/core/core.go
@@ -9,88 +9,88 @@
 	"lupinpond/scheduler"
 )
 
-// Core is the state of one gateway. It is not safe for use by several goroutines.
+// Core is the state machine of one gateway. It is not safe for concurrent use.
 type Core struct {
-	scheduler        *scheduler.Scheduler
-	actor            Actor
-	requests         map[string]*trackedRequest // by id
-	lastNumber       uint64
-	ownsDeadlines    bool            // it times attempts out itself
-	deadlines        deadlineHeap    // of all requests, if it owns them
-	shutdownDeadline time.Duration   // every request has its final answer by then
-	timers           []time.Duration // set and not fired, the earliest last
-	recorder         func(Input)     // nil: nothing is recorded
-	leaseObserver    func(scheduler.LeaseEvent)
+	scheduler         *scheduler.Scheduler
+	actor             Actor
+	requests          map[string]*trackedRequest // by request ID
+	lastSequence      uint64                     // sequence number of the latest request
+	enforcesDeadlines bool                       // the core itself times out attempts
+	deadlines         deadlineHeap               // all open requests, if enforcesDeadlines is set
+	shutdownDeadline  time.Duration              // latest time for the final answer of any request
+	timers            []time.Duration            // pending timers, the earliest last
+	recorder          func(Input)                // called with every input; nil if not recording
+	leaseObserver     func(scheduler.LeaseEvent) // called with every lease event; may be nil
 }
 
-// ErrDuplicate reports that a request of the same id is in flight. Its text is part of an answer to the client.
+// ErrDuplicate reports that a request with the same ID is still open. Its text is part of the answer to the client.
 var ErrDuplicate = errors.New("an event of this id is in hand")
 
-// New starts a core that acts through actor.
+// New returns a core that acts through actor.
 func New(settings Settings, actor Actor) *Core {
 	return &Core{
-		scheduler:        settings.newScheduler(),
-		actor:            actor,
-		requests:         map[string]*trackedRequest{},
-		ownsDeadlines:    settings.EnforceDeadlines,
-		shutdownDeadline: math.MaxInt64,
+		scheduler:         settings.newScheduler(),
+		actor:             actor,
+		requests:          map[string]*trackedRequest{},
+		enforcesDeadlines: settings.EnforceDeadlines,
+		shutdownDeadline:  math.MaxInt64,
 	}
 }
 
-// OpenRequests is the number of requests without a final answer or with an attempt in flight.
+// OpenRequests returns the number of requests that have no final answer yet or have an attempt in flight.
 func (c *Core) OpenRequests() int { return len(c.requests) }
 
-// Members gives the workers that the registry lists, in the order of their names.
+// Members returns the workers listed by the registry, ordered by name.
 func (c *Core) Members() []scheduler.Member { return c.scheduler.Members() }
 
-// FleetState is the state of the fleet at the scheduler's last decision.
+// FleetState returns the fleet state as of the scheduler's latest decision.
 func (c *Core) FleetState() scheduler.FleetState { return c.scheduler.FleetState() }
 
-// UpdateMembership takes changes of the worker registry.
+// UpdateMembership applies changes of the worker registry.
 func (c *Core) UpdateMembership(now time.Duration, changes []scheduler.Member) {
 	c.record(Input{Op: OpUpdateMembership, Now: now, Members: changes})
 	c.scheduler.UpdateMembership(now, changes)
 }
 
-// ReplaceMembership takes the complete worker registry: workers that it does not name are removed.
+// ReplaceMembership applies the complete content of the worker registry: workers that are not in members are removed.
 func (c *Core) ReplaceMembership(now time.Duration, members []scheduler.Member) {
 	c.record(Input{Op: OpUpdateMembership, Now: now, Complete: true, Members: members})
 	c.scheduler.ReplaceMembership(now, members)
 }
 
-// WatchFailed notes that a subscription to the worker registry failed or was lost.
+// WatchFailed records that subscribing to the worker registry failed, or that the subscription was lost.
 func (c *Core) WatchFailed(now time.Duration) {
 	c.record(Input{Op: OpWatchFailed, Now: now})
 	c.scheduler.WatchFailed(now)
 }
 
-// SetWatchLease sets until when the watch of the worker registry is valid: changes of which nothing was received count
-// as notified from then on, as they happen.
+// SetWatchLease sets the time until which the watch of the worker registry is valid. After that time the gateway is
+// considered notified of a change at the moment the change happens, even if it has not received it.
 func (c *Core) SetWatchLease(now, expires time.Duration) {
 	c.record(Input{Op: OpSetWatchLease, Now: now, Deadline: expires})
 	c.scheduler.SetWatchLease(now, expires)
 }
 
-// ObserveLeases has observer called with each change of a lease from now on; nil ends it.
+// ObserveLeases sets the function that is called with each subsequent lease event. A nil observer disables this.
 func (c *Core) ObserveLeases(observer func(scheduler.LeaseEvent)) { c.leaseObserver = observer }
 
-// Submit takes a request of a client. Where one of its id is in flight it does nothing and returns ErrDuplicate.
+// Submit accepts a client's request. If a request with the same ID is open, it does nothing and returns ErrDuplicate.
 func (c *Core) Submit(now time.Duration, request *scheduler.Request) error {
 	if c.requests[request.ID] != nil {
 		return ErrDuplicate
 	}
 	if c.recorder != nil {
-		c.recorder(Input{Op: OpSubmit, Now: now, Request: requestFacts(request)})
+		c.recorder(Input{Op: OpSubmit, Now: now, Request: requestInput(request)})
 	}
-	c.lastNumber++
+	c.lastSequence++
 	tracked := &trackedRequest{
 		request:   request,
-		number:    c.lastNumber,
+		sequence:  c.lastSequence,
 		deadline:  min(now+request.TimeLeft, c.shutdownDeadline),
 		heapIndex: -1,
 	}
 	c.requests[request.ID] = tracked
-	if c.ownsDeadlines {
+	if c.enforcesDeadlines {
 		heap.Push(&c.deadlines, tracked)
 	}
 	decision := c.scheduler.Submit(now, request)
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// ShutdownBy begins a graceful shutdown: the open requests, and those still to come, have their final answers by then.
-// What is unanswered when the process is killed would be lost (rule 1).
+// ShutdownBy starts a graceful shutdown: open requests, and those submitted later, get their final answer by the
+// deadline. A request that is still unanswered when the process is killed would be lost, which rule 1 forbids.
 func (c *Core) ShutdownBy(now, deadline time.Duration) {
 	c.record(Input{Op: OpShutdownBy, Now: now, Deadline: deadline})
 	c.shutdownDeadline = deadline
@@ -111,8 +111,8 @@
 	heap.Init(&c.deadlines)
 }
 
-// CompleteAttempt takes the outcome of the attempt in flight of a request. Any other outcome, late or a duplicate or
-// of a request that is not open, does not reach the scheduler, and false is returned.
+// CompleteAttempt handles the outcome of a request's attempt in flight. It ignores any other outcome (of an earlier
+// attempt, a duplicate, or of a request that is not open): it does not pass it to the scheduler and returns false.
 func (c *Core) CompleteAttempt(now time.Duration, id string, attempt int, outcome scheduler.Outcome) bool {
 	c.record(Input{Op: OpCompleteAttempt, Now: now, ID: id, Attempt: attempt, Outcome: outcome})
 	tracked := c.requests[id]
@@ -123,6 +123,7 @@
 	return true
 }
 
+// completeAttempt passes the outcome of the attempt in flight to the scheduler and carries out its decision.
 func (c *Core) completeAttempt(now time.Duration, tracked *trackedRequest, outcome scheduler.Outcome) {
 	completed := outcome.Result == scheduler.Completed && !tracked.clientDisconnected
 	outcome.Final = outcome.Final || outcome.Result == scheduler.Completed || tracked.clientDisconnected
@@ -141,7 +142,8 @@
 	c.perform(now, tracked, decision)
 }
 
-// ClientDisconnected notes that the client of a request has disconnected; false: the request is not open.
+// ClientDisconnected records that the client of a request has disconnected. It returns false if the request is not
+// open.
 func (c *Core) ClientDisconnected(now time.Duration, id string) bool {
 	c.record(Input{Op: OpClientDisconnected, Now: now, ID: id})
 	tracked := c.requests[id]
@@ -154,7 +156,7 @@
 	return true
 }
 
-// ProbeCompleted takes the result of a probe and its round trip.
+// ProbeCompleted handles the result, load report and round-trip time of a probe.
 func (c *Core) ProbeCompleted(now time.Duration, worker string, result scheduler.Result, report scheduler.LoadReport,
 	roundTrip time.Duration) {
 	c.record(Input{Op: OpProbeCompleted, Now: now, Worker: worker,
@@ -162,7 +164,7 @@
 	c.scheduler.ProbeCompleted(now, worker, result, report, roundTrip)
 }
 
-// LoadCompleted takes the result of a load request and the time that it took.
+// LoadCompleted handles the result of a load request and the time from sending it to its result.
 func (c *Core) LoadCompleted(now time.Duration, load scheduler.LoadRequest, result scheduler.Result,
 	duration time.Duration) {
 	c.record(Input{Op: OpLoadCompleted, Now: now, LoadRequest: load,
@@ -170,7 +172,7 @@
 	c.scheduler.LoadCompleted(now, load, result, duration)
 }
 
-// TimerFired notes that a timer has fired; ProcessDue follows.
+// TimerFired records that a timer has fired. The caller must call ProcessDue afterwards.
 func (c *Core) TimerFired(now time.Duration) {
 	c.record(Input{Op: OpTimerFired, Now: now})
 	for len(c.timers) > 0 && c.timers[len(c.timers)-1] <= now {
@@ -178,8 +180,8 @@
 	}
 }
 
-// ProcessDue ends a moment, after all its inputs: what is due is done, and a timer is set where none fires early
-// enough.
+// ProcessDue must be called after all inputs of one point in time. It times out attempts, carries out what the
+// scheduler has due, and sets a timer for the next due time unless a pending one fires by then.
 func (c *Core) ProcessDue(now time.Duration) {
 	c.record(Input{Op: OpProcessDue, Now: now})
 	c.timeOutAttempts(now)
@@ -206,7 +208,7 @@
 	c.setTimer(now, due.Next)
 }
 
-// timeOutAttempts times out the attempts of requests whose deadline has passed, in the order of their deadlines.
+// timeOutAttempts times out the attempts of requests whose deadline has passed, earliest deadline first.
 func (c *Core) timeOutAttempts(now time.Duration) {
 	for len(c.deadlines) > 0 && c.deadlines[0].deadline <= now {
 		tracked := heap.Pop(&c.deadlines).(*trackedRequest)
@@ -220,7 +222,8 @@
 	}
 }
 
-// setTimer sets a timer for the scheduler's next tick, if it has one, and the next deadline, unless one fires by then.
+// setTimer sets a timer for the next deadline or, if it is due earlier, for the scheduler's next tick, unless a pending
+// timer fires by then. next is the duration until the tick, or 0 if the scheduler has none scheduled.
 func (c *Core) setTimer(now, next time.Duration) {
 	if len(c.deadlines) > 0 {
 		if untilDeadline := max(1, c.deadlines[0].deadline-now); next == 0 || untilDeadline < next {
@@ -237,7 +240,7 @@
 	}
 }
 
-// perform carries out a decision of the scheduler.
+// perform carries out a decision of the scheduler for a request.
 func (c *Core) perform(now time.Duration, tracked *trackedRequest, decision scheduler.Decision) {
 	switch decision.Action {
 	case scheduler.Send:
@@ -256,13 +259,14 @@
 	}
 }
 
-// closeRequest forgets a request that has ended, once no attempt of it is in flight.
+// closeRequest removes a request that has ended and reports it to the actor. It does nothing while an attempt of the
+// request is in flight or if the request is already closed.
 func (c *Core) closeRequest(tracked *trackedRequest, reason CloseReason) {
 	if tracked.request.InFlight() || c.requests[tracked.request.ID] != tracked {
 		return
 	}
 	delete(c.requests, tracked.request.ID)
-	if tracked.heapIndex >= 0 && c.ownsDeadlines {
+	if tracked.heapIndex >= 0 && c.enforcesDeadlines {
 		heap.Remove(&c.deadlines, tracked.heapIndex)
 	}
 	c.actor.Closed(tracked.request, tracked.attempts, reason)
--- a/internal/gateway/core/core_test.go
+++ b/internal/gateway/core/core_test.go
@@ -16,11 +16,11 @@
 
 const ms = time.Millisecond
 
-// recordingActor prints what a core does, and keeps what is in flight.
+// recordingActor is an Actor that counts answers and closed requests and, if print is set, prints each action.
 type recordingActor struct {
-	inFlight map[string]int // attempt, by request
-	answers  map[string]int // final answers, by request
-	closed   map[string]int // calls of Closed, by request
+	inFlight map[string]int // latest attempt sent, by request ID
+	answers  map[string]int // number of final answers, by request ID
+	closed   map[string]int // number of Closed calls, by request ID
 	print    bool
 }
 
@@ -89,17 +89,18 @@
 
 var workers = []scheduler.Member{{Worker: "a", Zone: "1"}, {Worker: "b", Zone: "1"}, {Worker: "c", Zone: "2"}}
 
-// startRequest has request e of a type sent.
-func startRequest(a core.Actor, kind string) (*core.Core, time.Duration) {
+// startRequest starts a core that acts through a, submits request e of the given type twice and processes what is due.
+// It returns the core and the current time.
+func startRequest(a core.Actor, requestType string) (*core.Core, time.Duration) {
 	c, now := core.New(testSettings(), a), time.Hour
 	c.ReplaceMembership(now, workers)
-	request := &scheduler.Request{ID: "e", Type: kind, Function: 1, TimeLeft: 2 * time.Second, Concurrency: 1}
+	request := &scheduler.Request{ID: "e", Type: requestType, Function: 1, TimeLeft: 2 * time.Second, Concurrency: 1}
 	fmt.Println(c.Submit(now, request), c.Submit(now, request))
 	c.ProcessDue(now)
 	return c, now
 }
 
-// A response and its timeout at the same instant: whichever comes first counts, and just once.
+// If a response and the deadline of its request fall on the same instant, only the input processed first counts.
 func Example_answerAndTimeoutAtTheSameInstant() {
 	a := newRecordingActor(true)
 	c, now := startRequest(a, "at-most-once")
@@ -125,8 +126,8 @@
 	// 0
 }
 
-// A client that disconnects while its at-most-once request runs: nothing is answered, the attempt completes or times
-// out.
+// A client disconnects while its at-most-once request runs: the client gets no answer, and the request stays open until
+// the attempt completes or times out.
 func Example_clientDisconnectsDuringAttempt() {
 	a := newRecordingActor(true)
 	c, now := startRequest(a, "at-most-once")
@@ -141,7 +142,7 @@
 	// 0
 }
 
-// randomRun draws inputs of a core that is recorded.
+// randomRun feeds randomly generated inputs to a core and records it.
 type randomRun struct {
 	*rapid.T
 	core         *core.Core
@@ -150,7 +151,7 @@
 	recorder     *replay.Recorder
 	now          time.Duration
 	submitted    int
-	disconnected map[string]bool // requests whose client has disconnected
+	disconnected map[string]bool // IDs of requests whose client has disconnected
 }
 
 func newRandomRun(t *rapid.T) *randomRun {
@@ -161,7 +162,7 @@
 	return r
 }
 
-// step draws one input and has the core take it.
+// step advances the time and passes one randomly chosen input to the core.
 func (r *randomRun) step() {
 	r.now += time.Duration(rapid.IntRange(0, 400).Draw(r.T, "pause")) * ms
 	id := fmt.Sprint(rapid.IntRange(0, r.submitted).Draw(r.T, "which"))
@@ -192,7 +193,7 @@
 	r.submitted++
 }
 
-// completeAttempt ends the attempt in flight of a request, or an earlier one.
+// completeAttempt reports a random outcome for the latest attempt of a request, or for the one before it.
 func (r *randomRun) completeAttempt(id string) {
 	attempt, inFlight := r.actor.inFlight[id]
 	if inFlight && rapid.Bool().Draw(r.T, "earlier") {
@@ -213,7 +214,7 @@
 	}
 }
 
-// finish lets the time of all clients pass.
+// finish advances the time past the deadlines of all requests.
 func (r *randomRun) finish() {
 	for range 40 {
 		r.now += 100 * ms
@@ -222,9 +223,10 @@
 	}
 }
 
-// Whatever inputs come in whatever order: every request has one final answer by its deadline, unless its client
-// disconnected; no request stays open; and a recording of it replays to the same actions.
-func TestOneAnswerAndIdenticalReplay(t *testing.T) {
+// Random inputs in random order must not lose or repeat an answer: each request gets exactly one final answer by its
+// deadline unless its client has disconnected, and no request stays open. A recording of the run must replay to the
+// same actions, and a truncated recording must replay up to the point where it ends.
+func TestOneFinalAnswerAndIdenticalReplay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRandomRun(t)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -232,7 +234,7 @@
 		}
 		r.finish()
 		if open := r.core.OpenRequests(); open != 0 {
-			t.Fatalf("%d requests open after all deadlines", open)
+			t.Fatalf("%d requests still open after all deadlines", open)
 		}
 		for i := range r.submitted {
 			id := fmt.Sprint(i)
@@ -249,20 +251,22 @@
 		if summary, err := replay.Replay(bytes.NewReader(recording), nil); err != nil || summary.Inputs == 0 {
 			t.Fatalf("%+v: %v", summary, err)
 		}
-		// truncated as by a kill: in an item, or an action is missing at the end; what is there agrees
+		// A killed process truncates its recording: it ends inside an item, or the last actions are missing. What is
+		// left must still replay without a difference.
 		cut := rapid.IntRange(1, len(recording)-1).Draw(t, "cut")
 		summary, err := replay.Replay(bytes.NewReader(recording[:cut]), nil)
 		var divergence *replay.DivergenceError
 		missing := errors.As(err, &divergence) && divergence.Recorded == nil
 		if err != nil && !missing && summary.Inputs > 0 {
-			t.Fatalf("cut at %d: %v", cut, err)
+			t.Fatalf("recording truncated at byte %d: %v", cut, err)
 		}
 	})
 }
 
-// A gateway that shuts down answers its open requests by the deadline, and those still to come, whatever time their
-// clients have left: a request that waits for a replica, one in flight at an unresponsive worker, one whose client has
-// disconnected.
+// A request that is unanswered when the process is killed is lost. During a graceful shutdown each request, whether
+// submitted before or after the shutdown began, must therefore be answered by the shutdown deadline even if its client
+// allows more time: also a request waiting for a replica, one in flight at an unresponsive worker, and one whose client
+// has disconnected.
 func TestShutdownBy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := newRecordingActor(false)
@@ -287,46 +291,47 @@
 			c.ProcessDue(now)
 			now += time.Duration(rapid.IntRange(0, 40).Draw(t, "pause")) * ms
 		}
-		by := now + 3*time.Second
-		c.ShutdownBy(now, by)
+		deadline := now + 3*time.Second
+		c.ShutdownBy(now, deadline)
 		for range rapid.IntRange(0, 5).Draw(t, "after") {
 			submit()
 			c.ProcessDue(now)
 			now += 100 * ms
 		}
-		for ; now < by; now += 100 * ms {
+		for ; now < deadline; now += 100 * ms {
 			c.TimerFired(now)
 			c.ProcessDue(now)
 		}
-		c.TimerFired(by)
-		c.ProcessDue(by)
+		c.TimerFired(deadline)
+		c.ProcessDue(deadline)
 		for i := range n {
 			if a.answers[fmt.Sprint(i)] != 1 {
-				t.Errorf("request %d has %d final answers", i, a.answers[fmt.Sprint(i)])
+				t.Errorf("request %d got %d final answers, want 1", i, a.answers[fmt.Sprint(i)])
 			}
 		}
 		if c.OpenRequests() != 0 {
-			t.Error(c.OpenRequests(), "requests open")
+			t.Error(c.OpenRequests(), "requests still open after the shutdown deadline")
 		}
 	})
 }
 
+// FuzzReplay checks that replaying arbitrary bytes does not panic or count more inputs than there are bytes.
 func FuzzReplay(f *testing.F) {
-	var tape bytes.Buffer
-	c, _ := replay.Start(testSettings(), newRecordingActor(false), &tape)
+	var recording bytes.Buffer
+	c, _ := replay.Start(testSettings(), newRecordingActor(false), &recording)
 	c.ReplaceMembership(time.Hour, workers)
 	c.ProcessDue(time.Hour)
-	f.Add(tape.Bytes())
+	f.Add(recording.Bytes())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		summary, err := replay.Replay(bytes.NewReader(b), nil)
 		if err == nil && summary.Settings.Seed == 0 && summary.Inputs > len(b) {
-			t.Error("more inputs than bytes")
+			t.Error("replay counted more inputs than the recording has bytes")
 		}
 	})
 }
 
-// The outcome of an attempt that is over, while the next one is in flight, is not taken for that one's.
-func TestOutcomeOfAnEarlierAttempt(t *testing.T) {
+// While a retry is in flight, a second outcome of the earlier attempt must not complete the retry.
+func TestOutcomeOfEarlierAttemptIsIgnored(t *testing.T) {
 	a := newRecordingActor(false)
 	c, now := core.New(testSettings(), a), time.Hour
 	c.ReplaceMembership(now, workers)
@@ -336,7 +341,7 @@
 	}
 	untilSent := func(attempt int) {
 		t.Helper()
-		for range 5000 { // past the time in which the first attempt may have loaded a replica
+		for range 5000 { // longer than the first attempt may take to load a replica
 			if n, inFlight := a.inFlight["e"]; inFlight && n == attempt {
 				return
 			}
@@ -344,18 +349,18 @@
 			c.TimerFired(now)
 			c.ProcessDue(now)
 		}
-		t.Fatal("attempt", attempt, "was not sent")
+		t.Fatal("attempt", attempt, "was not sent in time")
 	}
 	untilSent(0)
 	if !c.CompleteAttempt(now, "e", 0, scheduler.Outcome{Result: scheduler.ConnectionLost, Duration: ms}) {
-		t.Error("the outcome of the first attempt is not taken")
+		t.Error("CompleteAttempt ignored the outcome of the first attempt")
 	}
 	untilSent(1)
 	completed := scheduler.Outcome{Result: scheduler.Completed, Duration: ms}
 	if c.CompleteAttempt(now, "e", 0, completed) || a.answers["e"] != 0 {
-		t.Error("a late response to the first attempt is taken for the second's")
+		t.Error("CompleteAttempt accepted a second outcome of the first attempt for the second attempt")
 	}
 	if !c.CompleteAttempt(now, "e", 1, completed) || a.answers["e"] != 1 {
-		t.Error("the outcome of the second attempt is not taken")
+		t.Error("CompleteAttempt ignored the outcome of the second attempt")
 	}
 }
--- a/internal/gateway/core/deadlines.go
+++ b/internal/gateway/core/deadlines.go
@@ -8,26 +8,26 @@
 	"lupinpond/scheduler"
 )
 
-// trackedRequest is a request without a final answer, or with an attempt in flight.
+// trackedRequest is an open request: it has no final answer yet or has an attempt in flight.
 type trackedRequest struct {
 	request            *scheduler.Request
-	number             uint64 // in the order of submission, so that equal deadlines keep an order
-	attempts           int
-	worker             string        // of the last attempt
-	sentAt             time.Duration // of the last attempt
+	sequence           uint64        // position in submission order; breaks ties between equal deadlines
+	attempts           int           // number of attempts sent
+	worker             string        // worker of the latest attempt
+	sentAt             time.Duration // send time of the latest attempt
 	deadline           time.Duration
-	heapIndex          int // in the deadlines; -1: not in them
+	heapIndex          int // index in the deadline heap; -1 if not in the heap
 	clientDisconnected bool
-	mayHaveRun         bool // an attempt ended such that it may have run
+	mayHaveRun         bool // an attempt ended with a result after which it may have run
 }
 
-// deadlineHeap is a heap of requests by their deadlines.
+// deadlineHeap is a min-heap of requests ordered by deadline, then by submission.
 type deadlineHeap []*trackedRequest
 
 func (h deadlineHeap) Len() int { return len(h) }
 
 func (h deadlineHeap) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(h[i].deadline, h[j].deadline), cmp.Compare(h[i].number, h[j].number)) < 0
+	return cmp.Or(cmp.Compare(h[i].deadline, h[j].deadline), cmp.Compare(h[i].sequence, h[j].sequence)) < 0
 }
 
 func (h deadlineHeap) Swap(i, j int) {
--- a/internal/gateway/core/doc.go
+++ b/internal/gateway/core/doc.go
@@ -1,5 +1,6 @@
-// Package core is the request state machine of one gateway: requests, attempts, timers and the calls to the
-// scheduler. It does no I/O, reads no clock and starts no goroutine: inputs come with their time, and it acts through
-// an Actor. The same inputs at the same times give the same actions. The gateway, the simulator's adapter, the tools
-// and the replay drive this one core. It decides nothing about requests, attempts or loads; the scheduler does.
+// Package core implements the request state machine of one gateway: it tracks requests, attempts and timers and calls
+// the scheduler, which makes all decisions about requests, attempts and loads. The core performs no I/O, reads no clock
+// and starts no goroutine: each input carries its time, and actions are carried out by an Actor. The core is
+// deterministic: the same inputs at the same times produce the same actions. The gateway, the simulator adapter, the
+// tools and the replay of recordings all run this package.
 package core
--- a/internal/gateway/core/input.go
+++ b/internal/gateway/core/input.go
@@ -7,10 +7,10 @@
 	"lupinpond/scheduler"
 )
 
-// Op names an input of a core. Recordings hold its number.
+// Op identifies the operation of an input. Recordings store its number, so numbers must not change.
 type Op uint8
 
-// The inputs.
+// The operations, one for each method of Core that processes an input.
 const (
 	OpUpdateMembership Op = iota + 1
 	OpWatchFailed
@@ -25,13 +25,13 @@
 	OpSetWatchLease
 )
 
-// Input is one input of a core, as recordings hold it. Fields that the input does not have are zero.
+// Input is one input of a core in the form stored in recordings. Fields that its operation does not use are zero.
 type Input struct {
 	Op          Op                    `cbor:"1,keyasint"`
 	Now         time.Duration         `cbor:"2,keyasint"`
 	ID          string                `cbor:"3,keyasint,omitempty"`
 	Attempt     int                   `cbor:"4,keyasint,omitempty"`
-	Complete    bool                  `cbor:"5,keyasint,omitempty"` // the members are the complete registry
+	Complete    bool                  `cbor:"5,keyasint,omitempty"` // Members is the complete registry
 	Worker      string                `cbor:"6,keyasint,omitempty"`
 	Members     []scheduler.Member    `cbor:"7,keyasint,omitempty"`
 	Request     *scheduler.Request    `cbor:"8,keyasint,omitempty"`
@@ -40,7 +40,7 @@
 	Deadline    time.Duration         `cbor:"11,keyasint,omitempty"`
 }
 
-// InvalidInputError reports an input that no core can have recorded.
+// InvalidInputError reports an input that a core cannot have recorded.
 type InvalidInputError struct {
 	Op     Op
 	Now    time.Duration
@@ -51,7 +51,8 @@
 	return fmt.Sprintf("apply input %d at %v: %s", e.Op, e.Now, e.Reason)
 }
 
-// Record has recorder called with every input from now on, before it takes effect; nil ends it.
+// Record sets the function that is called with every subsequent input before it is processed. A nil recorder stops
+// recording.
 func (c *Core) Record(recorder func(Input)) { c.recorder = recorder }
 
 func (c *Core) record(input Input) {
@@ -60,8 +61,9 @@
 	}
 }
 
-// requestFacts copies what is known of a request when it is submitted, without what the scheduler keeps in it.
-func requestFacts(request *scheduler.Request) *scheduler.Request {
+// requestInput returns a copy of the request with only the fields that are set at submission, without the scheduler's
+// internal state.
+func requestInput(request *scheduler.Request) *scheduler.Request {
 	return &scheduler.Request{
 		ID:          request.ID,
 		Type:        request.Type,
@@ -75,10 +77,11 @@
 	}
 }
 
-// Apply takes a recorded input. One that no core can have recorded does nothing and is an InvalidInputError.
+// Apply processes a recorded input. An input that a core cannot have recorded has no effect and returns an
+// InvalidInputError.
 func (c *Core) Apply(input Input) error {
 	if input.Now < 0 {
-		return &InvalidInputError{input.Op, input.Now, "its time is below 0"}
+		return &InvalidInputError{input.Op, input.Now, "time is negative"}
 	}
 	switch input.Op {
 	case OpUpdateMembership:
@@ -91,9 +94,9 @@
 		c.WatchFailed(input.Now)
 	case OpSubmit:
 		if input.Request == nil {
-			return &InvalidInputError{input.Op, input.Now, "it holds no request"}
+			return &InvalidInputError{input.Op, input.Now, "request is missing"}
 		}
-		return c.Submit(input.Now, requestFacts(input.Request))
+		return c.Submit(input.Now, requestInput(input.Request))
 	case OpCompleteAttempt:
 		c.CompleteAttempt(input.Now, input.ID, input.Attempt, input.Outcome)
 	case OpClientDisconnected:
--- a/internal/gateway/core/input_test.go
+++ b/internal/gateway/core/input_test.go
@@ -8,7 +8,8 @@
 	"lupinpond/scheduler"
 )
 
-// An input that no core can have recorded is an InvalidInputError that names it, and does nothing.
+// Apply must reject an input that a core cannot have recorded with an InvalidInputError that names the operation and
+// its time, and must not change the core.
 func TestApplyInvalidInput(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -25,13 +26,14 @@
 				t.Fatalf("got error %v, want an InvalidInputError", err)
 			}
 			if invalid.Op != c.input.Op || invalid.Now != c.input.Now || subject.OpenRequests() != 0 {
-				t.Errorf("got %+v and %d open requests", invalid, subject.OpenRequests())
+				t.Errorf("got error %+v and %d open requests, want the operation and time of the input and 0",
+					invalid, subject.OpenRequests())
 			}
 		})
 	}
 }
 
-// A request of the id of an open one is an ErrDuplicate, also from a recording.
+// A recorded submission with the ID of an open request must fail with ErrDuplicate, as a direct one does.
 func TestApplyDuplicate(t *testing.T) {
 	subject := core.New(testSettings(), newRecordingActor(false))
 	input := core.Input{Op: core.OpSubmit, Now: 1, Request: &scheduler.Request{ID: "e", TimeLeft: 1}}
--- a/internal/gateway/core/outagefleet_test.go
+++ b/internal/gateway/core/outagefleet_test.go
@@ -13,32 +13,33 @@
 	"lupinpond/scheduler"
 )
 
-// The fleet of these tests.
+// Parameters of the simulated fleet.
 const (
-	outageGrace    = 500 * ms
-	deliveryBound  = 7 * time.Second
-	networkLatency = ms
-	runTime        = 8 * ms
-	loadTime       = 60 * ms
+	drainGrace         = 500 * ms
+	watchLeaseDuration = 7 * time.Second
+	networkLatency     = ms
+	runTime            = 8 * ms
+	loadTime           = 60 * ms
 
-	// minJudgedRequests is the number of requests from which on the served share is judged.
+	// minJudgedRequests is the minimum number of requests for which a test checks the share of completed requests.
 	minJudgedRequests = 20
 )
 
-// fleetEvent is something that happens in a simulated fleet.
+// fleetEvent is an event of the simulated fleet.
 type fleetEvent struct {
-	at      time.Duration
-	number  int  // orders events of the same time
-	outside bool // it does not happen in the gateway
-	happen  func(now time.Duration)
+	at       time.Duration
+	sequence int  // order of events at the same time
+	external bool // happens outside of the gateway, so a pause of the gateway does not delay it
+	apply    func(now time.Duration)
 }
 
+// fleetEvents is a min-heap of events ordered by time.
 type fleetEvents []fleetEvent
 
 func (e fleetEvents) Len() int      { return len(e) }
 func (e fleetEvents) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e fleetEvents) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(e[i].at, e[j].at), cmp.Compare(e[i].number, e[j].number)) < 0
+	return cmp.Or(cmp.Compare(e[i].at, e[j].at), cmp.Compare(e[i].sequence, e[j].sequence)) < 0
 }
 func (e *fleetEvents) Push(x any) { *e = append(*e, x.(fleetEvent)) }
 func (e *fleetEvents) Pop() any {
@@ -49,34 +50,35 @@
 
 // fleetWorker is a worker of a simulated fleet.
 type fleetWorker struct {
-	drainedAt time.Duration // 0: it is in service
-	replicas  map[uint64]time.Duration
-	rejects   bool // it is full
-	down      bool // it can't be reached
-	attempts  int  // that came
+	drainedAt time.Duration            // when it started draining; 0 if it is not draining
+	replicas  map[uint64]time.Duration // when each replica is ready, by function
+	full      bool                     // it rejects attempts and loads of further replicas
+	down      bool                     // it is unreachable
+	attempts  int                      // number of attempts accepted
 }
 
-// outageFleet is one gateway's core with workers whose drains its registry can't tell for some time. It is the core's
-// Actor.
+// outageFleet simulates one gateway's core and its workers during a registry outage, in which the gateway receives no
+// notice of drains. It is the core's Actor.
 type outageFleet struct {
-	t              rapid.TB
-	core           *core.Core
-	now            time.Duration
-	events         fleetEvents
-	scheduled      int
-	workers        map[string]*fleetWorker
-	answersQueries bool // draining workers answer queries as others do
-	outageAt       time.Duration
-	pausedUntil    time.Duration // the gateway stands still
-	lastRequest    int
-
-	requests, completed, verifications, queries, late int
-}
-
-// newOutageFleet starts a gateway, one of so many, with workers in good order and requests at a rate.
+	t                     rapid.TB
+	core                  *core.Core
+	now                   time.Duration
+	events                fleetEvents
+	scheduled             int
+	workers               map[string]*fleetWorker
+	drainingAnswerQueries bool // draining workers answer replica queries like other workers
+	outageAt              time.Duration
+	pausedUntil           time.Duration // the gateway processes no events before this time
+	lastRequest           int
+
+	requests, completed, verifications, queries, sentAfterGrace int
+}
+
+// newOutageFleet returns a fleet of one gateway with the given settings and workers that are up. The watch has no lease
+// until renewWatch is called, and there are no requests until generateTraffic is called.
 func newOutageFleet(t rapid.TB, settings core.Settings, workers int) *outageFleet {
 	f := &outageFleet{t: t, now: time.Hour, workers: map[string]*fleetWorker{}}
-	settings.DrainGrace, settings.EnforceDeadlines = outageGrace, true
+	settings.DrainGrace, settings.EnforceDeadlines = drainGrace, true
 	settings.LoadPolicy.RequestLoads, settings.LoadPolicy.LoadOnMiss = true, true
 	settings.LoadPolicy.ReplicaIdleTimeout, settings.LoadPolicy.RequestTimeout = 10*time.Second, 4*time.Second
 	f.core = core.New(settings, f)
@@ -90,39 +92,41 @@
 	return f
 }
 
-func (f *outageFleet) schedule(at time.Duration, happen func(now time.Duration)) {
+// schedule adds an event in the gateway: apply is called at the given time, or after a pause of the gateway.
+func (f *outageFleet) schedule(at time.Duration, apply func(now time.Duration)) {
 	f.scheduled++
-	heap.Push(&f.events, fleetEvent{at: at, number: f.scheduled, happen: happen})
+	heap.Push(&f.events, fleetEvent{at: at, sequence: f.scheduled, apply: apply})
 }
 
-// run lets time pass.
+// run processes events up to the given time.
 func (f *outageFleet) run(until time.Duration) {
 	for len(f.events) > 0 && f.events[0].at <= until {
 		event := heap.Pop(&f.events).(fleetEvent)
-		if !event.outside && event.at < f.pausedUntil {
+		if !event.external && event.at < f.pausedUntil {
 			event.at = f.pausedUntil
 			heap.Push(&f.events, event)
 			continue
 		}
 		f.now = event.at
-		event.happen(f.now)
-		if !event.outside {
+		event.apply(f.now)
+		if !event.external {
 			f.core.ProcessDue(f.now)
 		}
 	}
 	f.now = until
 }
 
-// watch has the registry's watch answered every second from now on, until the outage.
-func (f *outageFleet) watch() {
+// renewWatch renews the lease of the registry watch now and every second until the outage starts.
+func (f *outageFleet) renewWatch() {
 	if f.outageAt == 0 || f.now < f.outageAt {
-		f.core.SetWatchLease(f.now, f.now+deliveryBound)
-		f.schedule(f.now+time.Second, func(time.Duration) { f.watch() })
+		f.core.SetWatchLease(f.now, f.now+watchLeaseDuration)
+		f.schedule(f.now+time.Second, func(time.Duration) { f.renewWatch() })
 	}
 }
 
-// traffic submits requests of some functions at a rate, until a time.
-func (f *outageFleet) traffic(random *rand.Rand, rate float64, functions int, until time.Duration) {
+// generateTraffic submits requests for random functions until the given time, with exponentially distributed intervals
+// at a mean rate per second.
+func (f *outageFleet) generateTraffic(random *rand.Rand, rate float64, functions int, until time.Duration) {
 	next := f.now + time.Duration(random.ExpFloat64()/rate*float64(time.Second))
 	if next >= until {
 		return
@@ -140,21 +144,22 @@
 		if err := f.core.Submit(now, request); err != nil {
 			f.t.Error(err)
 		}
-		f.traffic(random, rate, functions, until)
+		f.generateTraffic(random, rate, functions, until)
 	})
 }
 
-// checkNewWork notes new work that leaves for a worker too long after its drain counts as notified.
+// checkNewWork counts new work that is sent to a worker more than the drain grace after the gateway is considered
+// notified of its drain, and fails the test if new work is sent after its sendBy time.
 func (f *outageFleet) checkNewWork(worker string, sendBy time.Duration) {
 	if sendBy != 0 && f.now >= sendBy {
-		f.t.Errorf("%v: work for %s may leave until %v only", f.now-time.Hour, worker, sendBy-time.Hour)
+		f.t.Errorf("%v: new work sent to %s, which is allowed only before %v", f.now-time.Hour, worker, sendBy-time.Hour)
 	}
 	drainedAt := f.workers[worker].drainedAt
 	if drainedAt == 0 || f.outageAt == 0 || drainedAt < f.outageAt {
 		return
 	}
-	if f.now > max(drainedAt, f.outageAt+deliveryBound)+outageGrace {
-		f.late++
+	if f.now > max(drainedAt, f.outageAt+watchLeaseDuration)+drainGrace {
+		f.sentAfterGrace++
 	}
 }
 
@@ -178,12 +183,12 @@
 	})
 }
 
-// rejectsAt reports whether a worker rejects new work.
+// rejectsAt reports whether the worker rejects new work at the given time.
 func (w *fleetWorker) rejectsAt(at time.Duration) bool {
-	return w.rejects || w.drainedAt != 0 && at >= w.drainedAt
+	return w.full || w.drainedAt != 0 && at >= w.drainedAt
 }
 
-// load loads a function, unless it is loaded, and returns when it is.
+// load starts loading a replica of the function unless there is one, and returns the time at which it is ready.
 func (w *fleetWorker) load(function uint64, now time.Duration) time.Duration {
 	if w.replicas[function] == 0 {
 		w.replicas[function] = now + loadTime
@@ -199,7 +204,7 @@
 		result = scheduler.Unreachable
 	case load.Purpose == scheduler.QueryReplicas:
 		f.queries++
-		if w.drainedAt == 0 || arrival < w.drainedAt || f.answersQueries {
+		if w.drainedAt == 0 || arrival < w.drainedAt || f.drainingAnswerQueries {
 			result = scheduler.Completed
 			if ready := w.replicas[load.Function]; ready != 0 && ready <= arrival {
 				load.Replicas = 1
@@ -210,8 +215,8 @@
 			f.verifications++
 		}
 		f.checkNewWork(load.Worker, load.SendBy)
-		drains := w.drainedAt != 0 && arrival >= w.drainedAt
-		if standing := w.replicas[load.Function] != 0; !drains && (standing || !w.rejects) {
+		draining := w.drainedAt != 0 && arrival >= w.drainedAt
+		if loaded := w.replicas[load.Function] != 0; !draining && (loaded || !w.full) {
 			result = scheduler.Completed
 			duration += max(0, w.load(load.Function, arrival)-arrival)
 		}
@@ -231,15 +236,16 @@
 	f.schedule(f.now+after, func(now time.Duration) { f.core.TimerFired(now) })
 }
 
-// drain has a worker drain at a time.
+// drain schedules the worker to start draining at the given time.
 func (f *outageFleet) drain(worker string, at time.Duration) {
 	f.scheduled++
-	heap.Push(&f.events, fleetEvent{at: at, number: f.scheduled, outside: true, happen: func(now time.Duration) {
+	heap.Push(&f.events, fleetEvent{at: at, sequence: f.scheduled, external: true, apply: func(now time.Duration) {
 		f.workers[worker].drainedAt = now
 	}})
 }
 
-// servedShare is the part of the requests since a count that completed.
+// servedShare returns the share of completed requests since the counters f.requests and f.completed had the given
+// values.
 func (f *outageFleet) servedShare(requests, completed int) float64 {
 	return float64(f.completed-completed) / float64(max(1, f.requests-requests))
 }
