--- a/scheduler/internal/fleetindex/compare_test.go
+++ b/scheduler/internal/fleetindex/compare_test.go
@@ -11,11 +11,11 @@
 	"lupinpond/scheduler/internal/fleetindex"
 )
 
-// placement gives the first worker of a function among the workers of one size that it was made from.
+// placement returns the worker that a function is placed on, among workers of equal weight.
 type placement func(function uint64) int
 
-// placements are the candidates for the order that all gateways share. Each makes a placement of the workers whose
-// numbers it is given.
+// placements lists the candidate algorithms for the order of workers that all gateways share. make returns a placement
+// on the workers with the given numbers.
 var placements = []struct {
 	name string
 	make func(workers []int) placement
@@ -29,31 +29,34 @@
 	{"probes-64", func(workers []int) placement { return probes(workers, 64) }},
 }
 
-func hashOf(worker int) uint64 { return random.Hash(fmt.Sprint("worker-", worker)) }
+// hashWorker returns the hash of a worker's name.
+func hashWorker(worker int) uint64 { return random.Hash(fmt.Sprint("worker-", worker)) }
 
-// rendezvous scores every worker.
+// rendezvous implements rendezvous hashing, which scores every worker for each function.
 func rendezvous(workers []int) placement {
 	hashes := make([]uint64, len(workers))
 	for i, worker := range workers {
-		hashes[i] = hashOf(worker)
+		hashes[i] = hashWorker(worker)
 	}
 	return func(function uint64) int {
-		best, most, salt := 0, uint64(0), random.Mix(function)
+		best, bestScore, salt := 0, uint64(0), random.Mix(function)
 		for i, hash := range hashes {
-			if score := random.Mix(hash ^ salt); score > most {
-				best, most = i, score
+			if score := random.Mix(hash ^ salt); score > bestScore {
+				best, bestScore = i, score
 			}
 		}
 		return workers[best]
 	}
 }
 
+// point is a position of a worker on a hash ring.
 type point struct {
 	at     uint64
 	worker int
 }
 
-func sorted(points []point) []point {
+// sortByPosition sorts points in place and returns them.
+func sortByPosition(points []point) []point {
 	slices.SortFunc(points, func(a, b point) int {
 		if a.at < b.at {
 			return -1
@@ -63,29 +66,31 @@
 	return points
 }
 
-func after(points []point, at uint64) int {
+// firstFrom returns the index of the first of the sorted points at or after a position, wrapping around.
+func firstFrom(points []point, at uint64) int {
 	return sort.Search(len(points), func(i int) bool { return points[i].at >= at }) % len(points)
 }
 
-// virtualNodes is a ring on which every worker has several points.
-func virtualNodes(workers []int, each int) placement {
+// virtualNodes implements consistent hashing on a ring on which every worker has several points.
+func virtualNodes(workers []int, pointsPerWorker int) placement {
 	var points []point
 	for _, worker := range workers {
-		at := hashOf(worker)
-		for range each {
+		at := hashWorker(worker)
+		for range pointsPerWorker {
 			at = random.Mix(at + 1)
 			points = append(points, point{at, worker})
 		}
 	}
-	sorted(points)
-	return func(function uint64) int { return points[after(points, random.Mix(function))].worker }
+	sortByPosition(points)
+	return func(function uint64) int { return points[firstFrom(points, random.Mix(function))].worker }
 }
 
-// hierarchical is rendezvous hashing among 256 groups by their numbers of workers, then within one.
+// hierarchical implements rendezvous hashing in two levels: first among 256 groups, weighted by their numbers of
+// workers, then among the workers of the chosen group.
 func hierarchical(workers []int) placement {
 	groups := map[uint64][]int{}
 	for _, worker := range workers {
-		group := hashOf(worker) >> 56
+		group := hashWorker(worker) >> 56
 		groups[group] = append(groups[group], worker)
 	}
 	within := map[uint64]placement{}
@@ -93,12 +98,12 @@
 		within[group] = rendezvous(members)
 	}
 	return func(function uint64) int {
-		best, least, salt := uint64(0), math.Inf(1), random.Mix(function)
+		best, bestScore, salt := uint64(0), math.Inf(1), random.Mix(function)
 		for group := range uint64(256) {
 			if size := len(groups[group]); size > 0 {
-				drawn := random.Mix(random.Mix(group+1) ^ salt)
-				if score := -math.Log1p(-float64(drawn>>11)/(1<<53)) / float64(size); score < least {
-					best, least = group, score
+				hash := random.Mix(random.Mix(group+1) ^ salt)
+				if score := -math.Log1p(-float64(hash>>11)/(1<<53)) / float64(size); score < bestScore {
+					best, bestScore = group, score
 				}
 			}
 		}
@@ -106,31 +111,32 @@
 	}
 }
 
-// boundedScan is rendezvous hashing among the next few workers of a ring with one point each.
+// boundedScan implements rendezvous hashing among the window workers that follow the function's position on a ring with
+// one point per worker.
 func boundedScan(workers []int, window int) placement {
 	var points []point
 	for _, worker := range workers {
-		points = append(points, point{hashOf(worker), worker})
+		points = append(points, point{hashWorker(worker), worker})
 	}
-	sorted(points)
+	sortByPosition(points)
 	return func(function uint64) int {
-		best, most, salt := 0, uint64(0), random.Mix(function)
-		from := after(points, salt)
+		best, bestScore, salt := 0, uint64(0), random.Mix(function)
+		from := firstFrom(points, salt)
 		for i := range min(window, len(points)) {
 			p := points[(from+i)%len(points)]
-			if score := random.Mix(p.at ^ salt); score >= most {
-				best, most = p.worker, score
+			if score := random.Mix(p.at ^ salt); score >= bestScore {
+				best, bestScore = p.worker, score
 			}
 		}
 		return best
 	}
 }
 
-// probes is multi-probe consistent hashing on the project's own ring.
-func probes(workers []int, number int) placement {
-	ring, starts := &fleetindex.Ring[int]{}, make([]uint64, number)
+// probes implements multi-probe consistent hashing on a fleetindex.Ring.
+func probes(workers []int, probeCount int) placement {
+	ring, starts := &fleetindex.Ring[int]{}, make([]uint64, probeCount)
 	for _, worker := range workers {
-		ring.Add(worker, hashOf(worker))
+		ring.Add(worker, hashWorker(worker))
 	}
 	return func(function uint64) int {
 		at := random.Mix(function)
@@ -144,29 +150,32 @@
 	}
 }
 
-// BenchmarkPlacements compares the placements: time of one, how evenly functions spread over workers of one size (the
-// busiest worker over the mean, and the standard deviation less what chance alone gives), and how many functions move
-// when one worker in a hundred is removed, over those that were at these workers.
+// BenchmarkPlacements compares the placement algorithms by
+//   - the time per placement,
+//   - the distribution of functions over workers of equal weight: the count at the busiest worker divided by the mean,
+//     and the relative standard deviation of the counts, less the variance expected from random placement,
+//   - the number of functions that move when one worker in a hundred is removed, divided by the number of functions
+//     that were placed on the removed workers.
 func BenchmarkPlacements(b *testing.B) {
 	for _, size := range []int{120, 400, 4000, 43000} {
 		for _, p := range placements {
 			b.Run(fmt.Sprintf("%s/workers=%d", p.name, size), func(b *testing.B) {
-				workers, staying := make([]int, size), []int{}
+				workers, remaining := make([]int, size), []int{}
 				for i := range workers {
 					if workers[i] = i; i%100 > 0 {
-						staying = append(staying, i)
+						remaining = append(remaining, i)
 					}
 				}
-				place, fewer := p.make(workers), p.make(staying)
+				place, placeRemaining := p.make(workers), p.make(remaining)
 				function := uint64(0)
 				for b.Loop() {
 					place(function)
 					function++
 				}
-				if size > 4000 { // 860,000 functions by 43,000 workers would take minutes
+				if size > 4000 { // placing 860,000 functions on 43,000 workers would take minutes
 					return
 				}
-				s := spreadOf(size, place, fewer)
+				s := spreadOf(size, place, placeRemaining)
 				b.ReportMetric(s.busiest, "busiest/mean")
 				b.ReportMetric(s.deviation, "deviation")
 				b.ReportMetric(s.moved, "moved/own")
@@ -175,26 +184,27 @@
 	}
 }
 
-// spread is how evenly functions lie, and how many move.
+// spread is the measured distribution of functions, and the share that moves when workers are removed.
 type spread struct{ busiest, deviation, moved float64 }
 
-// spreadOf places 20 functions a worker, also without each hundredth worker.
-func spreadOf(size int, place, fewer placement) (s spread) {
-	number := 20 * size
-	counts, moved, own := make([]float64, size), 0.0, 0.0
-	for function := range uint64(number) {
+// spreadOf places 20 functions per worker on all workers with place, and on all but each hundredth worker with
+// placeRemaining.
+func spreadOf(size int, place, placeRemaining placement) (s spread) {
+	functions := 20 * size
+	counts, moved, fromRemoved := make([]float64, size), 0.0, 0.0
+	for function := range uint64(functions) {
 		before := place(function)
 		counts[before]++
 		if before%100 == 0 {
-			own++
+			fromRemoved++
 		}
-		if fewer(function) != before {
+		if placeRemaining(function) != before {
 			moved++
 		}
 	}
-	mean, sum := float64(number)/float64(size), 0.0
+	mean, sum := float64(functions)/float64(size), 0.0
 	for _, n := range counts {
 		sum += (n/mean - 1) * (n/mean - 1)
 	}
-	return spread{slices.Max(counts) / mean, math.Sqrt(max(0, sum/float64(size)-1/mean)), moved / own}
+	return spread{slices.Max(counts) / mean, math.Sqrt(max(0, sum/float64(size)-1/mean)), moved / fromRemoved}
 }
--- a/scheduler/internal/fleetindex/deadlines.go
+++ b/scheduler/internal/fleetindex/deadlines.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// Deadline is a member's place among Deadlines. The zero value, with its Member set, is in none.
+// Deadline is a member's entry in Deadlines. An entry with only Member set is in no Deadlines.
 type Deadline[M any] struct {
 	Member       M
 	at           time.Duration
-	heapPosition int // counted from 1; 0: not in the heap
+	heapPosition int // index in the heap plus 1; 0 if not in the heap
 }
 
-// Deadlines holds members by the time at which something of them changes. The zero value is empty.
+// Deadlines is a priority queue of members ordered by the time at which each member's state changes next. The
+// zero value is empty.
 type Deadlines[M any] struct{ heap deadlineHeap[M] }
 
-// Set adds a member with a deadline, or moves its deadline.
+// Set adds a member with a deadline, or changes the deadline of a member that is present.
 func (d *Deadlines[M]) Set(deadline *Deadline[M], at time.Duration) {
 	switch {
 	case deadline.heapPosition == 0:
@@ -27,14 +28,14 @@
 	}
 }
 
-// Clear removes a member, if it is in.
+// Clear removes a member if it is present.
 func (d *Deadlines[M]) Clear(deadline *Deadline[M]) {
 	if deadline.heapPosition > 0 {
 		heap.Remove(&d.heap, deadline.heapPosition-1)
 	}
 }
 
-// PopExpired removes and gives the member with the earliest deadline, if that has expired.
+// PopExpired removes and returns the member with the earliest deadline if that deadline has expired.
 func (d *Deadlines[M]) PopExpired(now time.Duration) (member M, found bool) {
 	if len(d.heap) == 0 || d.heap[0].at > now {
 		return member, false
@@ -42,9 +43,10 @@
 	return heap.Pop(&d.heap).(*Deadline[M]).Member, true
 }
 
-// Len is the number of members.
+// Len returns the number of members.
 func (d *Deadlines[M]) Len() int { return len(d.heap) }
 
+// deadlineHeap is a min-heap of entries ordered by time.
 type deadlineHeap[M any] []*Deadline[M]
 
 func (h deadlineHeap[M]) Len() int           { return len(h) }
--- a/scheduler/internal/fleetindex/index_test.go
+++ b/scheduler/internal/fleetindex/index_test.go
@@ -12,13 +12,13 @@
 	"lupinpond/scheduler/internal/fleetindex"
 )
 
-// Through any sequence of additions and removals, a walk visits every member once, in the order of its least distance
-// after a start: the order that scoring every member and sorting them gives.
-func TestWalkIsTheSortedOrder(t *testing.T) {
+// After any sequence of additions and removals, a traversal must visit every member once, in the order that sorting all
+// members by their distance after the nearest start gives.
+func TestWalkVisitsInDistanceOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var ring fleetindex.Ring[int]
 		nodes, points := map[int]*fleetindex.Node[int]{}, map[int]uint64{}
-		drawPoint := rapid.OneOf(rapid.Uint64(), rapid.SampledFrom([]uint64{0, 1, math.MaxUint64, 1 << 63}))
+		pointGenerator := rapid.OneOf(rapid.Uint64(), rapid.SampledFrom([]uint64{0, 1, math.MaxUint64, 1 << 63}))
 		for step := range rapid.IntRange(0, 200).Draw(t, "steps") {
 			if len(nodes) > 0 && rapid.IntRange(0, 2).Draw(t, "remove") == 0 {
 				members := make([]int, 0, len(nodes))
@@ -32,10 +32,10 @@
 				delete(points, member)
 				continue
 			}
-			points[step] = drawPoint.Draw(t, "point")
+			points[step] = pointGenerator.Draw(t, "point")
 			nodes[step] = ring.Add(step, points[step])
 		}
-		starts := rapid.SliceOfN(drawPoint, 1, 8).Draw(t, "starts")
+		starts := rapid.SliceOfN(pointGenerator, 1, 8).Draw(t, "starts")
 		distance := func(member int) uint64 {
 			least := uint64(math.MaxUint64)
 			for _, start := range starts {
@@ -53,19 +53,19 @@
 		for i := range want {
 			member, got, more := ring.Peek()
 			if !more || seen[member] || got != distance(want[i]) || got != distance(member) {
-				t.Fatalf("member %d of the walk: %d at %d, more %v, want %d at %d",
+				t.Fatalf("member at index %d of the traversal: got %d at distance %d, more %v, want %d at distance %d",
 					i, member, got, more, want[i], distance(want[i]))
 			}
 			seen[member] = true
 			ring.Next()
 		}
 		if _, _, more := ring.Peek(); more || ring.Len() != len(want) {
-			t.Fatal("the walk goes on after", ring.Len(), "members")
+			t.Fatal("traversal did not end with the last member, or the ring has the wrong length:", ring.Len(), "members")
 		}
 	})
 }
 
-// Deadlines give what has expired, the earliest first, however often members were moved or removed.
+// After any sequence of sets and removals, PopExpired must return all expired members and only those, earliest first.
 func TestDeadlinesExpireInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var deadlines fleetindex.Deadlines[int]
@@ -82,20 +82,20 @@
 				delete(want, member)
 			case 1:
 				now := time.Duration(rapid.IntRange(0, 50).Draw(t, "now"))
-				for before := time.Duration(0); ; {
+				for previous := time.Duration(0); ; {
 					got, found := deadlines.PopExpired(now)
 					if !found {
 						break
 					}
-					if want[got] < before || want[got] > now {
-						t.Fatalf("%d expired at %v, after one of %v, now %v", got, want[got], before, now)
+					if want[got] < previous || want[got] > now {
+						t.Fatalf("popped %d with deadline %v after one with deadline %v; now is %v", got, want[got], previous, now)
 					}
-					before = want[got]
+					previous = want[got]
 					delete(want, got)
 				}
 				for member, at := range want {
 					if at <= now {
-						t.Fatalf("%d of %v did not expire at %v", member, at, now)
+						t.Fatalf("member %d with deadline %v was not popped at %v", member, at, now)
 					}
 				}
 			default:
@@ -110,7 +110,8 @@
 	})
 }
 
-// A list holds what was added and not removed, each once.
+// After any sequence of additions and removals, a list must contain exactly the members that were added and not
+// removed.
 func TestListContainsItsMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list fleetindex.List[int]
@@ -127,7 +128,7 @@
 			var want []int
 			for member := range slots {
 				if in[member] != slots[member].In() {
-					t.Fatal(member, "in its list:", slots[member].In())
+					t.Fatal(member, "has the wrong presence in its list:", slots[member].In())
 				}
 				if in[member] {
 					want = append(want, member)
--- a/scheduler/internal/fleetindex/list.go
+++ b/scheduler/internal/fleetindex/list.go
@@ -1,26 +1,26 @@
 package fleetindex
 
-// Slot is a member's place in a List. The zero value is in none.
-type Slot struct{ position int } // counted from 1
+// Slot records a member's position in a List. The zero value is in no List.
+type Slot struct{ position int } // index in the List plus 1; 0 if in no List
 
-// In tells whether the member is in its List.
+// In reports whether the member is in its List.
 func (s *Slot) In() bool { return s.position > 0 }
 
-// List holds members in no order of its own: the last one takes the place of one that is removed. The zero
-// value is empty.
+// List is an unordered list of members. Removing a member moves the last one into its position, so additions
+// and removals take constant time. The zero value is empty.
 type List[M any] struct {
 	members []M
 	slots   []*Slot
 }
 
-// Add adds a member at the end; slot is its place from now on.
+// Add appends a member. The List keeps the member's position in slot, which Remove takes.
 func (l *List[M]) Add(member M, slot *Slot) {
 	l.members = append(l.members, member)
 	l.slots = append(l.slots, slot)
 	slot.position = len(l.members)
 }
 
-// Remove removes the member of a slot, if it is in.
+// Remove removes the member of a slot if it is in the List.
 func (l *List[M]) Remove(slot *Slot) {
 	if !slot.In() {
 		return
@@ -34,8 +34,8 @@
 	slot.position = 0
 }
 
-// All gives the members, for reading until the next change.
+// All returns the members. The slice must not be modified and is valid until the next Add or Remove.
 func (l *List[M]) All() []M { return l.members }
 
-// Len is the number of members.
+// Len returns the number of members.
 func (l *List[M]) Len() int { return len(l.members) }
--- a/scheduler/internal/fleetindex/ring.go
+++ b/scheduler/internal/fleetindex/ring.go
@@ -1,36 +1,36 @@
 package fleetindex
 
-// Node is a member's place on a Ring.
+// Node is a member's entry in a Ring.
 type Node[M any] struct {
 	Member   M
 	point    uint64
-	lastWalk uint64 // number of the last walk that visited it
+	lastWalk uint64 // number of the latest traversal that visited it
 }
 
-// Ring holds members at points of a circle of 2^64. Adding, removing and finding the first member after a
-// point take a time that does not grow with the number of members, where their points are spread like random
-// numbers. The zero value is an empty ring. It is not safe for use by several goroutines.
+// Ring holds members at points on a circle of 2^64 positions. If the points are distributed uniformly, as
+// hashes are, then adding a member, removing one and finding the first one after a point take amortized
+// constant time. The zero value is an empty ring. It is not safe for concurrent use.
 type Ring[M any] struct {
-	buckets [][]*Node[M] // equal arcs of the circle, each in the order of its points
-	shift   uint         // a point's bucket is its leading bits
+	buckets [][]*Node[M] // equal arcs of the circle; each is sorted by point
+	shift   uint         // a point is in bucket point >> shift
 	count   int
 
-	// The walk under way.
+	// State of the current traversal.
 	walkNumber      uint64
 	starts          []uint64
-	cursors         []cursor[M]       // one from each start: a heap by distance
-	steps           int               // of all cursors
-	remaining       []nodeDistance[M] // the members not visited, once they are sorted, the nearest first
+	cursors         []cursor[M]       // one per start; a min-heap by distance
+	steps           int               // number of steps of all cursors together
+	remaining       []nodeDistance[M] // unvisited members by distance, if remainingSorted
 	remainingSorted bool
 }
 
-// maxMeanBucketSize is the mean number of members of a bucket at which the buckets are doubled.
+// maxMeanBucketSize is the mean number of members per bucket at which the number of buckets is doubled.
 const maxMeanBucketSize = 2
 
-// Len is the number of members.
+// Len returns the number of members.
 func (r *Ring[M]) Len() int { return r.count }
 
-// Add adds a member at a point, and gives its node for Remove.
+// Add adds a member at a point and returns its node, which Remove takes.
 func (r *Ring[M]) Add(member M, point uint64) *Node[M] {
 	if r.count >= maxMeanBucketSize*len(r.buckets) {
 		r.grow()
@@ -41,7 +41,7 @@
 	return node
 }
 
-// Remove removes a node of this ring.
+// Remove removes a node from the ring.
 func (r *Ring[M]) Remove(node *Node[M]) {
 	bucket := &r.buckets[r.bucketOf(node.point)]
 	for i, other := range *bucket {
@@ -64,12 +64,12 @@
 	}
 }
 
-// grow doubles the buckets.
+// grow doubles the number of buckets and redistributes the members.
 func (r *Ring[M]) grow() {
 	old := r.buckets
 	if len(old) == 0 {
 		r.buckets = make([][]*Node[M], 1)
-		r.shift = 64 // a shift by 64 gives bucket 0
+		r.shift = 64 // a shift by 64 bits maps every point to bucket 0
 		return
 	}
 	r.buckets = make([][]*Node[M], 2*len(old))
--- a/scheduler/internal/fleetindex/walk.go
+++ b/scheduler/internal/fleetindex/walk.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// nodeDistance is a node and its distance.
+// nodeDistance is a node with its distance after the nearest start.
 type nodeDistance[M any] struct {
 	node     *Node[M]
 	distance uint64
 }
 
-// cursor goes around the ring from one start.
+// cursor traverses the ring from one start.
 type cursor[M any] struct {
-	distance uint64 // of node from the start, along the circle
+	distance uint64 // distance of node after start, along the circle
 	node     *Node[M]
 	start    uint64
-	bucket   int
-	index    int // in the bucket, of node
+	bucket   int // index of the bucket of node
+	index    int // index of node in its bucket
 }
 
-// Walk starts a walk that visits every member once, in the order of its least distance after any of the
-// starts. It ends the walk before; members must not be added or removed during one. A walk costs what it
-// visits; a long one sorts what is left.
+// Walk starts a traversal that visits every member once, ordered by distance after the nearest of the starts.
+// It ends any previous traversal. Members must not be added or removed during a traversal. The cost grows
+// with the number of members visited; a long traversal sorts the remaining members once (see advance).
 func (r *Ring[M]) Walk(starts []uint64) {
 	r.walkNumber++
 	r.starts = append(r.starts[:0], starts...)
@@ -46,7 +46,7 @@
 	}
 }
 
-// skipEmptyBuckets moves a cursor that has run off the end of its bucket to the next member.
+// skipEmptyBuckets moves a cursor that is past the end of its bucket to the next member on the circle.
 func (r *Ring[M]) skipEmptyBuckets(c *cursor[M]) {
 	for c.index >= len(r.buckets[c.bucket]) {
 		c.bucket++
@@ -56,10 +56,11 @@
 		}
 	}
 	c.node = r.buckets[c.bucket][c.index]
-	c.distance = c.node.point - c.start // along the circle, also past its end
+	c.distance = c.node.point - c.start // unsigned subtraction wraps around at the end of the circle
 }
 
-// Peek gives the member that the walk visits next, and its distance; more is false when it has visited all.
+// Peek returns the member that the traversal visits next and its distance; more is false if all members have
+// been visited.
 func (r *Ring[M]) Peek() (member M, distance uint64, more bool) {
 	for !r.remainingSorted && len(r.cursors) > 0 {
 		if next := &r.cursors[0]; next.node.lastWalk != r.walkNumber {
@@ -73,7 +74,7 @@
 	return r.remaining[0].node.Member, r.remaining[0].distance, true
 }
 
-// Next moves to the member after the one that Peek gives.
+// Next advances past the member that Peek returns.
 func (r *Ring[M]) Next() {
 	switch {
 	case r.remainingSorted && len(r.remaining) > 0:
@@ -84,8 +85,9 @@
 	}
 }
 
-// advance moves the first cursor by one member. Once the cursors have made half as many steps as there are
-// members, most of those that they meet have been visited: then it is cheaper to sort the others.
+// advance moves the nearest cursor to its next member. Once the cursors have made more than half as many
+// steps as there are members, most of the members that they reach have been visited already, and sorting the
+// unvisited ones is cheaper.
 func (r *Ring[M]) advance() {
 	r.steps++
 	if 2*r.steps > r.count {
@@ -98,7 +100,7 @@
 	r.siftDown(0)
 }
 
-// sortRemaining sorts what the walk has not visited.
+// sortRemaining collects the unvisited members and sorts them by distance.
 func (r *Ring[M]) sortRemaining() {
 	r.remainingSorted = true
 	for _, bucket := range r.buckets {
@@ -116,7 +118,7 @@
 	slices.SortFunc(r.remaining, func(a, b nodeDistance[M]) int { return cmp.Compare(a.distance, b.distance) })
 }
 
-// siftDown restores the heap of cursors below i.
+// siftDown restores the heap order of the cursors from index i down.
 func (r *Ring[M]) siftDown(i int) {
 	for {
 		least := i
