--- a/internal/gateway/invariant/invariant.go
+++ b/internal/gateway/invariant/invariant.go
@@ -1,5 +1,6 @@
-// Package invariant counts violations of what a gateway must never do, whatever its guards let through. A guard keeps a
-// rule; the check beside it looks at what has happened and knows nothing of the guard.
+// Package invariant counts violations of the gateway's invariants. Guards in the gateway prevent violations. The checks
+// that report to this package are independent of the guards and look only at what the gateway actually did, so that
+// they detect a faulty guard.
 package invariant
 
 import (
@@ -7,44 +8,45 @@
 	"sync/atomic"
 )
 
-// maxLoggedPerKind is how many violations of a kind are logged; the rest are only counted.
+// maxLoggedPerKind is the maximum number of violations of each kind that are logged; further ones are only counted.
 const maxLoggedPerKind = 100
 
-// Kind is one invariant, named for its violation.
+// Kind identifies an invariant by the way in which it is violated.
 type Kind int
 
-// The invariants, by the operation that they are about.
+// The kinds of violations, grouped by operation.
 const (
 	// Sending an attempt to a worker.
 
-	AttemptAfterClientLeft    Kind = iota // its client disconnected or cancelled too long ago
-	AttemptAfterDeadline                  // its client's deadline is past
-	DeadlineOverstated                    // the worker was told more time than the client has left
-	AttemptToDrainedWorker                // the worker was stopped longer ago than the drain grace
-	AttemptToOtherIncarnation             // the worker at this address is not the incarnation that was chosen
+	AttemptAfterClientLeft    Kind = iota // sent too long after the client disconnected or cancelled
+	AttemptAfterDeadline                  // sent after the client's deadline
+	DeadlineOverstated                    // the attempt states more time than the client has left
+	AttemptToDrainedWorker                // sent more than the drain grace after the worker was stopped
+	AttemptToOtherIncarnation             // sent to another incarnation at the address of the chosen worker
 
 	// Retrying a request.
 
-	AttemptInParallel  // another attempt of it has no outcome yet
-	RetryOfAtMostOnce  // it may have run, and must not run again
-	RetryOutsideWindow // it may have run so long ago that workers do not recognize the duplicate
+	AttemptInParallel  // sent while another attempt of the request has no outcome yet
+	RetryOfAtMostOnce  // retried although the request may have run and must not run twice
+	RetryOutsideWindow // retried after the period in which workers recognize duplicates of the request
 
 	// Closing a connection and answering a client.
 
-	ClosedUnanswered    // this side closed the connection of a request without an answer
-	ClosedBeforeWritten // this side closed the connection before the answer was completely written
+	ClosedUnanswered    // the gateway closed the connection of a request without answering it
+	ClosedBeforeWritten // the gateway closed the connection before the answer was written completely
 	AnsweredTwice
-	AnsweredLate  // more than half a second after the client's deadline
-	NeverAnswered // forgotten while its client waits
+	AnsweredLate  // answered more than half a second after the client's deadline
+	NeverAnswered // dropped without an answer while the client waits
 
 	// Loading replicas.
 
-	LoadOverLimit       // more load requests than the settings allow
-	LoadOnDrainedWorker // the worker was stopped longer ago than the drain grace
+	LoadOverLimit       // more load requests sent than the settings allow
+	LoadOnDrainedWorker // sent more than the drain grace after the worker was stopped
 
 	kindCount
 )
 
+// kindNames holds the names of the kinds in logs and metrics.
 var kindNames = [kindCount]string{
 	AttemptAfterClientLeft:    "attempt_after_client_left",
 	AttemptAfterDeadline:      "attempt_past_deadline",
@@ -66,7 +68,7 @@
 // String returns the kind's name in logs and metrics.
 func (k Kind) String() string { return kindNames[k] }
 
-// Monitor counts violations by kind and logs them. A nil Monitor counts nothing. It is safe for concurrent use.
+// Monitor counts violations by kind and logs them. A nil *Monitor discards violations. It is safe for concurrent use.
 type Monitor struct {
 	log    *slog.Logger
 	counts [kindCount]atomic.Int64
@@ -75,7 +77,7 @@
 // NewMonitor creates a Monitor that logs to log.
 func NewMonitor(log *slog.Logger) *Monitor { return &Monitor{log: log} }
 
-// Violated counts a violation and logs it with the request's id and attributes of its state.
+// Violated counts a violation and logs it with the request's ID and the given slog attributes.
 func (m *Monitor) Violated(kind Kind, request string, attributes ...any) {
 	if m == nil {
 		return
@@ -85,7 +87,7 @@
 	}
 }
 
-// Counts returns the number of violations of each kind that had any, by name.
+// Counts returns the numbers of violations by name of the kind. Kinds without violations are left out.
 func (m *Monitor) Counts() map[string]int64 {
 	counts := map[string]int64{}
 	for kind := range kindCount {
@@ -96,7 +98,7 @@
 	return counts
 }
 
-// Total returns the number of all violations.
+// Total returns the number of violations of all kinds together.
 func (m *Monitor) Total() (total int64) {
 	for kind := range kindCount {
 		total += m.counts[kind].Load()
--- a/internal/gateway/replay/action.go
+++ b/internal/gateway/replay/action.go
@@ -8,7 +8,7 @@
 	"lupinpond/scheduler"
 )
 
-// The verbs of actions, as recordings hold them.
+// The verbs that identify actions in recordings. They are part of the stored format and must not change.
 const (
 	verbSend        = "launch"
 	verbComplete    = "handle"
@@ -22,7 +22,8 @@
 	verbClosed      = "ended"
 )
 
-// Action is one action of a core. Fields that the action does not have are zero.
+// Action is one call of a core.Actor method in the form stored in recordings. Fields that its verb does not use are
+// zero.
 type Action struct {
 	Verb        string                `cbor:"1,keyasint"`
 	ID          string                `cbor:"2,keyasint,omitempty"`
@@ -34,7 +35,7 @@
 	CloseReason core.CloseReason      `cbor:"8,keyasint,omitempty"`
 }
 
-// String is the action as a replay shows it.
+// String returns the action in the form in which replay tools and errors show it.
 func (a Action) String() string {
 	switch a.Verb {
 	case verbSend, verbCancel:
@@ -52,12 +53,13 @@
 	return fmt.Sprintf("%s %s%s", a.Verb, a.ID, a.Worker)
 }
 
-// recordingActor has the actions of a core recorded, and passes them to the actor behind it, if there is one.
+// recordingActor is a core.Actor that records each action and passes it on to another actor, if there is one.
 type recordingActor struct {
 	record func(Action)
-	actor  core.Actor // nil: none
+	actor  core.Actor // may be nil
 }
 
+// perform records an action and calls pass with the other actor, if there is one.
 func (r recordingActor) perform(action Action, pass func(core.Actor)) {
 	r.record(action)
 	if r.actor != nil {
--- a/internal/gateway/replay/compat_test.go
+++ b/internal/gateway/replay/compat_test.go
@@ -14,37 +14,41 @@
 	"lupinpond/internal/gateway/replay"
 )
 
-// A recording that an earlier version made replays without a difference, and it holds every kind of action and fact that
-// is counted here.
+// Changes of the program must not make recordings of earlier versions unreadable: the stored recording, made by an
+// earlier version, must replay without a difference and contain the expected number of each action and operation.
 func TestStoredRecordingReplays(t *testing.T) {
 	stored, err := os.ReadFile("testdata/stored/core.cbor")
 	if err != nil {
 		t.Fatal(err)
 	}
 	verbs, ops := map[string]int{}, map[core.Op]int{}
-	told, err := replay.Replay(bytes.NewReader(stored), func(fact *core.Input, action *replay.Action) {
-		if fact != nil {
-			ops[fact.Op]++
+	summary, err := replay.Replay(bytes.NewReader(stored), func(input *core.Input, action *replay.Action) {
+		if input != nil {
+			ops[input.Op]++
 		}
 		if action != nil {
 			verbs[action.Verb]++
 		}
 	})
-	if err != nil || told.Truncated || told.Inputs != 346 || told.Actions != 133 {
-		t.Errorf("got %d facts, %d actions, torn %v, error %v; want 346, 133, false, none", told.Inputs, told.Actions, told.Truncated, err)
+	if err != nil || summary.Truncated || summary.Inputs != 346 || summary.Actions != 133 {
+		t.Errorf("got %d inputs, %d actions, truncated %v, error %v; want 346, 133, false, none",
+			summary.Inputs, summary.Actions, summary.Truncated, err)
 	}
-	if want := map[string]int{"ask": 2, "dead-letter": 5, "defer": 5, "ended": 30, "handle": 18, "launch": 40, "order": 15, "wake": 18}; !maps.Equal(verbs, want) {
+	if want := map[string]int{"ask": 2, "dead-letter": 5, "defer": 5, "ended": 30, "handle": 18, "launch": 40,
+		"order": 15, "wake": 18}; !maps.Equal(verbs, want) {
 		t.Errorf("actions: got %v, want %v", verbs, want)
 	}
-	// by the numbers of the file: listed, list failed, came, outcome, left, loaded, woke, settle, end by
+	// Op numbers as stored: UpdateMembership, WatchFailed, Submit, CompleteAttempt, ClientDisconnected, LoadCompleted,
+	// TimerFired, ProcessDue, ShutdownBy.
 	if want := map[core.Op]int{1: 2, 2: 1, 3: 30, 4: 36, 5: 2, 7: 13, 8: 70, 9: 191, 10: 1}; !maps.Equal(ops, want) {
-		t.Errorf("facts: got %v, want %v", ops, want)
+		t.Errorf("operations: got %v, want %v", ops, want)
 	}
 }
 
-// A replay of the stored recording fails when any one of its actions differs from the recorded one or is missing. The
-// recording is changed by the numbers of its fields, whatever they are called in the program: action is 2, launch is 3.
-func TestStoredRecordingWithADifferentActionFails(t *testing.T) {
+// A replay that overlooked a different or missing action would hide a change of behaviour: changing or removing any
+// action of the stored recording must make its replay diverge. The test edits the recording by its stored field
+// numbers, so that it does not depend on Go names: field 2 of an item is its action, field 3 of an action the attempt.
+func TestChangedStoredRecordingDiverges(t *testing.T) {
 	stored, err := os.ReadFile("testdata/stored/core.cbor")
 	if err != nil {
 		t.Fatal(err)
@@ -59,17 +63,17 @@
 		}
 		items = append(items, raw)
 	}
-	replay := func(what string, i int, instead []byte) {
+	expectDivergence := func(change string, replacedIndex int, replacement []byte) {
 		t.Helper()
 		var changed []byte
 		for j, raw := range items {
-			if j == i {
-				raw = instead
+			if j == replacedIndex {
+				raw = replacement
 			}
 			changed = append(changed, raw...)
 		}
 		if _, err := replay.Replay(bytes.NewReader(changed), nil); !errors.Is(err, replay.ErrDivergence) {
-			t.Errorf("item %d %s: got error %v, want %v", i, what, err, replay.ErrDivergence)
+			t.Errorf("item %d %s: got error %v, want %v", replacedIndex, change, err, replay.ErrDivergence)
 		}
 	}
 	actions := 0
@@ -91,8 +95,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		replay("changed", i+1, changed)
-		replay("left out", i+1, nil)
+		expectDivergence("changed", i+1, changed)
+		expectDivergence("left out", i+1, nil)
 	}
 	if actions != 133 {
 		t.Errorf("got %d actions, want 133", actions)
--- a/internal/gateway/replay/recorder.go
+++ b/internal/gateway/replay/recorder.go
@@ -8,6 +8,7 @@
 	"lupinpond/internal/gateway/core"
 )
 
+// Values of the header's Magic and Version.
 const (
 	magic   = "lupinpond core recording"
 	version = 1
@@ -20,19 +21,19 @@
 	Settings core.Settings `cbor:"3,keyasint"`
 }
 
-// item is each further item of a recording: an input or an action.
+// item is one of the items after the header. It holds either an input or an action.
 type item struct {
 	Input  *core.Input `cbor:"1,keyasint,omitempty"`
 	Action *Action     `cbor:"2,keyasint,omitempty"`
 }
 
-// Recorder writes a recording. The first write error ends it, while the core goes on.
+// Recorder writes a recording. After the first write error it records nothing more; the core keeps working.
 type Recorder struct {
 	encoder *cbor.Encoder
 	err     error
 }
 
-// Start starts a core that acts through actor, if that is not nil, and is recorded to out.
+// Start returns a new core that acts through actor and is recorded to out. If actor is nil, actions are only recorded.
 func Start(settings core.Settings, actor core.Actor, out io.Writer) (*core.Core, *Recorder) {
 	r := &Recorder{encoder: cbor.NewEncoder(out)}
 	r.write(header{Magic: magic, Version: version, Settings: settings})
@@ -50,5 +51,5 @@
 	}
 }
 
-// Err is the first write error.
+// Err returns the first write error.
 func (r *Recorder) Err() error { return r.err }
--- a/internal/gateway/replay/replay.go
+++ b/internal/gateway/replay/replay.go
@@ -10,53 +10,55 @@
 	"lupinpond/internal/gateway/core"
 )
 
-// Bounds of the items of a recording.
+// Limits on the CBOR items that are decoded from a recording.
 const (
 	maxArrayElements = 1 << 17
 	maxMapPairs      = 1 << 12
 	maxNestedLevels  = 16
 )
 
-// Summary is what a recording holds.
+// Summary describes a replayed recording: its settings and the numbers of inputs and actions replayed.
 type Summary struct {
 	Settings  core.Settings
 	Inputs    int
 	Actions   int
-	Truncated bool // it ends inside an item, as after a kill
+	Truncated bool // the recording ends inside an item, as after a kill of the process
 }
 
-// ErrDivergence reports that a replay acts otherwise than the recording. A DivergenceError says where.
+// ErrDivergence reports that the actions of a replay differ from those in the recording. The error returned is a
+// DivergenceError, which says where.
 var ErrDivergence = errors.New("replay diverges from the recording")
 
-// DivergenceError is the first action in which a replay and its recording differ.
+// DivergenceError reports the first action in which a replay differs from the recording.
 type DivergenceError struct {
-	Item     int     // of the recording, counted from 1, the header not counted
-	Recorded *Action // nil: the action is missing in the recording
-	Replayed *Action // nil: the replay does not act
+	Item     int     // number of the item in the recording, from 1, without the header
+	Recorded *Action // recorded action; nil if it is missing
+	Replayed *Action // action of the replay; nil if there is none
 }
 
 func (e *DivergenceError) Error() string {
 	switch {
 	case e.Recorded == nil:
-		return fmt.Sprintf("item %d: %v: %v is not recorded", e.Item, ErrDivergence, e.Replayed)
+		return fmt.Sprintf("item %d: %v: replayed %v, recorded nothing", e.Item, ErrDivergence, e.Replayed)
 	case e.Replayed == nil:
 		return fmt.Sprintf("item %d: %v: recorded %v, replayed nothing", e.Item, ErrDivergence, e.Recorded)
 	}
 	return fmt.Sprintf("item %d: %v: recorded %v, replayed %v", e.Item, ErrDivergence, e.Recorded, e.Replayed)
 }
 
-// Unwrap makes a DivergenceError an ErrDivergence.
+// Unwrap returns ErrDivergence.
 func (e *DivergenceError) Unwrap() error { return ErrDivergence }
 
-// Replay applies the inputs of a recording to a new core and compares each action with the recorded one. show, if not
-// nil, sees every input and the actions that follow it. Errors name the item, counted from 1, the header not counted.
+// Replay applies the inputs of a recording to a new core and compares each action of the core with the recorded one. If
+// show is not nil, it is called with each input and each action, the other argument being nil. Errors name the item by
+// its number, counted from 1 without the header.
 func Replay(in io.Reader, show func(*core.Input, *Action)) (Summary, error) {
 	decoder, settings, err := open(in)
 	if err != nil {
 		return Summary{}, err
 	}
 	p := &player{summary: Summary{Settings: settings}}
-	p.core = core.New(settings, recordingActor{record: func(action Action) { p.due = append(p.due, action) }})
+	p.core = core.New(settings, recordingActor{record: func(action Action) { p.unmatched = append(p.unmatched, action) }})
 	for {
 		p.item++
 		var next item
@@ -80,7 +82,7 @@
 	}
 }
 
-// open reads the header of a recording.
+// open checks the header of a recording and returns a decoder for the items after it and the recorded settings.
 func open(in io.Reader) (*cbor.Decoder, core.Settings, error) {
 	mode, err := cbor.DecOptions{
 		MaxArrayElements: maxArrayElements,
@@ -104,14 +106,15 @@
 	return decoder, h.Settings, nil
 }
 
-// player plays the items of a recording.
+// player replays the items of a recording.
 type player struct {
-	core    *core.Core
-	item    int
-	due     []Action // of the core, since the last input, that the recording has yet to hold
-	summary Summary
+	core      *core.Core
+	item      int      // number of the current item, from 1
+	unmatched []Action // actions since the last input not yet compared with recorded ones
+	summary   Summary
 }
 
+// play applies an input, or compares a recorded action with the core's.
 func (p *player) play(next item) error {
 	switch {
 	case next.Input != nil && next.Action == nil:
@@ -124,23 +127,23 @@
 		}
 	case next.Action != nil && next.Input == nil:
 		p.summary.Actions++
-		if len(p.due) == 0 {
+		if len(p.unmatched) == 0 {
 			return &DivergenceError{Item: p.item, Recorded: next.Action}
 		}
-		if p.due[0] != *next.Action {
-			return &DivergenceError{Item: p.item, Recorded: next.Action, Replayed: &p.due[0]}
+		if p.unmatched[0] != *next.Action {
+			return &DivergenceError{Item: p.item, Recorded: next.Action, Replayed: &p.unmatched[0]}
 		}
-		p.due = p.due[1:]
+		p.unmatched = p.unmatched[1:]
 	default:
-		return fmt.Errorf("item %d: neither an input nor an action", p.item)
+		return fmt.Errorf("item %d: want either an input or an action", p.item)
 	}
 	return nil
 }
 
-// expectNoAction requires that the recording holds all actions that followed the last input.
+// expectNoAction returns a DivergenceError if the recording lacks an action that followed the last input.
 func (p *player) expectNoAction() error {
-	if len(p.due) > 0 {
-		return &DivergenceError{Item: p.item, Replayed: &p.due[0]}
+	if len(p.unmatched) > 0 {
+		return &DivergenceError{Item: p.item, Replayed: &p.unmatched[0]}
 	}
 	return nil
 }
--- a/internal/gateway/replay/replay_test.go
+++ b/internal/gateway/replay/replay_test.go
@@ -16,11 +16,12 @@
 	"lupinpond/scheduler"
 )
 
-// Recordings keep their form whatever the fields are called in the program: one made by an earlier version is read.
+// Renaming a Go field must not change the stored format, or recordings of earlier versions become unreadable: the
+// recorded field names and numbers are checked against those of earlier versions.
 func TestRecordedFieldNames(t *testing.T) {
 	request := &scheduler.Request{ID: "r", Type: "t", Tenant: "n", Function: 5, TimeLeft: time.Second, Concurrency: 2,
 		Memory: 3, LoadTime: 4, Retry: true}
-	for _, form := range []struct {
+	for _, recorded := range []struct {
 		value any
 		names []string
 	}{
@@ -31,7 +32,7 @@
 		{scheduler.Member{}, []string{"Cell", "Condition", "Kind", "Size", "Started", "Worker", "Zone"}},
 		{scheduler.LoadRequest{}, []string{"Copies", "Function", "Worker"}},
 	} {
-		b, err := cbor.Marshal(form.value)
+		b, err := cbor.Marshal(recorded.value)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -39,8 +40,8 @@
 		if err := cbor.Unmarshal(b, &got); err != nil {
 			t.Fatal(err)
 		}
-		if names := slices.Sorted(maps.Keys(got)); !slices.Equal(names, form.names) {
-			t.Errorf("%T is recorded as %v, want %v", form.value, names, form.names)
+		if names := slices.Sorted(maps.Keys(got)); !slices.Equal(names, recorded.names) {
+			t.Errorf("%T is recorded as %v, want %v", recorded.value, names, recorded.names)
 		}
 	}
 	for value, want := range map[any]int{
@@ -57,17 +58,17 @@
 			t.Errorf("%T is recorded as %d, want %d", value, got, want)
 		}
 	}
-	numbered, err := cbor.Marshal(replay.Action{Verb: "launch", ID: "r", Attempt: 2})
+	encodedAction, err := cbor.Marshal(replay.Action{Verb: "launch", ID: "r", Attempt: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var fields map[int]any
-	if err := cbor.Unmarshal(numbered, &fields); err != nil || fields[1] != "launch" || fields[2] != "r" {
+	if err := cbor.Unmarshal(encodedAction, &fields); err != nil || fields[1] != "launch" || fields[2] != "r" {
 		t.Error(fields, err)
 	}
 }
 
-// A recording whose actions are left out, or whose inputs are, names the first action in which a replay differs.
+// If an input or an action is missing in a recording, the error of its replay must name the first action that differs.
 func TestDivergenceNamesTheAction(t *testing.T) {
 	var recording bytes.Buffer
 	c, recorder := replay.Start(core.Settings{Gateways: 1, SubscribeInterval: time.Second}, nil, &recording)
@@ -75,7 +76,7 @@
 	if recorder.Err() != nil {
 		t.Fatal(recorder.Err())
 	}
-	var items []cbor.RawMessage // header, input, subscription, timer
+	var items []cbor.RawMessage // header, input, subscribe action, timer action
 	for decoder := cbor.NewDecoder(&recording); ; {
 		var item cbor.RawMessage
 		if err := decoder.Decode(&item); errors.Is(err, io.EOF) {
@@ -86,17 +87,17 @@
 		items = append(items, item)
 	}
 	if len(items) != 4 {
-		t.Fatalf("%d items, want 4", len(items))
+		t.Fatalf("got %d recorded items, want 4", len(items))
 	}
 	for _, c := range []struct {
 		name               string
 		kept               []int
 		item               int
-		recorded, replayed string // verbs
+		recorded, replayed string // verbs; empty if there is no action
 	}{
 		{"an action is not recorded", []int{0, 1, 2}, 3, "", "wake"},
 		{"an action is not replayed", []int{0, 2}, 1, "ask", ""},
-		{"another action is recorded", []int{0, 1, 3}, 2, "wake", "ask"},
+		{"a different action is recorded", []int{0, 1, 3}, 2, "wake", "ask"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var changed []byte
@@ -115,6 +116,7 @@
 	}
 }
 
+// verb returns the verb of an action, or an empty string if action is nil.
 func verb(action *replay.Action) string {
 	if action == nil {
 		return ""
--- a/internal/gateway/stall/stall.go
+++ b/internal/gateway/stall/stall.go
@@ -1,5 +1,5 @@
-// Package stall detects that the process did not run for a while: it was stopped by a signal, or had no processor.
-// What is read right after may have waited in the kernel for as long.
+// Package stall detects stalls: periods in which the process did not run because it was stopped by a signal or not
+// scheduled. Data that is read right after a stall may have waited in the kernel for as long as the stall.
 package stall
 
 import (
@@ -12,22 +12,22 @@
 	// tickInterval is the time between two ticks.
 	tickInterval = 50 * time.Millisecond
 
-	// minStall is the time between two ticks from which on the process has stalled.
+	// minStall is the time between two ticks above which the process is considered to have stalled.
 	minStall = 2 * tickInterval
 
-	// SettleTime is how long after a stall it takes until what came meanwhile has been read.
+	// SettleTime is the time after the end of a stall within which the data that arrived during it is read.
 	SettleTime = 20 * time.Millisecond
 )
 
-// Detector detects stalls while Run runs. It may be used by several goroutines.
+// Detector detects stalls while Run is active. It is safe for concurrent use.
 type Detector struct {
 	mu           sync.Mutex
-	lastTick     time.Time // zero: Run does not run
-	stalledSince time.Time // the tick before the last stall
-	settledAt    time.Time // when what came during the last stall has been read
+	lastTick     time.Time // zero while Run is not active
+	stalledSince time.Time // last tick before the latest stall
+	settledAt    time.Time // when data that arrived during the latest stall has been read
 }
 
-// Run ticks until ctx ends.
+// Run detects stalls until ctx is done. It always returns nil.
 func (d *Detector) Run(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -45,7 +45,7 @@
 	}
 }
 
-// observe notes a tick.
+// observe records a tick.
 func (d *Detector) observe(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -53,7 +53,7 @@
 	d.lastTick = now
 }
 
-// observeLocked notes that the process runs. The lock is held.
+// observeLocked records a stall if the last tick is more than minStall before now. d.mu must be held.
 func (d *Detector) observeLocked(now time.Time) {
 	if !d.lastTick.IsZero() && now.Sub(d.lastTick) > minStall {
 		d.stalledSince, d.settledAt = d.lastTick, now.Add(SettleTime)
@@ -61,7 +61,7 @@
 	}
 }
 
-// Lag is how long what is read now may have waited because the process stalled; 0 where it ran.
+// Lag returns how long data that is read now may have waited because of a stall, or 0 if the process was running.
 func (d *Detector) Lag(now time.Time) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -72,7 +72,7 @@
 	return 0
 }
 
-// EndedAfter reports whether a stall has ended after a time: what was due then may be late.
+// EndedAfter reports whether a stall has ended after t. If so, work that was due at t may have been done late.
 func (d *Detector) EndedAfter(t, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
