--- a/internal/gateway/core/core.go
+++ b/internal/gateway/core/core.go
@@ -64,8 +64,9 @@
 	c.scheduler.WatchFailed(now)
 }
 
-// SetWatchLease sets the time until which the watch of the worker registry is valid. After that time the gateway is
-// considered notified of a change at the moment the change happens, even if it has not received it.
+// SetWatchLease sets the time at which the registry watch's lease expires. While the lease is valid, the gateway
+// receives all changes in time. From the expiry on, the gateway is considered notified of a change as soon as the change
+// happens, even if it has not received it.
 func (c *Core) SetWatchLease(now, expires time.Duration) {
 	c.record(Input{Op: OpSetWatchLease, Now: now, Deadline: expires})
 	c.scheduler.SetWatchLease(now, expires)
@@ -180,8 +181,9 @@
 	}
 }
 
-// ProcessDue must be called after all inputs of one point in time. It times out attempts, carries out what the
-// scheduler has due, and sets a timer for the next due time unless a pending one fires by then.
+// ProcessDue must be called after all inputs of one point in time. It times out attempts, carries out the decisions,
+// probes and load requests of the scheduler's tick, and sets a timer for the next tick or deadline unless a pending one
+// fires by then.
 func (c *Core) ProcessDue(now time.Duration) {
 	c.record(Input{Op: OpProcessDue, Now: now})
 	c.timeOutAttempts(now)
--- a/internal/gateway/core/outagefleet_test.go
+++ b/internal/gateway/core/outagefleet_test.go
@@ -64,18 +64,20 @@
 	core                  *core.Core
 	now                   time.Duration
 	events                fleetEvents
-	scheduled             int
-	workers               map[string]*fleetWorker
-	drainingAnswerQueries bool // draining workers answer replica queries like other workers
-	outageAt              time.Duration
-	pausedUntil           time.Duration // the gateway processes no events before this time
-	lastRequest           int
-
+	scheduled             int                     // number of events scheduled so far
+	workers               map[string]*fleetWorker // by name
+	drainingAnswerQueries bool                    // draining workers answer replica queries like other workers
+	outageAt              time.Duration           // when the registry outage starts; 0 if there is none
+	pausedUntil           time.Duration           // the gateway processes no events before this time
+	lastRequest           int                     // number of the latest request, part of its ID
+
+	// Numbers of requests submitted and completed, of verifications and replica queries received, and of units of new
+	// work sent to a draining worker after the drain grace.
 	requests, completed, verifications, queries, sentAfterGrace int
 }
 
-// newOutageFleet returns a fleet of one gateway with the given settings and workers that are up. The watch has no lease
-// until renewWatch is called, and there are no requests until generateTraffic is called.
+// newOutageFleet returns a fleet of one gateway with the given settings and workers that are up. The registry watch has
+// no lease until renewWatch is called, and there are no requests until generateTraffic is called.
 func newOutageFleet(t rapid.TB, settings core.Settings, workers int) *outageFleet {
 	f := &outageFleet{t: t, now: time.Hour, workers: map[string]*fleetWorker{}}
 	settings.DrainGrace, settings.EnforceDeadlines = drainGrace, true
@@ -149,7 +151,7 @@
 }
 
 // checkNewWork counts new work that is sent to a worker more than the drain grace after the gateway is considered
-// notified of its drain, and fails the test if new work is sent after its sendBy time.
+// notified of its drain, and fails the test if new work is sent at or after its sendBy time.
 func (f *outageFleet) checkNewWork(worker string, sendBy time.Duration) {
 	if sendBy != 0 && f.now >= sendBy {
 		f.t.Errorf("%v: new work sent to %s, which is allowed only before %v", f.now-time.Hour, worker, sendBy-time.Hour)
--- a/internal/simadapter/actor.go
+++ b/internal/simadapter/actor.go
@@ -8,20 +8,20 @@
 	"lupinpond/scheduler"
 )
 
-// gatewayInstance is one gateway. It is its core's Actor, and encodes each action into a line.
+// gatewayInstance is one simulated gateway. It is the Actor of its core and encodes each action into a line.
 type gatewayInstance struct {
 	*core.Core
-	name     string
-	out      *simprotocol.Writer
-	weighted bool // the registry's weights count
-	dirty    bool // it has inputs in this batch
+	name        string
+	out         *simprotocol.Writer
+	usesWeights bool // worker sizes in membership updates are used as weights
+	dirty       bool // it has inputs in the current batch
 }
 
 func (g *gatewayInstance) Send(request *scheduler.Request, _ int, worker string) {
 	g.out.Line("SEND", g.name, request.ID, worker)
 }
 
-// Complete has nothing to encode: the simulator passes the response on itself.
+// Complete writes nothing: the simulator itself passes the response on to the client.
 func (g *gatewayInstance) Complete(*scheduler.Request, int) {}
 
 func (g *gatewayInstance) Reject(request *scheduler.Request, retryAfter time.Duration, _ bool) {
@@ -46,5 +46,5 @@
 
 func (g *gatewayInstance) SetTimer(after time.Duration) { g.out.Line("SLEEP", g.name, 1, after) }
 
-// Closed has nothing to encode.
+// Closed writes nothing: the protocol has no message for it.
 func (g *gatewayInstance) Closed(*scheduler.Request, int, core.CloseReason) {}
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -10,16 +10,16 @@
 	"lupinpond/internal/simadapter/simprotocol"
 )
 
-// Adapter runs the gateways of one process.
+// Adapter runs the simulated gateways of one process.
 type Adapter struct {
 	in       *simprotocol.Reader
 	out      *simprotocol.Writer
 	gateways map[string]*gatewayInstance // by name
-	dirty    []*gatewayInstance          // those with inputs in this batch, in the order of their first one
-	now      time.Duration
+	dirty    []*gatewayInstance          // gateways with inputs in the current batch, in order of their first input
+	now      time.Duration               // clock of the current batch
 }
 
-// New makes an Adapter that reads batches from in and writes replies to out.
+// New returns an Adapter that reads batches from in and writes replies to out.
 func New(in io.Reader, out io.Writer) *Adapter {
 	return &Adapter{
 		in:       simprotocol.NewReader(in),
@@ -28,7 +28,7 @@
 	}
 }
 
-// Run answers batches until the input ends.
+// Run processes batches and replies to each until the input ends. It returns the first error.
 func (a *Adapter) Run() error {
 	for {
 		line, err := a.in.Next()
@@ -47,7 +47,7 @@
 	}
 }
 
-// handleBatch answers one batch: all inputs of one moment.
+// handleBatch processes one batch, which holds all inputs of one point in time, and writes the reply.
 func (a *Adapter) handleBatch(line *simprotocol.Line) error {
 	if line.Text("BATCH") != "BATCH" {
 		line.Expected("BATCH with clock and number")
@@ -63,7 +63,7 @@
 	}
 	for _, gateway := range a.dirty {
 		gateway.dirty = false
-		if a.gateways[gateway.name] == gateway { // it still runs
+		if a.gateways[gateway.name] == gateway { // it has not exited in this batch
 			gateway.ProcessDue(a.now)
 		}
 	}
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// handleMessages takes messages until the simulator asks for the reply.
+// handleMessages processes messages until the simulator requests the reply with YOUR_TURN.
 func (a *Adapter) handleMessages() error {
 	for {
 		line, err := a.nextLine("an event or YOUR_TURN")
@@ -89,6 +89,7 @@
 	}
 }
 
+// nextLine returns the next line. The end of the input is an error here; expected says what should have followed.
 func (a *Adapter) nextLine(expected string) (*simprotocol.Line, error) {
 	line, err := a.in.Next()
 	if errors.Is(err, io.EOF) {
@@ -97,7 +98,8 @@
 	return line, err
 }
 
-// handleMessage decodes one message into an input. The second value of every message is its gateway.
+// handleMessage decodes one message and passes it to the core of its gateway. The second value of every message names
+// the gateway.
 func (a *Adapter) handleMessage(message string, line *simprotocol.Line) error {
 	name := line.Text("instance")
 	if message == "SPAWN" {
@@ -151,20 +153,21 @@
 	return nil
 }
 
+// handleSpawn starts a gateway, replacing any gateway of the same name.
 func (a *Adapter) handleSpawn(name string, line *simprotocol.Line) error {
 	seed := line.Uint("seed")
 	values := line.Settings("settings")
 	if err := line.Finish(); err != nil {
 		return err
 	}
-	gateway := &gatewayInstance{name: name, out: a.out, weighted: values.UsesWorkerSizes()}
+	gateway := &gatewayInstance{name: name, out: a.out, usesWeights: values.UsesWorkerSizes()}
 	gateway.Core = core.New(values.Core(seed), gateway)
 	a.gateways[name] = gateway
 	a.markDirty(gateway)
 	return nil
 }
 
-// markDirty has ProcessDue called for a gateway at the end of the batch.
+// markDirty schedules a call of the gateway's ProcessDue at the end of the batch.
 func (a *Adapter) markDirty(gateway *gatewayInstance) {
 	if !gateway.dirty {
 		gateway.dirty = true
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -14,7 +14,8 @@
 	"request_classes.0.give_up=3.0 some.new.key=1\n" +
 	"MEMBERSHIP end-0 1 stale_copy 1\nENTRY worker.a z std 0 IN 1 -\n"
 
-// An event is held, its function loaded, the event launched and handled; a late LAPSED is ignored.
+// Example_batches shows a request that waits while its function is loaded, is sent and completes. A LAPSED message for
+// the closed request is ignored.
 func Example_batches() {
 	in := "BATCH 1 1\nYOUR_TURN\n\nBATCH 1.5 2\n" + spawn +
 		"INCOMING end-0 e1 check - 77 2.5 - 300 2 400 0\nYOUR_TURN\n" +
@@ -35,7 +36,7 @@
 	// <nil>
 }
 
-// Malformed input ends the run with one line that names the place; nothing is guessed.
+// Example_malformed shows that malformed input ends the run with an error that names the line.
 func Example_malformed() {
 	for _, in := range []string{
 		"HELLO\n",
--- a/internal/simadapter/messages.go
+++ b/internal/simadapter/messages.go
@@ -10,17 +10,17 @@
 	"lupinpond/scheduler"
 )
 
-// retryFlag is the flag of a request that its client marked as a retry.
+// retryFlag is the bit in the flags of a request that is set if its client marked it as a retry.
 const retryFlag = 2
 
-// replicaStateMask selects the replica state from the note of an outcome.
+// replicaStateMask selects the bits of the replica state in the note of an outcome.
 const replicaStateMask = 7
 
-// resultCodes are the codes of results, in the order of the scheduler's.
+// resultCodes are the protocol's codes for results, indexed by scheduler.Result.
 var resultCodes = []string{"OK", "INTERNAL", "RESOURCE_EXHAUSTED", "DEADLINE_EXCEEDED", "UNAVAILABLE", "ABORTED",
 	"CANCELLED", "TOO_LATE", "NOT_FOUND"}
 
-// handleProbeResult decodes the result of a probe.
+// handleProbeResult decodes an ECHO message, the result of a probe.
 func (a *Adapter) handleProbeResult(gateway *gatewayInstance, line *simprotocol.Line) {
 	worker := line.Text("worker")
 	roundTrip := line.OptionalDuration("time")
@@ -31,7 +31,7 @@
 	}
 }
 
-// handleLoadResult decodes the result of a load request.
+// handleLoadResult decodes a LOAD_RESULT message, the result of a load request.
 func (a *Adapter) handleLoadResult(gateway *gatewayInstance, line *simprotocol.Line) {
 	load := scheduler.LoadRequest{Worker: line.Text("worker"), Function: line.Uint("function")}
 	result := result(line)
@@ -42,7 +42,8 @@
 	}
 }
 
-// handleMembership decodes an update of the worker registry, or that there is none.
+// handleMembership decodes a MEMBERSHIP message: an update of the worker registry (patch), its complete content (whole,
+// stale_copy), or a failure of the subscription (broken).
 func (a *Adapter) handleMembership(gateway *gatewayInstance, line *simprotocol.Line) error {
 	line.Uint("list version")
 	kind := line.Text("kind of list")
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// readMember reads one worker of a membership update.
+// readMember decodes an ENTRY line, one worker of a membership update.
 func (a *Adapter) readMember(gateway *gatewayInstance) (scheduler.Member, error) {
 	line, err := a.nextLine("ENTRY")
 	if err != nil {
@@ -93,14 +94,14 @@
 	member.Kind = line.OptionalText("kind")
 	member.Cell = line.OptionalText("cell")
 	member.Condition = condition(line)
-	if weight := line.OptionalFloat("size"); gateway.weighted {
+	if weight := line.OptionalFloat("size"); gateway.usesWeights {
 		member.Weight = weight
 	}
 	member.Started = line.OptionalDuration("start")
 	return member, line.Finish()
 }
 
-// handleIncoming decodes a client's request.
+// handleIncoming decodes an INCOMING message, a client's request.
 func (a *Adapter) handleIncoming(gateway *gatewayInstance, line *simprotocol.Line) error {
 	var request scheduler.Request
 	request.ID = line.Text("request")
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// handleSettled decodes the outcome of an attempt.
+// handleSettled decodes a SETTLED message, the outcome of an attempt.
 func (a *Adapter) handleSettled(gateway *gatewayInstance, line *simprotocol.Line) error {
 	var outcome scheduler.Outcome
 	id := line.Text("request")
@@ -145,14 +146,14 @@
 	return nil
 }
 
-// loadReport decodes a load report.
+// loadReport decodes a worker's load report from the next value.
 func loadReport(line *simprotocol.Line) scheduler.LoadReport {
 	pairs := line.Pairs("load report")
 	pending, reported := pairs["pending"]
 	return scheduler.LoadReport{Reported: reported, QueueDepth: pending}
 }
 
-// result decodes the code of a result.
+// result decodes the code of a result from the next value.
 func result(line *simprotocol.Line) scheduler.Result {
 	code := line.Text("outcome")
 	if i := slices.Index(resultCodes, code); i >= 0 {
@@ -162,7 +163,7 @@
 	return scheduler.Failed
 }
 
-// condition decodes a worker's condition.
+// condition decodes a worker's condition from the next value.
 func condition(line *simprotocol.Line) scheduler.Condition {
 	switch code := line.Text("condition"); code {
 	case "IN":
--- a/internal/simadapter/simprotocol/line.go
+++ b/internal/simadapter/simprotocol/line.go
@@ -10,66 +10,67 @@
 	"lupinpond/internal/gateway/settings"
 )
 
-// absent stands for a value that is not there.
-const absent = "-"
+// absentValue is the text that marks an absent value.
+const absentValue = "-"
 
-// SyntaxError is a line that is not what it should be.
+// SyntaxError reports a line with a missing, malformed or surplus value.
 type SyntaxError struct {
 	Line     int
-	Expected string
+	Expected string // what was expected at the place of the error
 }
 
 func (e *SyntaxError) Error() string { return fmt.Sprintf("line %d: expected %s", e.Line, e.Expected) }
 
-// Line is one message; its values are taken from left to right. The first error sticks.
+// Line is one line of the protocol. Its methods read the values from left to right; their name argument names the value
+// in errors. Finish returns the first error of any of them.
 type Line struct {
-	number int
-	values []string
-	taken  int
-	err    error
+	number     int // line number in the input, from 1
+	values     []string
+	valuesRead int // number of values read; exceeds len(values) if a value was missing
+	err        error
 }
 
-// Expected records that something else was expected than what has been taken.
+// Expected records a SyntaxError that names what was expected, unless an error has been recorded before.
 func (l *Line) Expected(expected string) {
 	if l.err == nil {
 		l.err = &SyntaxError{Line: l.number, Expected: expected}
 	}
 }
 
-// Finish returns the first error, or one about values left over.
+// Finish returns the first error, or a SyntaxError if there are values that have not been read.
 func (l *Line) Finish() error {
-	if l.taken < len(l.values) {
-		l.Expected(fmt.Sprintf("%d values after %s, got %d", l.taken-1, l.values[0], len(l.values)-1))
+	if l.valuesRead < len(l.values) {
+		l.Expected(fmt.Sprintf("%d values after %s, got %d", l.valuesRead-1, l.values[0], len(l.values)-1))
 	}
 	return l.err
 }
 
-// Text takes a value that must be there.
+// Text reads a value, which must not be empty.
 func (l *Line) Text(name string) string {
-	if l.taken >= len(l.values) || l.values[l.taken] == "" {
-		l.taken++
+	if l.valuesRead >= len(l.values) || l.values[l.valuesRead] == "" {
+		l.valuesRead++
 		l.Expected(name)
 		return ""
 	}
-	l.taken++
-	return l.values[l.taken-1]
+	l.valuesRead++
+	return l.values[l.valuesRead-1]
 }
 
-// OptionalText takes a value that may be absent, and is empty then.
+// OptionalText reads a value, or returns an empty string if the value is absent.
 func (l *Line) OptionalText(name string) string {
-	if text := l.Text(name); text != absent {
+	if text := l.Text(name); text != absentValue {
 		return text
 	}
 	return ""
 }
 
-// Uint takes a whole number.
+// Uint reads an unsigned integer.
 func (l *Line) Uint(name string) uint64 { return l.parseUint(name, l.Text(name)) }
 
-// OptionalUint takes a whole number that may be absent, and is 0 then.
+// OptionalUint reads an unsigned integer, or returns 0 if the value is absent.
 func (l *Line) OptionalUint(name string) uint64 {
 	text := l.Text(name)
-	if text == absent {
+	if text == absentValue {
 		return 0
 	}
 	return l.parseUint(name, text)
@@ -83,13 +84,13 @@
 	return n
 }
 
-// Float takes a number of at least 0.
+// Float reads a finite number that is not negative.
 func (l *Line) Float(name string) float64 { return l.parseFloat(name, l.Text(name)) }
 
-// OptionalFloat takes a number of at least 0 that may be absent, and is 0 then.
+// OptionalFloat reads a finite number that is not negative, or returns 0 if the value is absent.
 func (l *Line) OptionalFloat(name string) float64 {
 	text := l.Text(name)
-	if text == absent {
+	if text == absentValue {
 		return 0
 	}
 	return l.parseFloat(name, text)
@@ -104,15 +105,15 @@
 	return n
 }
 
-// Duration takes a time in seconds.
+// Duration reads a duration in seconds.
 func (l *Line) Duration(name string) time.Duration { return settings.Seconds(l.Float(name)) }
 
-// OptionalDuration takes a time in seconds that may be absent, and is 0 then.
+// OptionalDuration reads a duration in seconds, or returns 0 if the value is absent.
 func (l *Line) OptionalDuration(name string) time.Duration {
 	return settings.Seconds(l.OptionalFloat(name))
 }
 
-// Bool takes a truth value.
+// Bool reads a boolean, 0 or 1.
 func (l *Line) Bool(name string) bool {
 	text := l.Text(name)
 	if text != "0" && text != "1" {
@@ -121,7 +122,7 @@
 	return text == "1"
 }
 
-// Pairs takes one value of name:number pairs separated by commas; an absent one has none.
+// Pairs reads a value of comma-separated name:number pairs, or returns nil if the value is absent.
 func (l *Line) Pairs(name string) map[string]float64 {
 	text := l.OptionalText(name)
 	if text == "" {
@@ -140,11 +141,11 @@
 	return pairs
 }
 
-// Settings takes all values that are left as path=value pairs.
+// Settings reads all remaining values as path=value pairs.
 func (l *Line) Settings(name string) settings.Values {
 	paths := settings.Values{}
-	for _, pair := range l.rest() {
-		if pair == "" || pair == absent {
+	for _, pair := range l.remaining() {
+		if pair == "" || pair == absentValue {
 			continue
 		}
 		path, value, found := strings.Cut(pair, "=")
@@ -156,9 +157,9 @@
 	return paths
 }
 
-// rest takes all values that are left.
-func (l *Line) rest() []string {
-	rest := l.values[min(l.taken, len(l.values)):]
-	l.taken = len(l.values)
+// remaining reads all remaining values.
+func (l *Line) remaining() []string {
+	rest := l.values[min(l.valuesRead, len(l.values)):]
+	l.valuesRead = len(l.values)
 	return rest
 }
--- a/internal/simadapter/simprotocol/line_test.go
+++ b/internal/simadapter/simprotocol/line_test.go
@@ -10,34 +10,36 @@
 	"lupinpond/internal/simadapter/simprotocol"
 )
 
+// A malformed, missing or surplus value must give an error that names the line and the value, and must not be read as
+// another value.
 func TestLineValues(t *testing.T) {
 	for _, c := range []struct {
 		name, line string
-		take       func(*simprotocol.Line) any
+		read       func(*simprotocol.Line) any
 		want       any
-		expected   string // of the error; empty: none
+		expected   string // SyntaxError.Expected; empty if no error is expected
 	}{
 		{"text", "w", func(l *simprotocol.Line) any { return l.Text("worker") }, "w", ""},
-		{"no text", "w ", func(l *simprotocol.Line) any { return l.Text("worker") + l.Text("zone") }, "w", "zone"},
+		{"missing text", "w ", func(l *simprotocol.Line) any { return l.Text("worker") + l.Text("zone") }, "w", "zone"},
 		{"absent text", "-", func(l *simprotocol.Line) any { return l.OptionalText("zone") }, "", ""},
 		{"uint", "7", func(l *simprotocol.Line) any { return l.Uint("seed") }, uint64(7), ""},
 		{"absent uint", "-", func(l *simprotocol.Line) any { return l.OptionalUint("seed") }, uint64(0), ""},
-		{"uint must be there", "-", func(l *simprotocol.Line) any { return l.Uint("seed") }, uint64(0),
+		{"required uint absent", "-", func(l *simprotocol.Line) any { return l.Uint("seed") }, uint64(0),
 			`seed as a whole number, got "-"`},
 		{"float", "2.5", func(l *simprotocol.Line) any { return l.Float("cost") }, 2.5, ""},
 		{"absent float", "-", func(l *simprotocol.Line) any { return l.OptionalFloat("cost") }, 0.0, ""},
-		{"float below 0", "-1", func(l *simprotocol.Line) any { return l.OptionalFloat("cost") }, 0.0,
+		{"negative float", "-1", func(l *simprotocol.Line) any { return l.OptionalFloat("cost") }, 0.0,
 			`cost as a number, got "-1"`},
 		{"duration", "0.25", func(l *simprotocol.Line) any { return l.Duration("time") }, 250 * time.Millisecond, ""},
 		{"absent duration", "-", func(l *simprotocol.Line) any { return l.OptionalDuration("time") }, time.Duration(0), ""},
 		{"bool", "1", func(l *simprotocol.Line) any { return l.Bool("finished") }, true, ""},
-		{"no bool", "yes", func(l *simprotocol.Line) any { return l.Bool("finished") }, false,
+		{"invalid bool", "yes", func(l *simprotocol.Line) any { return l.Bool("finished") }, false,
 			`finished as 0 or 1, got "yes"`},
 		{"pairs", "a:1,b:2.5", func(l *simprotocol.Line) any { return l.Pairs("report") },
 			map[string]float64{"a": 1, "b": 2.5}, ""},
-		{"no pairs", "a", func(l *simprotocol.Line) any { return l.Pairs("report") }, map[string]float64(nil),
+		{"invalid pairs", "a", func(l *simprotocol.Line) any { return l.Pairs("report") }, map[string]float64(nil),
 			`report as name:number pairs, got "a"`},
-		{"values left over", "7 8", func(l *simprotocol.Line) any { return l.Uint("seed") }, uint64(7),
+		{"surplus value", "7 8", func(l *simprotocol.Line) any { return l.Uint("seed") }, uint64(7),
 			"0 values after 7, got 1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -45,7 +47,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := c.take(line); !reflect.DeepEqual(got, c.want) {
+			if got := c.read(line); !reflect.DeepEqual(got, c.want) {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 			var syntax *simprotocol.SyntaxError
--- a/internal/simadapter/simprotocol/reader.go
+++ b/internal/simadapter/simprotocol/reader.go
@@ -1,5 +1,5 @@
-// Package simprotocol reads and writes the lines of the simulator's protocol. It knows how values are spelled, not
-// what they mean.
+// Package simprotocol reads and writes the lines of the simulator's protocol. It implements the syntax of values only;
+// package simadapter interprets them.
 package simprotocol
 
 import (
@@ -10,21 +10,21 @@
 	"strings"
 )
 
-// readBuffer is the size of a Reader's buffer, in bytes; longer lines are read in pieces.
-const readBuffer = 1 << 20
+// readBufferSize is the size of a Reader's buffer in bytes. Longer lines are read in several steps.
+const readBufferSize = 1 << 20
 
-// Reader reads lines and counts them, so that errors name the place.
+// Reader reads lines and counts them, so that errors can name the line.
 type Reader struct {
 	in   *bufio.Reader
 	line int
 }
 
-// NewReader makes a Reader of in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(in, readBuffer)}
+	return &Reader{in: bufio.NewReaderSize(in, readBufferSize)}
 }
 
-// Next reads the next line that is not empty; io.EOF ends the input.
+// Next returns the next line that is not empty. At the end of the input it returns io.EOF.
 func (r *Reader) Next() (*Line, error) {
 	for {
 		text, err := r.in.ReadString('\n')
@@ -45,7 +45,7 @@
 	}
 }
 
-// UnexpectedEnd is the error of an input that ended too early.
+// UnexpectedEnd returns an error that says that the input ended where the expected line should follow.
 func (r *Reader) UnexpectedEnd(expected string) error {
 	return fmt.Errorf("line %d: input ended, expected %s", r.line+1, expected)
 }
--- a/internal/simadapter/simprotocol/writer.go
+++ b/internal/simadapter/simprotocol/writer.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// writeBuffer is the size of a Writer's buffer, in bytes.
-const writeBuffer = 1 << 16
+// writeBufferSize is the size of a Writer's buffer in bytes.
+const writeBufferSize = 1 << 16
 
-// Writer writes lines.
+// Writer writes lines to a buffer. Flush sends them and returns any write error.
 type Writer struct {
 	out *bufio.Writer
 }
 
-// NewWriter makes a Writer to out.
-func NewWriter(out io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(out, writeBuffer)} }
+// NewWriter returns a Writer that writes to out.
+func NewWriter(out io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(out, writeBufferSize)} }
 
-// Line writes a message and its values: text, whole numbers, and times in seconds, rounded up to microseconds. Flush
-// returns its errors.
+// Line writes a line: the message and its values, which are text, integers or durations. Durations are written in
+// seconds, rounded up to microseconds. Write errors are returned by Flush.
 func (w *Writer) Line(message string, values ...any) {
 	var buffer [32]byte
 	w.out.WriteString(message)
@@ -43,7 +43,7 @@
 	w.out.WriteByte('\n')
 }
 
-// Flush ends a reply; it returns the first error of all that was written.
+// Flush writes out the buffered lines. It returns the first error of any write so far.
 func (w *Writer) Flush() error {
 	if err := w.out.Flush(); err != nil {
 		return fmt.Errorf("write reply: %w", err)
--- a/internal/testbed/mutationtest/mutationtest_test.go
+++ b/internal/testbed/mutationtest/mutationtest_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// An overlay replaces a text that stands in the source just once; one that does not apply is an error.
+// If a mutation whose text is no longer in the source were ignored, mutation tests would run the unchanged program.
+// WriteOverlay must replace a text that occurs exactly once and return ErrNotUnique otherwise.
 func TestWriteOverlay(t *testing.T) {
 	const source = "a guard, a gate"
 	for _, test := range []struct {
@@ -17,7 +18,7 @@
 	}{
 		{"once", "guard", "a hole, a gate", nil},
 		{"twice", "a g", "", ErrNotUnique},
-		{"not any more", "fence", "", ErrNotUnique},
+		{"not found", "fence", "", ErrNotUnique},
 	} {
 		folder := t.TempDir()
 		overlay, err := WriteOverlay(folder, "/src/file.go", []byte(source), test.text, "hole")
@@ -37,7 +38,7 @@
 		}
 		mutated := content["Replace"]["/src/file.go"]
 		if mutant, err := os.ReadFile(mutated); err != nil || string(mutant) != test.want || filepath.Dir(mutated) != folder {
-			t.Errorf("%s: %q in %s, error %v, want %q", test.name, mutant, mutated, err, test.want)
+			t.Errorf("%s: got source %q in %s, error %v, want %q", test.name, mutant, mutated, err, test.want)
 		}
 	}
 }
