--- a/internal/gateway/core/core.go
+++ b/internal/gateway/core/core.go
@@ -65,8 +65,8 @@
 }
 
 // SetWatchLease sets the time at which the registry watch's lease expires. While the lease is valid, the gateway
-// receives all changes in time. From the expiry on, the gateway is considered notified of a change as soon as the change
-// happens, even if it has not received it.
+// receives all changes in time. From the expiry on, the gateway is considered notified of a change as soon as the
+// change happens, even if it has not received it.
 func (c *Core) SetWatchLease(now, expires time.Duration) {
 	c.record(Input{Op: OpSetWatchLease, Now: now, Deadline: expires})
 	c.scheduler.SetWatchLease(now, expires)
--- a/internal/gateway/core/core_test.go
+++ b/internal/gateway/core/core_test.go
@@ -249,7 +249,7 @@
 		}
 		recording := r.recording.Bytes()
 		if summary, err := replay.Replay(bytes.NewReader(recording), nil); err != nil || summary.Inputs == 0 {
-			t.Fatalf("%+v: %v", summary, err)
+			t.Fatalf("replay of the complete recording: got %+v, error %v", summary, err)
 		}
 		// A killed process truncates its recording: it ends inside an item, or the last actions are missing. What is
 		// left must still replay without a difference.
--- a/internal/gateway/stall/stall_test.go
+++ b/internal/gateway/stall/stall_test.go
@@ -20,7 +20,7 @@
 	expectLag(500, 0, "before the first tick")
 	d.observe(at(0))
 	d.observe(at(50))
-	expectLag(140, 0, "a late tick")
+	expectLag(140, 0, "a gap shorter than minStall")
 	expectLag(950, 900*time.Millisecond, "stall detected by Lag")
 	d.observe(at(951))
 	expectLag(960, 910*time.Millisecond, "right after the stall")
