--- a/internal/worker/advance.go
+++ b/internal/worker/advance.go
@@ -5,14 +5,14 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// loadRequest is a gateway's request for replicas until its result is sent.
+// loadRequest is a load request of a gateway whose result has not been sent.
 type loadRequest struct {
 	function string
 	replicas int
 	reply    func(*workerrpc.LoadResult)
 }
 
-// HandleLoadRequest has replicas of a function loaded.
+// HandleLoadRequest requests replicas of a function from admission. It calls reply once their loads have ended.
 func (w *Worker) HandleLoadRequest(_ string, request *workerrpc.LoadRequest, reply func(*workerrpc.LoadResult)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -32,14 +32,14 @@
 	w.advance()
 }
 
-// onWake is called by the timer that admission asked for.
+// onWake is called when wakeTimer fires, at the time given by admission.Actions.WakeAfter at the latest.
 func (w *Worker) onWake() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
 }
 
-// advance carries out what admission decides now; the lock is held.
+// advance carries out the actions that admission returns for the current time. The lock must be held.
 func (w *Worker) advance() {
 	if w.state == closed {
 		return
@@ -66,7 +66,7 @@
 	}
 }
 
-// drop answers a call that was admitted and is not started; the lock is held.
+// drop sends the result of a call that was admitted but dropped before it started. The lock must be held.
 func (w *Worker) drop(dropped admission.DroppedCall) {
 	c := w.calls.byID[dropped.CallID]
 	if c == nil {
@@ -86,7 +86,7 @@
 	})
 }
 
-// answerLoadRequests answers the load requests whose loads have ended; the lock is held.
+// answerLoadRequests sends the results of the load requests whose loads have ended. The lock must be held.
 func (w *Worker) answerLoadRequests() {
 	open := w.loadRequests[:0]
 	for _, request := range w.loadRequests {
--- a/internal/worker/bench_test.go
+++ b/internal/worker/bench_test.go
@@ -19,7 +19,7 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// benchmarkWorker is a worker and a gateway's connection to it.
+// benchmarkWorker is a worker with one gateway connected to it.
 type benchmarkWorker struct {
 	*worker.Worker
 	b       *testing.B
@@ -27,7 +27,7 @@
 	stop    func()
 }
 
-// startBenchmarkWorker starts a worker with the packages of the store at url. The caller stops it.
+// startBenchmarkWorker starts a worker with the packages in the store at url. The caller must call stop.
 func startBenchmarkWorker(b *testing.B, url string) *benchmarkWorker {
 	b.Helper()
 	options, done := newOptions(b.TempDir(), url)
@@ -54,7 +54,7 @@
 	return &benchmarkWorker{Worker: w, b: b, gateway: gateway, stop: stop}
 }
 
-// call runs a request and waits for its result.
+// call sends a request and waits for its result.
 func (w *benchmarkWorker) call(function, body string) *workerrpc.AttemptResult {
 	got := make(chan workerrpc.Outcome, 1)
 	attempt := workerrpc.Attempt{RequestID: "e", Function: function, Body: []byte(body)}
@@ -66,15 +66,15 @@
 	return outcome.AttemptResult
 }
 
-// mustCall is a call that has to succeed.
+// mustCall sends a request and fails the benchmark if it does not succeed.
 func (w *benchmarkWorker) mustCall(function, body string) {
 	if result := w.call(function, body); result.Code != workerrpc.CodeOK {
 		w.b.Fatal(result.Reason)
 	}
 }
 
-// BenchmarkWarmCall is a call of the model on a warm replica, of both kinds, over the worker protocol; direct is the
-// same function called in this process.
+// BenchmarkWarmCall measures a call of the model on a warm replica over the worker protocol, for both kinds of
+// packages. The sub-benchmark direct calls the same function in this process.
 func BenchmarkWarmCall(b *testing.B) {
 	b.Run("direct", func(b *testing.B) {
 		for range b.N {
@@ -96,7 +96,8 @@
 	}
 }
 
-// BenchmarkConcurrentCalls is requests a second on warm replicas with 16 in flight, of both kinds.
+// BenchmarkConcurrentCalls measures requests per second on warm replicas with about 16 requests in flight, for both
+// kinds of packages.
 func BenchmarkConcurrentCalls(b *testing.B) {
 	for _, kind := range []string{manifest.Process, manifest.Wasm} {
 		b.Run(kind, func(b *testing.B) {
@@ -117,7 +118,8 @@
 	}
 }
 
-// BenchmarkColdLoad splits a first load into fetch, verify, compile (wasm alone) and start, of both kinds.
+// BenchmarkColdLoad measures the steps of a first load (fetch, verify, compile for wasm only, start) for both kinds of
+// packages.
 func BenchmarkColdLoad(b *testing.B) {
 	for _, kind := range []string{manifest.Process, manifest.Wasm} {
 		b.Run(kind, func(b *testing.B) {
@@ -144,13 +146,13 @@
 	}
 }
 
-// BenchmarkNoisyNeighbour is the p99 of a well-behaved function while another one spins, allocates, exits and floods
-// without end, over that without it. Run it with -benchtime 1x.
+// BenchmarkNoisyNeighbour measures the p99 latency of a function, first alone and then while another function
+// repeatedly spins, allocates, exits and floods its output. It reports both and their ratio. Run it with -benchtime 1x.
 func BenchmarkNoisyNeighbour(b *testing.B) {
 	for range b.N {
 		w := startBenchmarkWorker(b, storeURL)
 		w.call(modelFunction, modelInput)
-		alone := w.latencyP99()
+		baseline := w.latencyP99()
 		stop, stopped := make(chan struct{}), make(chan struct{})
 		go func() {
 			defer close(stopped)
@@ -163,17 +165,17 @@
 				}
 			}
 		}()
-		beside := w.latencyP99()
+		contended := w.latencyP99()
 		close(stop)
 		<-stopped
 		w.stop()
-		b.ReportMetric(float64(alone.Microseconds()), "alone-p99-us")
-		b.ReportMetric(float64(beside.Microseconds()), "beside-p99-us")
-		b.ReportMetric(float64(beside)/float64(alone), "ratio")
+		b.ReportMetric(float64(baseline.Microseconds()), "alone-p99-us")
+		b.ReportMetric(float64(contended.Microseconds()), "beside-p99-us")
+		b.ReportMetric(float64(contended)/float64(baseline), "ratio")
 	}
 }
 
-// latencyP99 is the 99th percentile of the model's latency.
+// latencyP99 measures the 99th percentile of the model's latency.
 func (w *benchmarkWorker) latencyP99() time.Duration {
 	var latencies []time.Duration
 	for range 1500 {
@@ -186,7 +188,7 @@
 	return latencies[len(latencies)*99/100]
 }
 
-// BenchmarkIdleReplicas is the memory of 1, 10 and 100 idle replicas, by the worker's own report.
+// BenchmarkIdleReplicas measures the memory per replica of 1, 10 and 100 idle replicas, as the worker reports it.
 func BenchmarkIdleReplicas(b *testing.B) {
 	for _, kind := range []string{manifest.Process, manifest.Wasm} {
 		for _, count := range []int{1, 10, 100} {
@@ -199,7 +201,7 @@
 	}
 }
 
-// measureIdleReplicas loads a replica each of so many functions.
+// measureIdleReplicas loads one replica of each of count functions and reports memory and time per replica.
 func measureIdleReplicas(b *testing.B, kind string, count int) {
 	b.Helper()
 	packages := b.TempDir()
@@ -229,7 +231,7 @@
 	b.ReportMetric(float64(elapsed.Milliseconds())/float64(count), "ms/load")
 }
 
-// copyModel makes a package of the model under another name.
+// copyModel creates a copy of the model's package under another function name.
 func copyModel(b *testing.B, kind, packages, name string) {
 	b.Helper()
 	folder := filepath.Join(packages, name, "1")
--- a/internal/worker/calls.go
+++ b/internal/worker/calls.go
@@ -11,10 +11,11 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// claimTimeoutShare is the part of a request's time left that is waited for its claim. The rest is for running it.
+// claimTimeoutShare bounds the wait for the claim of an idempotency key to Attempt.TimeLeft * claimTimeoutShare. The
+// remaining time is left for running the request.
 const claimTimeoutShare = 0.25
 
-// Reasons in results. They go over the wire: their texts stay.
+// Reasons in results. They are sent to gateways, so their texts must not change.
 const (
 	reasonDraining      = "draining"
 	reasonFull          = "full"
@@ -33,22 +34,23 @@
 	reasonNotLoaded     = "no room, or a load failed"
 )
 
-// call is an admitted attempt until its result is sent.
+// call is an admitted attempt whose result has not been sent.
 type call struct {
 	id              uint64
 	attempt         *workerrpc.Attempt
 	reply           func(*workerrpc.AttemptResult)
 	replicaState    workerrpc.ReplicaState
-	concurrentCalls int // of its function on this worker when it was admitted
+	concurrentCalls int // calls waiting for its function plus the function's busy replicas, at admission
 }
 
-// callTable has the calls that wait or run.
+// callTable holds the calls that are waiting or running.
 type callTable struct {
 	byID   map[uint64]*call
 	lastID uint64
 }
 
-// HandleAttempt admits an attempt or rejects it. The function returned cancels it; nil: it is rejected.
+// HandleAttempt admits or rejects an attempt. It returns a function that cancels the attempt, or nil if it was
+// rejected.
 func (w *Worker) HandleAttempt(
 	_ string, attempt *workerrpc.Attempt, reply func(*workerrpc.AttemptResult),
 ) (cancel func()) {
@@ -68,7 +70,7 @@
 	return func() { w.cancel(c) }
 }
 
-// newCall describes an attempt before it is admitted; the lock is held.
+// newCall returns a call for an attempt that has not been admitted yet. The lock must be held.
 func (w *Worker) newCall(attempt *workerrpc.Attempt, reply func(*workerrpc.AttemptResult)) *call {
 	counts := w.admission.Counts(attempt.Function)
 	state := workerrpc.ReplicaWarm
@@ -89,7 +91,8 @@
 	}
 }
 
-// admit decides on a call; any code but CodeOK rejects it for the reason given. The lock is held.
+// admit decides whether a call is admitted. It returns CodeOK if it is, otherwise the code and the reason of the
+// rejection. The lock must be held.
 func (w *Worker) admit(c *call) (code workerrpc.Code, reason string) {
 	switch {
 	case w.state != serving:
@@ -117,14 +120,15 @@
 	return workerrpc.CodeOK, ""
 }
 
-// recordAdmission counts an admitted call, and journals it if it depends on a load; the lock is held.
+// recordAdmission updates the cold start rate with an admitted call and journals the call if it depends on a load. The
+// lock must be held.
 func (w *Worker) recordAdmission(c *call) {
 	cold := c.replicaState != workerrpc.ReplicaWarm
 	if w.coldStarts.add(cold) {
 		elapsed := w.now()
 		w.options.Log.Info("worker warmed up", "after", elapsed)
 		if err := w.journal.append(journalRecord{Kind: recordWarmedUp, Duration: elapsed}); err != nil {
-			// the next incarnation reports an older warm-up, or none
+			// The next incarnation reports the warm-up time of an earlier incarnation, or none.
 			w.options.Log.Error("journal warm-up failed", "err", err)
 		}
 	}
@@ -135,13 +139,13 @@
 			RequestID: c.attempt.RequestID,
 		})
 		if err != nil {
-			// if the worker dies during the load, the request counts as one that may have run
+			// If the worker crashes during the load, gateways must assume that the request may have run.
 			w.options.Log.Error("journal admitted request failed", "err", err)
 		}
 	}
 }
 
-// cancel withdraws a call for its gateway.
+// cancel cancels a call on behalf of its gateway.
 func (w *Worker) cancel(c *call) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -152,11 +156,11 @@
 		w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: reasonNotStarted})
 		return
 	}
-	// it runs: what was started is not stopped, but its result is not waited for
+	// The call is running. It is not stopped, but the gateway is answered without waiting for its result.
 	w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeCancelled, Reason: reasonCancelled})
 }
 
-// respond ends a call for its gateway; later results of it change nothing. The lock is held.
+// respond sends the result of a call to its gateway. Later results of the same call are ignored. The lock must be held.
 func (w *Worker) respond(c *call, result *workerrpc.AttemptResult) {
 	if w.calls.byID[c.id] == nil {
 		return
@@ -175,11 +179,12 @@
 	c.reply(result)
 }
 
-// startCall hands a call to its replica, after a claim if it has an idempotency key; the lock is held.
+// startCall passes a call to its replica. If the call has an idempotency key, the key is claimed first. The lock must
+// be held.
 func (w *Worker) startCall(run admission.Run) {
 	c := w.calls.byID[run.CallID]
 	target := w.runningReplica(run.ReplicaID)
-	if c == nil || target == nil { // cancelled meanwhile, or the replica has exited
+	if c == nil || target == nil { // the call was cancelled or the replica has exited
 		w.abandonRun(run)
 		if c != nil {
 			w.respond(c, &workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: reasonReplicaExited})
@@ -193,14 +198,14 @@
 	w.background.Go(func() { w.claimAndExecute(run, c) })
 }
 
-// abandonRun frees the place of a call that can't be started. Admission is asked again from the timer, as it may be
-// in the middle of a list of actions. The lock is held.
+// abandonRun frees the slot of a call that cannot be started. It calls advance through the timer, not directly, because
+// advance may be the caller and still be processing its list of actions. The lock must be held.
 func (w *Worker) abandonRun(run admission.Run) {
 	w.admission.CallEnded(w.now(), run.CallID)
 	w.wakeTimer.Reset(0)
 }
 
-// claimAndExecute runs a request with an idempotency key unless it is a duplicate.
+// claimAndExecute claims the idempotency key of a request and runs the request unless it is a duplicate.
 func (w *Worker) claimAndExecute(run admission.Run, c *call) {
 	key := scopedKey(c.attempt)
 	timeout := time.Duration(claimTimeoutShare * float64(c.attempt.TimeLeft))
@@ -214,14 +219,15 @@
 			w.execute(run, c, target, claim)
 			return
 		}
-		w.claims.Release(key, claim) // cancelled meanwhile, or the replica has exited
+		w.claims.Release(key, claim) // the call was cancelled or the replica has exited
 	}
 	w.admission.CallEnded(w.now(), run.CallID)
 	w.respond(c, notExecuted(decision, response))
 	w.advance()
 }
 
-// notExecuted is the result of a request that is not run after the decision on its claim.
+// notExecuted returns the result of a request with an idempotency key that is not run. decision is that of its claim;
+// for DecisionExecute, the replica exited or the call was cancelled after the claim.
 func notExecuted(decision idempotency.Decision, response []byte) *workerrpc.AttemptResult {
 	switch decision {
 	case idempotency.DecisionCompleted:
@@ -247,16 +253,16 @@
 	}
 }
 
-// scopedKey is an idempotency key made unique among those of all request types and tenants.
+// scopedKey returns the idempotency key of an attempt, made unique among all request types and tenants.
 func scopedKey(attempt *workerrpc.Attempt) string {
 	return attempt.Type + "\n" + attempt.Tenant + "\n" + attempt.IdempotencyKey
 }
 
-// execute hands a call to a replica; claim is empty without an idempotency key. The lock is held.
+// execute passes a call to a replica. claim is empty for a call without an idempotency key. The lock must be held.
 func (w *Worker) execute(run admission.Run, c *call, target *replica, claim string) {
 	attempt := c.attempt
 	if c.replicaState != workerrpc.ReplicaWarm {
-		// a request that is not journaled as started must not run
+		// A request must not run unless it is journaled as started.
 		if err := w.journal.append(journalRecord{Kind: recordStarted, RequestID: attempt.RequestID}); err != nil {
 			if claim != "" {
 				w.claims.Release(scopedKey(attempt), claim)
@@ -277,13 +283,13 @@
 	})
 }
 
-// completeCall takes the result of a call from its replica.
+// completeCall handles the outcome of a call that was passed to a replica.
 func (w *Worker) completeCall(run admission.Run, c *call, claim string, outcome runner.Result) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.admission.CallEnded(w.now(), run.CallID)
-	if runner.EndsReplica(outcome.Err) { // before the answer: the next call must not reach it
-		w.forgetReplica(run.ReplicaID)
+	if runner.EndsReplica(outcome.Err) { // before responding, so that no later call is assigned to the replica
+		w.removeReplica(run.ReplicaID)
 	}
 	result := &workerrpc.AttemptResult{Code: workerrpc.CodeOK, Body: outcome.Body, CPUTime: outcome.Duration}
 	if outcome.Err != nil {
--- a/internal/worker/control_test.go
+++ b/internal/worker/control_test.go
@@ -9,8 +9,8 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// A fault that is asked for begins, and is undone at the stated time; a request that makes no sense is rejected with
-// its reason.
+// A requested fault is injected, and is undone after the given duration. An invalid request is rejected with status 400
+// and the reason.
 func TestControlInterface(t *testing.T) {
 	h := startWorker(t, nil)
 	control := httptest.NewServer(h.ControlHandler())
@@ -38,7 +38,7 @@
 		`{`:                                       "EOF",
 	} {
 		if status, got := post(body); status != 400 || !strings.Contains(got, want) {
-			t.Errorf("%s: %d %s", body, status, got)
+			t.Errorf("request %s: got status %d: %s", body, status, got)
 		}
 	}
 	h.expectAnswer(faultyFunction, "echo", workerrpc.CodeOK, "echo")
--- a/internal/worker/crash_test.go
+++ b/internal/worker/crash_test.go
@@ -18,10 +18,10 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// afterLastPoint has a worker killed after it has answered, not at a step of the load.
+// afterLastPoint is the fail point of a worker that kills itself after it has answered, not at a step of the load.
 const afterLastPoint = "after"
 
-// runUntilFailPoint is a worker that kills itself at a point of a load, while a request waits for it.
+// runUntilFailPoint runs a worker that kills itself at a fail point of a load, while a request waits for the load.
 func runUntilFailPoint(point string) {
 	options, _ := newOptions(os.Getenv(envFolder), os.Getenv(envStore))
 	var err error
@@ -55,14 +55,14 @@
 	crash()
 }
 
-// crash ends this process as a crash would.
+// crash kills this process without any cleanup.
 func crash() {
 	_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
 	select {}
 }
 
-// Killed at every step of a load: the next incarnation reports that the load failed and which requests it had
-// admitted, and never that one did not run which did. LP_ROUNDS sets the rounds for each step.
+// A worker is killed at each step of a load. The next incarnation must report the interrupted load and its admitted
+// requests, and must not report a request that ran as not run. LP_ROUNDS sets the number of rounds per step.
 func TestCrashDuringLoad(t *testing.T) {
 	rounds := 2
 	if n, err := strconv.Atoi(os.Getenv("LP_ROUNDS")); err == nil {
@@ -85,13 +85,13 @@
 	t.Logf("%d requests of interrupted loads reported", checked)
 }
 
-// crashAt has a worker killed at a point and checks what the next incarnation reports. It returns how many requests
-// that did.
+// crashAt runs a worker that kills itself at a fail point and checks the interrupted loads that the next incarnation
+// reports. It returns the number of requests in these loads.
 func crashAt(t *testing.T, point string) (checked int) {
 	t.Helper()
 	folder := t.TempDir()
 	replicaLog := filepath.Join(folder, "effects")
-	runKilled(t, point, folder, replicaLog)
+	runUntilKilled(t, point, folder, replicaLog)
 	loads := interruptedLoads(t, folder)
 	log, err := os.ReadFile(replicaLog)
 	if err != nil {
@@ -100,7 +100,7 @@
 	ran := strings.Contains(string(log), "effect waits")
 	interrupted := point != worker.PointCompleted && point != afterLastPoint
 	if interrupted != (len(loads) == 1) {
-		t.Errorf("%s: reported %+v", point, loads)
+		t.Errorf("killed at %s: reported interrupted loads: %+v", point, loads)
 	}
 	if interrupted && len(loads) == 1 {
 		load := loads[0]
@@ -111,18 +111,18 @@
 	for _, load := range loads {
 		for _, request := range load.Requests {
 			if checked++; ran && !request.MayHaveRun {
-				t.Errorf("%s: %s ran, and is reported not to have", point, request.RequestID)
+				t.Errorf("killed at %s: request %s ran but is reported as not run", point, request.RequestID)
 			}
 		}
 	}
 	if point == afterLastPoint && !ran {
-		t.Error("the request did not run where it was answered")
+		t.Error("the request was answered but did not run")
 	}
 	return checked
 }
 
-// runKilled runs a worker until it has killed itself.
-func runKilled(t *testing.T, point, folder, replicaLog string) {
+// runUntilKilled runs a worker process until it has killed itself at a fail point.
+func runUntilKilled(t *testing.T, point, folder, replicaLog string) {
 	t.Helper()
 	executable, err := os.Executable()
 	if err != nil {
@@ -136,11 +136,12 @@
 	err = cmd.Run()
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.Sys().(syscall.WaitStatus).Signal() != syscall.SIGKILL {
-		t.Fatalf("%s: %v: %s", point, err, stderr.String())
+		t.Fatalf("worker to be killed at %s exited otherwise: %v: %s", point, err, stderr.String())
 	}
 }
 
-// interruptedLoads is what the next incarnation in a folder reports.
+// interruptedLoads starts a new incarnation of the worker in a folder and returns the interrupted loads that it
+// reports.
 func interruptedLoads(t *testing.T, folder string) []workerrpc.InterruptedLoad {
 	t.Helper()
 	options, done := newOptions(folder, storeURL)
--- a/internal/worker/export_test.go
+++ b/internal/worker/export_test.go
@@ -13,7 +13,7 @@
 	"lupinpond/internal/base/durable"
 )
 
-// ShiftJournalClock rewrites a journal as if the system's clock had been off by so much all through the incarnation
+// ShiftJournalClock rewrites a journal as if the system clock had been wrong by offset during the whole incarnation
 // that wrote it.
 func ShiftJournalClock(t *testing.T, path string, offset time.Duration) {
 	t.Helper()
--- a/internal/worker/faults.go
+++ b/internal/worker/faults.go
@@ -9,29 +9,30 @@
 	"lupinpond/internal/worker/faultinject"
 )
 
-// maxFaultRequestBytes is the longest body of a request to the control interface.
+// maxFaultRequestBytes is the maximum size of the body of a request to the control interface.
 const maxFaultRequestBytes = 4096
 
-// FaultRequest asks for a fault, in the form of the control interface.
+// FaultRequest is a request to inject a fault, as sent to the control interface.
 type FaultRequest struct {
-	Fault    string  `json:"what"`   // hang, silence, slow, refuse, errors, fail-loads, false-reports
-	Tenant   string  `json:"tenant"` // of refuse
-	Factor   float64 `json:"factor"` // of slow and false-reports
-	Delay    string  `json:"at"`     // time until it begins, such as 2s; empty: at once
-	Duration string  `json:"for"`    // time until it is undone
+	Fault    string  `json:"what"`   // hang, silence, slow, refuse, errors, fail-loads or false-reports
+	Tenant   string  `json:"tenant"` // tenant whose requests are rejected, for refuse
+	Factor   float64 `json:"factor"` // multiplier, for slow and false-reports
+	Delay    string  `json:"at"`     // time until the fault is injected, such as 2s; if empty, it is injected immediately
+	Duration string  `json:"for"`    // time from injection until the fault is undone
 }
 
-// UpdateFaults changes which faults are injected from now on.
+// UpdateFaults calls change to set or reset injected faults. The change takes effect immediately.
 func (w *Worker) UpdateFaults(change func(*faultinject.Faults)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change(&w.faults)
 }
 
-// Silence has the worker's connections neither read nor write while it is on, and leaves them open.
+// Silence blocks reads and writes on the worker's connections while on is set. The connections remain open.
 func (w *Worker) Silence(on bool) { w.silencer.Set(on) }
 
-// ControlHandler serves POST /v1/trouble with a FaultRequest. It is off unless an operator names an address for it.
+// ControlHandler returns the handler of the control interface. It serves POST /v1/trouble with a FaultRequest as JSON
+// body. The worker program serves it only if an operator configures an address for it.
 func (w *Worker) ControlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/trouble", func(response http.ResponseWriter, request *http.Request) {
@@ -51,7 +52,7 @@
 	return mux
 }
 
-// InjectFault injects a fault after its delay and undoes it after its duration.
+// InjectFault schedules a fault: it is injected after request.Delay and undone request.Duration later.
 func (w *Worker) InjectFault(request FaultRequest) error {
 	duration, err := time.ParseDuration(request.Duration)
 	if err != nil || duration <= 0 {
--- a/internal/worker/harness_test.go
+++ b/internal/worker/harness_test.go
@@ -23,14 +23,14 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// Packages of the tests, and a request for the model.
+// Functions that the tests call, and an input of modelFunction.
 const (
-	faultyFunction = "misbehave-process" // does what its input says
+	faultyFunction = "misbehave-process" // its input selects a fault, such as exit, spin or allocate
 	modelFunction  = "preview-process"
 	modelInput     = `{"features":[1,2,3]}`
 )
 
-// Environment of a worker that is to be killed.
+// Environment variables of a worker process that kills itself at a fail point.
 const (
 	envFailPoint  = "LP_TEST_KILL"
 	envFolder     = "LP_TEST_FOLDER"
@@ -39,11 +39,12 @@
 )
 
 var (
-	packagesDir string // packages of both kinds, built once
-	storeURL    string // address of the store that has them
+	packagesDir string // folder of the packages of both kinds, which are built once
+	storeURL    string // address of the artifact store that serves these packages
 )
 
-// TestMain is also the program of wasm replicas and of workers that are to be killed.
+// TestMain runs the tests. The test binary also serves as the program of wasm replicas and of workers that kill
+// themselves.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "wasm-copy" {
 		runWasmReplica(os.Args[2:])
@@ -80,7 +81,7 @@
 	os.Exit(code)
 }
 
-// runWasmReplica is a wasm replica, with the arguments --lanes N --memory BYTES --cache FOLDER FILE.
+// runWasmReplica runs a wasm replica. Its arguments are --lanes N --memory BYTES --cache FOLDER FILE.
 func runWasmReplica(args []string) {
 	concurrency, _ := strconv.Atoi(args[1])
 	memory, _ := strconv.ParseInt(args[3], 10, 64)
@@ -97,7 +98,7 @@
 	os.Exit(0)
 }
 
-// buildPackages makes the example packages: each as a process and as wasm.
+// buildPackages builds each example package twice: as a process and as wasm.
 func buildPackages(folder string) error {
 	for _, name := range []string{"misbehave", "preview"} {
 		for _, kind := range []string{manifest.Process, manifest.Wasm} {
@@ -124,7 +125,8 @@
 	return nil
 }
 
-// newOptions are of a worker in folder with packages of the store at url; done closes what it installs them with.
+// newOptions returns the options of a worker that uses folder and the artifact store at url. done closes the resources
+// with which the worker fetches packages.
 func newOptions(folder, url string) (options worker.Options, done func()) {
 	executable, err := os.Executable()
 	if err != nil {
@@ -156,7 +158,7 @@
 	}, source.Close
 }
 
-// harness is a worker and a gateway's connection to it.
+// harness is a worker with one gateway connected to it.
 type harness struct {
 	*worker.Worker
 	t          *testing.T
@@ -165,13 +167,13 @@
 	addr       string
 }
 
-// startWorker starts a worker in a folder of its own, with the packages of the tests.
+// startWorker starts a worker in a temporary folder, with the packages in the store at storeURL.
 func startWorker(t *testing.T, change func(*worker.Options)) *harness {
 	t.Helper()
 	return startWorkerIn(t, t.TempDir(), storeURL, change)
 }
 
-// startWorkerIn starts a worker in a folder, with the packages of the store at url.
+// startWorkerIn starts a worker in the given folder, with the packages in the store at url.
 func startWorkerIn(t *testing.T, folder, url string, change func(*worker.Options)) *harness {
 	t.Helper()
 	options, done := newOptions(folder, url)
@@ -206,7 +208,7 @@
 	return h
 }
 
-// newGateway is a gateway's connection to a worker, not yet running.
+// newGateway returns a gateway's client of a worker. The caller runs it.
 func newGateway(name, addr string) *workerrpc.Client {
 	limits := workerrpc.Limits{
 		DialTimeout:    10 * time.Second,
@@ -221,19 +223,19 @@
 	})
 }
 
-// send sends an attempt; its outcome comes on the channel.
+// send sends an attempt and returns a channel that receives its outcome.
 func (h *harness) send(attempt workerrpc.Attempt) <-chan workerrpc.Outcome {
 	got := make(chan workerrpc.Outcome, 1)
 	h.gateway.Send(attempt, 60*time.Second, func(outcome workerrpc.Outcome) { got <- outcome })
 	return got
 }
 
-// request runs a request without a key and waits for its outcome.
+// request sends a request without an idempotency key and waits for its outcome.
 func (h *harness) request(function, body string) workerrpc.Outcome {
 	return <-h.send(workerrpc.Attempt{RequestID: body, Function: function, Body: []byte(body)})
 }
 
-// keyedRequest runs a request with an idempotency key and waits for its result.
+// keyedRequest sends a request with an idempotency key and waits for its result.
 func (h *harness) keyedRequest(tenant, body, key string, window time.Duration) *workerrpc.AttemptResult {
 	h.t.Helper()
 	outcome := <-h.send(workerrpc.Attempt{
@@ -246,40 +248,40 @@
 		Body:           []byte(body),
 	})
 	if outcome.AttemptResult == nil {
-		h.t.Fatalf("%q with key %q: %+v", body, key, outcome)
+		h.t.Fatalf("request %q with key %q has no result: %+v", body, key, outcome)
 	}
 	return outcome.AttemptResult
 }
 
-// waitFor waits for a condition.
+// waitFor waits until a condition holds. It fails the test after 20 s.
 func (h *harness) waitFor(what string, condition func() bool) {
 	h.t.Helper()
 	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			h.t.Fatal("never came: ", what)
+			h.t.Fatal("timed out waiting for: ", what)
 		}
 	}
 }
 
-// expectAnswer runs a request and compares its code and a part of the body or reason.
+// expectAnswer sends a request and checks the code of its result and a substring of the body or reason.
 func (h *harness) expectAnswer(function, body string, code workerrpc.Code, part string) *workerrpc.AttemptResult {
 	h.t.Helper()
 	outcome := h.request(function, body)
 	for outcome.AttemptResult != nil && outcome.AttemptResult.Code == workerrpc.CodeNotStarted {
-		outcome = h.request(function, body) // its replica was just exiting: a gateway would retry elsewhere
+		outcome = h.request(function, body) // the replica was exiting; a gateway would retry on another worker
 	}
 	result := outcome.AttemptResult
 	if result == nil {
-		h.t.Fatalf("%s %q: %+v", function, body, outcome)
+		h.t.Fatalf("%s %q has no result: %+v", function, body, outcome)
 	}
 	if result.Code != code || !strings.Contains(string(result.Body)+result.Reason, part) {
-		h.t.Errorf("%s %q: code %d, %.80q %q; want %d, %s",
+		h.t.Errorf("%s %q: got code %d, body %.80q, reason %q; want code %d, text %s",
 			function, body, result.Code, result.Body, result.Reason, code, part)
 	}
 	return result
 }
 
-// readReplicaLog is what the replicas have logged.
+// readReplicaLog returns the content of the replica log.
 func (h *harness) readReplicaLog() string {
 	h.t.Helper()
 	log, err := os.ReadFile(h.replicaLog)
--- a/internal/worker/idempotency_test.go
+++ b/internal/worker/idempotency_test.go
@@ -13,7 +13,8 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// A duplicate inside its window does not run, also across a restart; outside it runs.
+// A duplicate within the key's window must not run, even after a restart of the worker. A request with the same key
+// after the window runs.
 func TestIdempotencyAcrossRestart(t *testing.T) {
 	folder := t.TempDir()
 	t.Run("first incarnation", func(t *testing.T) {
@@ -38,11 +39,11 @@
 	for key, want := range map[string]workerrpc.Code{"k": workerrpc.CodeOK, "gone": workerrpc.CodeFailed} {
 		result := h.keyedRequest("", "again", key, time.Minute)
 		if !result.Deduplicated || result.Code != want {
-			t.Errorf("%s: %+v", key, result)
+			t.Errorf("duplicate of key %s after a restart: %+v", key, result)
 		}
 	}
 	if result := h.keyedRequest("", "new", "s", time.Minute); !ranOK(result) {
-		t.Errorf("outside its window: %+v", result)
+		t.Errorf("request after the key's window: %+v", result)
 	}
 }
 
@@ -51,21 +52,21 @@
 	return !result.Deduplicated && result.Code == workerrpc.CodeOK
 }
 
-// duplicateOf reports whether a request is a duplicate of one that was completed with a response.
+// duplicateOf reports whether a request was answered as a duplicate with the response of the first request.
 func duplicateOf(result *workerrpc.AttemptResult, response string) bool {
 	return result.Deduplicated && result.Code == workerrpc.CodeOK && string(result.Body) == response
 }
 
-// Two workers of a group deduplicate each other's requests, also when one of three registers is away; with two away, a
-// request with a key is rejected as never run.
+// Two workers in a group deduplicate each other's requests, even if one of the three registers is unreachable. If two
+// registers are unreachable, a request with an idempotency key is rejected as not started.
 func TestIdempotencyInGroup(t *testing.T) {
 	addresses, registers := startRegisters(t, 3)
-	first, second := startWorkerOfGroup(t, addresses), startWorkerOfGroup(t, addresses)
+	first, second := startWorkerInGroup(t, addresses), startWorkerInGroup(t, addresses)
 	send := func(h *harness, body, tenant, key string) *workerrpc.AttemptResult {
 		t.Helper()
 		return h.keyedRequest(tenant, body, key, time.Minute)
 	}
-	// registers are notified of completed requests a little later
+	// The registers are notified of completed requests asynchronously.
 	waitForDuplicate := func(h *harness, body, key, response string) {
 		t.Helper()
 		h.waitFor(key+" is a duplicate", func() bool { return duplicateOf(send(h, body, "x", key), response) })
@@ -102,7 +103,7 @@
 	}
 }
 
-// startRegisters starts so many registers.
+// startRegisters starts count registers.
 func startRegisters(t *testing.T, count int) (addresses []string, servers []*httptest.Server) {
 	t.Helper()
 	for range count {
@@ -121,8 +122,8 @@
 	return addresses, servers
 }
 
-// startWorkerOfGroup starts a worker that deduplicates by registers.
-func startWorkerOfGroup(t *testing.T, registers []string) *harness {
+// startWorkerInGroup starts a worker that deduplicates requests through a group of registers.
+func startWorkerInGroup(t *testing.T, registers []string) *harness {
 	t.Helper()
 	group, err := idempotency.NewGroup(registers, 10*time.Second, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -132,8 +133,8 @@
 	return startWorker(t, func(options *worker.Options) { options.IdempotencyGroup = group })
 }
 
-// A worker whose system's clock was a day off, and was set right between two incarnations, knows a key as long as its
-// window is, no shorter and no longer.
+// The system clock was wrong by a day and was corrected between two incarnations of a worker: a key must remain valid
+// for exactly its window, neither shorter nor longer.
 func TestClockJump(t *testing.T) {
 	const window = 3 * time.Second
 	for _, offset := range []time.Duration{24 * time.Hour, -24 * time.Hour} {
@@ -153,12 +154,12 @@
 			sent := time.Now()
 			if result := h.keyedRequest("", "b", "k", window); !result.Deduplicated {
 				if since := time.Since(first); since < window {
-					t.Errorf("off by %v: a duplicate ran %v after the first, inside its window", offset, since)
+					t.Errorf("clock off by %v: a duplicate ran %v after the first request, within its window", offset, since)
 				}
 				break
 			}
 			if sent.Sub(first) > window+time.Minute {
-				t.Fatalf("off by %v: a key outlives its window because of a clock", offset)
+				t.Fatalf("clock off by %v: the key is still valid after its window", offset)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
--- a/internal/worker/journal.go
+++ b/internal/worker/journal.go
@@ -13,25 +13,25 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// recordKind says what a journal record is about. The numbers are on disk: a new kind goes to the end.
+// recordKind is the type of a journal record. Its values are stored on disk: new kinds are appended to the list.
 type recordKind int
 
 const (
-	recordFormat       recordKind = iota + 1 // the first record
-	recordLoadStarted                        // a load begins; durable before it does
-	recordLoadEnded                          // it ended, successful or not
-	recordAdmitted                           // a request was admitted that depends on a load
-	recordStarted                            // such a request is handed to a replica; written before it is
-	recordAnswered                           // such a request has its result
-	recordKeyClaimed                         // a request with an idempotency key is handed to a replica
-	recordKeyCompleted                       // and was completed
+	recordFormat       recordKind = iota + 1 // first record of the file, with its format version
+	recordLoadStarted                        // a load starts; synced to disk before the load starts
+	recordLoadEnded                          // a load has succeeded or failed
+	recordAdmitted                           // a request that depends on a load was admitted
+	recordStarted                            // written before a request that depends on a load is passed to a replica
+	recordAnswered                           // the result of a request that depends on a load was sent
+	recordKeyClaimed                         // a request with an idempotency key is passed to a replica
+	recordKeyCompleted                       // a request with an idempotency key was completed
 	recordWarmedUp                           // the worker has warmed up
 )
 
-// journalVersion is the format that this program reads and writes.
+// journalVersion is the version of the journal format that this program reads and writes.
 const journalVersion = 2
 
-// journalRecord is one record. The numbers of its fields are on disk.
+// journalRecord is one record of the journal. The numbers of its fields are stored on disk.
 type journalRecord struct {
 	Kind          recordKind         `cbor:"1,keyasint"`
 	LoadID        uint64             `cbor:"2,keyasint,omitempty"`
@@ -39,31 +39,31 @@
 	Version       string             `cbor:"4,keyasint,omitempty"`
 	RequestID     string             `cbor:"5,keyasint,omitempty"`
 	Key           string             `cbor:"6,keyasint,omitempty"`
-	ExpiresAt     time.Time          `cbor:"7,keyasint,omitzero"` // of a key: the end of its window
+	ExpiresAt     time.Time          `cbor:"7,keyasint,omitzero"` // end of an idempotency key's window
 	FormatVersion int                `cbor:"8,keyasint,omitempty"`
-	Duration      time.Duration      `cbor:"11,keyasint,omitempty"` // of a warm-up
-	ClockMark     *durableclock.Mark `cbor:"10,keyasint,omitempty"` // of the first record: what its times are by
-	Response      []byte             `cbor:"9,keyasint,omitempty"`  // of a completed key
+	Duration      time.Duration      `cbor:"11,keyasint,omitempty"` // duration of a warm-up
+	ClockMark     *durableclock.Mark `cbor:"10,keyasint,omitempty"` // in recordFormat: reference of all times in the file
+	Response      []byte             `cbor:"9,keyasint,omitempty"`  // response stored for a completed idempotency key
 }
 
-// journal is what a worker writes down so that its next incarnation can tell the truth about this one. Records that are
-// appended survive the process; synced ones survive a crash of the machine too.
+// journal records the loads and requests of a worker, so that the next incarnation can report which of them a crash
+// interrupted. Appended records survive a crash of the process; synced records also survive a crash of the machine.
 type journal struct {
 	mu               sync.Mutex
 	records          *recordLog
 	keys             map[string]claimedKey
-	responseBytes    int // of the responses stored in keys
+	responseBytes    int // total size of the responses stored in keys
 	nextSweep        time.Time
 	interruptedLoads []workerrpc.InterruptedLoad
-	warmUpDuration   time.Duration // of the last incarnation that warmed up
+	warmUpDuration   time.Duration // warm-up time of the last incarnation that warmed up
 	log              *slog.Logger
-	now              func() time.Time // goes on over restarts, whatever happens to the system's time
+	now              func() time.Time // continues across restarts, independent of changes to the system clock
 	clockMark        durableclock.Mark
 }
 
-// openJournal replays what the last incarnation left and begins a new file with what still counts. A torn last record
-// is what a kill leaves, and zeros at the end what a crash of the machine may leave; anything else that can't be read
-// is an error, and the file stays as it is.
+// openJournal replays the journal of the last incarnation and starts a new file with the records that are still needed.
+// It tolerates a torn last record, which a killed process leaves, and zeros at the end, which a crash of the machine
+// may leave. Anything else that cannot be read is an error, and the file is left unchanged.
 func openJournal(path string, log *slog.Logger) (*journal, error) {
 	j := &journal{keys: map[string]claimedKey{}, log: log}
 	j.now, j.clockMark = durableclock.Continue(durableclock.Mark{})
@@ -76,7 +76,8 @@
 	return j, nil
 }
 
-// rewrite replaces the file by one with what still counts. Until the rename the old file stands.
+// rewrite replaces the file with one that contains only the records that are still needed. The old file remains in
+// place until the new one is complete and renamed over it.
 func (j *journal) rewrite(path string) (err error) {
 	temporary, err := os.CreateTemp(filepath.Dir(path), ".journal-*")
 	if err != nil {
@@ -98,10 +99,10 @@
 	if err := os.Rename(temporary.Name(), path); err != nil {
 		return err
 	}
-	return durable.SyncDir(filepath.Dir(path)) // else a crash of the machine may bring the old file back
+	return durable.SyncDir(filepath.Dir(path)) // otherwise a crash of the machine may undo the rename
 }
 
-// appendState writes all that a new file begins with.
+// appendState writes the first records of a new file: format, idempotency keys and warm-up duration.
 func (j *journal) appendState() error {
 	first := journalRecord{Kind: recordFormat, FormatVersion: journalVersion, ClockMark: &j.clockMark}
 	if err := j.records.append(first); err != nil {
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// append adds a record that survives the process.
+// append writes a record that survives a crash of the process.
 func (j *journal) append(record journalRecord) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -132,7 +133,7 @@
 	return nil
 }
 
-// appendSynced adds a record that survives a crash of the machine.
+// appendSynced writes a record that also survives a crash of the machine.
 func (j *journal) appendSynced(record journalRecord) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -145,5 +146,5 @@
 	return nil
 }
 
-// close closes the file.
+// close closes the journal's file.
 func (j *journal) close() error { return j.records.close() }
--- a/internal/worker/journal_fault_test.go
+++ b/internal/worker/journal_fault_test.go
@@ -15,8 +15,8 @@
 	"lupinpond/internal/worker/idempotency"
 )
 
-// withFileSizeLimit calls f while no file of this process may grow beyond size bytes: a write across it is cut short
-// there and fails, as on a full disk.
+// withFileSizeLimit calls f while no file of this process may grow beyond size bytes. A write that crosses the limit is
+// truncated there and fails, as on a full disk.
 func withFileSizeLimit(t *testing.T, size int64, f func()) {
 	t.Helper()
 	signal.Ignore(syscall.SIGXFSZ)
@@ -35,14 +35,14 @@
 	}
 }
 
-// claimFor claims a key for an hour.
+// claimFor claims a key with a window of one hour.
 func claimFor(j *journal, name string) idempotency.Decision {
 	_, decision, _ := j.Claim(context.Background(), name, time.Hour)
 	return decision
 }
 
-// A record that a full disk cuts short leaves no trace once there is room again: the next incarnation reads every later
-// record, and a keyed request that ran does not run a second time.
+// A record that is truncated because the disk is full must not make later records unreadable: the next incarnation must
+// read all of them, otherwise a request with an idempotency key could run twice.
 func TestRecordTruncatedByFullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "journal")
 	j, err := openJournal(path, slog.New(slog.DiscardHandler))
@@ -59,7 +59,7 @@
 	truncated := strings.Repeat("k", 500)
 	withFileSizeLimit(t, info.Size()+40, func() {
 		if decision := claimFor(j, truncated); decision != idempotency.DecisionUnknown {
-			t.Error("a claim that is not written down:", decision)
+			t.Error("claim that could not be journaled: got decision", decision)
 		}
 	})
 	if decision := claimFor(j, "after"); decision != idempotency.DecisionExecute {
@@ -70,21 +70,21 @@
 	}
 	next, err := openJournal(path, slog.New(slog.DiscardHandler))
 	if err != nil {
-		t.Fatal("the next incarnation does not start:", err)
+		t.Fatal("the next incarnation cannot open the journal:", err)
 	}
 	defer next.close()
 	for _, name := range []string{"before", "after"} {
 		if decision := claimFor(next, name); decision != idempotency.DecisionDuplicate {
-			t.Errorf("the request of key %q may run a second time: decision %v", name, decision)
+			t.Errorf("the request of key %q could run twice: got decision %v", name, decision)
 		}
 	}
 	if decision := claimFor(next, truncated); decision != idempotency.DecisionExecute {
-		t.Error("a claim that was never granted counts:", decision)
+		t.Error("a claim that was not granted blocks its key: got decision", decision)
 	}
 }
 
-// Zeros at the end, as a machine that fails may leave them behind what was synced, hide nothing before them; anything
-// else that can't be read is an error.
+// A crash of the machine may leave zeros after the synced part of the journal. The records before them must still be
+// read. Any other content that cannot be decoded is an error.
 func TestJournalEndingInZeros(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "journal")
 	j, err := openJournal(path, slog.New(slog.DiscardHandler))
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	if decision := claimFor(next, "k"); decision != idempotency.DecisionDuplicate {
-		t.Error("the request may run a second time:", decision)
+		t.Error("the request could run twice: got decision", decision)
 	}
 	if err := next.close(); err != nil {
 		t.Fatal(err)
@@ -118,6 +118,6 @@
 		t.Fatal(err)
 	}
 	if _, err := openJournal(path, slog.New(slog.DiscardHandler)); err == nil {
-		t.Error("an unreadable journal is opened")
+		t.Error("a journal with undecodable content was opened without an error")
 	}
 }
--- a/internal/worker/journal_keys.go
+++ b/internal/worker/journal_keys.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	// localClaim is the claim of every request at the worker's own journal, which has no two claims of a key to tell
-	// apart.
+	// localClaim is the claim that the journal returns for every key. Claims need not be distinguished here because the
+	// journal has at most one claim of a key at a time.
 	localClaim = "own"
-	// maxStoredResponseBytes is how many bytes of responses the journal stores in all; beyond it a duplicate gets no
-	// body.
+	// maxStoredResponseBytes limits the total size of the responses stored in the journal. A response above the limit
+	// is not stored, and its duplicates are answered without a body.
 	maxStoredResponseBytes = 64 << 20
-	// keySweepInterval is the least time between two removals of expired keys.
+	// keySweepInterval is the minimum time between two removals of expired keys.
 	keySweepInterval = time.Second
 )
 
-// claimedKey is an idempotency key inside its window.
+// claimedKey is the state of a claimed idempotency key.
 type claimedKey struct {
 	expiresAt time.Time
-	completed bool // else its request may have run
+	completed bool // if false, the request may or may not have run
 	response  []byte
 }
 
-// record is what the journal has of a key.
+// record returns the journal record of a key.
 func (k claimedKey) record(kind recordKind, name string) journalRecord {
 	return journalRecord{Kind: kind, Key: name, ExpiresAt: k.expiresAt, Response: k.response}
 }
 
-// Claim records that a request with an idempotency key is handed to a replica, unless it is a duplicate inside the
-// window of the first.
+// Claim records that a request with an idempotency key is passed to a replica, unless the key was already claimed and
+// its window has not ended.
 func (j *journal) Claim(
 	_ context.Context, name string, window time.Duration,
 ) (claim string, decision idempotency.Decision, response []byte) {
@@ -49,12 +49,12 @@
 	if j.appendKey(recordKeyClaimed, name, key) != nil {
 		return "", idempotency.DecisionUnknown, nil
 	}
-	j.responseBytes -= len(j.keys[name].response) // of a key whose window is over
+	j.responseBytes -= len(j.keys[name].response) // the replaced key, if any, has expired
 	j.keys[name] = key
 	return localClaim, idempotency.DecisionExecute, nil
 }
 
-// sweep removes expired keys, now and then; the lock is held.
+// sweep removes expired keys, at most once per keySweepInterval. The lock must be held.
 func (j *journal) sweep(now time.Time) {
 	if !now.After(j.nextSweep) {
 		return
@@ -68,12 +68,13 @@
 	}
 }
 
-// Complete records that a request with an idempotency key was completed, with its response if there is space for it.
+// Complete records that a request with an idempotency key was completed. Its response is stored if it is within the
+// size limits.
 func (j *journal) Complete(name, _ string, response []byte) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	key, known := j.keys[name]
-	if !known { // its window is over
+	if !known { // expired and removed
 		return
 	}
 	key.completed = true
@@ -82,19 +83,21 @@
 		j.responseBytes += len(response)
 	}
 	j.keys[name] = key
-	_ = j.appendKey(recordKeyCompleted, name, key) // unwritten, its duplicates count as may have run after a restart
+	// If this record is not written, duplicates are reported as "may have run" after a restart.
+	_ = j.appendKey(recordKeyCompleted, name, key)
 }
 
-// Release gives a key back: its request was handed to no replica after all.
+// Release removes the claim of a key whose request was not passed to a replica.
 func (j *journal) Release(name, _ string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	delete(j.keys, name)
 	expired := claimedKey{expiresAt: time.Unix(1, 0)}
-	_ = j.appendKey(recordKeyClaimed, name, expired) // unwritten, its duplicates count as may have run after a restart
+	// If this record is not written, duplicates are reported as "may have run" after a restart.
+	_ = j.appendKey(recordKeyClaimed, name, expired)
 }
 
-// appendKey writes a key; the lock is held.
+// appendKey writes the record of a key and logs a failure. The lock must be held.
 func (j *journal) appendKey(kind recordKind, name string, key claimedKey) error {
 	err := j.records.append(key.record(kind, name))
 	if err != nil {
--- a/internal/worker/journal_replay.go
+++ b/internal/worker/journal_replay.go
@@ -12,20 +12,21 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// journalReplay is what the records of the last incarnation say about its loads, while they are read.
+// journalReplay is the state of the last incarnation's loads and requests, reconstructed from its records.
 type journalReplay struct {
 	openLoads []openLoad
-	admitted  map[string]string // function by the ID of a request without a result
-	started   map[string]bool   // by the ID of a request
+	admitted  map[string]string // maps the ID of each unanswered request to its function
+	started   map[string]bool   // IDs of the requests that were passed to a replica
 }
 
-// openLoad is a load that has started and not ended.
+// openLoad is a load that was started and has not ended.
 type openLoad struct {
 	id                uint64
 	function, version string
 }
 
-// replay reads a journal from its first record; a file that does not exist has none.
+// replay reads all records of a journal file and rebuilds the journal's state. A file that does not exist has no
+// records.
 func (j *journal) replay(path string) error {
 	file, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -60,10 +61,10 @@
 	return nil
 }
 
-// replayFormat checks the first record and goes on with its clock.
+// replayFormat checks the format version in the first record and continues the clock from its mark.
 func (j *journal) replayFormat(record journalRecord) error {
 	if record.Kind != recordFormat || record.FormatVersion != journalVersion {
-		return fmt.Errorf("version %d, this program reads %d", record.FormatVersion, journalVersion)
+		return fmt.Errorf("format version %d, this program reads version %d", record.FormatVersion, journalVersion)
 	}
 	if record.ClockMark != nil {
 		j.now, j.clockMark = durableclock.Continue(*record.ClockMark)
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// apply takes one record into account.
+// apply updates the journal and the replay state with one record.
 func (j *journal) apply(record journalRecord, state *journalReplay) {
 	switch record.Kind {
 	case recordLoadStarted:
@@ -79,7 +80,7 @@
 	case recordLoadEnded:
 		state.openLoads = slices.DeleteFunc(state.openLoads, func(l openLoad) bool { return l.id == record.LoadID })
 	case recordAdmitted:
-		state.admitted[record.RequestID] = record.Function // before its load begins, or while it goes on
+		state.admitted[record.RequestID] = record.Function // written before its load starts or while the load runs
 	case recordStarted:
 		state.started[record.RequestID] = true
 	case recordAnswered:
@@ -87,7 +88,7 @@
 	case recordWarmedUp:
 		j.warmUpDuration = record.Duration
 	case recordKeyClaimed, recordKeyCompleted:
-		delete(j.keys, record.Key) // a released key is recorded with a window that is over
+		delete(j.keys, record.Key) // a released key is recorded with an ExpiresAt in the past
 		if record.ExpiresAt.After(j.now()) {
 			j.keys[record.Key] = claimedKey{
 				expiresAt: record.ExpiresAt,
@@ -98,7 +99,7 @@
 	}
 }
 
-// interruptedLoads lists the loads without an end, each with the requests that depended on it.
+// interruptedLoads returns the loads that have not ended, each with the unanswered requests that depended on it.
 func (r *journalReplay) interruptedLoads() []workerrpc.InterruptedLoad {
 	var loads []workerrpc.InterruptedLoad
 	for _, open := range r.openLoads {
--- a/internal/worker/memory_test.go
+++ b/internal/worker/memory_test.go
@@ -12,29 +12,31 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// What the worker reports is what the operating system says, within 5 %, over at least 50 samples under load.
+// The memory that a worker reports must be within 5 % of the memory that the operating system reports for its
+// processes, in at least 50 samples under load.
 func TestReportedMemoryMatchesProcesses(t *testing.T) {
 	h := startWorker(t, nil)
-	worst, samples := 0.0, 0
+	maxDeviation, samples := 0.0, 0
 	for _, kind := range []string{manifest.Process, manifest.Wasm} {
 		h.expectAnswer("misbehave-"+kind, "hold", workerrpc.CodeOK, "")
 		for range 30 {
 			h.expectAnswer("misbehave-"+kind, "echo", workerrpc.CodeOK, "")
-			if deviation, quiet := h.memoryDeviation(); quiet {
-				worst = max(worst, deviation)
+			if deviation, stable := h.memoryDeviation(); stable {
+				maxDeviation = max(maxDeviation, deviation)
 				samples++
 			}
 		}
 	}
-	t.Logf("%d samples, the worst %.1f %% off", samples, 100*worst)
-	if samples < 50 || worst > 0.05 {
-		t.Errorf("%d samples, the worst %.1f %% off", samples, 100*worst)
+	t.Logf("%d samples, maximum deviation %.1f %%", samples, 100*maxDeviation)
+	if samples < 50 || maxDeviation > 0.05 {
+		t.Errorf("%d samples, maximum deviation %.1f %%", samples, 100*maxDeviation)
 	}
 }
 
-// memoryDeviation compares the reported memory with the processes', in a quiet moment: two samples of the worker with
-// the same result around the test's own.
-func (h *harness) memoryDeviation() (deviation float64, quiet bool) {
+// memoryDeviation returns the relative deviation of the reported memory from the memory of the processes. It takes the
+// test's own measurement between two reports of the worker, and retries until both reports agree within 2 %. stable
+// reports whether they did.
+func (h *harness) memoryDeviation() (deviation float64, stable bool) {
 	h.t.Helper()
 	for range 50 {
 		before := h.LoadReport().MemoryBytes
@@ -52,8 +54,8 @@
 	return 0, false
 }
 
-// processTreeMemory sums what the operating system says of a process and its children, read independently of the
-// worker.
+// processTreeMemory returns the total memory of a process and its descendants as reported by the operating system. It
+// does not use the worker's code.
 func processTreeMemory(pid int) (int64, error) {
 	sum, err := processMemory(pid)
 	if err != nil {
@@ -66,7 +68,7 @@
 	for _, task := range tasks {
 		children, err := os.ReadFile(fmt.Sprintf("/proc/%d/task/%s/children", pid, task.Name()))
 		if err != nil {
-			continue // a thread that has ended
+			continue // the thread has ended
 		}
 		for _, child := range strings.Fields(string(children)) {
 			childID, err := strconv.Atoi(child)
@@ -75,7 +77,7 @@
 			}
 			memory, err := processTreeMemory(childID)
 			if err != nil {
-				continue // a child that has exited
+				continue // the child has exited
 			}
 			sum += memory
 		}
@@ -83,7 +85,7 @@
 	return sum, nil
 }
 
-// processMemory is the proportional set size of a process.
+// processMemory returns the proportional set size of a process in bytes.
 func processMemory(pid int) (int64, error) {
 	rollup, err := os.ReadFile(fmt.Sprintf("/proc/%d/smaps_rollup", pid))
 	if err != nil {
--- a/internal/worker/recordlog.go
+++ b/internal/worker/recordlog.go
@@ -12,15 +12,15 @@
 	"lupinpond/internal/base/durable"
 )
 
-// recordLog appends records to a file such that a record that could not be written in full leaves nothing behind: what
-// comes after half a record would be read as its rest.
+// recordLog appends records to a file. If a record cannot be written in full, the part that was written is removed
+// before the next append; otherwise a reader would decode the next record as the rest of the partial one.
 type recordLog struct {
 	file *os.File
-	size int64 // of the complete records
-	torn bool  // the file holds a part of one more
+	size int64 // total size of the complete records
+	torn bool  // whether a partial record follows the complete ones
 }
 
-// append writes one record. After an error the record is not in the file, now or after a later append.
+// append writes one record. If it returns an error, readers will not find the record in the file.
 func (l *recordLog) append(record any) error {
 	if err := l.repair(); err != nil {
 		return err
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// repair cuts off what a failed write has left. Until that succeeds nothing is appended.
+// repair removes the partial record that a failed write left. No record is appended until repair succeeds.
 func (l *recordLog) repair() error {
 	if !l.torn {
 		return nil
@@ -49,24 +49,25 @@
 	return nil
 }
 
-// sync makes what was appended survive a crash of the machine.
+// sync flushes appended records to disk, so that they survive a crash of the machine.
 func (l *recordLog) sync() error { return l.file.Sync() }
 
-// close closes the file.
+// close closes the log's file.
 func (l *recordLog) close() error { return l.file.Close() }
 
-// recordReader reads the records of a recordLog in turn.
+// recordReader reads the records of a recordLog in order.
 type recordReader struct {
 	file    *os.File
 	decoder *cbor.Decoder
 }
 
-// newRecordReader reads from the beginning of a file.
+// newRecordReader returns a reader of the records in a file. The file's offset must be at its beginning.
 func newRecordReader(file *os.File) *recordReader {
 	return &recordReader{file, cbor.NewDecoder(bufio.NewReader(file))}
 }
 
-// next reads one record. io.EOF: there are no more, or the last one is torn.
+// next reads one record. It returns io.EOF after the last complete record: at the end of the file, at a torn record, or
+// if only zeros follow.
 func (r *recordReader) next(record any) error {
 	start := int64(r.decoder.NumBytesRead())
 	err := r.decoder.Decode(record)
@@ -83,7 +84,7 @@
 	return err
 }
 
-// onlyZeros reports whether a reader has nothing but zeros.
+// onlyZeros reports whether a reader returns only zero bytes until its end.
 func onlyZeros(from io.Reader) (bool, error) {
 	in := bufio.NewReader(from)
 	for {
--- a/internal/worker/releases.go
+++ b/internal/worker/releases.go
@@ -9,15 +9,16 @@
 	"lupinpond/internal/worker/runner"
 )
 
-// releaseSet has the releases by function.
+// releaseSet holds the releases of functions. The keys of its maps are function names.
 type releaseSet struct {
-	active      map[string]manifest.Manifest // what is loaded from now on
+	active      map[string]manifest.Manifest // releases used for new replicas
 	prefetching map[string]bool              // functions whose newest release is being fetched
 }
 
-// RefreshReleases polls for new functions and new releases. What is known stays known when the artifact store does
-// not answer. A release of a function that has replicas here becomes active only once all of it has been fetched:
-// until then, and if the store stops in between, the old release serves.
+// RefreshReleases polls for new functions and new releases. If the artifact store does not answer, the known releases
+// remain in use. If a function has replicas on this worker, its new release becomes active only after it has been
+// fetched completely: until then, and if the store becomes unreachable during the fetch, the old release serves
+// requests.
 func (w *Worker) RefreshReleases(ctx context.Context) error {
 	err := w.options.Artifacts.Refresh(ctx)
 	w.mu.Lock()
@@ -37,7 +38,7 @@
 	return err
 }
 
-// prefetchRelease fetches a release, then activates it. If it can't be fetched, the next poll tries again.
+// prefetchRelease fetches a release, then activates it. If the fetch fails, the next poll retries it.
 func (w *Worker) prefetchRelease(release manifest.Manifest) {
 	ctx, cancel := context.WithTimeout(context.Background(), w.options.StartTimeout)
 	defer cancel()
@@ -54,8 +55,8 @@
 	w.advance()
 }
 
-// activateRelease makes a release the one that is loaded; replicas of the previous one finish what they run. The lock
-// is held.
+// activateRelease makes a release the one that new replicas run. Replicas of the previous release complete their
+// running calls. The lock must be held.
 func (w *Worker) activateRelease(release manifest.Manifest) {
 	w.releases.active[release.Name] = release
 	w.admission.Publish(admission.Function{
@@ -64,14 +65,14 @@
 		Concurrency: release.Concurrency,
 		MemoryBytes: runner.MemoryLimit(release, w.options.WasmOverhead),
 	})
-	w.background.Go(func() { // it removes files, which is not for the lock
+	w.background.Go(func() { // removes files, which must not happen while the lock is held
 		if err := w.options.Artifacts.DropPrevious(release.Name); err != nil {
 			w.options.Log.Warn("previous release removal failed", "package", release.Name, "err", err)
 		}
 	})
 }
 
-// pollReleases polls for releases at an interval until ctx ends.
+// pollReleases polls for releases every ReleasePollInterval until ctx is done.
 func (w *Worker) pollReleases(ctx context.Context) error {
 	if w.options.ReleasePollInterval <= 0 {
 		return nil
--- a/internal/worker/replicalog.go
+++ b/internal/worker/replicalog.go
@@ -6,8 +6,9 @@
 	"os"
 )
 
-// rotateReplicaLog moves a replica log that is too long to NAME.1. Replicas write into the file themselves, so it is
-// copied and truncated; a line that is written in between is lost.
+// rotateReplicaLog rotates the replica log to NAME.1 if it is larger than MaxReplicaLogBytes. Replicas have the file
+// open and write to it directly, so it is copied and truncated instead of renamed. A line that is written between the
+// copy and the truncation is lost.
 func (w *Worker) rotateReplicaLog() error {
 	if w.options.ReplicaLog == nil || w.options.MaxReplicaLogBytes <= 0 {
 		return nil
--- a/internal/worker/replicas.go
+++ b/internal/worker/replicas.go
@@ -13,31 +13,31 @@
 	"lupinpond/internal/worker/runner"
 )
 
-// Steps of a load, as Options.FailPoint gets them.
+// Steps of a load that are passed to Options.FailPoint.
 const (
-	PointJournaled = "noted"    // the load's start is in the journal, nothing has begun
+	PointJournaled = "noted"    // the start of the load is journaled, and the load has not begun
 	PointFetched   = "fetched"  // the package's content is installed
-	PointVerified  = "verified" // the content agrees with its manifest
-	PointStarted   = "started"  // the replica asks for requests
-	PointCompleted = "warm"     // the load's end is in the journal
+	PointVerified  = "verified" // the content matches its manifest
+	PointStarted   = "started"  // the replica polls for requests
+	PointCompleted = "warm"     // the end of the load is journaled
 )
 
-// maxLoadTimings is how many loads LoadTimings reports.
+// maxLoadTimings is the maximum number of loads that Worker.LoadTimings returns.
 const maxLoadTimings = 100
 
-// LoadTimings is how long the steps of a load took.
+// LoadTimings holds the durations of the steps of a load.
 type LoadTimings struct{ Fetch, Verify, Compile, Start time.Duration }
 
-// errLoadFault is why a load fails while that fault is injected.
+// errLoadFault is the error of a load that fails because the FailLoads fault is injected.
 var errLoadFault = errors.New(reasonFault)
 
-// replica is a replica as the worker knows it.
+// replica is a replica that is loading or loaded on the worker.
 type replica struct {
-	process   *runner.Replica // nil while it loads
-	unloading bool            // stopped by decision of admission
+	process   *runner.Replica // nil while the replica is loading
+	unloading bool            // whether admission decided to unload the replica
 }
 
-// runningReplica is the replica of an ID; nil while it loads, and once it has exited. The lock is held.
+// runningReplica returns the replica with an ID, or nil if it is still loading or has exited. The lock must be held.
 func (w *Worker) runningReplica(id uint64) *replica {
 	if r := w.replicas[id]; r != nil && r.process != nil {
 		return r
@@ -45,14 +45,14 @@
 	return nil
 }
 
-// LoadTimings reports the last loads of this incarnation, the oldest first.
+// LoadTimings returns the timings of the last successful loads of this incarnation, oldest first.
 func (w *Worker) LoadTimings() []LoadTimings {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]LoadTimings(nil), w.loadTimings...)
 }
 
-// startLoad begins to load a replica; the lock is held.
+// startLoad starts to load a replica in the background. The lock must be held.
 func (w *Worker) startLoad(load admission.Load) {
 	release := w.releases.active[load.Function.Name]
 	w.replicas[load.ReplicaID] = &replica{}
@@ -63,7 +63,8 @@
 	w.background.Go(func() { w.loadReplica(load.ReplicaID, release, fault) })
 }
 
-// loadReplica loads a replica and tells admission how that ended. fault is an injected failure; nil: none.
+// loadReplica loads a replica and reports its success or failure to admission. If fault is not nil, the load fails with
+// this injected error.
 func (w *Worker) loadReplica(id uint64, release manifest.Manifest, fault error) {
 	timings, process, err := w.startReplica(id, release, fault)
 	w.mu.Lock()
@@ -87,8 +88,8 @@
 	w.advance()
 }
 
-// startReplica journals the start of a load, durably, before anything of it begins, and its end, successful or not:
-// only a crash in between leaves a load without an end.
+// startReplica starts a replica and journals the start and the end of its load. The start is synced to disk before the
+// load begins, and the end is journaled whether the load succeeds or fails: only a crash leaves a load without an end.
 func (w *Worker) startReplica(
 	id uint64, release manifest.Manifest, fault error,
 ) (timings LoadTimings, process *runner.Replica, err error) {
@@ -111,7 +112,7 @@
 	return w.installAndStart(id, release)
 }
 
-// installAndStart fetches and verifies a package into a folder of the replica's own, and starts the replica there.
+// installAndStart fetches a package into a folder used by this replica only, verifies it and starts the replica there.
 func (w *Worker) installAndStart(
 	id uint64, release manifest.Manifest,
 ) (timings LoadTimings, process *runner.Replica, err error) {
@@ -133,7 +134,7 @@
 	timings.Verify = time.Since(verifyStart)
 	w.options.FailPoint(PointVerified)
 	processStart := time.Now()
-	process, err = w.replicaHost.Start(context.Background(), installed) // bounded by StartTimeout
+	process, err = w.replicaHost.Start(context.Background(), installed) // the host applies StartTimeout
 	if err != nil {
 		return timings, nil, errors.Join(err, os.RemoveAll(folder))
 	}
@@ -143,27 +144,28 @@
 	return timings, process, nil
 }
 
-// forgetReplica tells admission that a replica is gone, once: when it has exited, or as the first of its calls says that
-// it will. The lock is held.
-func (w *Worker) forgetReplica(id uint64) {
-	gone := w.replicas[id]
-	if gone == nil {
+// removeReplica removes a replica and reports its exit to admission. It is called when the replica has exited and when
+// a call's error shows that it is exiting; only the first call has an effect. The lock must be held.
+func (w *Worker) removeReplica(id uint64) {
+	removed := w.replicas[id]
+	if removed == nil {
 		return
 	}
 	delete(w.replicas, id)
-	if gone.unloading {
+	if removed.unloading {
 		w.admission.ReplicaUnloaded(id)
 	} else {
 		w.admission.ReplicaExited(w.now(), id)
 	}
 }
 
-// watchReplica waits until a replica exits, stopped or by itself. Its calls have their results from the runner.
+// watchReplica waits until a replica exits, whether it was stopped or exited by itself, and removes it. The runner
+// completes the calls of the replica.
 func (w *Worker) watchReplica(id uint64, process *runner.Replica) {
 	<-process.Done()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.forgetReplica(id)
-	_ = os.RemoveAll(process.Folder()) // what is left is removed when the next incarnation starts
+	w.removeReplica(id)
+	_ = os.RemoveAll(process.Folder()) // if this fails, the next incarnation removes the folder at start
 	w.advance()
 }
--- a/internal/worker/report.go
+++ b/internal/worker/report.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	// coldStartWindow is how many of the last admitted calls the cold start rate is taken over.
+	// coldStartWindow is the number of most recently admitted calls over which the cold start rate is computed.
 	coldStartWindow = 32
-	// warmedUpColdRate is the cold start rate, over a full window, at which the worker counts as warmed up.
+	// warmedUpColdRate is the cold start rate at or below which the worker is considered warmed up. It applies only once
+	// coldStartWindow calls have been admitted.
 	warmedUpColdRate = 1.0 / 16
 )
 
-// coldStartTracker has which of the last admitted calls found no warm replica.
+// coldStartTracker records which of the most recently admitted calls found no warm replica.
 type coldStartTracker struct {
-	cold     [coldStartWindow]bool // a ring: call i is at i modulo its length
-	admitted int
+	cold     [coldStartWindow]bool // ring buffer: call i is at index i modulo coldStartWindow
+	admitted int                   // number of calls admitted so far
 	warmedUp bool
 }
 
-// add counts an admitted call. It reports true once: when the worker has warmed up.
+// add records an admitted call. It returns true once, for the call with which the worker becomes warmed up.
 func (t *coldStartTracker) add(cold bool) (warmedUp bool) {
 	t.cold[t.admitted%coldStartWindow] = cold
 	t.admitted++
@@ -35,7 +36,7 @@
 	return true
 }
 
-// rate is the share of the last calls that found no warm replica; 1 before the first call.
+// rate returns the fraction of the calls in the window that found no warm replica, or 1 before the first call.
 func (t *coldStartTracker) rate() float64 {
 	calls := min(coldStartWindow, t.admitted)
 	if calls == 0 {
@@ -50,14 +51,14 @@
 	return float64(coldCalls) / float64(calls)
 }
 
-// LoadReport reports the worker's load; its memory is what the operating system said at the last sample.
+// LoadReport returns the worker's load. Its memory usage is that of the last sample taken from the operating system.
 func (w *Worker) LoadReport() *workerrpc.LoadReport {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.loadReport()
 }
 
-// loadReport is LoadReport with the lock held.
+// loadReport implements LoadReport. The lock must be held.
 func (w *Worker) loadReport() *workerrpc.LoadReport {
 	waiting := float64(w.admission.Waiting())
 	if w.faults.ReportFactor > 0 {
@@ -73,8 +74,8 @@
 	}
 }
 
-// sampleMemory samples the memory of all replicas at an interval and stops a replica that holds more than its package
-// may. It also rotates the replicas' log.
+// sampleMemory periodically samples the memory of all replicas and stops each replica that exceeds the memory limit of
+// its package. It also rotates the replica log.
 func (w *Worker) sampleMemory(ctx context.Context) error {
 	return httpserver.RunPeriodically(ctx, w.options.MemorySampleInterval, func() error {
 		w.sampleMemoryOnce()
@@ -85,7 +86,7 @@
 	})
 }
 
-// sampleMemoryOnce takes one sample.
+// sampleMemoryOnce samples the memory of the worker and its replicas once.
 func (w *Worker) sampleMemoryOnce() {
 	w.mu.Lock()
 	var processes []*runner.Replica
@@ -102,7 +103,7 @@
 	for _, process := range processes {
 		used, err := process.Memory()
 		if err != nil {
-			continue // it has just exited
+			continue // the replica has just exited
 		}
 		if total += used; used > process.MemoryLimit() {
 			process.Stop(runner.ErrMemoryLimit)
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,8 +1,9 @@
-// Package worker is the worker runtime. It takes attempts and load requests over the worker protocol, installs
-// packages, runs requests on replicas, and reports its load, its memory and what may have run before a crash.
+// Package worker implements the worker runtime. A worker receives attempts and load requests over the worker protocol,
+// installs packages and runs requests on replicas. It reports its load, its memory usage and, after a crash, which
+// requests of the previous incarnation may have run.
 //
-// Which attempts are admitted, which replica runs them and which replica is evicted is decided by package admission;
-// this package carries those decisions out.
+// Package admission decides which attempts are admitted, which replica runs them and which replica is evicted; this
+// package carries out those decisions.
 package worker
 
 import (
@@ -27,7 +28,7 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// Names within a worker's folder.
+// Names of files and folders in a worker's folder.
 const (
 	journalFile    = "journal"
 	packagesFolder = "packages"
@@ -38,51 +39,52 @@
 type Options struct {
 	// Name identifies the worker in the worker registry and in its handshake.
 	Name string
-	// Folder belongs to this worker alone: journal, packages, compiled code.
+	// Folder holds the worker's journal, packages and compiled code. No other worker may use it.
 	Folder string
-	// Artifacts installs packages.
+	// Artifacts fetches and installs packages.
 	Artifacts *distribution.Distributor
-	// Executable is this program, which is started again for each wasm replica.
+	// Executable is the path of this program, which is started as a child process for each wasm replica.
 	Executable string
-	// Limits bound what is admitted.
+	// Limits are the limits that admission enforces.
 	Limits admission.Limits
-	// MaxInFlight is how many unanswered attempts one connection may have.
+	// MaxInFlight is the maximum number of unanswered attempts on one connection.
 	MaxInFlight int
-	// WasmOverhead is the memory in bytes of a wasm replica beside its module's own.
+	// WasmOverhead is the memory in bytes that a wasm replica needs in addition to its module's memory.
 	WasmOverhead int64
-	// MaxResponseBytes is the longest response that a function may give.
+	// MaxResponseBytes is the maximum size of a function's response.
 	MaxResponseBytes int64
-	// StartTimeout bounds a load: a replica that is not ready by then has failed to load.
+	// StartTimeout is the timeout of fetching a package and, separately, of starting its replica. A load that exceeds
+	// either of them fails.
 	StartTimeout time.Duration
-	// GracePeriod is the time between SIGTERM and SIGKILL to a replica.
+	// GracePeriod is the time between SIGTERM and SIGKILL when a replica is stopped.
 	GracePeriod time.Duration
 	// MemorySampleInterval is the time between two samples of the replicas' memory.
 	MemorySampleInterval time.Duration
-	// ReleasePollInterval is the time between two polls for new releases; 0: releases are not polled.
+	// ReleasePollInterval is the time between two polls for new releases; 0 disables polling.
 	ReleasePollInterval time.Duration
-	// FailPoint is called at each named step of a load, for tests; may be nil.
+	// FailPoint, if not nil, is called at each named step of a load. It is used by tests.
 	FailPoint func(point string)
-	// ReplicaLog receives the standard output and error of all replicas; nil: they are discarded.
+	// ReplicaLog receives the standard output and error of all replicas; if nil, they are discarded.
 	ReplicaLog *os.File
-	// MaxReplicaLogBytes is the size beyond which ReplicaLog is rotated to NAME.1; 0: never.
+	// MaxReplicaLogBytes is the size above which ReplicaLog is rotated to NAME.1; 0 disables rotation.
 	MaxReplicaLogBytes int64
-	// IdempotencyGroup has the registers of the workers that deduplicate each other's requests; nil: the worker's own
-	// journal deduplicates only what this worker ran.
+	// IdempotencyGroup is the group of registers through which several workers deduplicate each other's requests. If
+	// nil, the worker deduplicates by its own journal, which covers only requests that this worker ran.
 	IdempotencyGroup *idempotency.Group
-	// Log receives the worker's own log; nil: it is discarded.
+	// Log receives the worker's own log; if nil, it is discarded.
 	Log *slog.Logger
 }
 
-// claimStore knows which requests with an idempotency key were started inside their windows: the worker's own
-// journal, or the registers of a group.
+// claimStore records which requests with an idempotency key were started within their windows. It is implemented by
+// the worker's journal and by a group of registers.
 type claimStore interface {
 	Claim(ctx context.Context, key string, window time.Duration) (
 		claim string, decision idempotency.Decision, response []byte)
 	Complete(key, claim string, response []byte)
-	Release(key, claim string) // the request was not run after all
+	Release(key, claim string) // called if the claimed request was not run
 }
 
-// lifecycle is how far a worker is on its way from serving to closed. It only ever advances.
+// lifecycle is the phase of a worker. A worker never returns to an earlier phase.
 type lifecycle int
 
 const (
@@ -91,7 +93,7 @@
 	closed
 )
 
-// Worker is one incarnation of a worker: what it knows of earlier ones comes from the journal.
+// Worker is one incarnation of a worker. State of earlier incarnations is read from the journal.
 type Worker struct {
 	options     Options
 	started     time.Time
@@ -103,7 +105,7 @@
 	wakeTimer   *time.Timer
 	background  sync.WaitGroup
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	state        lifecycle
 	admission    *admission.Controller
 	calls        callTable
@@ -112,12 +114,13 @@
 	loadRequests []*loadRequest
 	coldStarts   coldStartTracker
 	loadTimings  []LoadTimings
-	memoryUsage  int64 // in bytes, at the last sample
+	memoryUsage  int64 // bytes used by the worker and its replicas at the last sample
 	faults       faultinject.Faults
 }
 
-// New opens a worker's folder and polls for releases; while the artifact store does not answer, the releases known
-// before are used. A folder that another worker uses is an error.
+// New creates a worker that uses options.Folder and polls once for releases. If the artifact store does not answer, the
+// worker uses the releases that are already known. The folder must not be in use by another worker; packages that
+// earlier incarnations installed in it are removed.
 func New(options Options) (*Worker, error) {
 	if options.Log == nil {
 		options.Log = slog.New(slog.DiscardHandler)
@@ -176,7 +179,7 @@
 	return w, nil
 }
 
-// clearInstalled removes what earlier incarnations installed and compiled: a new incarnation starts cold.
+// clearInstalled removes the packages and compiled code of earlier incarnations: a new incarnation starts cold.
 func clearInstalled(folder string) error {
 	for _, name := range []string{packagesFolder, compiledFolder} {
 		path := filepath.Join(folder, name)
@@ -190,7 +193,7 @@
 	return nil
 }
 
-// Run serves gateways until ctx ends, then stops all replicas.
+// Run serves gateways until ctx is done, then stops all replicas.
 func (w *Worker) Run(ctx context.Context, listener net.Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return w.server.Serve(ctx, w.silencer.Listener(listener)) })
@@ -206,7 +209,7 @@
 	return errors.Join(err, w.journal.close())
 }
 
-// Drain has the worker admit nothing new; what runs or waits is finished.
+// Drain starts draining: the worker rejects new work and completes the calls that are waiting or running.
 func (w *Worker) Drain() {
 	w.mu.Lock()
 	w.state = max(w.state, draining)
@@ -214,25 +217,25 @@
 	w.server.NotifyDraining(reasonDraining)
 }
 
-// Reset breaks all connections; the worker goes on serving.
+// Reset closes all connections to gateways; the worker continues to serve.
 func (w *Worker) Reset() { w.server.CloseConnections() }
 
-// Utilization is the share of the calls that may run at a time that do run.
+// Utilization returns the number of running calls divided by Limits.MaxRunning.
 func (w *Worker) Utilization() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return float64(w.admission.Running()) / float64(w.options.Limits.MaxRunning)
 }
 
-// InFlight is the number of calls that wait or run.
+// InFlight returns the number of calls that are waiting or running.
 func (w *Worker) InFlight() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.calls.byID)
 }
 
-// InterruptedLoads lists the loads that the incarnation before did not end.
+// InterruptedLoads returns the loads that the previous incarnation started and did not complete.
 func (w *Worker) InterruptedLoads() []workerrpc.InterruptedLoad { return w.journal.interruptedLoads }
 
-// now is the clock of admission.
+// now returns the time since the worker started, which is the clock of package admission.
 func (w *Worker) now() time.Duration { return time.Since(w.started) }
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -17,15 +17,15 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// Both kinds run the same program to the same answers; a replica that misbehaves costs its own requests only, and the
-// function is served again by another replica.
+// A process and a wasm replica of the same program give the same answers. A function that panics, exits or exceeds a
+// limit fails only the calls on its own replica, and another replica then serves the function.
 func TestBothKindsAndFaultyFunctions(t *testing.T) {
 	h := startWorker(t, nil)
 	for _, kind := range []string{manifest.Process, manifest.Wasm} {
 		model, faulty := "preview-"+kind, "misbehave-"+kind
 		first := h.expectAnswer(model, modelInput, workerrpc.CodeOK, `{"score":0.83`)
 		if first.ReplicaState != workerrpc.ReplicaLoadStarted {
-			t.Errorf("replica state %d", first.ReplicaState)
+			t.Errorf("first request: got replica state %d, want ReplicaLoadStarted", first.ReplicaState)
 		}
 		second := h.expectAnswer(model, modelInput, workerrpc.CodeOK, `{"score":0.83`)
 		if second.ReplicaState != workerrpc.ReplicaWarm {
@@ -46,12 +46,13 @@
 	log := h.readReplicaLog()
 	for _, once := range []string{"panic process", "exit wasm", "flood wasm", "spin process", "allocate wasm"} {
 		if runs := strings.Count(log, "effect "+once+"\n"); runs != 1 {
-			t.Errorf("%q ran %d times", once, runs)
+			t.Errorf("request %q ran %d times, want 1", once, runs)
 		}
 	}
 }
 
-// Corrupt content and manifests fail a load with a reason; the requests that waited never ran.
+// A chunk that is corrupt in the store fails the load. The requests that waited for it are answered with the reason and
+// a code that guarantees that they did not run.
 func TestCorruptPackages(t *testing.T) {
 	folder := t.TempDir()
 	store := openStore(t, folder)
@@ -75,7 +76,7 @@
 	h.expectAnswer(faultyFunction, "echo", workerrpc.CodeOK, "echo")
 }
 
-// openStore is a store of the test's own with the packages of the tests.
+// openStore opens an artifact store for one test and publishes the test packages to it.
 func openStore(t *testing.T, folder string) *localfleet.Store {
 	t.Helper()
 	store, err := localfleet.OpenStore(folder, localfleet.AmpleCapacity)
@@ -89,8 +90,9 @@
 	return store
 }
 
-// A release that is replaced while it is busy finishes what it runs; what comes next runs on the new one. Load requests
-// that overlap (two replicas, none, one) end with what the last one asked for, and each is answered.
+// A release that is replaced while it runs a call completes that call; later requests run on the new release. While the
+// store is stopped, the old release remains in use. Overlapping load requests (two replicas, none, one) are each
+// answered, and the last one determines the number of replicas.
 func TestReleaseReplacedWhileBusyAndOverlappingLoadRequests(t *testing.T) {
 	store := openStore(t, t.TempDir())
 	h := startWorkerIn(t, t.TempDir(), store.Client.BaseURL, nil)
@@ -100,13 +102,13 @@
 	if _, err := store.Client.Publish(t.Context(), modelAsNextRelease(t)); err != nil {
 		t.Fatal(err)
 	}
-	store.Stop(time.Second) // the list of releases does not come, nor does the release
+	store.Stop(time.Second) // neither the list of releases nor the new release can be fetched
 	if err := h.RefreshReleases(t.Context()); err == nil {
-		t.Error("a stopped store answers")
+		t.Error("RefreshReleases succeeded while the store was stopped")
 	}
 	result := h.expectAnswer(faultyFunction, "echo", workerrpc.CodeOK, "echo")
 	if result.ReplicaState != workerrpc.ReplicaWarm {
-		t.Errorf("the old release is not warm while the store is stopped: %+v", result)
+		t.Errorf("the old release has no warm replica while the store is stopped: %+v", result)
 	}
 	h.waitFor("the new release is active", func() bool {
 		if err := h.RefreshReleases(t.Context()); err != nil {
@@ -116,7 +118,7 @@
 		return outcome.AttemptResult != nil && strings.Contains(string(outcome.AttemptResult.Body), "score")
 	})
 	if outcome := <-busy; outcome.AttemptResult == nil || outcome.AttemptResult.Code != workerrpc.CodeOK {
-		t.Errorf("what ran on the old release: %+v", outcome.AttemptResult)
+		t.Errorf("call that ran on the old release: %+v", outcome.AttemptResult)
 	}
 	loaded := make(chan workerrpc.Outcome, 3)
 	for _, replicas := range []int{2, 0, 1} {
@@ -131,7 +133,7 @@
 	h.expectAnswer(modelFunction, modelInput, workerrpc.CodeOK, "score")
 }
 
-// modelAsNextRelease is a package folder with the model as version 2 of the faulty function.
+// modelAsNextRelease returns a package folder that contains the model function as version 2 of faultyFunction.
 func modelAsNextRelease(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -157,9 +159,9 @@
 	return folder
 }
 
-// With memory for one replica and that one busy, a request of another function waits for it to be idle; more memory
-// than there is is never reserved, and the request of a package that could never fit is rejected at once. Several
-// requests that come at once for a function that is not loaded load it once.
+// The worker has memory for one replica, and that replica is busy: a request of another function waits until the
+// replica is idle and has been evicted. A request of a package that exceeds the worker's memory is rejected
+// immediately. Two concurrent requests for a function that is not loaded cause one load.
 func TestMemoryPressure(t *testing.T) {
 	h := startWorker(t, func(options *worker.Options) {
 		options.Limits.MemoryBytes = 100 << 20
@@ -170,9 +172,9 @@
 		sleep := workerrpc.Attempt{RequestID: "s", Function: faultyFunction, Body: []byte("sleep 300ms")}
 		outcomes = append(outcomes, h.send(sleep))
 	}
-	h.waitFor("both run", func() bool { return h.LoadReport().Running == 2 })
+	h.waitFor("both calls run", func() bool { return h.LoadReport().Running == 2 })
 	if loads := len(h.LoadTimings()); loads != 1 {
-		t.Errorf("%d loads for two requests that came together", loads)
+		t.Errorf("%d loads for two concurrent requests, want 1", loads)
 	}
 	other := workerrpc.Attempt{RequestID: "p", Function: modelFunction, Body: []byte(modelInput)}
 	outcomes = append(outcomes, h.send(other))
@@ -187,8 +189,8 @@
 	h.expectAnswer("preview-wasm", "x", workerrpc.CodeNotFound, "more memory than this worker has")
 }
 
-// A worker reports its cold start rate and, in its next incarnation, how long it took to warm up; a replica log that
-// is too long is rotated.
+// A worker reports its cold start rate, and its next incarnation reports how long the warm-up took. A replica log that
+// exceeds its maximum size is rotated.
 func TestWarmUpIsReported(t *testing.T) {
 	folder := t.TempDir()
 	t.Run("first incarnation", func(t *testing.T) {
@@ -218,10 +220,10 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- gateway.Run(ctx) }()
-	gateway.Probe(func(workerrpc.Outcome) {}) // it connects when there is something to send
+	gateway.Probe(func(workerrpc.Outcome) {}) // the client connects once it has something to send
 	<-connected
 	stop()
 	if err := <-ended; err != nil || warmUpTime <= 0 {
-		t.Errorf("warm-up %v, %v", warmUpTime, err)
+		t.Errorf("got warm-up time %v and error %v, want a positive time and no error", warmUpTime, err)
 	}
 }
