--- a/internal/worker/admission/admission_test.go
+++ b/internal/worker/admission/admission_test.go
@@ -13,19 +13,19 @@
 
 const ms = time.Millisecond
 
-// simulation is a worker in simulated time: runs and loads take what is drawn.
+// simulation is a worker in simulated time. The test decides when loads, runs and unloads end.
 type simulation struct {
 	*admission.Controller
 	now       time.Duration
 	limits    admission.Limits
 	functions map[string]admission.Function
-	replicas  map[uint64]string // function by replica
-	busy      map[uint64]int
-	runs      map[uint64]uint64 // replica by call
-	calls     map[uint64]admission.Call
-	ended     map[uint64]int
-	startedAt map[uint64]time.Duration
-	loading   map[uint64]bool
+	replicas  map[uint64]string         // function name by replica ID
+	busy      map[uint64]int            // number of running calls by replica ID
+	runs      map[uint64]uint64         // replica ID by ID of the running call
+	calls     map[uint64]admission.Call // all calls by ID
+	ended     map[uint64]int            // number of times that a call ended, by call ID
+	startedAt map[uint64]time.Duration  // start time by call ID
+	loading   map[uint64]bool           // IDs of the replicas that are loading
 }
 
 func newSimulation(limits admission.Limits, functions ...admission.Function) *simulation {
@@ -48,23 +48,24 @@
 	return s
 }
 
-// advance carries out what is due, and checks what must hold.
+// advance carries out the actions of Controller.Advance and checks the invariants: runs only on loaded replicas of the
+// call's function and within its concurrency, no busy or loading replica unloaded, and all limits observed.
 func (s *simulation) advance(fail func(string, ...any)) admission.Actions {
 	actions := s.Advance(s.now)
 	for _, run := range actions.Runs {
 		function, known := s.replicas[run.ReplicaID]
 		if !known || s.loading[run.ReplicaID] || function != s.calls[run.CallID].Function || s.ended[run.CallID] > 0 {
-			fail("call %d runs on replica %d of %q", run.CallID, run.ReplicaID, function)
+			fail("call %d must not run on replica %d of %q", run.CallID, run.ReplicaID, function)
 		}
 		if s.busy[run.ReplicaID]++; s.busy[run.ReplicaID] > s.functions[function].Concurrency {
-			fail("replica %d has %d calls", run.ReplicaID, s.busy[run.ReplicaID])
+			fail("replica %d runs %d calls, above its concurrency", run.ReplicaID, s.busy[run.ReplicaID])
 		}
 		s.runs[run.CallID] = run.ReplicaID
 		s.startedAt[run.CallID] = s.now
 	}
 	for _, id := range actions.Unloads {
 		if s.busy[id] > 0 || s.loading[id] {
-			fail("replica %d is unloaded while %d calls run, loading %v", id, s.busy[id], s.loading[id])
+			fail("replica %d is unloaded while it runs %d calls (loading: %v)", id, s.busy[id], s.loading[id])
 		}
 	}
 	for _, load := range actions.Loads {
@@ -75,35 +76,35 @@
 		s.ended[dropped.CallID]++
 	}
 	if s.ReservedBytes() > s.limits.MemoryBytes {
-		fail("%d bytes reserved of %d", s.ReservedBytes(), s.limits.MemoryBytes)
+		fail("%d bytes reserved, limit %d", s.ReservedBytes(), s.limits.MemoryBytes)
 	}
 	if len(s.runs) > s.limits.MaxRunning || len(s.loading) > s.limits.MaxLoads {
-		fail("%d run, %d load", len(s.runs), len(s.loading))
+		fail("%d running calls or %d loads exceed the limits", len(s.runs), len(s.loading))
 	}
 	return actions
 }
 
-// loaded ends a load well.
-func (s *simulation) loaded(id uint64) {
+// completeLoad ends a load successfully.
+func (s *simulation) completeLoad(id uint64) {
 	delete(s.loading, id)
 	s.LoadSucceeded(s.now, id)
 }
 
-// failLoad ends a load otherwise.
+// failLoad ends a load with a failure.
 func (s *simulation) failLoad(id uint64) {
 	delete(s.loading, id)
 	delete(s.replicas, id)
 	s.LoadFailed(id)
 }
 
-// unloaded ends a replica that was unloaded.
-func (s *simulation) unloaded(id uint64) {
+// completeUnload ends the unloading of a replica.
+func (s *simulation) completeUnload(id uint64) {
 	s.ReplicaUnloaded(id)
 	delete(s.replicas, id)
 	delete(s.busy, id)
 }
 
-// endCall ends a call that runs.
+// endCall ends a running call.
 func (s *simulation) endCall(id uint64) {
 	s.busy[s.runs[id]]--
 	delete(s.runs, id)
@@ -111,7 +112,7 @@
 	s.CallEnded(s.now, id)
 }
 
-// keysOf lists the keys of a map.
+// keysOf returns the keys of a map.
 func keysOf[V any](m map[uint64]V) (keys []uint64) {
 	for key := range m {
 		keys = append(keys, key)
@@ -119,8 +120,8 @@
 	return keys
 }
 
-// Whatever comes: reserved memory within the budget, no replica above its concurrency, no busy replica unloaded, and
-// every call that was admitted has one end.
+// For random sequences of events, the reserved memory stays within the limit, no replica exceeds its concurrency, no
+// busy replica is unloaded, and every admitted call ends exactly once.
 func TestEveryCallEndsAndMemoryStaysInBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(
@@ -140,51 +141,52 @@
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			history.step()
 		}
-		history.endAll()
+		history.completeAll()
 		for _, id := range history.admitted {
 			if s.ended[id] != 1 {
-				t.Fatalf("call %d has %d ends", id, s.ended[id])
+				t.Fatalf("call %d ended %d times, want 1", id, s.ended[id])
 			}
 		}
 		if s.ReservedBytes() != 0 || s.Waiting() != 0 || s.Running() != 0 {
-			t.Fatalf("left over: %d bytes, %d waiting, %d running", s.ReservedBytes(), s.Waiting(), s.Running())
+			t.Fatalf("after all calls: %d bytes reserved, %d calls waiting, %d running",
+				s.ReservedBytes(), s.Waiting(), s.Running())
 		}
 	})
 }
 
-// randomHistory is a simulation to which drawn facts come.
+// randomHistory is a simulation that receives randomly generated events.
 type randomHistory struct {
 	*simulation
 	t        *rapid.T
 	lastID   uint64
 	admitted []uint64
-	unloads  []uint64 // decided and not yet done
+	unloads  []uint64 // replicas whose unloading has not been completed
 }
 
-// step is one drawn fact, and what is due after it.
+// step generates one random event and carries out the actions that follow from it.
 func (h *randomHistory) step() {
 	h.now += time.Duration(rapid.IntRange(0, 80).Draw(h.t, "pause")) * ms
 	name := rapid.SampledFrom([]string{"a", "b", "c", "none"}).Draw(h.t, "function")
-	switch what := rapid.IntRange(0, 9).Draw(h.t, "what"); {
-	case what < 4:
+	switch event := rapid.IntRange(0, 9).Draw(h.t, "what"); {
+	case event < 4:
 		h.admit(name)
-	case what == 4 && len(h.runs) > 0:
+	case event == 4 && len(h.runs) > 0:
 		h.endCall(h.pick(keysOf(h.runs), "ended"))
-	case what == 5 && len(h.loading) > 0:
+	case event == 5 && len(h.loading) > 0:
 		id := h.pick(keysOf(h.loading), "loaded")
 		if rapid.Bool().Draw(h.t, "well") {
-			h.loaded(id)
+			h.completeLoad(id)
 		} else {
 			h.failLoad(id)
 		}
-	case what == 6 && len(h.unloads) > 0:
-		h.unloaded(h.unloads[0])
+	case event == 6 && len(h.unloads) > 0:
+		h.completeUnload(h.unloads[0])
 		h.unloads = h.unloads[1:]
-	case what == 7:
+	case event == 7:
 		h.RequestReplicas(name, rapid.IntRange(0, 4).Draw(h.t, "replicas"))
-	case what == 8 && h.lastID > 0:
+	case event == 8 && h.lastID > 0:
 		h.withdraw(uint64(rapid.IntRange(1, int(h.lastID)).Draw(h.t, "withdrawn")))
-	case what == 9 && name != "none":
+	case event == 9 && name != "none":
 		function := h.functions[name]
 		function.Version = fmt.Sprint(h.lastID)
 		h.Publish(function)
@@ -192,13 +194,13 @@
 	h.unloads = append(h.unloads, h.advance(h.t.Fatalf).Unloads...)
 }
 
-// pick draws one of some IDs.
-func (h *randomHistory) pick(ids []uint64, what string) uint64 {
+// pick randomly selects one of the given IDs.
+func (h *randomHistory) pick(ids []uint64, label string) uint64 {
 	slices.Sort(ids)
-	return rapid.SampledFrom(ids).Draw(h.t, what)
+	return rapid.SampledFrom(ids).Draw(h.t, label)
 }
 
-// admit has a call come.
+// admit submits a new call with a random tenant and deadline.
 func (h *randomHistory) admit(function string) {
 	h.lastID++
 	call := admission.Call{
@@ -211,39 +213,40 @@
 	if decision := h.Admit(h.now, call); decision == admission.Admitted {
 		h.admitted = append(h.admitted, call.ID)
 	} else if function == "none" && decision != admission.Missing {
-		h.t.Fatal("an unknown function is rejected as ", decision)
+		h.t.Fatal("a call of an unknown function must be rejected as Missing, got decision ", decision)
 	}
 }
 
-// withdraw takes a call back, if it waits.
+// withdraw withdraws a call if it is waiting.
 func (h *randomHistory) withdraw(id uint64) {
 	if !h.Withdraw(h.calls[id].Function, id) {
 		return
 	}
 	if _, runs := h.runs[id]; runs {
-		h.t.Fatal("a running call was withdrawn as waiting")
+		h.t.Fatal("Withdraw reported that a running call was waiting")
 	}
 	h.ended[id]++
 }
 
-// endAll has everything come to its end.
-func (h *randomHistory) endAll() {
+// completeAll ends all calls, loads and unloads and lets idle replicas reach their timeout.
+func (h *randomHistory) completeAll() {
 	for range 100 {
 		h.now += 100 * ms
 		for _, id := range keysOf(h.runs) {
 			h.endCall(id)
 		}
 		for _, id := range keysOf(h.loading) {
-			h.loaded(id)
+			h.completeLoad(id)
 		}
 		for _, id := range h.unloads {
-			h.unloaded(id)
+			h.completeUnload(id)
 		}
 		h.unloads = h.advance(h.t.Fatalf).Unloads
 	}
 }
 
-// run plays simulated time until a moment: loads take loadTime, runs take runTime, unloads nothing.
+// run advances the simulated time to until. Loads take loadTime, runs take runTime, and unloads complete immediately.
+// arrive is called at each step to submit calls.
 func (s *simulation) run(t *testing.T, until, loadTime, runTime time.Duration, arrive func()) {
 	t.Helper()
 	loadEnds := map[uint64]time.Duration{}
@@ -252,7 +255,7 @@
 		for id, at := range loadEnds {
 			if s.now >= at {
 				delete(loadEnds, id)
-				s.loaded(id)
+				s.completeLoad(id)
 			}
 		}
 		for id, at := range s.startedAt {
@@ -266,7 +269,7 @@
 				loadEnds[load.ReplicaID] = s.now + loadTime
 			}
 			for _, id := range actions.Unloads {
-				s.unloaded(id)
+				s.completeUnload(id)
 			}
 			if len(actions.Unloads) == 0 {
 				break
@@ -275,7 +278,8 @@
 	}
 }
 
-// A function whose calls never pause uses all memory; another one that comes is served all the same, in time.
+// A function with a constant backlog of calls uses all memory. A call of another function must still be started within
+// 1.5 s: busy replicas are drained to make space for it.
 func TestNoFunctionStarves(t *testing.T) {
 	s := newSimulation(
 		admission.Limits{
@@ -307,14 +311,15 @@
 		}
 	})
 	if at, ran := s.startedAt[rare]; !ran || at > 2*time.Second+1500*ms {
-		t.Errorf("the rare call began at %v, ran %v; it came at 2s", at, ran)
+		t.Errorf("the call submitted at 2s started at %v (started: %v), want at most 3.5s", at, ran)
 	}
 	if counts := s.Counts("busy"); counts.Warm == 0 {
-		t.Errorf("the busy function lost everything: %+v", counts)
+		t.Errorf("the busy function has no warm replica left: %+v", counts)
 	}
 }
 
-// A tenant that sends ten times as much gets its half of the runs, and the other one all that it sends.
+// One tenant submits far more calls than the worker can run. The calls of the other tenant, which submits less than its
+// share, must still be admitted and run.
 func TestNoTenantStarves(t *testing.T) {
 	s := newSimulation(
 		admission.Limits{
@@ -359,15 +364,16 @@
 		started[s.calls[id].Tenant]++
 	}
 	if rejected["little"] > sent["little"]/50 || started["little"] < sent["little"]*9/10 {
-		t.Errorf("little: sent %d, rejected %d, started %d", sent["little"], rejected["little"], started["little"])
+		t.Errorf("tenant little: sent %d calls, rejected %d, started %d",
+			sent["little"], rejected["little"], started["little"])
 	}
 	if started["much"] < 500 {
-		t.Errorf("much: started %d", started["much"])
+		t.Errorf("tenant much: started %d calls, want 500 or more", started["much"])
 	}
 }
 
-// What is evicted: replicas that were requested and nobody used, then the longest idle; never a busy one; and a request
-// evicts nothing that calls have used.
+// Order of eviction: replicas that were loaded by request and have not run a call, then those that have been idle the
+// longest. A busy replica is never evicted, and a load request does not evict replicas that have run calls.
 func Example_eviction() {
 	s := newSimulation(
 		admission.Limits{
@@ -384,10 +390,10 @@
 		admission.Function{Name: "new", Concurrency: 1, MemoryBytes: 1},
 	)
 	fail := func(format string, args ...any) { fmt.Printf(format+"\n", args...) }
-	step := func(what string) admission.Actions {
+	step := func(description string) admission.Actions {
 		s.now += 10 * ms
 		actions := s.advance(fail)
-		fmt.Printf("%s: runs %v, loads %d, unloads %v\n", what, actions.Runs, len(actions.Loads), actions.Unloads)
+		fmt.Printf("%s: runs %v, loads %d, unloads %v\n", description, actions.Runs, len(actions.Loads), actions.Unloads)
 		return actions
 	}
 	admit := func(id uint64, function string) {
@@ -398,18 +404,18 @@
 	admit(2, "idle")
 	s.RequestReplicas("requested", 1)
 	for _, load := range step("first").Loads {
-		s.loaded(load.ReplicaID)
+		s.completeLoad(load.ReplicaID)
 	}
 	step("loaded")
 	s.endCall(2)
 	fmt.Println(s.RequestReplicas("new", 1))
 	step("a request")
-	s.unloaded(3)
+	s.completeUnload(3)
 	step("its memory")
-	s.loaded(4)
+	s.completeLoad(4)
 	admit(3, "requested")
 	step("a call")
-	s.unloaded(4)
+	s.completeUnload(4)
 	step("its memory")
 	// Output:
 	// first: runs [], loads 3, unloads []
--- a/internal/worker/admission/advance.go
+++ b/internal/worker/admission/advance.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// never is later than any time.
+// never is a time later than any other.
 const never = time.Duration(math.MaxInt64)
 
-// Advance decides what is due now.
+// Advance returns the actions to carry out now. It must be called after each event and when WakeAfter has passed.
 func (c *Controller) Advance(now time.Duration) Actions {
 	var actions Actions
 	names := slices.Sorted(maps.Keys(c.functions))
@@ -25,7 +25,7 @@
 	return actions
 }
 
-// dropExpired drops waiting calls that are past their deadline, and returns the next deadline.
+// dropExpired drops waiting calls that have reached their deadline. It returns the earliest deadline of the others.
 func (c *Controller) dropExpired(now time.Duration, names []string) time.Duration {
 	wake := never
 	for _, name := range names {
@@ -42,7 +42,8 @@
 	return wake
 }
 
-// unloadIdle unloads replicas that drain or are idle for too long, and returns when the next one will be.
+// unloadIdle unloads idle replicas that are draining or have been idle for IdleTimeout. It returns the earliest time at
+// which another replica reaches IdleTimeout.
 func (c *Controller) unloadIdle(now time.Duration, names []string, actions *Actions) time.Duration {
 	wake := never
 	for _, name := range names {
--- a/internal/worker/admission/controller.go
+++ b/internal/worker/admission/controller.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// queuedCall is an admitted call that waits.
+// queuedCall is an admitted call waiting to be started.
 type queuedCall struct {
 	Call
 	queuedAt time.Duration
 }
 
-// runningCall is a call on a replica.
+// runningCall is a call running on a replica.
 type runningCall struct {
 	replica   *replica
 	tenant    string
@@ -25,11 +25,11 @@
 	replicas    []*replica
 	meanLoad    time.Duration
 	meanRun     time.Duration
-	requested   int     // replicas still to be loaded by request
-	virtualTime float64 // of its runs, see dispatch
+	requested   int     // replicas that were requested and whose load has not started
+	virtualTime float64 // accumulated cost of the function's runs, see dispatch
 }
 
-// Controller is one worker's admission. It is not safe for concurrent use.
+// Controller makes the admission decisions of one worker. It is not safe for concurrent use.
 type Controller struct {
 	limits        Limits
 	functions     map[string]*functionState
@@ -38,12 +38,12 @@
 	tenants       map[string]*tenantState
 	reservedBytes int64
 	waiting       int // calls in all queues
-	loading       int // loads under way
+	loading       int // replicas being loaded
 	lastReplicaID uint64
-	dropped       []DroppedCall // for the next Advance to return
+	dropped       []DroppedCall // returned by the next call of Advance
 }
 
-// New makes a Controller without functions.
+// New returns a Controller without functions.
 func New(limits Limits) *Controller {
 	limits.MaxRunning = max(1, limits.MaxRunning)
 	limits.MaxWaiting = max(1, limits.MaxWaiting)
@@ -57,8 +57,8 @@
 	}
 }
 
-// Publish adds a function or a new version of one. Replicas of the old version finish what they run and take nothing
-// new.
+// Publish adds a function or a new version of one. Replicas of the old version start draining: they complete their
+// running calls and accept no new ones.
 func (c *Controller) Publish(function Function) {
 	function.Concurrency = max(1, function.Concurrency)
 	function.MemoryBytes = max(1, function.MemoryBytes)
@@ -75,7 +75,7 @@
 	state.Function = function
 }
 
-// Admit admits a call or rejects it.
+// Admit decides whether a call is admitted. An admitted call waits until Advance starts or drops it.
 func (c *Controller) Admit(now time.Duration, call Call) Decision {
 	function := c.functions[call.Function]
 	switch {
@@ -89,18 +89,19 @@
 		return Full
 	}
 	tenant := c.tenant(call.Tenant)
-	if c.exceedsShare(call.Tenant, tenant) {
+	if c.exceedsFairShare(call.Tenant, tenant) {
 		return Full
 	}
-	c.joinFairQueue(call.Tenant, tenant, function)
+	c.catchUpVirtualTimes(call.Tenant, tenant, function)
 	tenant.waiting++
 	c.waiting++
 	function.queue = append(function.queue, queuedCall{call, now})
 	return Admitted
 }
 
-// RequestReplicas asks for replicas of a function in all; asking for fewer than there are drains idle ones. It
-// returns how many there are or are to be loaded; what finds no memory when its turn comes is not loaded.
+// RequestReplicas sets the requested total number of replicas of a function. If the function has more replicas, idle
+// ones are drained. It returns the number of replicas that are active or to be loaded. Replicas for which there is no
+// memory when they are about to be loaded are not loaded.
 func (c *Controller) RequestReplicas(name string, replicas int) (int, Decision) {
 	function := c.functions[name]
 	switch {
@@ -121,7 +122,7 @@
 	return active + function.requested, Admitted
 }
 
-// CallEnded says that a call no longer runs.
+// CallEnded records that a call is no longer running.
 func (c *Controller) CallEnded(now time.Duration, id uint64) {
 	call, known := c.running[id]
 	if !known {
@@ -135,7 +136,8 @@
 	r.function.meanRun += (now - call.startedAt - r.function.meanRun) / averageWindow
 }
 
-// Withdraw takes a waiting call back; false: it does not wait, so that it runs or has ended.
+// Withdraw removes a waiting call from its queue. It reports false if the call is not waiting, that is, if it is
+// running or has ended.
 func (c *Controller) Withdraw(name string, id uint64) bool {
 	function := c.functions[name]
 	if function == nil {
@@ -145,33 +147,33 @@
 	if i < 0 {
 		return false
 	}
-	c.leaveQueue(function.queue[i])
+	c.decrementWaiting(function.queue[i])
 	function.queue = slices.Delete(function.queue, i, i+1)
 	return true
 }
 
-// drop ends a waiting call without a run; the caller takes it out of its queue.
+// drop records that a waiting call is dropped for a reason. The caller removes the call from its queue.
 func (c *Controller) drop(queued queuedCall, reason Decision) {
-	c.leaveQueue(queued)
+	c.decrementWaiting(queued)
 	c.dropped = append(c.dropped, DroppedCall{queued.ID, reason})
 }
 
-// leaveQueue counts a call that no longer waits.
-func (c *Controller) leaveQueue(queued queuedCall) {
+// decrementWaiting updates the numbers of waiting calls for a call that is removed from its queue.
+func (c *Controller) decrementWaiting(queued queuedCall) {
 	c.tenants[queued.Tenant].waiting--
 	c.waiting--
 }
 
-// ReservedBytes is the memory of all replicas, those that load included.
+// ReservedBytes returns the memory reserved for all replicas, including those that are loading or unloading.
 func (c *Controller) ReservedBytes() int64 { return c.reservedBytes }
 
-// Waiting is the number of calls in the queue.
+// Waiting returns the number of calls in all queues.
 func (c *Controller) Waiting() int { return c.waiting }
 
-// Running is the number of calls that run.
+// Running returns the number of running calls.
 func (c *Controller) Running() int { return len(c.running) }
 
-// Counts describes a function; one that is not known has none of anything.
+// Counts returns the numbers of replicas and calls of a function. They are zero for an unknown function.
 func (c *Controller) Counts(name string) Counts {
 	function := c.functions[name]
 	if function == nil {
@@ -183,7 +185,7 @@
 		case replicaLoading:
 			counts.Loading++
 		case replicaWarm:
-			if !r.draining { // a draining one serves nobody who comes
+			if !r.draining { // a draining replica accepts no new calls
 				counts.Warm++
 			}
 			if r.running > 0 {
--- a/internal/worker/admission/fairness.go
+++ b/internal/worker/admission/fairness.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// tenantState is what a tenant has on this worker.
+// tenantState is the state of a tenant on this worker.
 type tenantState struct {
-	virtualTime float64 // of its runs, see dispatch
-	waiting     int
-	running     int
+	virtualTime float64 // accumulated cost of the tenant's runs, see dispatch
+	waiting     int     // number of waiting calls
+	running     int     // number of running calls
 }
 
-// isActive reports whether the tenant has any call here.
+// isActive reports whether the tenant has waiting or running calls on this worker.
 func (t *tenantState) isActive() bool { return t.waiting+t.running > 0 }
 
-// tenant is the state of a tenant, a new one if it is not known.
+// tenant returns the state of a tenant. It creates the state of an unknown tenant.
 func (c *Controller) tenant(name string) *tenantState {
 	tenant := c.tenants[name]
 	if tenant == nil {
@@ -26,9 +26,10 @@
 	return tenant
 }
 
-// exceedsShare reports whether one more call would give a tenant more than its part of a queue that many want: no
-// tenant fills it for the others.
-func (c *Controller) exceedsShare(name string, tenant *tenantState) bool {
+// exceedsFairShare reports whether one more waiting call would exceed the tenant's share of the queue. The shares are
+// equal for all active tenants and apply from fairShareThreshold on if several tenants are active, so that one tenant
+// cannot fill the queue for the others.
+func (c *Controller) exceedsFairShare(name string, tenant *tenantState) bool {
 	if float64(c.waiting) < fairShareThreshold*float64(c.limits.MaxWaiting) {
 		return false
 	}
@@ -41,9 +42,9 @@
 	return active > 1 && tenant.waiting >= max(1, c.limits.MaxWaiting/active)
 }
 
-// joinFairQueue brings the virtual times of a tenant and a function up to those that are active: one that comes back
-// does not make up for the time that it was away.
-func (c *Controller) joinFairQueue(tenantName string, tenant *tenantState, function *functionState) {
+// catchUpVirtualTimes raises the virtual times of a tenant and a function that become active to the minimum of those
+// that are already active. Otherwise they would be preferred to make up for the time in which they had no calls.
+func (c *Controller) catchUpVirtualTimes(tenantName string, tenant *tenantState, function *functionState) {
 	if !tenant.isActive() {
 		tenant.virtualTime = max(tenant.virtualTime, c.minTenantVirtualTime())
 	}
@@ -52,7 +53,7 @@
 	}
 }
 
-// minTenantVirtualTime is the least virtual time of the active tenants; 0: there is none.
+// minTenantVirtualTime returns the minimum virtual time of the active tenants, or 0 if there are none.
 func (c *Controller) minTenantVirtualTime() float64 {
 	least := math.Inf(1)
 	for _, tenant := range c.tenants {
@@ -63,7 +64,8 @@
 	return finiteOrZero(least)
 }
 
-// minFunctionVirtualTime is the least virtual time of the functions whose next call is the tenant's; 0: there is none.
+// minFunctionVirtualTime returns the minimum virtual time of the functions whose next call is one of the tenant, or 0
+// if there are none.
 func (c *Controller) minFunctionVirtualTime(tenant string) float64 {
 	least := math.Inf(1)
 	for _, function := range c.functions {
@@ -74,7 +76,7 @@
 	return finiteOrZero(least)
 }
 
-// finiteOrZero is 0 for the minimum of nothing.
+// finiteOrZero returns 0 for positive infinity, which is the minimum of an empty set, and least otherwise.
 func finiteOrZero(least float64) float64 {
 	if math.IsInf(least, 1) {
 		return 0
@@ -82,9 +84,9 @@
 	return least
 }
 
-// dispatch starts waiting calls on free replicas, fairly: each run advances the virtual times of its tenant and its
-// function by its expected cost, and the next call is that of the tenant with the least virtual time, then of its
-// function with the least, then the oldest.
+// dispatch starts waiting calls on free replicas by fair queueing. Each run increases the virtual times of its tenant
+// and its function by its expected cost, the function's mean run duration. The next call is that of the tenant with the
+// lowest virtual time; ties are broken by the lowest virtual time of the function, then by the oldest call.
 func (c *Controller) dispatch(now time.Duration, names []string, actions *Actions) {
 	for len(c.running) < c.limits.MaxRunning {
 		function, target := c.nextDispatch(names)
@@ -98,7 +100,7 @@
 		tenant.virtualTime += cost
 		function.virtualTime += cost
 		tenant.running++
-		c.leaveQueue(next)
+		c.decrementWaiting(next)
 		target.running++
 		target.preloaded = false
 		c.running[next.ID] = runningCall{target, next.Tenant, now}
@@ -106,7 +108,8 @@
 	}
 }
 
-// nextDispatch is the function whose first call runs next, and the replica that runs it; nil: nothing can.
+// nextDispatch returns the function whose first call runs next and the replica that runs it, or nil if no waiting call
+// can run.
 func (c *Controller) nextDispatch(names []string) (best *functionState, target *replica) {
 	var bestTenant *tenantState
 	for _, name := range names {
--- a/internal/worker/admission/provision.go
+++ b/internal/worker/admission/provision.go
@@ -7,27 +7,28 @@
 	"time"
 )
 
-// space says whether one more replica fits into the memory.
-type space int
+// spaceStatus is the result of looking for the memory of one more replica.
+type spaceStatus int
 
 const (
-	spaceFree   space = iota // it fits
-	spaceComing              // it will once what is unloading has gone
-	spaceNone                // what may be evicted would not be enough
+	spaceFree         spaceStatus = iota // the replica fits into the free memory
+	spacePending                         // the replica will fit once unloading replicas have exited
+	spaceInsufficient                    // the replica would not fit even if all evictable replicas were evicted
 )
 
-// provision decides on loads: first for the function whose first call has waited longest, then for requests. It returns
-// when a function without a replica will have waited long enough for others to be drained for it.
+// provision decides which replicas are loaded. Loads for waiting calls come first, in the order of each function's
+// oldest call, then loads for load requests. It returns the earliest time at which a function without a replica is
+// considered starving, so that replicas of other functions are drained for it.
 func (c *Controller) provision(now time.Duration, names []string, actions *Actions) time.Duration {
 	wake := c.provisionCalls(now, names, actions)
 	c.provisionRequests(now, names, actions)
 	return wake
 }
 
-// provisionCalls loads replicas that waiting calls need.
+// provisionCalls loads replicas for waiting calls. It returns the same time as provision.
 func (c *Controller) provisionCalls(now time.Duration, names []string, actions *Actions) time.Duration {
 	wake := never
-	for _, function := range c.oldestCallFirst(names) {
+	for _, function := range c.functionsByOldestCall(names) {
 		for c.loading < c.limits.MaxLoads && c.needsReplica(function) {
 			if c.makeSpace(function, loadForCalls, actions) != spaceFree {
 				break
@@ -37,7 +38,7 @@
 		if function.activeReplicas() > 0 || c.loading >= c.limits.MaxLoads {
 			continue
 		}
-		starvation := time.Duration(starvationLoads * float64(function.meanLoad))
+		starvation := time.Duration(starvationFactor * float64(function.meanLoad))
 		starvesAt := function.queue[0].queuedAt + starvation
 		if now < starvesAt {
 			wake = min(wake, starvesAt)
@@ -48,8 +49,9 @@
 	return wake
 }
 
-// oldestCallFirst lists the functions with waiting calls, the one whose first call came first before the others.
-func (c *Controller) oldestCallFirst(names []string) []*functionState {
+// functionsByOldestCall returns the functions with waiting calls, sorted by the time at which their first call was
+// queued.
+func (c *Controller) functionsByOldestCall(names []string) []*functionState {
 	var functions []*functionState
 	for _, name := range names {
 		if function := c.functions[name]; len(function.queue) > 0 {
@@ -62,16 +64,16 @@
 	return functions
 }
 
-// provisionRequests loads replicas that gateways requested.
+// provisionRequests loads the replicas that were requested by load requests of gateways.
 func (c *Controller) provisionRequests(now time.Duration, names []string, actions *Actions) {
 	for _, name := range names {
 		function := c.functions[name]
 		for function.requested > 0 && c.loading < c.limits.MaxLoads {
-			found := c.makeSpace(function, loadForRequest, actions)
-			if found == spaceNone {
-				function.requested = 0 // memory that others use is not waited for
+			status := c.makeSpace(function, loadForRequest, actions)
+			if status == spaceInsufficient {
+				function.requested = 0 // a request does not wait for memory used by other functions
 			}
-			if found != spaceFree {
+			if status != spaceFree {
 				break
 			}
 			function.requested--
@@ -80,7 +82,8 @@
 	}
 }
 
-// needsReplica reports whether another replica would serve what waits sooner than those that there are.
+// needsReplica reports whether a function needs one more replica: it has none, or the estimated wait for its existing
+// replicas, queued / slots * meanRun, is longer than loading another one.
 func (c *Controller) needsReplica(function *functionState) bool {
 	loading, warm := 0, 0
 	for _, r := range function.replicas {
@@ -109,10 +112,11 @@
 	return wait > function.meanLoad
 }
 
-// makeSpace finds memory for one more replica, or evicts idle replicas for it: those that were requested and have run
-// no call, the oldest first, then the longest idle. A request evicts nothing that calls have used within its idle
-// timeout. Memory that is about to be freed is waited for: nothing more is evicted for it.
-func (c *Controller) makeSpace(function *functionState, cause loadCause, actions *Actions) space {
+// makeSpace looks for memory for one more replica and evicts idle replicas if necessary: first those that were loaded
+// by request and have not run a call, then the others, in both cases the longest idle first. A load request does not
+// evict replicas that have run calls. Memory of replicas that are already unloading counts as available, so nothing
+// more is evicted for it.
+func (c *Controller) makeSpace(function *functionState, cause loadCause, actions *Actions) spaceStatus {
 	if c.reservedBytes+function.MemoryBytes <= c.limits.MemoryBytes {
 		return spaceFree
 	}
@@ -130,7 +134,7 @@
 	}
 	missing := c.reservedBytes + function.MemoryBytes - c.limits.MemoryBytes - unloading
 	if evictable < missing {
-		return spaceNone // what would not be enough stays
+		return spaceInsufficient // evict nothing: evicting all candidates would not free enough memory
 	}
 	slices.SortFunc(candidates, compareEviction)
 	for _, r := range candidates {
@@ -140,10 +144,10 @@
 		missing -= r.release.MemoryBytes
 		c.unload(r, actions)
 	}
-	return spaceComing
+	return spacePending
 }
 
-// isEvictableFor reports whether a replica may be evicted for one of another function.
+// isEvictableFor reports whether a replica may be evicted to load one of the given function.
 func (r *replica) isEvictableFor(function *functionState, cause loadCause) bool {
 	if !r.isIdle() || r.function == function || len(r.function.queue) > 0 {
 		return false
@@ -151,7 +155,7 @@
 	return r.preloaded || cause == loadForCalls
 }
 
-// compareEviction orders replicas by which is evicted first.
+// compareEviction compares replicas by the order in which they are evicted.
 func compareEviction(a, b *replica) int {
 	if a.preloaded != b.preloaded {
 		if a.preloaded {
@@ -162,19 +166,19 @@
 	return cmp.Or(cmp.Compare(a.idleSince, b.idleSince), cmp.Compare(a.id, b.id))
 }
 
-// drainFor drains busy replicas until there will be memory for a function: one at a time from the function that uses
-// most.
+// drainFor starts draining busy replicas until the memory that they will free is enough for a replica of a starving
+// function. Each replica is taken from the function that uses the most memory at that point.
 func (c *Controller) drainFor(starving *functionState) {
-	coming := int64(0)
+	pending := int64(0)
 	for _, r := range c.replicas {
 		if r.draining || r.state == replicaUnloading {
-			coming += r.release.MemoryBytes
+			pending += r.release.MemoryBytes
 		}
 	}
-	for c.reservedBytes+starving.MemoryBytes-coming > c.limits.MemoryBytes {
+	for c.reservedBytes+starving.MemoryBytes-pending > c.limits.MemoryBytes {
 		largest := c.largestFunction(starving)
 		if largest == nil {
-			return // all else is loading: it will be warm, then drained
+			return // all other replicas are still loading; they can be drained once they are warm
 		}
 		var leastBusy *replica
 		for _, r := range largest.replicas {
@@ -183,14 +187,14 @@
 			}
 		}
 		leastBusy.draining = true
-		coming += leastBusy.release.MemoryBytes
+		pending += leastBusy.release.MemoryBytes
 	}
 }
 
-// largestFunction is the function whose warm replicas use the most memory, other than the one given; nil: there is
-// none.
+// largestFunction returns the function, other than except, whose warm replicas use the most memory, or nil if there is
+// none. Draining replicas are not counted.
 func (c *Controller) largestFunction(except *functionState) (largest *functionState) {
-	most := int64(0)
+	maxUsed := int64(0)
 	for _, name := range slices.Sorted(maps.Keys(c.functions)) {
 		function := c.functions[name]
 		used := int64(0)
@@ -199,8 +203,8 @@
 				used += r.release.MemoryBytes
 			}
 		}
-		if function != except && used > most {
-			largest, most = function, used
+		if function != except && used > maxUsed {
+			largest, maxUsed = function, used
 		}
 	}
 	return largest
--- a/internal/worker/admission/replica.go
+++ b/internal/worker/admission/replica.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// replicaState is how far a replica is on its way.
+// replicaState is the phase of a replica.
 type replicaState int
 
 const (
@@ -14,31 +14,31 @@
 	replicaUnloading
 )
 
-// loadCause says why a replica is loaded.
+// loadCause is the reason why a replica is loaded.
 type loadCause int
 
 const (
-	loadForCalls   loadCause = iota // calls wait for it
-	loadForRequest                  // a gateway requested it
+	loadForCalls   loadCause = iota // calls are waiting for a replica
+	loadForRequest                  // a gateway sent a load request
 )
 
-// replica is one replica from the decision to load it until it has exited.
+// replica is a replica, from the decision to load it until it has exited.
 type replica struct {
 	id            uint64
 	function      *functionState
-	release       Function // as it was when the replica was loaded
+	release       Function // the function's properties when the load was decided
 	state         replicaState
-	running       int // calls on it
-	idleSince     time.Duration
+	running       int           // number of calls running on the replica
+	idleSince     time.Duration // time of the end of the load or of the last call
 	loadStartedAt time.Duration
-	preloaded     bool // loaded by request, and no call has run on it yet
-	draining      bool // takes nothing new
+	preloaded     bool // loaded by request and has not run a call yet
+	draining      bool // accepts no new calls and is unloaded once it is idle
 }
 
-// isIdle reports whether a replica is warm and runs nothing.
+// isIdle reports whether the replica is warm and not running any call.
 func (r *replica) isIdle() bool { return r.state == replicaWarm && r.running == 0 }
 
-// activeReplicas is the number of replicas that take calls or will.
+// activeReplicas returns the number of replicas that accept calls now or will do so once they are loaded.
 func (f *functionState) activeReplicas() int {
 	active := 0
 	for _, r := range f.replicas {
@@ -49,8 +49,8 @@
 	return active
 }
 
-// freeReplica is the fullest replica that can run one more call, so that the others become idle and go; nil: there is
-// none.
+// freeReplica returns the replica with the most running calls that can run one more, or nil if there is none. Filling
+// the busiest replica first lets the others become idle, so that they can be unloaded.
 func (f *functionState) freeReplica() (fullest *replica) {
 	for _, r := range f.replicas {
 		free := r.state == replicaWarm && !r.draining && r.running < r.release.Concurrency
@@ -61,7 +61,7 @@
 	return fullest
 }
 
-// startLoad decides on one more replica.
+// startLoad adds a replica that is loading and the action to load it.
 func (c *Controller) startLoad(now time.Duration, function *functionState, cause loadCause, actions *Actions) {
 	c.lastReplicaID++
 	loading := &replica{
@@ -78,7 +78,7 @@
 	actions.Loads = append(actions.Loads, Load{loading.id, function.Function})
 }
 
-// LoadSucceeded says that a replica is ready.
+// LoadSucceeded records that a replica has been loaded and can run calls.
 func (c *Controller) LoadSucceeded(now time.Duration, id uint64) {
 	loaded := c.loadingReplica(id)
 	if loaded == nil {
@@ -90,7 +90,8 @@
 	function.meanLoad += (now - loaded.loadStartedAt - function.meanLoad) / averageWindow
 }
 
-// LoadFailed says that a replica could not be loaded. If its function has no other, what waits for it is dropped.
+// LoadFailed records that a replica could not be loaded. If its function has no other active replica, all waiting calls
+// of the function are dropped.
 func (c *Controller) LoadFailed(id uint64) {
 	failed := c.loadingReplica(id)
 	if failed == nil {
@@ -108,7 +109,7 @@
 	function.queue = nil
 }
 
-// loadingReplica is the replica of an ID if it loads, else nil.
+// loadingReplica returns the replica with an ID, or nil if there is none or it is not loading.
 func (c *Controller) loadingReplica(id uint64) *replica {
 	if r := c.replicas[id]; r != nil && r.state == replicaLoading {
 		return r
@@ -116,14 +117,14 @@
 	return nil
 }
 
-// unload decides that an idle replica goes.
+// unload adds the action to unload an idle replica.
 func (c *Controller) unload(idle *replica, actions *Actions) {
 	idle.state = replicaUnloading
 	actions.Unloads = append(actions.Unloads, idle.id)
 }
 
-// ReplicaExited says that a replica has exited without having been unloaded. The calls that ran on it have ended, may
-// have run, and are returned.
+// ReplicaExited records that a replica has exited without having been unloaded. It ends the calls that were running on
+// the replica and returns their IDs; these calls may have run.
 func (c *Controller) ReplicaExited(now time.Duration, id uint64) []uint64 {
 	exited := c.replicas[id]
 	if exited == nil {
@@ -146,14 +147,14 @@
 	return lost
 }
 
-// ReplicaUnloaded says that a replica has exited after it was unloaded.
+// ReplicaUnloaded records that a replica has exited because it was unloaded.
 func (c *Controller) ReplicaUnloaded(id uint64) {
 	if r := c.replicas[id]; r != nil && r.state == replicaUnloading {
 		c.removeReplica(r)
 	}
 }
 
-// removeReplica forgets a replica that has exited and frees its memory.
+// removeReplica removes a replica that has exited and releases its reserved memory.
 func (c *Controller) removeReplica(removed *replica) {
 	c.reservedBytes -= removed.release.MemoryBytes
 	delete(c.replicas, removed.id)
