--- a/internal/worker/admission/controller.go
+++ b/internal/worker/admission/controller.go
@@ -136,7 +136,7 @@
 	r.function.meanRun += (now - call.startedAt - r.function.meanRun) / averageWindow
 }
 
-// Withdraw removes a waiting call from its queue. It reports false if the call is not waiting, that is, if it is
+// Withdraw removes a waiting call from its queue. It returns false if the call is not waiting, that is, if it is
 // running or has ended.
 func (c *Controller) Withdraw(name string, id uint64) bool {
 	function := c.functions[name]
--- a/internal/worker/admission/provision.go
+++ b/internal/worker/admission/provision.go
@@ -82,8 +82,10 @@
 	}
 }
 
-// needsReplica reports whether a function needs one more replica: it has none, or the estimated wait for its existing
-// replicas, queued / slots * meanRun, is longer than loading another one.
+// needsReplica reports whether one more replica would serve the waiting calls of a function sooner than its existing
+// replicas: it has none, or its loading replicas cannot run all waiting calls, no slot is free and the estimated wait
+// for its warm replicas, queued / slots * meanRun, is longer than meanLoad. A function that has replicas gets no more
+// while the worker runs Limits.MaxRunning calls, because another replica could not start a call.
 func (c *Controller) needsReplica(function *functionState) bool {
 	loading, warm := 0, 0
 	for _, r := range function.replicas {
--- a/internal/worker/admission/replica.go
+++ b/internal/worker/admission/replica.go
@@ -109,7 +109,7 @@
 	function.queue = nil
 }
 
-// loadingReplica returns the replica with an ID, or nil if there is none or it is not loading.
+// loadingReplica returns the replica with the given ID, or nil if there is none or it is not loading.
 func (c *Controller) loadingReplica(id uint64) *replica {
 	if r := c.replicas[id]; r != nil && r.state == replicaLoading {
 		return r
--- a/internal/worker/advance.go
+++ b/internal/worker/advance.go
@@ -12,7 +12,8 @@
 	reply    func(*workerrpc.LoadResult)
 }
 
-// HandleLoadRequest requests replicas of a function from admission. It calls reply once their loads have ended.
+// HandleLoadRequest requests replicas of a function from admission, or rejects the request. If it is not rejected,
+// reply is called once the loads have ended.
 func (w *Worker) HandleLoadRequest(_ string, request *workerrpc.LoadRequest, reply func(*workerrpc.LoadResult)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/worker/compat_test.go
+++ b/internal/worker/compat_test.go
@@ -18,7 +18,8 @@
 var storedClock = time.Date(2200, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // A journal written by an earlier version of the program must be read completely, both directly and after this version
-// has rewritten it: interrupted loads, idempotency keys with their responses, the warm-up duration and the clock.
+// has rewritten it. Otherwise an upgrade would lose interrupted loads, idempotency keys with their responses, the
+// warm-up duration or the clock.
 func TestStoredJournalIsRead(t *testing.T) {
 	stored, err := os.ReadFile("testdata/stored/journal")
 	if err != nil {
--- a/internal/worker/faultinject/faults.go
+++ b/internal/worker/faultinject/faults.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Names of the faults, as the control interface and the scenarios spell them.
+// Names of the faults in the control interface and in scenario files.
 const (
 	Hang         = "hang"
 	Silence      = "silence"
@@ -13,25 +13,25 @@
 	FalseReports = "false-reports"
 )
 
-// Faults are what a worker does wrong on purpose. The zero value is none.
+// Faults are the faults that are currently injected into a worker. The zero value means no faults.
 type Faults struct {
-	// Hang has requests admitted and never answered.
+	// Hang makes the worker admit requests and never answer them.
 	Hang bool
-	// SlowFactor multiplies the time that requests take; 0: as usual.
+	// SlowFactor multiplies the duration of requests; 0 leaves it unchanged.
 	SlowFactor float64
-	// RejectTenant has requests of a tenant rejected as if the worker were full.
+	// RejectTenant is the tenant whose requests are rejected as if the worker were full; empty for none.
 	RejectTenant string
-	// FailRequests has requests fail at once.
+	// FailRequests makes all requests fail immediately.
 	FailRequests bool
-	// FailLoads has loads fail.
+	// FailLoads makes all loads fail.
 	FailLoads bool
-	// ReportFactor multiplies the queue depth in load reports; 0: the truth.
+	// ReportFactor multiplies the queue depth in load reports; 0 leaves it unchanged.
 	ReportFactor float64
 }
 
-// ByName gives what sets and undoes the fault of a name: hang, slow (factor), refuse (tenant), errors, fail-loads,
-// false-reports (factor), or silence, which changes no Faults: it is a Silencer's. A factor or tenant that is
-// missing, or that the fault has no use for, is an error.
+// ByName returns functions that set and undo the fault with the given name: hang, slow (needs a factor), refuse (needs
+// a tenant), errors, fail-loads, false-reports (needs a factor) or silence. Silence does not change Faults; the caller
+// applies it with a Silencer. A missing factor or tenant is an error, and so is one that the fault does not use.
 func ByName(name, tenant string, factor float64) (set, undo func(*Faults), err error) {
 	switch name {
 	case Hang:
--- a/internal/worker/faultinject/silencer.go
+++ b/internal/worker/faultinject/silencer.go
@@ -1,4 +1,4 @@
-// Package faultinject has the faults that workers, real and emulated, have on demand.
+// Package faultinject defines the faults that can be injected into real and emulated workers.
 package faultinject
 
 import (
@@ -6,13 +6,13 @@
 	"sync"
 )
 
-// Silencer has connections neither read nor write while it is on, and leaves them open. The zero value is off.
+// Silencer blocks reads and writes on connections while it is on. The connections remain open. The zero value is off.
 type Silencer struct {
 	mu    sync.Mutex
-	ended chan struct{} // closed when the silence ends; nil: there is none
+	ended chan struct{} // closed when the silencer is turned off; nil while it is off
 }
 
-// Set turns the silence on or off.
+// Set turns the silencer on or off.
 func (s *Silencer) Set(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,16 +25,16 @@
 	}
 }
 
-// Listener wraps a listener so that its connections can be silenced.
+// Listener wraps a listener. The silencer applies to the connections that the returned listener accepts.
 func (s *Silencer) Listener(inner net.Listener) net.Listener { return &listener{inner, s} }
 
-// listener accepts connections of a Silencer.
+// listener is a net.Listener whose connections can be silenced.
 type listener struct {
 	net.Listener
 	silencer *Silencer
 }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection and wraps it in a conn.
 func (l *listener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
@@ -51,7 +51,7 @@
 	closed    chan struct{}
 }
 
-// waitWhileSilent returns when there is no silence, or when the connection is closed.
+// waitWhileSilent blocks while the silencer is on, until it is turned off or the connection is closed.
 func (c *conn) waitWhileSilent() {
 	c.silencer.mu.Lock()
 	ended := c.silencer.ended
@@ -65,20 +65,20 @@
 	}
 }
 
-// Read reads, and withholds what it read during a silence.
+// Read reads from the connection. Data that arrives while the silencer is on is returned once it is off.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.waitWhileSilent()
 	return n, err
 }
 
-// Write writes once there is no silence.
+// Write writes to the connection once the silencer is off.
 func (c *conn) Write(b []byte) (int, error) {
 	c.waitWhileSilent()
 	return c.Conn.Write(b)
 }
 
-// Close closes the connection and frees what a silence holds up.
+// Close closes the connection and unblocks reads and writes that wait for the silencer.
 func (c *conn) Close() error {
 	c.closeOnce.Do(func() { close(c.closed) })
 	return c.Conn.Close()
--- a/internal/worker/replicas.go
+++ b/internal/worker/replicas.go
@@ -37,7 +37,8 @@
 	unloading bool            // whether admission decided to unload the replica
 }
 
-// runningReplica returns the replica with an ID, or nil if it is still loading or has exited. The lock must be held.
+// runningReplica returns the replica with the given ID, or nil if it is still loading or has exited. The lock must be
+// held.
 func (w *Worker) runningReplica(id uint64) *replica {
 	if r := w.replicas[id]; r != nil && r.process != nil {
 		return r
--- a/internal/worker/runner/call.go
+++ b/internal/worker/runner/call.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// Result is how a call ended.
+// Result is the result of a call.
 type Result struct {
 	Body     []byte
-	Duration time.Duration // since the child took it; 0: it did not
+	Duration time.Duration // time since the call was passed to the child; 0 if it was not
 	Err      error
 }
 
-// call is a request on a replica until it has its result.
+// call is a request that was passed to a replica and has no result yet.
 type call struct {
 	id        string
 	body      []byte
 	deadline  time.Time
-	startedAt time.Time // zero: the child has not taken it
+	startedAt time.Time // time at which the call was passed to the child; zero if it was not
 	timer     *time.Timer
-	done      chan Result // holds one
-	finished  bool
+	done      chan Result // receives the result; has a buffer of one
+	finished  bool        // whether the call has a result
 }
 
-// Call runs a request on the replica and hands out its result, once. timeLeft is what is left of the request's time.
+// Call runs a request on the replica and calls done exactly once with its result. timeLeft is the remaining time of the
+// request; the call expires after timeLeft or the timeout of the package, whichever is shorter.
 func (r *Replica) Call(body []byte, timeLeft time.Duration, done func(Result)) {
 	timeout := min(timeLeft, r.pkg.Timeout.Std())
 	r.mu.Lock()
@@ -42,7 +43,7 @@
 		case r.pending <- c:
 		case <-r.exited:
 			r.finish(c.id, Result{Err: ErrNotStarted})
-		case result := <-c.done: // expired before the child took it
+		case result := <-c.done: // expired before it was passed to the child
 			done(result)
 			return
 		}
@@ -50,7 +51,8 @@
 	}()
 }
 
-// markStarted marks a call as handed to the child; false: it must not be.
+// markStarted marks a call as passed to the child. It returns false if the call must not be passed to it, because the
+// call has a result already or the replica is being stopped.
 func (r *Replica) markStarted(c *call) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,8 +63,8 @@
 	return true
 }
 
-// expire ends a call that ran too long, and the replica with it: the place of a call that does not end can't be had
-// back otherwise.
+// expire ends a call that has reached its deadline. If the call is running, the replica is killed as well, because
+// there is no other way to free the slot of a call that does not end.
 func (r *Replica) expire(c *call) {
 	r.mu.Lock()
 	started := !c.startedAt.IsZero()
@@ -71,14 +73,15 @@
 	switch {
 	case finished:
 	case started:
-		r.Stop(ErrTimeLimit) // before its end is known: nothing else is handed to the replica
+		r.Stop(ErrTimeLimit) // before finish, so that no other call is passed to the replica
 		r.finish(c.id, Result{Err: ErrTimeLimit})
 	default:
 		r.finish(c.id, Result{Err: ErrNotStarted})
 	}
 }
 
-// expireOverdue expires a call whose time is up, though its timer has not fired yet; false: it has time, or is over.
+// expireOverdue expires a call that has passed its deadline but whose timer has not fired yet. It returns false if the
+// call has time left or has ended.
 func (r *Replica) expireOverdue(id string) bool {
 	r.mu.Lock()
 	c := r.calls[id]
@@ -90,7 +93,7 @@
 	return overdue
 }
 
-// finish gives a call its result; false: it had one.
+// finish sets the result of a call. It returns false if the call is unknown or already has a result.
 func (r *Replica) finish(id string, result Result) bool {
 	r.mu.Lock()
 	c := r.calls[id]
@@ -109,7 +112,8 @@
 	return true
 }
 
-// failCalls gives the calls of a replica that has exited their results.
+// failCalls ends all calls of a replica that has exited. A call that was passed to the child fails with the cause of
+// the stop, any other call with ErrNotStarted.
 func (r *Replica) failCalls() {
 	r.mu.Lock()
 	cause := r.stopCause
--- a/internal/worker/runner/http.go
+++ b/internal/worker/runner/http.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// newHandler is the runtime interface.
+// newHandler returns the HTTP handler of the runtime interface.
 func (h *Host) newHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/{token}/next", h.withReplica(h.handleNext))
@@ -18,12 +18,12 @@
 	return mux
 }
 
-// ServeHTTP is the runtime interface.
+// ServeHTTP serves requests to the runtime interface.
 func (h *Host) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	h.server.Handler.ServeHTTP(w, request)
 }
 
-// withReplica finds the replica of a request's token.
+// withReplica returns a handler that looks up the replica by the token in the request's path and calls handle with it.
 func (h *Host) withReplica(handle func(http.ResponseWriter, *http.Request, *Replica)) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		h.mu.Lock()
@@ -37,7 +37,7 @@
 	}
 }
 
-// handleNext waits for a call and hands it to the replica. The first such request says that the replica is ready.
+// handleNext waits for a call and passes it to the replica. The first poll of a replica marks it as ready.
 func (h *Host) handleNext(w http.ResponseWriter, request *http.Request, r *Replica) {
 	r.readyOnce.Do(func() {
 		micros, err := strconv.ParseInt(request.Header.Get(HeaderCompileTime), 10, 64)
@@ -53,45 +53,46 @@
 	case c := <-r.pending:
 		if !r.markStarted(c) {
 			r.finish(c.id, Result{Err: ErrNotStarted})
-			http.Error(w, "the event is over", http.StatusConflict) // the child polls again
+			http.Error(w, "the event is over", http.StatusConflict) // the child must poll again
 			return
 		}
 		w.Header().Set(HeaderInvocation, c.id)
-		// rounded up: the child's time must not end before the call's
+		// Rounded up, so that the child's timeout does not expire before the call's deadline.
 		timeLeft := (time.Until(c.deadline) + time.Millisecond - 1).Milliseconds()
 		w.Header().Set(HeaderTimeLeft, strconv.FormatInt(max(1, timeLeft), 10))
-		_, _ = w.Write(c.body) // a child that is gone is seen by its exit
+		_, _ = w.Write(c.body) // an error is ignored: the exit of the child is detected separately
 	}
 }
 
-// handleResponse takes the response of a call.
+// handleResponse handles the response of a call.
 func (h *Host) handleResponse(w http.ResponseWriter, request *http.Request, r *Replica) {
 	id := request.PathValue("id")
 	body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, h.options.MaxResponseBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		r.Stop(ErrResponseTooLarge) // what goes on writing does not stop by being asked
+		r.Stop(ErrResponseTooLarge) // a child that sends an endless response can only be stopped by killing it
 		r.finish(id, Result{Err: ErrResponseTooLarge})
 	case err == nil:
 		r.answerInvocation(w, id, Result{Body: body})
 	}
 }
 
-// handleError takes the error of a call.
+// handleError handles the error with which the function failed a call.
 func (h *Host) handleError(w http.ResponseWriter, request *http.Request, r *Replica) {
 	reason, err := io.ReadAll(io.LimitReader(request.Body, maxReasonBytes))
 	id := request.PathValue("id")
 	switch {
 	case err != nil:
-	case r.expireOverdue(id): // the child's own timer came first
+	case r.expireOverdue(id): // the child reported its timeout before the call's timer fired
 		http.Error(w, "this event is over", http.StatusNotFound)
 	default:
 		r.answerInvocation(w, id, Result{Err: fmt.Errorf("%w: %s", ErrFunctionFailed, reason)})
 	}
 }
 
-// answerInvocation gives a call its result, and tells the child whether it came in time.
+// answerInvocation sets the result of a call and answers the child with status 204, or 404 if the call has already
+// ended.
 func (r *Replica) answerInvocation(w http.ResponseWriter, id string, result Result) {
 	if !r.finish(id, result) {
 		http.Error(w, "this event is over", http.StatusNotFound)
--- a/internal/worker/runner/replica.go
+++ b/internal/worker/runner/replica.go
@@ -19,27 +19,28 @@
 	"lupinpond/internal/artifact/manifest"
 )
 
-// Replica is one loaded replica: a child process and the calls on it.
+// Replica is a replica of a package: a child process and the calls on it.
 type Replica struct {
 	host    *Host
 	pkg     manifest.Package
-	token   string // names the replica in the runtime interface
+	token   string // identifies the replica in the URLs of the runtime interface
 	cmd     *exec.Cmd
-	pending chan *call    // calls that wait for the child to poll
+	pending chan *call    // unbuffered; passes calls to the handler of the child's polls
 	exited  chan struct{} // closed when the child has exited
 
 	readyOnce   sync.Once
 	ready       chan struct{} // closed when the child polls for the first time
-	compileTime time.Duration // as the child says, before ready is closed
+	compileTime time.Duration // compile time reported by the child; set before ready is closed
 
 	mu         sync.Mutex
 	calls      map[string]*call
 	lastCallID int
-	stopCause  error // what its calls fail with when it exits; nil: ErrReplicaExited
-	stopping   bool  // it is handed no call any more
+	stopCause  error // error of the running calls when the replica exits; if nil, ErrReplicaExited
+	stopping   bool  // whether Stop was called; no further calls are passed to the child
 }
 
-// Start starts a replica and returns once it polls for its first request. ctx bounds the start only.
+// Start starts a replica and returns once it polls for its first request. ctx applies only to the start: its end does
+// not stop a replica that has started.
 func (h *Host) Start(ctx context.Context, pkg manifest.Package) (*Replica, error) {
 	r := &Replica{
 		host:    h,
@@ -67,7 +68,8 @@
 	return r, nil
 }
 
-// command is the child of a replica.
+// command returns the command that runs the child of a replica. A wasm package is run by the subcommand wasm-copy of
+// Options.Executable.
 func (h *Host) command(pkg manifest.Package, token string) *exec.Cmd {
 	entryPoint := filepath.Join(pkg.Folder, pkg.EntryPoint)
 	var cmd *exec.Cmd
@@ -85,17 +87,17 @@
 	cmd.Env = []string{
 		fmt.Sprintf("%s=http://%s/v1/%s", EnvRuntime, h.listener.Addr(), token),
 		"PATH=/usr/bin:/bin",
-		"GOMAXPROCS=" + strconv.Itoa(pkg.Concurrency+1), // a call that spins leaves the others theirs
+		"GOMAXPROCS=" + strconv.Itoa(pkg.Concurrency+1), // calls that spin do not block other calls or polling
 	}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	if h.options.ReplicaLog != nil { // the child itself writes there: no line is lost with the worker
+	if h.options.ReplicaLog != nil { // the child writes to the file itself, so no line is lost if the worker crashes
 		cmd.Stdout, cmd.Stderr = h.options.ReplicaLog, h.options.ReplicaLog
 	}
 	cmd.WaitDelay = outputWaitDelay
 	return cmd
 }
 
-// awaitReady waits for the child's first poll.
+// awaitReady waits for the child's first poll, for at most Options.StartTimeout.
 func (r *Replica) awaitReady(ctx context.Context) error {
 	timer := time.NewTimer(r.host.options.StartTimeout)
 	defer timer.Stop()
@@ -111,8 +113,8 @@
 	}
 }
 
-// run starts the child, waits for its exit and ends what it left. The death signal of a child comes when the thread
-// that started it ends, so this goroutine keeps its thread.
+// run starts the child, waits for its exit and cleans up after it. The goroutine is locked to its thread because
+// Pdeathsig is sent when the thread that started the child ends.
 func (r *Replica) run(started chan<- error) {
 	runtime.LockOSThread()
 	if err := r.cmd.Start(); err != nil {
@@ -123,7 +125,7 @@
 	}
 	started <- nil
 	err := r.cmd.Wait()
-	r.forceStop() // children of the child
+	r.kill() // kills processes that the child has left
 	r.unregister()
 	var exit *exec.ExitError
 	if err != nil && !errors.As(err, &exit) && !errors.Is(err, exec.ErrWaitDelay) && !errors.Is(err, os.ErrProcessDone) {
@@ -133,16 +135,16 @@
 	r.failCalls()
 }
 
-// unregister takes the replica from the runtime interface.
+// unregister removes the replica from the runtime interface.
 func (r *Replica) unregister() {
 	r.host.mu.Lock()
 	delete(r.host.replicas, r.token)
 	r.host.mu.Unlock()
 }
 
-// Stop has the replica exit: by SIGTERM first, by SIGKILL after the grace period. A cause is what its calls fail
-// with, and means that it has misbehaved and is not asked; nil: it is to exit in order, and its calls fail with
-// ErrReplicaExited.
+// Stop stops the replica. If cause is nil, the replica gets SIGTERM, and SIGKILL after the grace period; its running
+// calls fail with ErrReplicaExited. If cause is not nil, the replica has violated a limit: it is killed immediately,
+// and its running calls fail with cause.
 func (r *Replica) Stop(cause error) {
 	r.mu.Lock()
 	if r.stopCause == nil {
@@ -154,40 +156,40 @@
 		return
 	}
 	if cause != nil {
-		r.forceStop()
+		r.kill()
 		return
 	}
-	_ = syscall.Kill(-r.cmd.Process.Pid, syscall.SIGTERM) // it may have exited
+	_ = syscall.Kill(-r.cmd.Process.Pid, syscall.SIGTERM) // an error means that the replica has exited
 	time.AfterFunc(r.host.options.GracePeriod, func() {
 		select {
 		case <-r.exited:
 		default:
-			r.forceStop()
+			r.kill()
 		}
 	})
 }
 
-// forceStop kills the child and its children.
-func (r *Replica) forceStop() { _ = syscall.Kill(-r.cmd.Process.Pid, syscall.SIGKILL) } // they may have exited
+// kill sends SIGKILL to the child's process group: the child and its children. An error means that they have exited.
+func (r *Replica) kill() { _ = syscall.Kill(-r.cmd.Process.Pid, syscall.SIGKILL) }
 
-// Done is closed when the replica has exited, for whatever reason.
+// Done returns a channel that is closed when the replica has exited for any reason.
 func (r *Replica) Done() <-chan struct{} { return r.exited }
 
-// Memory is what the operating system says that the replica holds: its part of shared pages included.
+// Memory returns the memory that the child process uses, including its share of shared pages.
 func (r *Replica) Memory() (int64, error) { return ProcessMemory(r.cmd.Process.Pid) }
 
-// MemoryLimit is the memory that the replica may hold.
+// MemoryLimit returns the maximum memory in bytes that the replica may use.
 func (r *Replica) MemoryLimit() int64 {
 	return MemoryLimit(r.pkg.Manifest, r.host.options.WasmOverhead)
 }
 
-// CompileTime is how long the replica says that it compiled its code.
+// CompileTime returns the compile time of the replica's code as reported by the child.
 func (r *Replica) CompileTime() time.Duration { return r.compileTime }
 
-// Folder is where the replica's package is installed.
+// Folder returns the folder in which the replica's package is installed.
 func (r *Replica) Folder() string { return r.pkg.Folder }
 
-// ProcessMemory is what the operating system says that a process holds.
+// ProcessMemory returns the proportional set size of a process in bytes, as reported by the operating system.
 func ProcessMemory(pid int) (int64, error) {
 	process, err := procfs.NewProc(pid)
 	if err != nil {
--- a/internal/worker/runner/runner.go
+++ b/internal/worker/runner/runner.go
@@ -1,7 +1,7 @@
-// Package runner runs replicas of packages as child processes that speak the runtime interface over loopback: a child
-// asks for the next request and posts its response or its error (docs/runtime.md). A wasm package is run by a child
-// of this program's own, so that each replica's memory is what the operating system says of a process, and its end is
-// certain.
+// Package runner runs replicas of packages as child processes. A child uses the runtime interface, which is served over
+// HTTP on the loopback interface: it polls for the next request and posts the response or an error (docs/runtime.md). A
+// wasm package is run by a child process of this program, so that the operating system accounts for the memory of each
+// replica and any replica can be killed.
 package runner
 
 import (
@@ -17,26 +17,27 @@
 	"lupinpond/internal/artifact/manifest"
 )
 
-// Environment that a child finds, and headers of the runtime interface.
+// Environment variable that is set for a child, and headers of the runtime interface.
 const (
-	EnvRuntime        = "LUPINPOND_RUNTIME" // base address of the runtime interface for this replica
-	HeaderInvocation  = "Lupin-Invocation"  // ID of a request, for its response
-	HeaderTimeLeft    = "Lupin-Left-Ms"     // of the request, in milliseconds
-	HeaderCompileTime = "Lupin-Compiled-Us" // of a poll: how long the replica compiled its code, in microseconds
+	EnvRuntime        = "LUPINPOND_RUNTIME" // base URL of the runtime interface for this replica
+	HeaderInvocation  = "Lupin-Invocation"  // ID of a request, used in the URL of its response
+	HeaderTimeLeft    = "Lupin-Left-Ms"     // remaining time of a request in milliseconds
+	HeaderCompileTime = "Lupin-Compiled-Us" // sent with a poll: compile time of the replica's code in microseconds
 )
 
 const (
-	// readHeaderTimeout bounds the headers of a request to the runtime interface.
+	// readHeaderTimeout is the timeout for reading the headers of a request to the runtime interface.
 	readHeaderTimeout = 10 * time.Second
-	// maxHeaderBytes is the most that these headers may have.
+	// maxHeaderBytes is the maximum size of the headers of a request to the runtime interface.
 	maxHeaderBytes = 16 << 10
-	// maxReasonBytes is how much of an error's text is read from a replica.
+	// maxReasonBytes is the length to which the text of an error posted by a replica is truncated.
 	maxReasonBytes = 4096
-	// outputWaitDelay is how long the output of a child that has exited is waited for: a grandchild may hold it open.
+	// outputWaitDelay is the maximum time to wait for the output of a child that has exited. A process that the child
+	// started may keep the output open.
 	outputWaitDelay = time.Second
 )
 
-// Errors of calls. Their requests may have run, but for ErrNotStarted.
+// Errors of calls. After any of them except ErrNotStarted, the request may have run.
 var (
 	ErrFunctionFailed   = errors.New("the function failed")
 	ErrReplicaExited    = errors.New("the copy ended while the event ran")
@@ -46,7 +47,7 @@
 	ErrNotStarted       = errors.New("the copy had not taken the event")
 )
 
-// EndsReplica reports whether a call's error says that its replica has exited, or is being killed.
+// EndsReplica reports whether the error of a call means that its replica has exited or is being killed.
 func EndsReplica(err error) bool {
 	return errors.Is(err, ErrReplicaExited) || errors.Is(err, ErrTimeLimit) || errors.Is(err, ErrMemoryLimit) ||
 		errors.Is(err, ErrResponseTooLarge)
@@ -54,36 +55,36 @@
 
 // Options configure a Host.
 type Options struct {
-	// Executable is the program that runs wasm packages: this one.
+	// Executable is the path of the program that runs wasm packages, which is this program.
 	Executable string
-	// CompilationCache is the folder for compiled wasm.
+	// CompilationCache is the folder for compiled wasm code.
 	CompilationCache string
-	// StartTimeout bounds a start: a replica that has not asked for its first request by then has failed.
+	// StartTimeout is the time within which a started replica must poll for its first request.
 	StartTimeout time.Duration
-	// GracePeriod is the time between SIGTERM and SIGKILL.
+	// GracePeriod is the time between SIGTERM and SIGKILL when a replica is stopped.
 	GracePeriod time.Duration
-	// MaxResponseBytes is the longest response.
+	// MaxResponseBytes is the maximum size of a response.
 	MaxResponseBytes int64
-	// WasmOverhead is the memory in bytes of a wasm replica beside its module's own.
+	// WasmOverhead is the memory in bytes that a wasm replica needs in addition to its module's memory.
 	WasmOverhead int64
-	// Log receives the host's own log; nil: it is discarded.
+	// Log receives the host's own log; if nil, it is discarded.
 	Log *slog.Logger
-	// ReplicaLog receives the standard output and error of replicas; nil: they are discarded.
+	// ReplicaLog receives the standard output and error of replicas; if nil, they are discarded.
 	ReplicaLog io.Writer
 }
 
-// Host serves the runtime interface to its replicas.
+// Host starts replicas and serves the runtime interface to them.
 type Host struct {
-	options  Options
-	listener net.Listener
-	server   *http.Server
-	served   chan struct{} // closed when the server has ended
+	options   Options
+	listener  net.Listener
+	server    *http.Server
+	serveDone chan struct{} // closed when Serve has returned
 
 	mu       sync.Mutex
 	replicas map[string]*Replica // by token
 }
 
-// NewHost serves the runtime interface on a loopback port.
+// NewHost returns a Host that serves the runtime interface on a loopback port.
 func NewHost(options Options) (*Host, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -92,7 +93,7 @@
 	if options.Log == nil {
 		options.Log = slog.New(slog.DiscardHandler)
 	}
-	h := &Host{options: options, listener: listener, served: make(chan struct{}), replicas: map[string]*Replica{}}
+	h := &Host{options: options, listener: listener, serveDone: make(chan struct{}), replicas: map[string]*Replica{}}
 	h.server = &http.Server{
 		Handler:           h.newHandler(),
 		ReadHeaderTimeout: readHeaderTimeout,
@@ -100,13 +101,13 @@
 		ErrorLog:          slog.NewLogLogger(options.Log.Handler(), slog.LevelDebug),
 	}
 	go func() {
-		defer close(h.served)
-		_ = h.server.Serve(listener) // ends with Close
+		defer close(h.serveDone)
+		_ = h.server.Serve(listener) // returns when Close is called
 	}()
 	return h, nil
 }
 
-// Close stops all replicas and the runtime interface, and waits for their ends.
+// Close stops all replicas and waits for their exit, then stops the server of the runtime interface.
 func (h *Host) Close() error {
 	h.mu.Lock()
 	var replicas []*Replica
@@ -121,12 +122,12 @@
 		<-r.exited
 	}
 	err := h.server.Close()
-	<-h.served
+	<-h.serveDone
 	return err
 }
 
-// MemoryLimit is the memory in bytes that a replica of a package may hold; wasmOverhead is that of a wasm replica
-// beside its module's own.
+// MemoryLimit returns the maximum memory in bytes that a replica of a package may use. For a wasm package this is the
+// package's own limit plus wasmOverhead.
 func MemoryLimit(release manifest.Manifest, wasmOverhead int64) int64 {
 	limit := int64(release.MemoryLimit)
 	if release.Kind == manifest.Wasm {
--- a/internal/worker/runner/runner_test.go
+++ b/internal/worker/runner/runner_test.go
@@ -17,7 +17,7 @@
 	"lupinpond/internal/worker/runner"
 )
 
-// newHost is a host whose replicas have so long to become ready.
+// newHost returns a host with the given start timeout.
 func newHost(t testing.TB, startTimeout time.Duration) *runner.Host {
 	t.Helper()
 	host, err := runner.NewHost(runner.Options{
@@ -37,7 +37,7 @@
 	return host
 }
 
-// scriptPackage is a package whose program is a shell script.
+// scriptPackage creates a package whose program is a shell script.
 func scriptPackage(t testing.TB, script string) manifest.Package {
 	t.Helper()
 	folder := t.TempDir()
@@ -60,7 +60,8 @@
 	return pkg
 }
 
-// A program that exits, or never polls for a request and ignores SIGTERM, is a failed load, and nothing of it is left.
+// A program that exits at once, or that never polls for a request and ignores SIGTERM, must make Start fail and leave
+// no process running.
 func TestReplicasThatNeverBecomeReady(t *testing.T) {
 	_, err := newHost(t, time.Minute).Start(t.Context(), scriptPackage(t, "exit 3"))
 	if !errors.Is(err, runner.ErrReplicaExited) {
@@ -68,13 +69,13 @@
 	}
 	start := time.Now()
 	pidFile := filepath.Join(t.TempDir(), "pid")
-	stubborn := scriptPackage(t, "trap '' TERM\necho $$ > "+pidFile+"\nwhile :; do sleep 1; done")
-	_, err = newHost(t, 300*time.Millisecond).Start(t.Context(), stubborn)
+	ignoresSIGTERM := scriptPackage(t, "trap '' TERM\necho $$ > "+pidFile+"\nwhile :; do sleep 1; done")
+	_, err = newHost(t, 300*time.Millisecond).Start(t.Context(), ignoresSIGTERM)
 	if err == nil || !strings.Contains(err.Error(), "not ready") {
 		t.Error(err)
 	}
 	if elapsed := time.Since(start); elapsed > 30*time.Second {
-		t.Errorf("ended after %v", elapsed)
+		t.Errorf("Start failed only after %v", elapsed)
 	}
 	text, err := os.ReadFile(pidFile)
 	if err != nil {
@@ -85,11 +86,11 @@
 		t.Fatal(err)
 	}
 	if _, err := runner.ProcessMemory(pid); err == nil {
-		t.Error("the child that ignores SIGTERM is still there")
+		t.Error("the child that ignores SIGTERM is still running")
 	}
 }
 
-// A start whose context ends leaves nothing.
+// Start must return the error of its context when the context ends before the replica is ready.
 func TestStartCanceled(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
@@ -99,7 +100,8 @@
 	}
 }
 
-// Whatever comes to the runtime interface without a replica's token is rejected; nothing is answered for a replica.
+// Requests to the runtime interface without the token of a replica must be rejected, whatever their method and path
+// are.
 func FuzzRuntimeInterface(f *testing.F) {
 	f.Add("GET", "/v1/x/next", "")
 	f.Add("POST", "/v1/x/invocations/1/response", "body")
@@ -114,7 +116,7 @@
 		w := httptest.NewRecorder()
 		host.ServeHTTP(w, request)
 		if w.Code < 300 {
-			t.Errorf("%s %q: status %d", method, path, w.Code)
+			t.Errorf("%s %q: got status %d, want an error status", method, path, w.Code)
 		}
 	})
 }
--- a/internal/worker/runner/wasm.go
+++ b/internal/worker/runner/wasm.go
@@ -15,9 +15,10 @@
 	"lupinpond/function"
 )
 
-// Exports of a wasm package: lp_input allocates an input of so many bytes and says where; lp_call runs it and says
-// where its output is, the address in the upper half, the length in the lower; an address of 0 means failed, and the
-// length is that of the reason, which stands where lp_reason says.
+// Functions that the module of a wasm package exports. lp_input allocates memory for an input of the given length and
+// returns its address. lp_call runs the function on this input and returns the address of the output in the upper 32
+// bits and its length in the lower 32 bits. An address of 0 means that the function failed: the length is then that of
+// the reason, whose address lp_reason returns.
 const (
 	exportInput  = "lp_input"
 	exportCall   = "lp_call"
@@ -25,23 +26,24 @@
 )
 
 const (
-	// wasmPageBits is the size of a page of wasm memory, as a shift.
+	// wasmPageBits is the base-2 logarithm of the size of a wasm memory page in bytes.
 	wasmPageBits = 16
-	// maxWasmPages is the most that a 32-bit module can address.
+	// maxWasmPages is the maximum number of pages that a 32-bit module can address.
 	maxWasmPages = 1 << 16
 )
 
-// WasmOptions say what a wasm replica runs.
+// WasmOptions configure a wasm replica.
 type WasmOptions struct {
-	File             string // the module
-	Concurrency      int    // calls at a time, each in an instance of its own
-	MemoryBytes      int64  // that one instance may have
+	File             string // path of the module
+	Concurrency      int    // maximum number of concurrent calls, each in its own instance of the module
+	MemoryBytes      int64  // maximum memory of each instance
 	CompilationCache string // folder for compiled code
 }
 
-// RunWasm is a wasm replica: it compiles the module, keeps an instance for each concurrent call and serves the
-// runtime interface until it is asked to exit. The module has a clock, and its output is the log; it has nothing else
-// of the host.
+// RunWasm runs a wasm replica in this process. It compiles the module, creates an instance for each concurrent call,
+// and polls the runtime interface for requests until ctx is done. The module can read clocks, sleep,
+// and write to standard output and error, both of which go to the process's standard error; it has no other access to
+// the host.
 func RunWasm(ctx context.Context, options WasmOptions) (err error) {
 	code, err := os.ReadFile(options.File)
 	if err != nil {
@@ -72,7 +74,7 @@
 	return function.ServeCompiled(ctx, options.Concurrency, compileTime, pool.call)
 }
 
-// compile compiles a module and checks its exports.
+// compile compiles a module, checks its exports and returns the compile time.
 func compile(ctx context.Context, engine wazero.Runtime, code []byte) (wazero.CompiledModule, time.Duration, error) {
 	start := time.Now()
 	module, err := engine.CompileModule(ctx, code)
@@ -88,50 +90,50 @@
 	return module, compileTime, nil
 }
 
-// instancePool has the instances that run no call.
+// instancePool is a pool of instances of a module, each of which runs one call at a time.
 type instancePool struct {
 	engine wazero.Runtime
 	module wazero.CompiledModule
-	free   chan *instance
+	free   chan *instance // instances that are not running a call
 }
 
-// newInstancePool makes so many instances of a module.
+// newInstancePool returns a pool of size instances of a module.
 func newInstancePool(
 	ctx context.Context, engine wazero.Runtime, module wazero.CompiledModule, size int,
 ) (*instancePool, error) {
 	pool := &instancePool{engine, module, make(chan *instance, size)}
 	for range size {
-		made, err := pool.instantiate(ctx)
+		created, err := pool.instantiate(ctx)
 		if err != nil {
 			return nil, err
 		}
-		pool.free <- made
+		pool.free <- created
 	}
 	return pool, nil
 }
 
-// call runs an input on a free instance.
+// call runs a call on a free instance. It waits until one is free.
 func (p *instancePool) call(ctx context.Context, input []byte) ([]byte, error) {
-	used := <-p.free
-	output, err := used.call(ctx, input)
-	if err != nil && used.module.IsClosed() { // a trap, or its exit: a new instance takes its place
-		fresh, freshErr := p.instantiate(context.WithoutCancel(ctx))
-		if freshErr != nil {
-			return nil, freshErr // the place is lost; the replica is stopped when its next call finds none
+	inst := <-p.free
+	output, err := inst.call(ctx, input)
+	if err != nil && inst.module.IsClosed() { // the module trapped or exited: replace the instance
+		replacement, replacementErr := p.instantiate(context.WithoutCancel(ctx))
+		if replacementErr != nil {
+			return nil, replacementErr // the pool shrinks by one; a call that finds no instance expires and stops the replica
 		}
-		used = fresh
+		inst = replacement
 	}
-	p.free <- used
+	p.free <- inst
 	return output, err
 }
 
-// instance is a module with a memory of its own.
+// instance is an instance of a module, with its own memory.
 type instance struct {
 	module api.Module
 	mu     sync.Mutex
 }
 
-// instantiate makes an instance.
+// instantiate creates an instance of the pool's module.
 func (p *instancePool) instantiate(ctx context.Context) (*instance, error) {
 	config := wazero.NewModuleConfig().
 		WithName("").
@@ -148,7 +150,7 @@
 	return &instance{module: module}, nil
 }
 
-// call runs an input.
+// call runs the module's function on an input and returns a copy of its output.
 func (in *instance) call(ctx context.Context, input []byte) ([]byte, error) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -98,7 +98,7 @@
 	h := startWorkerIn(t, t.TempDir(), store.Client.BaseURL, nil)
 	h.expectAnswer(faultyFunction, "echo", workerrpc.CodeOK, "echo")
 	busy := h.send(workerrpc.Attempt{RequestID: "b", Function: faultyFunction, Body: []byte("sleep 700ms")})
-	h.waitFor("it runs", func() bool { return h.LoadReport().Running == 1 })
+	h.waitFor("the call runs", func() bool { return h.LoadReport().Running == 1 })
 	if _, err := store.Client.Publish(t.Context(), modelAsNextRelease(t)); err != nil {
 		t.Fatal(err)
 	}
@@ -196,13 +196,13 @@
 	t.Run("first incarnation", func(t *testing.T) {
 		h := startWorkerIn(t, folder, storeURL, func(options *worker.Options) { options.MaxReplicaLogBytes = 100 })
 		if rate := h.LoadReport().ColdStartRate; rate != 1 {
-			t.Errorf("cold start rate %v before its first request", rate)
+			t.Errorf("cold start rate before the first request: got %v, want 1", rate)
 		}
 		for range 40 {
 			h.expectAnswer(faultyFunction, "echo", workerrpc.CodeOK, "echo")
 		}
 		if rate := h.LoadReport().ColdStartRate; rate != 0 {
-			t.Errorf("cold start rate %v after 40 requests", rate)
+			t.Errorf("cold start rate after 40 requests: got %v, want 0", rate)
 		}
 		h.waitFor("the log is rotated", func() bool {
 			rotated, err := os.Stat(h.replicaLog + ".1")
