--- a/internal/worker/crash_test.go
+++ b/internal/worker/crash_test.go
@@ -105,7 +105,7 @@
 	if interrupted && len(loads) == 1 {
 		load := loads[0]
 		if load.Function != faultyFunction || len(load.Requests) != 1 || load.Requests[0].RequestID != "waits" {
-			t.Errorf("%s: reported %+v", point, loads)
+			t.Errorf("killed at %s: want one load with request \"waits\", reported %+v", point, loads)
 		}
 	}
 	for _, load := range loads {
--- a/internal/worker/runner/wasm.go
+++ b/internal/worker/runner/wasm.go
@@ -41,9 +41,8 @@
 }
 
 // RunWasm runs a wasm replica in this process. It compiles the module, creates an instance for each concurrent call,
-// and polls the runtime interface for requests until ctx is done. The module can read clocks, sleep,
-// and write to standard output and error, both of which go to the process's standard error; it has no other access to
-// the host.
+// and polls the runtime interface for requests until ctx is done. The module can read clocks, sleep, and write to
+// standard output and error, both of which go to the process's standard error; it has no other access to the host.
 func RunWasm(ctx context.Context, options WasmOptions) (err error) {
 	code, err := os.ReadFile(options.File)
 	if err != nil {
