--- a/scheduler/worker.go
+++ b/scheduler/worker.go
@@ -7,66 +7,68 @@
 	"lupinpond/scheduler/internal/fleetindex"
 )
 
-// worker is what is known of one member of the fleet.
+// worker is the state of one member of the fleet.
 type worker struct {
 	Member
-	adaptiveLimit // of attempts in flight
+	adaptiveLimit // limit of attempts in flight
 	kind          *workerKind
-	hash          uint64 // of its name
+	hash          uint64 // hash of its name, its point in the shared order
 	attempts      []*Request
 
 	// Membership.
-	listed     bool
-	lastUpdate int // the last membership update that named it
+	listed     bool // the registry lists it
+	lastUpdate int  // number of the last membership update that listed it
 
-	// Its places in the indexes of the fleet.
-	counters         counters                     // its share of the fleet's
-	countersDeadline fleetindex.Deadline[*worker] // when time alone changes its counters
-	memberSlot       fleetindex.Slot              // among the members
-	busySlot         fleetindex.Slot              // among those with attempts in flight
-	ringNode         *fleetindex.Node[*worker]    // in the shared order; nil: it gets nothing new
+	// Positions in the indexes of the fleet.
+	counters         counters                     // its part of the fleet counters
+	countersDeadline fleetindex.Deadline[*worker] // when the passing of time changes counters
+	memberSlot       fleetindex.Slot              // in Scheduler.members
+	busySlot         fleetindex.Slot              // in Scheduler.busy
+	ringNode         *fleetindex.Node[*worker]    // in the shared order; nil: it doesn't accept new work
 
 	// Ejection.
 	lastSuccess         time.Duration
 	consecutiveFailures int
 	ejectedUntil        time.Duration
-	ejectionDuration    time.Duration // of the last one
-	halfOpen            bool          // one request may test whether it has recovered
+	ejectionDuration    time.Duration // duration of the last ejection, without its random part
+	halfOpen            bool          // ejected since its last success; one request may test its recovery
 
 	// Load reports and probes.
 	reportedAt      time.Duration
-	queueDepth      float64       // as reported
-	backloggedUntil time.Duration // until then more requests than ours are assumed to wait there
-	slowUntil       time.Duration // until then it comes last for a late answer
+	queueDepth      float64       // last reported or estimated queue
+	backloggedUntil time.Duration // until then requests of other gateways are assumed to be queued
+	slowUntil       time.Duration // until then it is chosen last, because an answer missed its objective
 	probeInFlight   bool
 	probedAt        time.Duration
-	unresponsive    bool // the last probe failed, and nothing has come since
+	unresponsive    bool // the last probe failed, and no success has followed
 
 	rejections map[string]rejection // by tenant
 
 	// Lease.
 	lease       workerLease
-	leased      bool          // it has a lease by the last look, while the registry is out of reach
-	restartedAt time.Duration // when it came back while the registry was out of reach; 0: it did not
+	leased      bool          // it had a lease at the last check, after the watch lease expired
+	restartedAt time.Duration // when it recovered while the registry was unreachable; 0: it did not
 
 	// Slow start.
-	lastSlowStartSend   time.Duration // last attempt, or when it became a member
-	slowStartPauseShare float64       // share of the pause that is kept from then
+	lastSlowStartSend   time.Duration // time of the last attempt, or when it became a member
+	slowStartPauseShare float64       // share of the pause to wait after lastSlowStartSend
 }
 
-// rejection is that a worker rejects a tenant's requests.
+// rejection is the state of a worker that rejects a tenant's requests.
 type rejection struct {
-	consecutive int
-	until       time.Duration
+	consecutive int           // number of consecutive rejections
+	until       time.Duration // the tenant's requests avoid the worker until then
 }
 
-// acceptsNew tells whether the registry lets a worker have anything new (rule 3).
-func (w *worker) acceptsNew() bool { return w.listed && w.Condition == Up }
+// acceptsNewWork reports whether a worker accepts new work according to the registry: it is listed, and
+// neither draining nor removed (rule 3).
+func (w *worker) acceptsNewWork() bool { return w.listed && w.Condition == Up }
 
-// listedWeight is the weight that the registry names, 1 where it names none.
+// listedWeight returns the weight that the registry lists, or 1 if it lists none.
 func (w *worker) listedWeight() float64 { return cmp.Or(w.Weight, 1) }
 
-// knownQueueDepth is the number of requests that wait at the worker, as far as is known.
+// knownQueueDepth returns the reported or estimated number of requests queued at the worker, or 0 if no valid
+// report shows requests of other gateways there.
 func (w *worker) knownQueueDepth(now time.Duration) float64 {
 	if now < w.backloggedUntil {
 		return w.queueDepth
@@ -74,13 +76,14 @@
 	return 0
 }
 
-// deprioritized tells that a worker comes last: others' requests wait there, its answers are late, or it is
-// unresponsive.
+// deprioritized reports whether a worker is chosen last: requests of other gateways are queued there, an
+// answer missed its objective, or the worker is unresponsive.
 func (w *worker) deprioritized(now time.Duration) bool {
 	return now < max(w.backloggedUntil, w.slowUntil) || w.probeOverdue(now)
 }
 
-// probeOverdue tells that a probe is unanswered: what is loading there may be lost.
+// probeOverdue reports whether a probe failed or was not answered in time: replicas that the worker is
+// loading may be lost.
 func (w *worker) probeOverdue(now time.Duration) bool {
 	return w.unresponsive || w.probeInFlight && now >= w.probedAt+initialLatency
 }
