--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -83,13 +83,13 @@
 // usable reports whether a worker is neither draining nor removed, by the registry and by its lease (rule 3),
 // nor ejected. Ejections are ignored while most workers are ejected, so that some remain to send requests to.
 func (s *Scheduler) usable(w *worker, now time.Duration) bool {
-	return s.notEjected(w, now) && s.hasLease(w, now)
+	return s.usableIfLeased(w, now) && s.hasLease(w, now)
 }
 
 // usableIfLeased reports whether a worker is usable, or would be if it had a lease.
-func (s *Scheduler) notEjected(w *worker, now time.Duration) bool {
-	admitted := now >= w.ejectedUntil && (!w.halfOpen || len(w.attempts) == 0)
-	return w.acceptsNewWork() && (admitted || s.ejectionsIgnored)
+func (s *Scheduler) usableIfLeased(w *worker, now time.Duration) bool {
+	notEjected := now >= w.ejectedUntil && (!w.halfOpen || len(w.attempts) == 0)
+	return w.acceptsNewWork() && (notEjected || s.ejectionsIgnored)
 }
 
 func (s *Scheduler) hasCapacity(w *worker, now time.Duration) bool {
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -45,7 +45,8 @@
 
 // acceptsLoadIfLeased reports whether a worker may be asked to load a function, provided that it has a lease.
 func (s *Scheduler) acceptsLoadIfLeased(w *worker, f *function, now time.Duration) bool {
-	return s.notEjected(w, now) && float64(len(w.attempts)) < w.limit && now >= w.rejections[f.tenant].until &&
+	return s.usableIfLeased(w, now) && float64(len(w.attempts)) < w.limit &&
+		now >= w.rejections[f.tenant].until &&
 		!slices.ContainsFunc(f.replicaSets, func(r *replicaSet) bool {
 			return r.worker == w && now < r.rejectingUntil
 		})
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -166,7 +166,8 @@
 }
 
 // maxBudgetShare returns the highest ratio of the attempts sent to the cold worker within a second to those that make
-// it crash: n + 2*sqrt(n) + 2, where n is the number by the settings and the rest allows for random variation.
+// it crash: n + 2*sqrt(n) + 2, where n is the crash multiple of its capacity at that time, and the rest allows for
+// random variation.
 func (f *coldFleet) maxBudgetShare() float64 {
 	mean := float64(f.served) / coldFleetWarmUp.Seconds() / 2 // completed attempts per worker and second
 	first, most := 0, 0.0
