--- a/internal/gateway/actor.go
+++ b/internal/gateway/actor.go
@@ -10,10 +10,9 @@
 
 var _ core.Actor = (*EventLoop)(nil)
 
-// The methods of core.Actor carry out the core's decisions. Only the event loop's goroutine calls them, from within
-// the core.
+// The methods of core.Actor execute the core's decisions. The core calls them, always on the event loop's goroutine.
 
-// Send sends an attempt to a worker. Where the client has disconnected meanwhile, the attempt is withheld.
+// Send sends an attempt to a worker. If the client has disconnected since the core's decision, the attempt is withheld.
 func (l *EventLoop) Send(scheduled *scheduler.Request, attempt int, worker string) {
 	request := l.requests[scheduled.ID]
 	if request.disconnectedAt.Load() != 0 {
@@ -57,14 +56,14 @@
 	}
 }
 
-// Complete answers a request with the result of an attempt.
+// Complete answers a request with the response body of a completed attempt.
 func (l *EventLoop) Complete(scheduled *scheduler.Request, attempt int) {
 	l.counts.Completed++
 	request := l.requests[scheduled.ID]
 	l.reply(request, invoke.Response{Outcome: invoke.Completed, Attempts: attempt + 1, Body: request.responseBody})
 }
 
-// Reject answers a request that the client may safely retry.
+// Reject answers a request with a rejection: the client may safely retry it.
 func (l *EventLoop) Reject(scheduled *scheduler.Request, retryAfter time.Duration, _ bool) {
 	l.counts.Rejected++
 	request := l.requests[scheduled.ID]
@@ -72,21 +71,21 @@
 		Reason: "not handled in time; trying again does no harm"})
 }
 
-// Fail answers a request whose type allows no further attempt.
+// Fail answers a request with a failure: its type does not allow another attempt.
 func (l *EventLoop) Fail(scheduled *scheduler.Request, attempts int, mayHaveRun bool) {
 	l.counts.Failed++
 	l.reply(l.requests[scheduled.ID], invoke.Response{Outcome: invoke.Failed, Attempts: attempts, MayHaveRun: mayHaveRun,
 		Reason: "not handled; its type allows no other try"})
 }
 
-// Cancel cancels an attempt; its outcome arrives later.
+// Cancel cancels an attempt. Its outcome is still reported through CompleteAttempt.
 func (l *EventLoop) Cancel(scheduled *scheduler.Request, attempt int, _ string) {
 	if inFlight := l.requests[scheduled.ID].inFlight[attempt]; inFlight != nil {
 		inFlight.Cancel()
 	}
 }
 
-// Closed forgets a request and cancels its attempts in flight.
+// Closed removes the state of a closed request and cancels its attempts in flight.
 func (l *EventLoop) Closed(scheduled *scheduler.Request, _ int, _ core.CloseReason) {
 	request := l.requests[scheduled.ID]
 	l.checkClosed(request)
@@ -98,7 +97,8 @@
 	request.done()
 }
 
-// RequestLoad sends a load request. One without a result within the timeout is cancelled.
+// RequestLoad sends a load request. If there is no result within the load timeout, RequestLoad reports it as timed out
+// and cancels it.
 func (l *EventLoop) RequestLoad(load scheduler.LoadRequest) {
 	switch load.Purpose {
 	case scheduler.VerifyWorker:
@@ -129,7 +129,8 @@
 	})
 }
 
-// Probe asks a worker for a load report. A probe without a reply within the timeout is cancelled.
+// Probe asks a worker for a load report. If there is no reply within the probe timeout, Probe reports the probe as
+// timed out and cancels it.
 func (l *EventLoop) Probe(worker string) {
 	l.counts.Probes++
 	sentAt, completed := time.Now(), false
@@ -149,17 +150,19 @@
 	})
 }
 
-// cancel cancels a call that may never be answered: else it would occupy its connection for good.
+// cancel cancels a call in flight, if there is one. A call that is never answered would otherwise occupy its connection
+// forever.
 func cancel(inFlight Canceller) {
 	if inFlight != nil {
 		inFlight.Cancel()
 	}
 }
 
-// Subscribe asks the transport for the endpoint list.
+// Subscribe subscribes to the endpoint list through the transport.
 func (l *EventLoop) Subscribe() { l.transport.Subscribe() }
 
-// SetTimer has the core called after a time. The core only asks for a timer that fires before all those pending.
+// SetTimer schedules a call of the core's TimerFired after a delay. The core only sets a timer that fires before all
+// pending ones, so timerTimes stays sorted.
 func (l *EventLoop) SetTimer(after time.Duration) {
 	l.timerTimes = append(l.timerTimes, time.Now().Add(after))
 	l.timer.Reset(after)
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -22,7 +22,7 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// instantHandler is a worker that answers every request at once, from a warm replica.
+// instantHandler is a worker that answers every request immediately, from a warm replica.
 type instantHandler struct{}
 
 func (instantHandler) HandleAttempt(_ string, _ *workerrpc.Attempt, reply func(*workerrpc.AttemptResult)) func() {
@@ -37,7 +37,8 @@
 
 func (instantHandler) LoadReport() *workerrpc.LoadReport { return &workerrpc.LoadReport{} }
 
-// startBareGateway starts a gateway over a number of workers that answer at once, and returns the addresses of both.
+// startBareGateway starts a gateway with a number of workers that answer immediately. It returns the addresses of the
+// gateway and the workers.
 func startBareGateway(b *testing.B, workers int) (addr string, workerAddrs []string, stop func()) {
 	b.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -60,7 +61,7 @@
 		b.Fatal(err)
 	}
 	config.Gateway.RegistryURL = registryServer.URL
-	config.Fleet.Tenants = nil // quotas are not what is measured
+	config.Fleet.Tenants = nil // without tenants, quotas do not affect the measurement
 	for i := range config.Functions {
 		config.Functions[i].Tenant = ""
 	}
@@ -84,7 +85,7 @@
 	}
 }
 
-// startDirectClient starts a client of worker w0 without a gateway.
+// startDirectClient starts a client that is connected directly to worker w0, without a gateway.
 func startDirectClient(addr string, limits workerrpc.Limits) (client *workerrpc.Client, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	client = workerrpc.NewClient("direct", "w0", addr, limits, func(ctx context.Context, addr string) (net.Conn, error) {
@@ -107,40 +108,40 @@
 	return <-outcomes
 }
 
-// openLoop calls once at each moment of a rate for a time, whatever becomes of the calls, and measures each from
-// the moment at which it was due.
-func openLoop(rate float64, duration time.Duration, once func() error) (latencies *hdrhistogram.Histogram, failed int) {
+// openLoop starts calls at a constant rate for a duration, independently of how long they take, and measures the
+// latency of each from its scheduled start.
+func openLoop(rate float64, duration time.Duration, call func() error) (latencies *hdrhistogram.Histogram, failed int) {
 	latencies = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	var mu sync.Mutex
 	var calls sync.WaitGroup
 	start := time.Now()
 	for i := range int(rate * duration.Seconds()) {
 		due := start.Add(time.Duration(float64(i) / rate * float64(time.Second)))
-		if early := time.Until(due) - 2*time.Millisecond; early > 0 { // a sleep alone is a millisecond off here
+		if early := time.Until(due) - 2*time.Millisecond; early > 0 { // time.Sleep alone is off by up to a millisecond
 			time.Sleep(early)
 		}
 		for time.Now().Before(due) {
 			runtime.Gosched()
 		}
 		calls.Go(func() {
-			err := once()
+			err := call()
 			latency := time.Since(due)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
 				failed++
 			}
-			_ = latencies.RecordValue(max(1, latency.Microseconds())) // within a minute by the clients' timeouts
+			_ = latencies.RecordValue(max(1, latency.Microseconds())) // the clients' timeouts keep it below a minute
 		})
 	}
 	calls.Wait()
 	return latencies, failed
 }
 
-// invocation is a request of the invoke API.
+// invocation is a raw HTTP request of the invoke API.
 const invocation = "POST /v1/functions/preview/invocations HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nx"
 
-// connPool holds idle connections of clients to a gateway.
+// connPool holds idle client connections to a gateway.
 type connPool struct {
 	addr string
 	idle chan *bufferedConn
@@ -208,14 +209,14 @@
 	}
 }
 
-// cpuTime is the time on a core that the process has used.
+// cpuTime returns the CPU time that the process has used.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // it has no reason to fail for the process itself
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // does not fail for the process itself
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// heapInUse is the number of bytes of heap and stacks in use after a collection.
+// heapInUse returns the number of bytes of heap and stacks in use after a garbage collection.
 func heapInUse() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -223,8 +224,8 @@
 	return float64(stats.HeapInuse + stats.StackInuse)
 }
 
-// BenchmarkAddedLatency measures, at rates of an open loop, what a gateway adds to a direct loop from client to
-// worker over the worker protocol. Run it with -benchtime 1x; seconds of each rate: 4.
+// BenchmarkAddedLatency measures, at several rates of an open loop, the latency that a gateway adds to calls sent
+// directly from client to worker over the worker protocol. Run it with -benchtime 1x; each rate runs for 4 seconds.
 func BenchmarkAddedLatency(b *testing.B) {
 	const duration = 4 * time.Second
 	limits := workerrpc.Limits{DialTimeout: time.Second, QueueTimeout: time.Second, WriteTimeout: time.Second,
@@ -242,7 +243,7 @@
 				})
 				stopClient()
 				pool := newConnPool(addr, 4096)
-				openLoop(min(rate, 500), time.Second, pool.roundTrip) // replicas loaded, connections made
+				openLoop(min(rate, 500), time.Second, pool.roundTrip) // warm up: load replicas and open connections
 				through, failed := openLoop(rate, duration, pool.roundTrip)
 				pool.close()
 				stop()
@@ -258,8 +259,8 @@
 	}
 }
 
-// closedLoop calls once b.N times by eight clients, and reports CPU time and allocations of a call.
-func closedLoop(b *testing.B, once func() error) {
+// closedLoop makes b.N calls from eight clients and reports the CPU time and allocations of a call.
+func closedLoop(b *testing.B, call func() error) {
 	b.Helper()
 	const clients = 8
 	var calls sync.WaitGroup
@@ -270,7 +271,7 @@
 	for i := range clients {
 		calls.Go(func() {
 			for range (b.N + clients - 1 - i) / clients {
-				if err := once(); err != nil {
+				if err := call(); err != nil {
 					b.Error(err)
 					return
 				}
@@ -285,8 +286,8 @@
 	b.ReportMetric(float64(after.Mallocs-before.Mallocs)/float64(b.N), "allocs/event")
 }
 
-// BenchmarkCPU measures CPU time and allocations of a request in a closed loop of eight clients, the clients' and
-// the worker's own included, and the same for the direct loop.
+// BenchmarkCPU measures the CPU time and allocations of a request in a closed loop of eight clients, and the same for
+// calls without a gateway. The figures include those of the clients and the workers.
 func BenchmarkCPU(b *testing.B) {
 	b.Run("through", func(b *testing.B) {
 		addr, _, stop := startBareGateway(b, 8)
@@ -306,7 +307,8 @@
 	})
 }
 
-// BenchmarkMemory measures what 1,000 idle connections of clients and 70 workers occupy, in bytes each.
+// BenchmarkMemory measures the memory used by each of 1,000 idle client connections and by each of 70 workers, in
+// bytes.
 func BenchmarkMemory(b *testing.B) {
 	withWorkers := func(workers int) float64 {
 		addr, _, stop := startBareGateway(b, workers)
--- a/internal/gateway/compat_test.go
+++ b/internal/gateway/compat_test.go
@@ -12,8 +12,9 @@
 	"lupinpond/internal/registry"
 )
 
-// A worker list that an earlier version kept is read in full, and kept again in the same bytes.
-func TestStoredListIsRead(t *testing.T) {
+// An endpoint cache written by an earlier version must be read completely and must be written again with the same
+// bytes.
+func TestStoredEndpointCacheIsRead(t *testing.T) {
 	got, err := gateway.ReadEndpointCache("testdata/stored/list.json")
 	if err != nil || got == nil {
 		t.Fatalf("got %v, error %v, want a list", got, err)
@@ -33,11 +34,11 @@
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "list.json")
-	want.Complete = false // as it was when it was stored
+	want.Complete = false // as in the stored file
 	if err := gateway.WriteEndpointCache(path, want); err != nil {
 		t.Fatal(err)
 	}
 	if again, err := os.ReadFile(path); err != nil || !bytes.Equal(again, stored) {
-		t.Errorf("kept again: got %s, error %v, want %s", again, err, stored)
+		t.Errorf("written again: got %s, error %v, want %s", again, err, stored)
 	}
 }
--- a/internal/gateway/endpointcache.go
+++ b/internal/gateway/endpointcache.go
@@ -10,7 +10,8 @@
 	"lupinpond/internal/registry"
 )
 
-// ReadEndpointCache reads the endpoint list that WriteEndpointCache wrote; fs.ErrNotExist where there is none yet.
+// ReadEndpointCache reads an endpoint list written by WriteEndpointCache. The error wraps fs.ErrNotExist if the file
+// does not exist yet.
 func ReadEndpointCache(path string) (*registry.WatchEvent, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -27,7 +28,8 @@
 	return &event, nil
 }
 
-// WriteEndpointCache writes an endpoint list for the next start. A crash leaves the old file or the new one.
+// WriteEndpointCache writes an endpoint list to a file that the gateway reads at its next start. The file is replaced
+// atomically: after a crash it holds either the old or the new list.
 func WriteEndpointCache(path string, event registry.WatchEvent) error {
 	content, err := json.Marshal(event)
 	if err != nil {
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -15,20 +15,20 @@
 	"lupinpond/scheduler"
 )
 
-// pauseThreshold is how late a timer must fire to show that the process was paused.
+// pauseThreshold is the delay of a timer beyond which the process is considered to have been paused.
 const pauseThreshold = 200 * time.Millisecond
 
-// pauseSettle is how long sockets are read after a pause before the core judges anything late.
+// pauseSettle is the time for which sockets are read after a pause of the process before the core handles timeouts.
 const pauseSettle = stall.SettleTime
 
-// EventLoop owns the core of one gateway. One goroutine takes messages from a mailbox, passes them to the core, and
-// carries out the core's decisions. Servers submit client requests to it; a WorkerTransport carries attempts to
+// EventLoop owns the core of one gateway. A single goroutine takes messages from a mailbox, passes them to the core and
+// executes the core's decisions. Servers submit client requests to the event loop; a WorkerTransport sends attempts to
 // workers.
 type EventLoop struct {
-	epoch        time.Time // when the core's clock was zero
+	epoch        time.Time // zero point of the core's clock
 	mailbox      mailbox
-	started      chan struct{} // closed once Run runs
-	stopped      chan struct{} // closed once Run has returned
+	started      chan struct{} // closed when Run has started
+	stopped      chan struct{} // closed when Run returns
 	core         *core.Core
 	recorder     *replay.Recorder
 	transport    WorkerTransport
@@ -41,27 +41,27 @@
 	loadChecks   loadChecks
 	settings     core.Settings
 
-	// Only the event loop's goroutine uses the fields below.
-	requests         map[string]*Request // in flight, by id
-	duplicateKeys    map[string]bool     // of the requests in flight
+	// The fields below are only accessed by the event loop's goroutine.
+	requests         map[string]*Request // requests in flight, by ID
+	duplicateKeys    map[string]bool     // duplicate keys of the requests in flight
 	counts           Counts
 	timer            *time.Timer
-	timerTimes       []time.Time   // when pending timers fire, the earliest last
-	shutdownDeadline time.Duration // every request has its response by then
+	timerTimes       []time.Time   // times at which pending timers fire, in descending order
+	shutdownDeadline time.Duration // time by which every request must be answered, on the core's clock
 }
 
-// EventLoopOptions configure an EventLoop.
+// EventLoopOptions configures an EventLoop.
 type EventLoopOptions struct {
 	Core         core.Settings
 	Transport    WorkerTransport
-	Record       io.Writer          // receives a recording of the core; nil: none is made
-	LoadTimeout  time.Duration      // a load request without a result by then is lost
-	ProbeTimeout time.Duration      // a probe without a reply by then is lost
+	Record       io.Writer          // receives a recording of the core's inputs and actions; nil disables recording
+	LoadTimeout  time.Duration      // after this time a load request without a result counts as timed out
+	ProbeTimeout time.Duration      // after this time a probe without a reply counts as timed out
 	Monitor      *invariant.Monitor // counts violated invariants; may be nil
-	Log          *slog.Logger       // receives each step of each request at debug level; nil: none is logged
+	Log          *slog.Logger       // receives each step of each request at debug level; nil disables logging
 }
 
-// NewEventLoop creates an EventLoop. Run runs it.
+// NewEventLoop creates an EventLoop. The caller must call Run to start it.
 func NewEventLoop(options EventLoopOptions) *EventLoop {
 	if options.Log == nil {
 		options.Log = slog.New(slog.DiscardHandler)
@@ -91,15 +91,15 @@
 	return l
 }
 
-// Now is the core's clock. It keeps running while the process is paused.
+// Now returns the time on the core's clock, which keeps running while the process is paused.
 func (l *EventLoop) Now() time.Duration { return time.Since(l.epoch) }
 
-// Run runs the event loop until ctx ends.
+// Run runs the event loop until ctx is done.
 func (l *EventLoop) Run(ctx context.Context) error {
 	defer close(l.stopped)
 	detectorCtx, stopDetector := context.WithCancel(ctx)
 	var detector sync.WaitGroup
-	detector.Go(func() { _ = l.stall.Run(detectorCtx) }) // it never fails
+	detector.Go(func() { _ = l.stall.Run(detectorCtx) }) // the detector never returns an error
 	defer detector.Wait()
 	defer stopDetector()
 	l.timer = time.NewTimer(0)
@@ -118,7 +118,7 @@
 			l.dropFiredTimers()
 		}
 		if late || l.stall.Lag(time.Now()) > 0 {
-			// The process was paused: what arrived meanwhile is read before anything is judged late.
+			// The process was paused: read what arrived in the meantime before the core handles timeouts.
 			select {
 			case <-ctx.Done():
 				return nil
@@ -136,7 +136,7 @@
 	}
 }
 
-// dropFiredTimers forgets the timers that are due and starts the next.
+// dropFiredTimers removes the timers that are due and starts the next one.
 func (l *EventLoop) dropFiredTimers() {
 	pending := len(l.timerTimes)
 	for ; pending > 0 && time.Since(l.timerTimes[pending-1]) >= 0; pending-- {
@@ -147,7 +147,7 @@
 	}
 }
 
-// ShutdownBy has every request in flight, and every one still to come, answered by a time.
+// ShutdownBy makes the core answer every request, in flight or submitted later, by a time at the latest.
 func (l *EventLoop) ShutdownBy(t time.Time) {
 	deadline := t.Sub(l.epoch)
 	l.mailbox.put(func(now time.Duration) {
@@ -156,9 +156,9 @@
 	})
 }
 
-// UpdateMembership passes a change of the endpoint list to the core; a complete one replaces the list. applied,
-// which may be nil, is called in the same step: until then the core's decisions are for the workers that it knew
-// before.
+// UpdateMembership passes a change of the endpoint list to the core; if complete is set, members replaces the whole
+// list. applied, which may be nil, is called once the change has taken effect: all decisions of the core before that
+// call are based on the previous list.
 func (l *EventLoop) UpdateMembership(complete bool, members []scheduler.Member, applied func()) {
 	l.mailbox.put(func(now time.Duration) {
 		if complete {
@@ -172,19 +172,19 @@
 	})
 }
 
-// WatchFailed reports that the watch of the endpoint list was disconnected.
+// WatchFailed notifies the core that the watch of the endpoint list was disconnected.
 func (l *EventLoop) WatchFailed() {
 	l.mailbox.put(func(now time.Duration) { l.core.WatchFailed(now) })
 }
 
-// SetWatchLease reports until when the watch of the endpoint list is valid: changes of which nothing was received count
-// as notified from then on.
+// SetWatchLease sets the time at which the lease of the endpoint list's watch expires. From then on the gateway is
+// considered notified of changes that it has not received.
 func (l *EventLoop) SetWatchLease(expires time.Time) {
 	l.mailbox.put(func(now time.Duration) { l.core.SetWatchLease(now, expires.Sub(l.epoch)) })
 }
 
-// Pause blocks the event loop for a time, as a stopped process would, and returns once it is blocked: for tests and
-// played scenarios.
+// Pause blocks the event loop for a time, as if the process were stopped, and returns as soon as it is blocked. It is
+// used by tests and scenarios.
 func (l *EventLoop) Pause(d time.Duration) {
 	<-l.started
 	paused := make(chan struct{})
@@ -198,18 +198,20 @@
 	}
 }
 
-// Do has the event loop call f, after everything that was reported to it before. f must not block.
+// Do calls f on the event loop's goroutine, after all messages submitted earlier. f must not block.
 func (l *EventLoop) Do(f func()) {
 	l.mailbox.put(func(time.Duration) { f() })
 }
 
-// Members returns the workers on the core's endpoint list, sorted by name; false once the event loop has stopped.
+// Members returns the workers on the core's endpoint list, sorted by name. running is false if the event loop has
+// stopped or ctx is done before it replies.
 func (l *EventLoop) Members(ctx context.Context) (members []scheduler.Member, running bool) {
 	running = l.query(ctx, func() { members = l.core.Members() })
 	return members, running
 }
 
-// query has the event loop call get and waits for it; false where the event loop has stopped or ctx ends before.
+// query calls get on the event loop's goroutine and waits for it to return. It returns false if the event loop has
+// stopped or ctx is done first.
 func (l *EventLoop) query(ctx context.Context, get func()) bool {
 	<-l.started
 	done := make(chan struct{})
--- a/internal/gateway/eventloop_test.go
+++ b/internal/gateway/eventloop_test.go
@@ -11,11 +11,12 @@
 	"lupinpond/scheduler"
 )
 
-// unreachableTransport has no connection to any worker. Each client disconnects while its first attempt is sent.
+// unreachableTransport is a transport without a connection to any worker. It disconnects the client of a request while
+// the request's first attempt is sent.
 type unreachableTransport struct {
 	loop      *gateway.EventLoop
 	sent      chan struct{}
-	cancelled chan struct{} // load requests that were cancelled
+	cancelled chan struct{} // receives a value for each cancelled load request
 }
 
 func (u *unreachableTransport) Send(request *gateway.Request, _ int, _ string, _ *gateway.SendPermit,
@@ -25,7 +26,8 @@
 	return nil
 }
 
-func (u *unreachableTransport) Load(scheduler.LoadRequest, *gateway.LoadPermit, func(int, scheduler.Result)) gateway.Canceller {
+func (u *unreachableTransport) Load(scheduler.LoadRequest, *gateway.LoadPermit,
+	func(int, scheduler.Result)) gateway.Canceller {
 	return u
 }
 
@@ -37,7 +39,7 @@
 
 func (u *unreachableTransport) Cancel() { u.cancelled <- struct{}{} }
 
-// instantTransport reaches a worker that handles each request at once.
+// instantTransport is a transport whose worker completes each request immediately.
 type instantTransport struct {
 	unreachableTransport
 }
@@ -49,14 +51,14 @@
 	return nil
 }
 
-// loadOnMiss has workers load a function on its first request; loadRequests has the core send load requests as well.
+// With loadOnMiss, workers load a function on its first request; with loadRequests, the core also sends load requests.
 var (
 	loadOnMiss   = core.LoadPolicy{LoadOnMiss: true, ReplicaIdleTimeout: time.Minute, RequestTimeout: time.Second}
 	loadRequests = core.LoadPolicy{RequestLoads: true, LoadOnMiss: true, ReplicaIdleTimeout: time.Minute,
 		RequestTimeout: time.Second}
 )
 
-// newLoop creates an event loop of one gateway for requests of type "call".
+// newLoop creates the event loop of a single gateway for requests of type "call".
 func newLoop(transport gateway.WorkerTransport, policy core.LoadPolicy) *gateway.EventLoop {
 	return gateway.NewEventLoop(gateway.EventLoopOptions{
 		Core: core.Settings{Seed: 1, Gateways: 1, MinTickInterval: time.Millisecond, MaxAttempts: 1, LoadPolicy: policy,
@@ -89,7 +91,7 @@
 	})
 }
 
-// startUnreachable runs an event loop with one worker listed, which is unreachable.
+// startUnreachable runs an event loop whose endpoint list has one worker, which is unreachable.
 func startUnreachable(t *testing.T, policy core.LoadPolicy) *unreachableTransport {
 	t.Helper()
 	transport := &unreachableTransport{sent: make(chan struct{}, 1), cancelled: make(chan struct{}, 100)}
@@ -99,8 +101,8 @@
 	return transport
 }
 
-// A client disconnects before the event loop has accepted its request, which has a warm replica and could be sent
-// at once: no attempt is sent, and the request is closed.
+// A client disconnects before the event loop has accepted its request, for which a warm replica is available: no
+// attempt must be sent, and the request must be closed.
 func TestDisconnectBeforeAccept(t *testing.T) {
 	transport := &instantTransport{unreachableTransport{sent: make(chan struct{}, 2)}}
 	loop := newLoop(transport, loadOnMiss)
@@ -108,8 +110,10 @@
 	loop.UpdateMembership(true, []scheduler.Member{{Worker: "w"}}, nil)
 	closed := make(chan struct{})
 	loop.Submit(newCall("first", 9, 3*time.Second, func(invoke.Response) {
-		// The event loop calls this: it takes both messages below together.
-		second := newCall("second", 9, 3*time.Second, func(r invoke.Response) { t.Error("a response to nobody:", r) })
+		// The event loop calls this function, so it takes both messages below from the mailbox together.
+		second := newCall("second", 9, 3*time.Second, func(r invoke.Response) {
+			t.Error("response after the client disconnected:", r)
+		})
 		second.Done = func() { close(closed) }
 		loop.Submit(second)
 		loop.ClientDisconnected(second)
@@ -117,26 +121,30 @@
 	runLoop(t, loop)
 	<-closed
 	if n := len(transport.sent); n != 1 {
-		t.Error(n, "attempts, one of them for nobody")
+		t.Error(n, "attempts sent, want 1: the second request's client had disconnected")
 	}
 }
 
-// A client that disconnects while its attempt found no worker has nothing to cancel.
+// A client disconnects while its attempt is sent by a transport that returns no Canceller: the event loop must not try
+// to cancel the attempt.
 func TestDisconnectWithoutAttempt(t *testing.T) {
 	transport := startUnreachable(t, loadOnMiss)
-	transport.loop.Submit(newCall("r", 9, 3*time.Second, func(r invoke.Response) { t.Error("a response to nobody:", r) }))
+	transport.loop.Submit(newCall("r", 9, 3*time.Second, func(r invoke.Response) {
+		t.Error("response after the client disconnected:", r)
+	}))
 	<-transport.sent
-	transport.loop.Pause(0) // once it is blocked by that, it has taken the disconnect
+	transport.loop.Pause(0) // returns after the event loop has handled the disconnect
 }
 
-// A load request without a result in time is cancelled: it would occupy its connection for good.
+// A load request without a result within the load timeout must be cancelled: otherwise it would occupy its connection
+// forever.
 func TestLostLoadRequest(t *testing.T) {
 	transport := startUnreachable(t, loadRequests)
 	transport.loop.Submit(newCall("r", 9, time.Minute, func(invoke.Response) {}))
 	<-transport.cancelled
 }
 
-// A request that is not accepted, as one of its id is in flight, is released like every other.
+// A request that is not accepted because a request with the same ID is in flight must be released like any other.
 func TestRequestNotAcceptedIsReleased(t *testing.T) {
 	transport := newManualTransport(10)
 	loop := newLoop(transport, loadOnMiss)
@@ -150,11 +158,11 @@
 	if r := <-responses; r.Outcome != invoke.NotAccepted {
 		t.Errorf("%+v", r)
 	}
-	for range 2 { // the one that was accepted is closed at its deadline
+	for range 2 { // the accepted request is closed at its deadline
 		select {
 		case <-closed:
 		case <-time.After(20 * time.Second):
-			t.Fatal("one of them is never released")
+			t.Fatal("a request was not released")
 		}
 	}
 }
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -2,5 +2,5 @@
 
 import "time"
 
-// StalledSince reports whether a stall of the process has ended after a time: invariants are not checked across it.
+// StalledSince reports whether a stall of the process ended after t. Invariants are not checked across a stall.
 func (l *EventLoop) StalledSince(t time.Time) bool { return l.stall.EndedAfter(t, time.Now()) }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,9 +1,9 @@
-// Package gateway takes clients' requests and has workers run them. Its EventLoop owns the core, the request state
-// machine that makes every decision: sockets have goroutines of their own, which put messages into a mailbox; the
-// event loop passes them to the core, step by step, and carries out its decisions. Gateway is the gateway whose
-// clients use the invoke API over HTTP and whose workers speak the worker protocol, with the endpoint list of the
-// registry; package platform has the other, on the platform's protocols. Neither decides anything about requests,
-// attempts or loads.
+// Package gateway accepts requests from clients and runs them on workers. Its EventLoop owns the core, the request
+// state machine that makes every decision. Sockets are served by their own goroutines, which put messages into a
+// mailbox; the event loop passes the messages to the core one by one and executes the core's decisions. Gateway serves
+// clients through the invoke API over HTTP, talks to workers in the worker protocol and reads the endpoint list from
+// the registry; package platform implements a gateway for the platform's own protocols. Neither of the two decides
+// anything about requests, attempts or loads.
 package gateway
 
 import (
@@ -28,30 +28,30 @@
 	"lupinpond/internal/registry"
 )
 
-// Options configure a Gateway. Config and Listener are needed; the rest has a zero value that works.
+// Options configures a Gateway. Config and Listener are required; the zero values of the other fields are usable.
 type Options struct {
-	Name            string // of this incarnation of the gateway; requests' ids begin with it
-	Index           int    // its number among the gateways, from 0
-	GatewayCount    int    // how many gateways there are, this one included
+	Name            string // name of this incarnation of the gateway, used as the prefix of request IDs
+	Index           int    // index of this gateway in the fleet, starting at 0
+	GatewayCount    int    // number of gateways in the fleet, including this one
 	Seed            uint64
 	Config          fleetconfig.File
 	Listener        net.Listener
-	Tap             *capture.Tap              // sees every socket; nil: none
-	Record          io.Writer                 // receives a recording of the core; nil: none is made
-	CachedEndpoints *registry.WatchEvent      // the endpoint list before the start, perhaps out of date; nil: none
+	Tap             *capture.Tap              // captures the traffic of every socket; nil disables capturing
+	Record          io.Writer                 // receives a recording of the core; nil disables recording
+	CachedEndpoints *registry.WatchEvent      // endpoint list cached by an earlier run, possibly outdated; may be nil
 	OnEndpoints     func(registry.WatchEvent) // called with the complete endpoint list after every change; may be nil
 	Log             *slog.Logger
 }
 
-// Gateway is one gateway whose clients use HTTP and whose workers speak the worker protocol.
+// Gateway is a gateway with clients that use HTTP and workers that use the worker protocol.
 type Gateway struct {
 	*EventLoop
 	options        Options
 	catalogue      *invoke.Catalogue
 	log            *slog.Logger
-	stopGrace      time.Duration     // how long a write to a stopped worker may go on
-	cancelAttempts bool              // workers are notified of cancelled attempts
-	functionNames  map[uint64]string // by function id
+	stopGrace      time.Duration     // time for which a write to a worker may continue after its client is stopped
+	cancelAttempts bool              // whether workers are notified of cancelled attempts
+	functionNames  map[uint64]string // function names by function ID
 
 	lastRequestNumber atomic.Uint64
 	inFlight          atomic.Int64
@@ -64,14 +64,14 @@
 	workerClients   map[string]*workerClient
 	endpoints       map[string]registry.Entry
 	startTimes      *StartTimes
-	lastEventAt     time.Time // when the registry last sent an event; zero: not since the start
+	lastEventAt     time.Time // time of the registry's last event; zero if there was none since the start
 
-	background        *errgroup.Group // the event loop, the registry watch and the workers' clients
-	abortCtx          context.Context // ends background
-	subscribeRequests chan struct{}   // holds a token when the core has subscribed
+	background        *errgroup.Group // goroutines of the event loop, the registry watch and the worker clients
+	abortCtx          context.Context // stops the goroutines of background
+	subscribeRequests chan struct{}   // holds a token after the core has requested a subscription
 }
 
-// New creates a Gateway; Run serves it.
+// New creates a Gateway. The caller must call Run to start it.
 func New(options Options) (*Gateway, error) {
 	if options.Listener == nil {
 		return nil, errors.New("gateway: no listener")
@@ -116,9 +116,9 @@
 	return g, nil
 }
 
-// Run serves until ctx ends. Then it shuts down gracefully: it accepts no new requests, answers every request in
-// flight, notifies the workers and returns, at the latest after the longest max age and the answer slack. abort, if
-// it ends, ends everything at once and notifies nobody.
+// Run serves requests until ctx is done. It then shuts down gracefully: it accepts no new requests, answers every
+// request in flight, notifies the workers and returns, at the latest after the longest max age of the request types
+// plus the answer slack. When abort is done, Run stops immediately, without notifying clients or workers.
 func (g *Gateway) Run(ctx, abort context.Context) error {
 	abortable, stop := context.WithCancel(abort)
 	defer stop()
@@ -130,7 +130,7 @@
 		limit: int64(g.options.Config.Gateway.Limits.Connections)}
 	if g.options.CachedEndpoints != nil {
 		g.applyWatchEvent(*g.options.CachedEndpoints)
-		g.lastEventAt = time.Time{} // a cache tells nothing about when the workers of the next event started
+		g.lastEventAt = time.Time{} // the cached list does not bound the age of workers that are new in the next event
 	}
 	g.background.Go(func() error { return g.EventLoop.Run(g.abortCtx) })
 	g.background.Go(func() error { return g.watchRegistry(g.abortCtx) })
@@ -163,14 +163,14 @@
 	return err
 }
 
-// awaitHandlers waits for HTTP handlers that still write a response; http.Server.Close does not.
+// awaitHandlers waits for HTTP handlers that are still writing a response. http.Server.Close does not wait for them.
 func (g *Gateway) awaitHandlers() {
 	for g.openConnections.Load() > 0 || g.inFlight.Load() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// drain waits until every request in flight is answered, and then notifies the workers.
+// drain waits until every request in flight is answered and then notifies the workers that the gateway is draining.
 func (g *Gateway) drain(server *http.Server) error {
 	g.draining.Store(true)
 	g.log.Info("draining", "in_flight", g.inFlight.Load())
@@ -189,7 +189,7 @@
 	return err
 }
 
-// notifyDraining notifies the workers that no further requests follow, and waits for a moment until the notices are
+// notifyDraining notifies the workers that no more requests follow, and waits at most stopGrace for the notices to be
 // written.
 func (g *Gateway) notifyDraining() {
 	g.workerClientsMu.Lock()
@@ -209,7 +209,7 @@
 	}
 }
 
-// Counts returns the numbers of a running Gateway; zero once it has stopped.
+// Counts returns the counters of a running Gateway, or zeros if it has stopped.
 func (g *Gateway) Counts(ctx context.Context) (counts Counts) {
 	if !g.query(ctx, func() { counts = g.FinalCounts() }) {
 		return Counts{}
@@ -217,7 +217,7 @@
 	return counts
 }
 
-// FinalCounts returns the numbers of a Gateway whose Run has returned.
+// FinalCounts returns the counters of a Gateway after Run has returned.
 func (g *Gateway) FinalCounts() Counts {
 	counts := g.counts
 	counts.NotAccepted, counts.InvalidRequests = int(g.notAccepted.Load()), int(g.invalidRequests.Load())
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -17,7 +17,8 @@
 	"lupinpond/internal/worker/faultinject"
 )
 
-// The outcomes completed, rejected and failed differ, and the last says whether the request may have run.
+// The outcomes completed, rejected and failed have different responses; a failure states whether the request may have
+// run.
 func TestOutcomes(t *testing.T) {
 	r := startHarness(t, nil)
 	r.wantResponse("gross-salary", "1", 2*time.Second, 200, " released")
@@ -27,37 +28,39 @@
 	r.injectFaults(func(x *faultinject.Faults) { x.FailRequests, x.RejectTenant = false, "indus-textiles" })
 	resp := r.wantResponse("gross-salary", "3", time.Second, 503, invoke.ProblemRejected)
 	if resp.Header.Get("Retry-After") == "" || resp.Header.Get(invoke.HeaderRetryAfterMillis) == "" {
-		t.Error("rejected without a Retry-After")
+		t.Error("rejected without Retry-After headers")
 	}
 	r.injectFaults(func(x *faultinject.Faults) { x.RejectTenant, x.Hang = "", true })
 	r.wantResponse("release-ravi", "4", 300*time.Millisecond, 502, `"may-have-run":true`)
 	r.wantResponse("preview", "5", 300*time.Millisecond, 503, invoke.ProblemRejected)
-	if n := r.executions("salary-release"); n != 3 { // none of the one that failed by an injected fault
-		t.Errorf("%d runs at the workers, want 3", n)
+	if n := r.executions("salary-release"); n != 3 { // the request that failed by an injected fault did not execute
+		t.Errorf("%d executions at the workers, want 3", n)
 	}
 }
 
-// Two requests with one id: while the first is in flight, one that must not run twice is not accepted.
+// Two requests with the same client ID, of a type that must not run twice: the second must not be accepted while the
+// first is in flight.
 func TestDuplicateRequestID(t *testing.T) {
 	r := startHarness(t, nil)
-	r.wantResponse("gross-salary", "0", 2*time.Second, 200, " released") // loaded
+	r.wantResponse("gross-salary", "0", 2*time.Second, 200, " released") // loads the function
 	r.injectFaults(func(x *faultinject.Faults) { x.Hang = true })
 	var both sync.WaitGroup
 	both.Go(func() { r.wantResponse("gross-salary", "one", time.Second, 502, "dead-lettered") })
-	r.waitFor("the first runs", func() bool { return r.executions("salary-release") == 2 })
+	r.waitFor("the first request executes", func() bool { return r.executions("salary-release") == 2 })
 	r.wantResponse("gross-salary", "one", time.Second, 409, invoke.ProblemNotAccepted)
 	both.Wait()
 	if n := r.executions("salary-release"); n != 2 {
-		t.Errorf("%d runs", n)
+		t.Errorf("%d executions, want 2", n)
 	}
 	r.injectFaults(func(x *faultinject.Faults) { x.Hang = false })
 	r.wantResponse("gross-salary", "one", 4*time.Second, 200, " released") // no longer in flight
 }
 
-// A client that disconnects while its at-most-once request runs is reported to the core; the request runs once.
+// A client disconnects while its at-most-once request runs: the core must be notified, and the request must run only
+// once.
 func TestClientDisconnectsWhileRunning(t *testing.T) {
 	r := startHarness(t, nil)
-	r.wantResponse("gross-salary", "0", 2*time.Second, 200, " released") // loaded
+	r.wantResponse("gross-salary", "0", 2*time.Second, 200, " released") // loads the function
 	r.injectFaults(func(x *faultinject.Faults) { x.Hang = true })
 	ctx, disconnect := context.WithCancel(context.Background())
 	posted := make(chan error, 1)
@@ -65,22 +68,24 @@
 		_, _, err := r.post(ctx, "gross-salary", "left", 500*time.Millisecond)
 		posted <- err
 	}()
-	r.waitFor("it runs", func() bool { return r.executions("salary-release") == 2 })
+	r.waitFor("the request executes", func() bool { return r.executions("salary-release") == 2 })
 	disconnect()
 	if err := <-posted; err == nil {
-		t.Error("the client got a response")
+		t.Error("the disconnected client received a response")
 	}
-	r.waitFor("the core knows", func() bool { return r.gateway.Counts(context.Background()).ClientsDisconnected == 1 })
+	r.waitFor("the disconnect is counted", func() bool {
+		return r.gateway.Counts(context.Background()).ClientsDisconnected == 1
+	})
 	r.drain()
 	<-r.done
 	c := r.gateway.FinalCounts()
 	if c.Accepted != 2 || c.Completed+c.Rejected+c.Failed != 1 || r.executions("salary-release") != 2 {
-		t.Errorf("%+v, %d runs", c, r.executions("salary-release"))
+		t.Errorf("counts %+v, %d executions", c, r.executions("salary-release"))
 	}
 }
 
-// While the endpoint list is empty, requests are rejected with a Retry-After; they are served again when workers
-// are listed.
+// While the endpoint list is empty, requests must be rejected with a Retry-After; they must be served again once
+// workers are listed.
 func TestEndpointListBecomesEmpty(t *testing.T) {
 	r := startHarness(t, nil)
 	r.wantResponse("preview", "1", 2*time.Second, 200, " released")
@@ -98,33 +103,34 @@
 	})
 }
 
-// A gateway that was paused reads what arrived meanwhile before it judges anything late.
+// A paused gateway must read what arrived during the pause before it handles timeouts: here a result that arrived in
+// time.
 func TestPausedGateway(t *testing.T) {
 	r := startHarness(t, nil)
-	r.wantResponse("gross-salary", "1", 2*time.Second, 200, " released") // loaded
+	r.wantResponse("gross-salary", "1", 2*time.Second, 200, " released") // loads the function
 	r.waitFor("counted", func() bool { return r.gateway.Counts(context.Background()).Completed == 1 })
 	var all sync.WaitGroup
 	r.injectFaults(func(x *faultinject.Faults) { x.SlowFactor = 20 })
 	before := r.executions("salary-release")
 	all.Go(func() { r.wantResponse("gross-salary", "2", 900*time.Millisecond, 200, " released") })
-	r.waitFor("it runs", func() bool { return r.executions("salary-release") > before })
-	r.gateway.Pause(1500 * time.Millisecond) // past the client's deadline; the result arrives during the pause
+	r.waitFor("the request executes", func() bool { return r.executions("salary-release") > before })
+	r.gateway.Pause(1500 * time.Millisecond) // ends after the client's deadline; the result arrives during the pause
 	all.Wait()
 }
 
-// A request read after a pause that outlasted its deadline is rejected; no attempt is sent for nobody.
+// A request that is read after a pause, when its deadline has already passed, must be rejected without an attempt.
 func TestRequestArrivesDuringPause(t *testing.T) {
 	r := startHarness(t, nil)
-	r.wantResponse("preview", "1", 2*time.Second, 200, " released") // loaded
+	r.wantResponse("preview", "1", 2*time.Second, 200, " released") // loads the function
 	before := r.executions("pay-preview")
 	r.gateway.Pause(2 * time.Second)
 	r.wantResponse("preview", "2", 500*time.Millisecond, 503, invoke.ProblemRejected)
 	if n := r.executions("pay-preview") - before; n != 0 {
-		t.Errorf("%d runs for a client after its deadline", n)
+		t.Errorf("%d executions after the client's deadline", n)
 	}
 }
 
-// A draining gateway answers what is in flight, accepts nothing new, and stops.
+// A draining gateway must answer the requests in flight, accept no new ones, and stop.
 func TestDrain(t *testing.T) {
 	r := startHarness(t, nil)
 	r.injectFaults(func(x *faultinject.Faults) { x.SlowFactor = 100 })
@@ -132,7 +138,7 @@
 	for i := range 8 {
 		all.Go(func() { r.wantResponse("tax-slab", fmt.Sprint(i), 4*time.Second, 200, " released") })
 	}
-	r.waitFor("all in flight", func() bool { return r.gateway.Counts(context.Background()).Accepted == 8 })
+	r.waitFor("all requests are in flight", func() bool { return r.gateway.Counts(context.Background()).Accepted == 8 })
 	r.drain()
 	r.waitFor("the listener is closed", func() bool {
 		conn, err := net.Dial("tcp", r.addr)
@@ -148,7 +154,7 @@
 	}
 }
 
-// An aborted gateway stops at once; a hundred clients retry at its next incarnation, and are served.
+// After a gateway was aborted, a hundred clients retry at its next incarnation: all of them must be served.
 func TestRetryStormAfterAbort(t *testing.T) {
 	r := startHarness(t, nil)
 	r.wantResponse("preview", "1", 2*time.Second, 200, " released")
@@ -167,7 +173,7 @@
 	go func() { ended <- g.Run(ctx, context.Background()) }()
 	var all sync.WaitGroup
 	for i := range 100 {
-		all.Go(func() { // all at once exceed the tenant's quota: some are rejected, and retry when told to
+		all.Go(func() { // together they exceed the tenant's quota: some are rejected, and retry after the stated time
 			r.waitFor("completed", func() bool {
 				resp, body, err := r.post(context.Background(), "preview", fmt.Sprint("s", i), 3*time.Second)
 				if err != nil || resp.StatusCode != 200 && !strings.Contains(body, invoke.ProblemRejected) {
@@ -176,7 +182,7 @@
 				if err == nil && resp.StatusCode != 200 {
 					ms, err := strconv.Atoi(resp.Header.Get(invoke.HeaderRetryAfterMillis))
 					if err != nil || ms > 1000 {
-						t.Errorf("client %d: told to retry after %q ms", i, resp.Header.Get(invoke.HeaderRetryAfterMillis))
+						t.Errorf("client %d: retry after %q ms", i, resp.Header.Get(invoke.HeaderRetryAfterMillis))
 					}
 					time.Sleep(time.Duration(ms) * time.Millisecond)
 				}
@@ -194,7 +200,8 @@
 	}
 }
 
-// What clients can occupy is bounded: bodies, headers, connections, requests in flight, the time to send a request.
+// The resources that clients can occupy must be limited: the sizes of bodies and headers, the numbers of connections
+// and requests in flight, and the time for sending a request.
 func TestLimits(t *testing.T) {
 	r := startHarness(t, func(f *fleetconfig.File) {
 		f.Gateway.Limits.Body, f.Gateway.Limits.Header, f.Gateway.Limits.InFlight = 64, 4096, 1
@@ -218,14 +225,14 @@
 			t.Errorf("%s %.40q: status %d, want %d", c.path, c.headers, got, c.want)
 		}
 	}
-	r.wantResponse("gross-salary", "0", 2*time.Second, 200, " released") // loaded
+	r.wantResponse("gross-salary", "0", 2*time.Second, 200, " released") // loads the function
 	r.injectFaults(func(x *faultinject.Faults) { x.Hang = true })
 	var one sync.WaitGroup
 	one.Go(func() { r.wantResponse("gross-salary", "1", time.Second, 502, "dead-lettered") })
-	r.waitFor("one in flight", func() bool { return r.executions("salary-release") == 2 })
+	r.waitFor("a request is in flight", func() bool { return r.executions("salary-release") == 2 })
 	r.wantResponse("preview", "2", time.Second, 503, invoke.ProblemNotAccepted)
 	one.Wait()
-	// Those over the limit are closed at once, the others as they send nothing.
+	// Connections over the limit are closed immediately, the others at the read timeout because they send nothing.
 	if closed := r.closedIdleConnections(40); closed != 40 {
 		t.Errorf("%d of 40 idle connections were closed", closed)
 	}
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -25,7 +25,7 @@
 	"lupinpond/internal/worker/faultinject"
 )
 
-var payroll string // path of the built example package, which TestMain builds once
+var payroll string // path of the example package, which TestMain builds once
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "payroll")
@@ -43,23 +43,24 @@
 	}))
 }
 
-// harness runs one gateway, the registry and two workers of the worker runtime.
+// harness runs a gateway, the registry and two workers with the real worker runtime.
 type harness struct {
-	t         *testing.T
-	config    fleetconfig.File
-	gateway   *gateway.Gateway
-	addr      string
-	registry  *registry.Registry
-	workers   []localfleet.Worker
-	entries   []registry.Entry
-	effects   string // path of the file in which the replicas log what ran
-	recording bytes.Buffer
-	drain     context.CancelFunc
-	abort     context.CancelFunc
-	done      chan struct{} // closed once the gateway has stopped
+	t            *testing.T
+	config       fleetconfig.File
+	gateway      *gateway.Gateway
+	addr         string
+	registry     *registry.Registry
+	workers      []localfleet.Worker
+	entries      []registry.Entry
+	executionLog string // path of the file in which the replicas log their executions
+	recording    bytes.Buffer
+	drain        context.CancelFunc
+	abort        context.CancelFunc
+	done         chan struct{} // closed when the gateway has stopped
 }
 
-// startHarness starts a harness that stops when the test ends; change, which may be nil, edits the default settings.
+// startHarness starts a harness that is stopped when the test ends. change, which may be nil, modifies the default
+// settings.
 func startHarness(t *testing.T, change func(*fleetconfig.File)) *harness {
 	t.Helper()
 	config, err := fleetconfig.Default()
@@ -87,18 +88,18 @@
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { releases.Close() })
-	r.effects = filepath.Join(dir, "effects")
-	effects, err := os.OpenFile(r.effects, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	r.executionLog = filepath.Join(dir, "effects")
+	executionLog, err := os.OpenFile(r.executionLog, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { effects.Close() })
+	r.t.Cleanup(func() { executionLog.Close() })
 	limits := admission.Limits{MemoryBytes: 16 * 64 << 20, MaxRunning: 8, MaxWaiting: 100, MaxLoads: 4,
 		IdleTimeout: time.Minute, LoadOnMiss: r.config.Fleet.LoadPolicy.OnMiss == "load"}
 	for i := range 2 {
 		name := fmt.Sprint("w", i)
 		worker := localfleet.NewRuntime(localfleet.RuntimeOptions{Name: name, Folder: filepath.Join(dir, name),
-			Releases: releases, ExecutionLog: effects, Limits: limits})
+			Releases: releases, ExecutionLog: executionLog, Limits: limits})
 		addr, started, err := worker.Start("", localfleet.LongUptime)
 		if err != nil {
 			r.t.Fatal(err)
@@ -111,7 +112,7 @@
 	}
 }
 
-// startGateway starts the gateway, which records its core.
+// startGateway starts the gateway with a recording of its core.
 func (r *harness) startGateway() {
 	r.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -140,7 +141,7 @@
 	})
 }
 
-// post sends a request with a client id and returns the response and its body.
+// post sends a request with a client ID and returns the response and its body.
 func (r *harness) post(ctx context.Context, function, id string, wait time.Duration) (*http.Response, string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.addr+"/v1/functions/"+function+"/invocations",
 		strings.NewReader(function+"/"+id+" 5ms"))
@@ -161,7 +162,7 @@
 	return resp, string(body), err
 }
 
-// wantResponse posts a request and compares the status and a part of the response.
+// wantResponse posts a request and checks that the response has the status and that its body contains part.
 func (r *harness) wantResponse(function, id string, wait time.Duration, status int, part string) *http.Response {
 	r.t.Helper()
 	resp, body, err := r.post(context.Background(), function, id, wait)
@@ -174,7 +175,7 @@
 	return resp
 }
 
-// rawStatus posts a request as bytes and returns the status of the response; 0: there is none.
+// rawStatus posts the bytes of a request and returns the status of the response, or 0 if there is none.
 func (r *harness) rawStatus(path, headers, body string) (status int) {
 	r.t.Helper()
 	conn, err := net.Dial("tcp", r.addr)
@@ -188,7 +189,7 @@
 	return status
 }
 
-// closedIdleConnections opens connections that send nothing, and returns how many of them the gateway closes.
+// closedIdleConnections opens n connections that send nothing and returns the number of them that the gateway closes.
 func (r *harness) closedIdleConnections(n int) (closed int) {
 	r.t.Helper()
 	var conns []net.Conn
@@ -209,27 +210,27 @@
 	return closed
 }
 
-// waitFor waits for a condition.
+// waitFor waits until isTrue returns true. It fails the test after 20 seconds.
 func (r *harness) waitFor(condition string, isTrue func() bool) {
 	r.t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); !isTrue(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			r.t.Fatal("never so: ", condition)
+			r.t.Fatal("timed out waiting for condition: ", condition)
 		}
 	}
 }
 
-// injectFaults changes the faults of all workers.
+// injectFaults changes the injected faults of all workers.
 func (r *harness) injectFaults(change func(*faultinject.Faults)) {
 	for _, worker := range r.workers {
 		worker.InjectFault(change)
 	}
 }
 
-// executions returns how many requests of a type have run at the workers.
+// executions returns the number of executions of requests of a type at the workers.
 func (r *harness) executions(requestType string) int {
 	r.t.Helper()
-	runs, err := localfleet.CountExecutions(r.effects)
+	runs, err := localfleet.CountExecutions(r.executionLog)
 	if err != nil {
 		r.t.Fatal(err)
 	}
--- a/internal/gateway/invariantchecks.go
+++ b/internal/gateway/invariantchecks.go
@@ -9,13 +9,13 @@
 	"lupinpond/scheduler"
 )
 
-// requestChecks is what the invariants need to know of one request. It is kept apart from what the core and the
-// scheduler know, so that a fault there shows here.
+// requestChecks is the state of one request that the invariant checks need. It is kept independently of the core's and
+// the scheduler's state, so that the checks detect bugs in those.
 type requestChecks struct {
-	inFlight   map[int]time.Duration // when the attempts without an outcome were decided on
-	mayHaveRun bool
-	firstRunAt time.Duration // when the first attempt that may have run was decided on
-	answered   bool
+	inFlight   map[int]time.Duration // start times of the attempts without an outcome, by attempt number
+	mayHaveRun bool                  // whether an attempt may have run
+	firstRunAt time.Duration         // start time of the first attempt with an outcome that may have run
+	answered   bool                  // whether the request has its final response
 }
 
 func (c *requestChecks) attemptStarted(attempt int, now time.Duration) {
@@ -25,7 +25,7 @@
 	c.inFlight[attempt] = now
 }
 
-// attemptEnded notes the outcome of an attempt; only the first counts.
+// attemptEnded records the outcome of an attempt. Only the first outcome of an attempt counts.
 func (c *requestChecks) attemptEnded(attempt int, result scheduler.Result) {
 	startedAt, inFlight := c.inFlight[attempt]
 	if !inFlight {
@@ -37,7 +37,7 @@
 	}
 }
 
-// mayHaveRun reports whether an attempt with that result may have run.
+// mayHaveRun reports whether an attempt with the given result may have run.
 func mayHaveRun(result scheduler.Result) bool {
 	switch result {
 	case scheduler.Failed, scheduler.TimedOut, scheduler.ConnectionLost, scheduler.Cancelled, scheduler.Completed:
@@ -46,7 +46,7 @@
 	return false
 }
 
-// checkAttempt checks that a request may be sent, perhaps once more, and notes the attempt.
+// checkAttempt checks that an attempt of a request, possibly a retry, is allowed, and records the attempt.
 func (l *EventLoop) checkAttempt(request *Request, attempt int, worker string) {
 	now, id, checks := l.Now(), request.Scheduled.ID, &request.checks
 	if len(checks.inFlight) > 0 {
@@ -65,7 +65,7 @@
 	checks.attemptStarted(attempt, now)
 }
 
-// typeOf finds a request type; one that the settings do not name must not run twice.
+// typeOf returns the request type with the given name. A type that is not in the settings is treated as at most once.
 func (l *EventLoop) typeOf(name string) scheduler.RequestType {
 	for _, requestType := range l.settings.Types {
 		if requestType.Name == name {
@@ -75,7 +75,7 @@
 	return scheduler.RequestType{Name: name, Effect: scheduler.AtMostOnce}
 }
 
-// checkAnswer notes a request's final response; false: it has had one.
+// checkAnswer records a request's final response. It returns false if the request has already been answered.
 func (l *EventLoop) checkAnswer(request *Request) bool {
 	now := l.Now()
 	if request.checks.answered {
@@ -85,21 +85,21 @@
 	request.checks.answered = true
 	deadline := request.submittedAt + request.Scheduled.TimeLeft
 	late := now > deadline+answerSlack && request.disconnectedAt.Load() == 0
-	if late && !l.stall.EndedAfter(l.epoch.Add(deadline), time.Now()) { // else the process did not run at the deadline
+	if late && !l.stall.EndedAfter(l.epoch.Add(deadline), time.Now()) { // a stall at the deadline excuses the delay
 		l.monitor.Violated(invariant.AnsweredLate, request.Scheduled.ID, "late_by", now-deadline,
 			"attempts", request.attempts)
 	}
 	return true
 }
 
-// checkClosed checks that a request that is forgotten has had its response, or that nobody waits for one.
+// checkClosed checks that a request that is being closed has been answered, or that its client has disconnected.
 func (l *EventLoop) checkClosed(request *Request) {
 	if !request.checks.answered && request.disconnectedAt.Load() == 0 {
 		l.monitor.Violated(invariant.NeverAnswered, request.Scheduled.ID, "attempts", request.attempts)
 	}
 }
 
-// loadChecks counts load requests against the rate limit of the settings.
+// loadChecks checks the rate of load requests against the limit of the settings.
 type loadChecks struct {
 	policy       core.LoadPolicy
 	loadRequests *window.Window
@@ -112,7 +112,8 @@
 
 func (c *loadChecks) submitted(now time.Duration) { c.arrivals.Add(now, 1) }
 
-// checkLoad checks a load request. Sums are rounded so that none within the limit is counted.
+// checkLoad checks that a load request is within the rate limit. It compares a lower bound of the load requests with an
+// upper bound of the limit, so that no load request within the limit is reported.
 func (l *EventLoop) checkLoad(load scheduler.LoadRequest) {
 	checks := &l.loadChecks
 	if checks.policy.RateWindow <= 0 || load.Replicas <= 0 {
--- a/internal/gateway/invariants_test.go
+++ b/internal/gateway/invariants_test.go
@@ -19,13 +19,13 @@
 	"lupinpond/scheduler"
 )
 
-// pendingAttempt is one attempt that a manualTransport was asked to send.
+// pendingAttempt is an attempt passed to manualTransport.Send.
 type pendingAttempt struct {
 	permit *gateway.SendPermit
 	report func(scheduler.Outcome, []byte)
 }
 
-// write has the attempt sent, if it may be.
+// write simulates writing the attempt to a connection, if its permit allows that.
 func (a pendingAttempt) write() {
 	if _, ok := a.permit.TimeLeft(); ok {
 		a.permit.Written()
@@ -37,12 +37,12 @@
 	a.report(scheduler.Outcome{Result: result}, nil)
 }
 
-// manualTransport is a transport whose attempts and load requests the test carries out.
+// manualTransport is a transport whose attempts and load requests are completed by the test.
 type manualTransport struct {
 	attempts      chan pendingAttempt
 	loadRequests  chan scheduler.LoadRequest
 	loadPermits   chan *gateway.LoadPermit
-	completeLoads bool // load requests are completed at once
+	completeLoads bool // whether load requests are completed immediately
 }
 
 func newManualTransport(queue int) *manualTransport {
@@ -75,7 +75,7 @@
 
 func (m *manualTransport) Subscribe() {}
 
-// scenario is an event loop with three workers and a transport that the test carries out.
+// scenario is an event loop with three workers and a manualTransport.
 type scenario struct {
 	*manualTransport
 	t         *testing.T
@@ -84,7 +84,7 @@
 	pending   sync.WaitGroup
 }
 
-// testDrainGrace matters to tests that set the lease of the watch.
+// testDrainGrace is the drain grace of all scenarios. It only affects tests that set the watch's lease.
 const testDrainGrace = 200 * time.Millisecond
 
 func newScenario(t *testing.T, requestType scheduler.RequestType, policy core.LoadPolicy) *scenario {
@@ -108,8 +108,8 @@
 	return s
 }
 
-// missLoading has workers load on a miss; no load request times out.
-var missLoading = core.LoadPolicy{LoadOnMiss: true, ReplicaIdleTimeout: time.Minute}
+// loadOnMissNoTimeout is a policy with which workers load a function on a miss and no load request times out.
+var loadOnMissNoTimeout = core.LoadPolicy{LoadOnMiss: true, ReplicaIdleTimeout: time.Minute}
 
 // submit submits a request of a function.
 func (s *scenario) submit(id string, function uint64, timeLeft time.Duration) *gateway.Request {
@@ -120,7 +120,7 @@
 	return request
 }
 
-// next returns the next attempt, if there is one within a time.
+// next waits for the next attempt for at most the given time.
 func (s *scenario) next(within time.Duration) (attempt pendingAttempt, ok bool) {
 	select {
 	case attempt = <-s.attempts:
@@ -130,20 +130,21 @@
 	}
 }
 
-// mustNext returns the next attempt.
+// mustNext returns the next attempt. It fails the test if there is none.
 func (s *scenario) mustNext() pendingAttempt {
 	s.t.Helper()
 	attempt, ok := s.next(20 * time.Second)
 	if !ok {
-		s.t.Fatal("no attempt")
+		s.t.Fatal("no attempt was sent")
 	}
 	return attempt
 }
 
-// scenarios are races in which a guard keeps an invariant. At the end of each all requests are closed.
+// scenarios are race conditions in which a guard in the code prevents the violation of an invariant. At the end of each
+// scenario all requests must be closed.
 var scenarios = map[string]func(t *testing.T) *scenario{
 	"ClientLeft": func(t *testing.T) *scenario {
-		s := newScenario(t, scheduler.RequestType{}, missLoading)
+		s := newScenario(t, scheduler.RequestType{}, loadOnMissNoTimeout)
 		request := s.submit("e", 1, 10*time.Second)
 		first := s.mustNext()
 		s.loop.ClientDisconnected(request)
@@ -153,7 +154,7 @@
 		return s
 	},
 	"NoTimeLeft": func(t *testing.T) *scenario {
-		s := newScenario(t, scheduler.RequestType{}, missLoading)
+		s := newScenario(t, scheduler.RequestType{}, loadOnMissNoTimeout)
 		s.submit("e", 1, 100*time.Millisecond)
 		first := s.mustNext()
 		time.Sleep(400 * time.Millisecond)
@@ -162,7 +163,7 @@
 		return s
 	},
 	"SlowWrite": func(t *testing.T) *scenario {
-		s := newScenario(t, scheduler.RequestType{}, missLoading)
+		s := newScenario(t, scheduler.RequestType{}, loadOnMissNoTimeout)
 		s.submit("e", 1, 10*time.Second)
 		first := s.mustNext()
 		time.Sleep(250 * time.Millisecond)
@@ -174,7 +175,7 @@
 		s := newScenario(t, scheduler.RequestType{},
 			core.LoadPolicy{RequestLoads: true, ReplicaIdleTimeout: time.Minute, RequestTimeout: time.Minute})
 		s.completeLoads = true
-		const others = 6 // have replicas loaded at all workers
+		const others = 6 // enough requests to load replicas at all workers
 		var parallel []pendingAttempt
 		for i := range others {
 			s.submit(fmt.Sprint("e", i), 1, 10*time.Second)
@@ -205,7 +206,7 @@
 		return s
 	},
 	"AtMostOnce": func(t *testing.T) *scenario {
-		s := newScenario(t, scheduler.RequestType{Effect: scheduler.AtMostOnce}, missLoading)
+		s := newScenario(t, scheduler.RequestType{Effect: scheduler.AtMostOnce}, loadOnMissNoTimeout)
 		s.submit("e", 1, time.Second)
 		s.mustNext().complete(scheduler.ConnectionLost)
 		if retry, ok := s.next(500 * time.Millisecond); ok {
@@ -215,7 +216,7 @@
 	},
 	"WindowOver": func(t *testing.T) *scenario {
 		keyed := scheduler.RequestType{Effect: scheduler.IdempotencyKey, DedupWindow: 100 * time.Millisecond}
-		s := newScenario(t, keyed, missLoading)
+		s := newScenario(t, keyed, loadOnMissNoTimeout)
 		s.submit("e", 1, 2*time.Second)
 		first := s.mustNext()
 		time.Sleep(150 * time.Millisecond)
@@ -226,7 +227,7 @@
 		return s
 	},
 	"NoOutcome": func(t *testing.T) *scenario {
-		s := newScenario(t, scheduler.RequestType{}, missLoading)
+		s := newScenario(t, scheduler.RequestType{}, loadOnMissNoTimeout)
 		s.submit("e", 1, 100*time.Millisecond)
 		first := s.mustNext()
 		time.Sleep(800 * time.Millisecond)
@@ -240,7 +241,7 @@
 		}
 	},
 	"Rejected": func(t *testing.T) *scenario {
-		s := newScenario(t, scheduler.RequestType{}, missLoading)
+		s := newScenario(t, scheduler.RequestType{}, loadOnMissNoTimeout)
 		s.submit("e", 1, 200*time.Millisecond)
 		for {
 			attempt, ok := s.next(400 * time.Millisecond)
@@ -260,10 +261,10 @@
 	},
 }
 
-// stallMessage is logged by a scenario during which the process stalled: invariants are not checked across a stall.
+// stallMessage is logged if the process stalled during a scenario, because invariants are not checked across a stall.
 const stallMessage = "the process stalled"
 
-// No race violates an invariant.
+// No scenario must violate an invariant.
 func TestInvariantsHold(t *testing.T) {
 	for name, run := range scenarios {
 		t.Run(name, func(t *testing.T) {
@@ -278,9 +279,9 @@
 			select {
 			case <-closed:
 			case <-time.After(20 * time.Second):
-				t.Error("a request is never closed")
+				t.Error("a request was not closed")
 			}
-			s.loop.Pause(0) // it has taken all messages
+			s.loop.Pause(0) // returns after the event loop has handled all messages
 			if s.loop.StalledSince(started) {
 				t.Log(stallMessage)
 			}
@@ -288,47 +289,55 @@
 				t.Errorf("violated: %v", counts)
 			}
 			if counts := s.loop.Counts(context.Background()); counts.Accepted == 0 {
-				t.Error("nothing was accepted")
+				t.Error("no request was accepted")
 			}
 		})
 	}
 }
 
-// guardMutations take out guards, each with the scenario in which that shows and the invariant that counts it.
+// guardMutations lists mutations that remove a guard, each with the scenario in which that violates an invariant and
+// the kind of that invariant.
 var guardMutations = []struct {
-	scenario, file, text, instead string
-	kind                          invariant.Kind
+	scenario, file, text, replacement string
+	kind                              invariant.Kind
 }{
 	{"ClientLeft", "sendpermit.go", "if p.request.disconnectedAt.Load() != 0 {", "if false {",
 		invariant.AttemptAfterClientLeft},
 	{"NoTimeLeft", "sendpermit.go", "if now >= p.deadline {", "if false {", invariant.AttemptAfterDeadline},
 	{"SlowWrite", "sendpermit.go", "p.statedTimeLeft = p.deadline - now", "p.statedTimeLeft = p.deadline - p.decidedAt",
 		invariant.DeadlineOverstated},
-	{"SecondOutcome", "core/core.go", "tracked == nil || attempt != tracked.attempts-1 ||", "tracked == nil ||", invariant.AttemptInParallel},
-	{"AtMostOnce", "../../scheduler/request.go", "(late || request.typ.Effect == AtMostOnce)", "late", invariant.RetryOfAtMostOnce},
-	{"WindowOver", "../../scheduler/request.go", "late := request.typ.Effect == IdempotencyKey &&", "late := false &&", invariant.RetryOutsideWindow},
-	{"NoOutcome", "core/core.go", "tracked := heap.Pop(&c.deadlines).(*trackedRequest)\n\t\tif tracked.request.InFlight() {",
+	{"SecondOutcome", "core/core.go", "tracked == nil || attempt != tracked.attempts-1 ||", "tracked == nil ||",
+		invariant.AttemptInParallel},
+	{"AtMostOnce", "../../scheduler/request.go", "(late || request.typ.Effect == AtMostOnce)", "late",
+		invariant.RetryOfAtMostOnce},
+	{"WindowOver", "../../scheduler/request.go", "late := request.typ.Effect == IdempotencyKey &&", "late := false &&",
+		invariant.RetryOutsideWindow},
+	{"NoOutcome", "core/core.go",
+		"tracked := heap.Pop(&c.deadlines).(*trackedRequest)\n\t\tif tracked.request.InFlight() {",
 		"tracked := heap.Pop(&c.deadlines).(*trackedRequest)\n\t\tif false {",
 		invariant.AnsweredLate},
 	{"Rejected", "core/core.go", "c.actor.Reject(decision.Request, decision.RetryAfter, tracked.mayHaveRun)",
-		"c.actor.Reject(decision.Request, decision.RetryAfter, tracked.mayHaveRun); c.actor.Reject(decision.Request, 0, false)",
+		"c.actor.Reject(decision.Request, decision.RetryAfter, tracked.mayHaveRun); " +
+			"c.actor.Reject(decision.Request, 0, false)",
 		invariant.AnsweredTwice},
-	{"Rejected", "core/core.go", "c.actor.Reject(decision.Request, decision.RetryAfter, tracked.mayHaveRun)", "", invariant.NeverAnswered},
+	{"Rejected", "core/core.go", "c.actor.Reject(decision.Request, decision.RetryAfter, tracked.mayHaveRun)", "",
+		invariant.NeverAnswered},
 	{"ManyLoads", "../../scheduler/loads.go", "if s.loadPolicy.RateWindow <= 0 {", "if true {", invariant.LoadOverLimit},
 }
 
-// maxStalledRuns is how often the run of a mutant is repeated because the process stalled.
+// maxStalledRuns limits the number of times that the run of a mutant is repeated because the process stalled.
 const maxStalledRuns = 20
 
-// Without its guard, each invariant is violated, and that is counted. All mutants are built before the first one runs:
-// an invariant is not checked across a stall of the process, and the compiler may take all processors.
+// Without its guard, each invariant must be violated and the violation counted: otherwise the check does not work. All
+// mutants are built before the first one runs: the compiler may occupy all processors and stall the test process, and
+// invariants are not checked across a stall.
 func TestMutatedGuardsViolateInvariants(t *testing.T) {
 	programs := make([]string, len(guardMutations))
 	build, ctx := errgroup.WithContext(t.Context())
 	for i, mutation := range guardMutations {
 		folder := t.TempDir()
 		build.Go(func() (err error) {
-			programs[i], err = mutationtest.BuildTests(ctx, folder, mutation.file, mutation.text, mutation.instead)
+			programs[i], err = mutationtest.BuildTests(ctx, folder, mutation.file, mutation.text, mutation.replacement)
 			return err
 		})
 	}
@@ -340,7 +349,7 @@
 			t.Parallel()
 			pattern := "^TestInvariantsHold$/^" + mutation.scenario + "$"
 			out, passed, err := mutationtest.RunProgram(t.Context(), programs[i], pattern, "-test.v")
-			for range maxStalledRuns { // a run that stalled without a violation shows nothing
+			for range maxStalledRuns { // a stalled run without a violation proves nothing
 				if err != nil || !passed || !strings.Contains(out, stallMessage) {
 					break
 				}
@@ -350,7 +359,7 @@
 				t.Fatal(err)
 			}
 			if passed || !strings.Contains(out, "violated: ") || !strings.Contains(out, mutation.kind.String()) {
-				t.Errorf("not counted:\n%s", out)
+				t.Errorf("the violation was not counted:\n%s", out)
 			}
 		})
 	}
--- a/internal/gateway/lease_test.go
+++ b/internal/gateway/lease_test.go
@@ -9,22 +9,22 @@
 	"lupinpond/scheduler"
 )
 
-// leaseLoads has the core send load requests.
-var leaseLoads = core.LoadPolicy{RequestLoads: true, LoadOnMiss: true, ReplicaIdleTimeout: time.Minute,
+// requestLoadsNoTimeout is a policy with which the core sends load requests.
+var requestLoadsNoTimeout = core.LoadPolicy{RequestLoads: true, LoadOnMiss: true, ReplicaIdleTimeout: time.Minute,
 	RequestTimeout: time.Minute}
 
-// expireSoon has the watch's lease end so that new work may leave for half of the drain grace more.
+// expireSoon sets the watch's lease so that new work may be sent for another half of the drain grace.
 func (s *scenario) expireSoon() { s.loop.SetWatchLease(time.Now().Add(-testDrainGrace / 2)) }
 
-// An attempt that waits for a connection until the lease of its worker is over does not leave, and costs the request
-// nothing: it is sent again once the list is good.
+// An attempt waits for a connection until its worker's lease has expired: it must be withheld, and it must not count as
+// an attempt of the at-most-once request, which is sent again once the watch's lease is renewed.
 func TestAttemptIsWithheldAfterLease(t *testing.T) {
-	s := newScenario(t, scheduler.RequestType{Effect: scheduler.AtMostOnce}, missLoading)
+	s := newScenario(t, scheduler.RequestType{Effect: scheduler.AtMostOnce}, loadOnMissNoTimeout)
 	s.expireSoon()
 	s.submit("r", 1, 20*time.Second)
 	attempt := s.mustNext()
 	if _, ok := attempt.permit.TimeLeft(); !ok {
-		t.Fatal("withheld within the lease")
+		t.Fatal("attempt withheld before the lease expired")
 	}
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if _, ok := attempt.permit.TimeLeft(); !ok {
@@ -32,10 +32,10 @@
 		}
 	}
 	if result := attempt.permit.WithheldResult(); result != scheduler.LeaseExpired {
-		t.Errorf("withheld as %v", result)
+		t.Errorf("result of the withheld attempt: got %v, want LeaseExpired", result)
 	}
 	if n := s.loop.Stats().WithheldLease.Load(); n == 0 {
-		t.Error("it is not counted")
+		t.Error("the withheld attempt was not counted")
 	}
 	attempt.complete(attempt.permit.WithheldResult())
 	s.loop.SetWatchLease(time.Now().Add(time.Hour))
@@ -47,28 +47,28 @@
 	}
 }
 
-// A load request that waits until the lease of its worker is over does not leave.
+// A load request that waits for a connection until its worker's lease has expired must be withheld.
 func TestLoadIsWithheldAfterLease(t *testing.T) {
-	s := newScenario(t, scheduler.RequestType{}, leaseLoads)
+	s := newScenario(t, scheduler.RequestType{}, requestLoadsNoTimeout)
 	s.expireSoon()
 	s.submit("r", 1, 20*time.Second)
 	permit := <-s.loadPermits
 	if !permit.MaySend() {
-		t.Fatal("withheld within the lease")
+		t.Fatal("load request withheld before the lease expired")
 	}
 	for end := time.Now().Add(20 * time.Second); permit.MaySend(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it may leave for ever")
+			t.Fatal("the load request is still permitted 20 seconds after the lease expired")
 		}
 	}
 	if n := s.loop.Stats().WithheldLease.Load(); n == 0 {
-		t.Error("it is not counted")
+		t.Error("the withheld load request was not counted")
 	}
 }
 
-// Without a lease of the watch, as where the list can't be out of reach, permits have no end.
-func TestNoLeaseNoLimit(t *testing.T) {
-	s := newScenario(t, scheduler.RequestType{}, leaseLoads)
+// Permits must not expire if the watch has no lease, as in a gateway whose endpoint list cannot become unreachable.
+func TestPermitsDoNotExpireWithoutLease(t *testing.T) {
+	s := newScenario(t, scheduler.RequestType{}, requestLoadsNoTimeout)
 	s.submit("r", 1, 20*time.Second)
 	permit := <-s.loadPermits
 	time.Sleep(2 * testDrainGrace)
--- a/internal/gateway/mailbox.go
+++ b/internal/gateway/mailbox.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// mailbox carries messages from any goroutine to the event loop. What may be in it is bounded by the requests in
-// flight and the calls to workers.
+// mailbox passes messages from any goroutine to the event loop. Its length is bounded by the number of requests in
+// flight and of calls to workers.
 type mailbox struct {
 	mu       sync.Mutex
 	messages []func(now time.Duration)
-	ready    chan struct{} // holds a token while there may be messages
+	ready    chan struct{} // holds a token when there may be messages
 }
 
-// put adds a message; the event loop calls it with the core's time at which it is taken out.
+// put adds a message. The event loop calls it with the time on the core's clock at which it is taken from the mailbox.
 func (m *mailbox) put(message func(now time.Duration)) {
 	m.mu.Lock()
 	m.messages = append(m.messages, message)
--- a/internal/gateway/recording_test.go
+++ b/internal/gateway/recording_test.go
@@ -14,9 +14,10 @@
 	"lupinpond/internal/testbed/localfleet"
 )
 
-// One build serves, by its settings alone, a deployment whose workers answer a miss, report no queue depth and are
-// listed by kind and zone; the load reports and the endpoint list reach the scheduler as those settings say.
-func TestRecordingOfAnotherShape(t *testing.T) {
+// Settings alone must adapt a gateway to a deployment whose workers return requests for functions that are not loaded,
+// do not report a queue depth and are listed with kind and zone. The scheduler must get load reports and the endpoint
+// list in the form that the settings describe.
+func TestRecordingOfAlternateDeployment(t *testing.T) {
 	r := startHarness(t, func(f *fleetconfig.File) {
 		localfleet.AlternateDeployment(f, "z")
 		f.Fleet.Workers.Kinds = []fleetconfig.WorkerKind{{Name: "box", Memory: 1 << 30}}
@@ -29,12 +30,12 @@
 			t.Fatal(err)
 		}
 	})
-	for _, id := range []string{"1", "2", "3"} { // the first causes a load request, whose replica the others find
+	for _, id := range []string{"1", "2", "3"} { // the first causes a load request, the others use the loaded replica
 		r.wantResponse("preview", id, 3*time.Second, 200, " released")
 	}
 	r.waitFor("a load request", func() bool { return r.gateway.Counts(context.Background()).LoadRequests > 0 })
 	if n := r.executions("pay-preview"); n != 3 {
-		t.Errorf("%d runs, want 3", n)
+		t.Errorf("%d executions, want 3", n)
 	}
 	r.drain()
 	<-r.done
@@ -50,12 +51,12 @@
 		}
 	}
 	if !listed || !submitted {
-		t.Errorf("the scheduler got kind and size %v, a replica's memory %v", listed, submitted)
+		t.Errorf("the scheduler received kind and size: %v, memory of a replica: %v; want both", listed, submitted)
 	}
 }
 
-// The shape of the default settings: load reports with a queue depth, an endpoint list without sizes.
-func TestRecordingOfFormerShape(t *testing.T) {
+// With the default settings the scheduler must get load reports with a queue depth and an endpoint list without sizes.
+func TestRecordingOfDefaultDeployment(t *testing.T) {
 	r := startHarness(t, nil)
 	r.wantResponse("preview", "1", 2*time.Second, 200, " released")
 	r.drain()
@@ -70,11 +71,11 @@
 		reported = reported || input.Outcome.Report.Reported
 	}
 	if !reported {
-		t.Error("no load report")
+		t.Error("no load report reached the scheduler")
 	}
 }
 
-// readRecording returns the inputs of a recording, which a replay repeats to the last action.
+// readRecording replays a recording, which must reproduce all of its actions, and returns its inputs.
 func readRecording(t *testing.T, recording *bytes.Buffer) (inputs []core.Input) {
 	t.Helper()
 	_, err := replay.Replay(bytes.NewReader(recording.Bytes()), func(input *core.Input, _ *replay.Action) {
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -10,24 +10,24 @@
 	"lupinpond/scheduler"
 )
 
-// Request is one client request with all that the core does not need to know of it.
+// Request is a client request together with the data that the core does not need.
 type Request struct {
-	Scheduled    *scheduler.Request    // what the scheduler decides by
-	DuplicateKey string                // must not be in flight twice; empty where a duplicate does no harm
+	Scheduled    *scheduler.Request    // the request as the scheduler sees it
+	DuplicateKey string                // requests with the same key must not be in flight together; empty for no check
 	Reply        func(invoke.Response) // called by the event loop with the final response; must not block
-	Done         func()                // called once nothing follows for the request; may be nil
-	Body         []byte                // as the client sent it
-	Call         invoke.Call           // of a client of the invoke API
+	Done         func()                // called when the request is closed; may be nil
+	Body         []byte                // request body, unchanged from the client
+	Call         invoke.Call           // the call of the invoke API, if the request came through it
 
 	submittedAt    time.Duration
-	disconnectedAt atomic.Int64      // when its client disconnected, by the core's clock; 0: it has not
-	attempts       int               // sent so far
-	inFlight       map[int]Canceller // attempts without an outcome
-	responseBody   []byte            // of the attempt that completed
+	disconnectedAt atomic.Int64      // time on the core's clock at which the client disconnected; 0 if it has not
+	attempts       int               // number of attempts sent
+	inFlight       map[int]Canceller // attempts without an outcome, by attempt number
+	responseBody   []byte            // response body of the completed attempt
 	checks         requestChecks
 }
 
-// reject answers a request that is not accepted.
+// reject answers a request that is not accepted and releases it.
 func (r *Request) reject(response invoke.Response) {
 	r.Reply(response)
 	r.done()
@@ -39,8 +39,8 @@
 	}
 }
 
-// Submit accepts a request that was read just now. Its Reply is called exactly once, unless its client disconnects
-// first.
+// Submit submits a request that has just been read from its connection. Its Reply is called exactly once, unless the
+// client disconnects first.
 func (l *EventLoop) Submit(request *Request) {
 	readAt := l.Now()
 	lag := l.stall.Lag(time.Now())
@@ -48,21 +48,23 @@
 		l.submit(request, readAt)
 		return
 	}
-	// The process did not run: the client's time went on meanwhile, and its disconnect may not have been read yet.
+	// The process was stalled: part of the client's time has already passed, and a disconnect of the client may not have
+	// been read yet.
 	l.stats.ReadAfterStall.Add(1)
 	time.AfterFunc(stall.SettleTime, func() { l.submit(request, readAt-lag) })
 }
 
 func (l *EventLoop) submit(request *Request, sentAt time.Duration) {
 	l.mailbox.put(func(now time.Duration) {
-		// The client's time goes on while the event loop is blocked; else the response would come too late.
+		// Subtract the time for which the request waited for the event loop: otherwise the response could come after the
+		// client's deadline.
 		scheduled := request.Scheduled
 		scheduled.TimeLeft -= min(scheduled.TimeLeft, max(0, now-sentAt))
 		l.accept(now, request)
 	})
 }
 
-// accept passes a request to the core, unless its client has disconnected already.
+// accept passes a request to the core, unless the client has already disconnected.
 func (l *EventLoop) accept(now time.Duration, request *Request) {
 	id := request.Scheduled.ID
 	if request.disconnectedAt.Load() != 0 {
@@ -82,7 +84,7 @@
 	if request.DuplicateKey != "" {
 		l.duplicateKeys[request.DuplicateKey] = true
 	}
-	l.requests[id] = request // before Submit, in which the core may act on it
+	l.requests[id] = request // before core.Submit, which may call the Actor methods with this request
 	l.counts.Accepted++
 	l.logRequest("request accepted", request, "type", request.Scheduled.Type, "tenant", request.Scheduled.Tenant,
 		"time_left", request.Scheduled.TimeLeft)
@@ -94,8 +96,8 @@
 	}
 }
 
-// ClientDisconnected reports that nobody waits for a request any more; its attempts are cancelled. No attempt of it
-// is sent from now on, however many messages the event loop takes before this one.
+// ClientDisconnected records that the client of a request has disconnected and cancels the request's attempts. From now
+// on no attempt of the request is sent, even if the event loop handles other messages first.
 func (l *EventLoop) ClientDisconnected(request *Request) {
 	request.disconnectedAt.CompareAndSwap(0, int64(l.Now()))
 	l.mailbox.put(func(now time.Duration) {
@@ -111,7 +113,7 @@
 	})
 }
 
-// reply gives a request its final response; a second one is dropped.
+// reply answers a request with its final response. A second response to the same request is dropped.
 func (l *EventLoop) reply(request *Request, response invoke.Response) {
 	if !l.checkAnswer(request) {
 		return
--- a/internal/gateway/rpctransport.go
+++ b/internal/gateway/rpctransport.go
@@ -8,23 +8,23 @@
 	"lupinpond/scheduler"
 )
 
-// rpcTransport carries attempts, load requests and probes over the worker protocol.
+// rpcTransport is the WorkerTransport that uses the worker protocol.
 type rpcTransport struct{ *Gateway }
 
-// clientOf returns a worker's client; nil: there is none.
+// clientOf returns the client of a worker, or nil if there is none.
 func (t rpcTransport) clientOf(worker string) *workerClient {
 	t.workerClientsMu.Lock()
 	defer t.workerClientsMu.Unlock()
 	return t.workerClients[worker]
 }
 
-// cancellableCall cancels a call as the settings allow: only some notify the worker.
+// cancellableCall is a call in flight. Cancelling it notifies the worker only if the settings allow that.
 type cancellableCall struct {
 	*workerrpc.Call
 	notifyWorker bool
 }
 
-// Cancel cancels the call.
+// Cancel cancels the call, notifying the worker, or abandons it without a notice.
 func (c cancellableCall) Cancel() {
 	if c.notifyWorker {
 		c.Call.Cancel()
@@ -36,7 +36,7 @@
 // Send sends an attempt to a worker.
 func (t rpcTransport) Send(request *Request, attempt int, worker string, permit *SendPermit,
 	done func(scheduler.Outcome, []byte)) Canceller {
-	timeLeft, ok := permit.TimeLeft() // the client states what is left of it when it writes
+	timeLeft, ok := permit.TimeLeft() // the worker client subtracts the time until the attempt is written
 	if !ok {
 		done(scheduler.Outcome{Result: permit.WithheldResult()}, nil)
 		return nil
@@ -76,7 +76,7 @@
 	return cancellableCall{inFlight, t.cancelAttempts}
 }
 
-// attemptOutcome converts the outcome of an attempt, with the response body.
+// attemptOutcome converts the outcome of an attempt and returns the response body of a completed one.
 func (t rpcTransport) attemptOutcome(rpc workerrpc.Outcome) (outcome scheduler.Outcome, body []byte) {
 	switch rpc.Status {
 	case workerrpc.StatusUnsent:
@@ -100,7 +100,7 @@
 	return outcome, body
 }
 
-// attemptResult converts a worker's code for an attempt.
+// attemptResult converts the result code of an attempt.
 func attemptResult(code workerrpc.Code) scheduler.Result {
 	switch code {
 	case workerrpc.CodeOK:
@@ -118,7 +118,7 @@
 	}
 }
 
-// loadReport converts a worker's load report, as far as the settings say that it is used.
+// loadReport converts a worker's load report. It returns an empty report if the settings disable load reports.
 func (g *Gateway) loadReport(report *workerrpc.LoadReport) scheduler.LoadReport {
 	if report == nil || g.options.Config.Fleet.Workers.Reports == "none" {
 		return scheduler.LoadReport{}
@@ -126,7 +126,7 @@
 	return scheduler.LoadReport{Reported: true, QueueDepth: float64(report.QueueDepth)}
 }
 
-// Load sends a load request.
+// Load sends a load request to a worker.
 func (t rpcTransport) Load(load scheduler.LoadRequest, permit *LoadPermit,
 	done func(replicas int, result scheduler.Result)) Canceller {
 	client := t.clientOf(load.Worker)
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// loadResult converts a worker's code for a load request.
+// loadResult converts the result code of a load request.
 func loadResult(code workerrpc.Code) scheduler.Result {
 	switch code {
 	case workerrpc.CodeOK:
@@ -182,7 +182,7 @@
 	return nil
 }
 
-// Subscribe has the gateway watch the registry.
+// Subscribe makes the gateway watch the registry.
 func (t rpcTransport) Subscribe() {
 	select {
 	case t.subscribeRequests <- struct{}{}:
--- a/internal/gateway/sendpermit.go
+++ b/internal/gateway/sendpermit.go
@@ -8,31 +8,33 @@
 	"lupinpond/scheduler"
 )
 
-// The tolerances of the protocol by which the invariants of an attempt are checked.
+// Tolerances of the invariant checks of an attempt.
 const (
-	// clientLeftSlack is how long after its client's disconnect an attempt may still be written.
-	clientLeftSlack = 100 * time.Millisecond
-	// deadlineSlack is how much more time than the client has left a worker may be told.
+	// disconnectSlack is the time after a client's disconnect within which an attempt may still be written.
+	disconnectSlack = 100 * time.Millisecond
+	// deadlineSlack is the time by which the time left stated to a worker may exceed the client's actual time left. It is
+	// also the time after the client's deadline within which an attempt may still be written.
 	deadlineSlack = 150 * time.Millisecond
-	// answerSlack is how long after the client's deadline a response is not yet a lost request.
+	// answerSlack is the time after a client's deadline within which a response does not count as late.
 	answerSlack = 500 * time.Millisecond
 )
 
-// SendPermit decides whether an attempt may still be sent when its bytes are about to be written. After the core's
-// decision it may wait for a connection, and meanwhile its client may disconnect or run out of time.
+// SendPermit decides, when the bytes of an attempt are about to be written, whether the attempt may still be sent. The
+// attempt may have waited for a connection since the core's decision, and in the meantime its client may have
+// disconnected or its deadline may have passed.
 type SendPermit struct {
 	loop           *EventLoop
 	request        *Request
-	decidedAt      time.Duration // when the core decided to send
-	deadline       time.Duration // the client's, or that of the shutdown
-	sendBy         time.Duration // the end of the worker's lease; 0: none is needed
-	leaseExpired   atomic.Bool   // it was over when the attempt was about to be written
-	statedTimeLeft time.Duration // what the worker was told
-	statedAt       time.Time
+	decidedAt      time.Duration // time of the core's decision to send
+	deadline       time.Duration // deadline of the client or of the shutdown, whichever is earlier
+	sendBy         time.Duration // latest time at which the attempt may be written to the connection; 0 for no limit
+	leaseExpired   atomic.Bool   // whether sendBy had passed when the attempt was about to be written
+	statedTimeLeft time.Duration // time left that was stated to the worker
+	statedAt       time.Time     // time at which statedTimeLeft was set
 }
 
-// TimeLeft returns the time that the client has left, for the worker; false: the attempt must not be sent any more.
-// It is called when the attempt's bytes are about to be written, from any goroutine.
+// TimeLeft returns the time left until the client's deadline, which is stated to the worker. It returns false if the
+// attempt must be withheld. It is called from any goroutine when the attempt's bytes are about to be written.
 func (p *SendPermit) TimeLeft() (time.Duration, bool) {
 	now := p.loop.Now()
 	if p.request.disconnectedAt.Load() != 0 {
@@ -49,7 +51,7 @@
 		return 0, false
 	}
 	if lag := p.loop.stall.Lag(time.Now()); lag > 0 && now-p.decidedAt >= lag {
-		p.loop.stats.WithheldStalled.Add(1) // a disconnect that arrived meanwhile may not have been read yet
+		p.loop.stats.WithheldStalled.Add(1) // a disconnect that arrived during the stall may not have been read yet
 		return 0, false
 	}
 	p.statedTimeLeft = p.deadline - now
@@ -57,8 +59,8 @@
 	return p.statedTimeLeft, true
 }
 
-// WithheldResult is the result of an attempt that was withheld: another worker may get it where only the lease of this
-// one was over.
+// WithheldResult returns the result of an attempt that was withheld. After LeaseExpired the core may send the request
+// to another worker, because only the lease of this worker had expired.
 func (p *SendPermit) WithheldResult() scheduler.Result {
 	if p.leaseExpired.Load() {
 		return scheduler.LeaseExpired
@@ -66,15 +68,15 @@
 	return scheduler.Withheld
 }
 
-// LoadPermit decides whether a load request may still be sent when its bytes are about to be written.
+// LoadPermit decides, when the bytes of a load request are about to be written, whether it may still be sent.
 type LoadPermit struct {
 	loop      *EventLoop
-	decidedAt time.Duration // when the core decided to send
-	sendBy    time.Duration // the end of the worker's lease; 0: none is needed
+	decidedAt time.Duration // time of the core's decision to send
+	sendBy    time.Duration // latest time at which the load request may be written to the connection; 0 for no limit
 }
 
-// MaySend reports whether it may be sent. After a stall of the process it may not: a notice of a drain that arrived
-// meanwhile may not have been read yet.
+// MaySend reports whether the load request may be sent. It returns false if the process has stalled since the core's
+// decision: a drain notice that arrived during the stall may not have been read yet.
 func (p *LoadPermit) MaySend() bool {
 	now := p.loop.Now()
 	if p.sendBy > 0 && now >= p.sendBy {
@@ -88,15 +90,15 @@
 	return true
 }
 
-// Written checks the invariants of an attempt whose last byte has been written. Where the process did not run in
-// between, when that was is unknown, and nothing is checked.
+// Written checks the invariants of an attempt after its last byte has been written. If the process stalled since
+// TimeLeft returned, the time of the write is unknown, and Written checks nothing.
 func (p *SendPermit) Written() {
 	if p.loop.stall.EndedAfter(p.statedAt, time.Now()) {
 		return
 	}
 	now := p.loop.Now()
 	id := p.request.Scheduled.ID
-	if at := time.Duration(p.request.disconnectedAt.Load()); at != 0 && now > at+clientLeftSlack {
+	if at := time.Duration(p.request.disconnectedAt.Load()); at != 0 && now > at+disconnectSlack {
 		p.loop.monitor.Violated(invariant.AttemptAfterClientLeft, id, "late_by", now-at)
 	}
 	left := p.deadline - now
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -14,7 +14,7 @@
 	"lupinpond/scheduler"
 )
 
-// newServer creates the HTTP server of the invoke API; its requests end with ctx.
+// newServer creates the HTTP server of the invoke API. ctx is the base context of its requests.
 func (g *Gateway) newServer(ctx context.Context) *http.Server {
 	limits := g.options.Config.Gateway.Limits
 	server := &http.Server{
@@ -32,7 +32,7 @@
 	return server
 }
 
-// handler serves the invoke API.
+// handler returns the HTTP handler of the invoke API.
 func (g *Gateway) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/functions/{name}/invocations", g.serveInvocation)
@@ -47,7 +47,8 @@
 	return mux
 }
 
-// setWriteDeadline cuts off a client that does not read its response. Where it can't be set, the response is short.
+// setWriteDeadline sets the deadline for writing the response, which disconnects a client that does not read it. An
+// error is ignored: a response is short enough to be written without blocking.
 func (g *Gateway) setWriteDeadline(w http.ResponseWriter) {
 	deadline := time.Now().Add(g.options.Config.Gateway.Limits.Write.Std())
 	_ = http.NewResponseController(w).SetWriteDeadline(deadline)
@@ -60,14 +61,15 @@
 	problem.Write(w)
 }
 
-// serveInvocation runs one request, from its HTTP request to its response.
+// serveInvocation handles one invocation, from reading the HTTP request to writing the response.
 func (g *Gateway) serveInvocation(w http.ResponseWriter, r *http.Request) {
 	call, problem := g.catalogue.ReadRequest(w, r)
 	if problem != nil {
 		g.rejectInvalid(w, problem)
 		return
 	}
-	// The request is read; all that follows on the connection is the client's disconnect.
+	// The request has been read completely. The read deadline must not end the connection while the request runs; the
+	// only event still expected from the client is its disconnect.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	if g.inFlight.Add(1) > int64(g.options.Config.Gateway.Limits.InFlight) || g.draining.Load() {
 		g.inFlight.Add(-1)
@@ -87,12 +89,12 @@
 		invoke.WriteResponse(w, response)
 	case <-r.Context().Done():
 		g.ClientDisconnected(request)
-		// Returning would send an empty 200, which a client that still reads would take for a success.
+		// Returning would send an empty 200 response, which a client that is still reading would mistake for a success.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// newRequest creates the request of a call, with an id of its own.
+// newRequest creates the Request of a call, with a unique ID.
 func (g *Gateway) newRequest(call invoke.Call, reply func(invoke.Response)) *Request {
 	return &Request{
 		Call:         call,
@@ -113,7 +115,8 @@
 	}
 }
 
-// duplicateKey is what must not be in flight twice; empty where a duplicate does no harm.
+// duplicateKey returns the key by which duplicates of a call in flight are detected. It is empty if the client did not
+// send an ID or if duplicates are harmless because the request type is redeliverable.
 func duplicateKey(call invoke.Call) string {
 	if call.ClientID == "" || call.Type.Name == "" || call.Type.Effect == "redeliverable" {
 		return ""
@@ -121,14 +124,15 @@
 	return call.Tenant + "\n" + call.Source + "\n" + call.ClientID
 }
 
-// limitedListener closes connections over a limit as soon as it accepts them.
+// limitedListener limits the number of open connections: it closes a connection over the limit right after accepting
+// it.
 type limitedListener struct {
 	net.Listener
 	open  *atomic.Int64
 	limit int64
 }
 
-// Accept waits for a connection within the limit.
+// Accept waits for the next connection within the limit and returns it.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -144,14 +148,14 @@
 	}
 }
 
-// countedConn is a connection that counts as open until it is closed.
+// countedConn is a connection that is counted in open until it is closed.
 type countedConn struct {
 	net.Conn
 	open *atomic.Int64
 	once sync.Once
 }
 
-// Close closes the connection.
+// Close closes the connection and decrements the counter of open connections once.
 func (c *countedConn) Close() error {
 	c.once.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
--- a/internal/gateway/starttimes.go
+++ b/internal/gateway/starttimes.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// UnboundedAge is the bound of a worker's age where nothing is known of it.
+// UnboundedAge is the bound passed to StartTimes.Started if a worker's age has no known bound.
 const UnboundedAge = time.Duration(math.MaxInt64)
 
-// maxNoticeDelay is the longest time from a worker's start to the first event that can tell of it.
+// maxNoticeDelay is the maximum time from a worker's start to the first event that lists the worker.
 const maxNoticeDelay = 7 * time.Second
 
-// StartTimes converts workers' start times from the wall clock, which may step, to the core's clock. The age of a
-// worker is taken once, when it is first reported, and is bounded by the time within which it must have started. A worker
-// that reports a much earlier start is taken to have started just now.
+// StartTimes converts workers' start times from the wall clock, which may step, to the core's clock. A worker's age is
+// computed once, when its start time is first reported, and is bounded by the time within which it must have started. A
+// worker that reports a much earlier start time is considered to have just started.
 // StartTimes is not safe for concurrent use.
 type StartTimes struct {
 	now   func() time.Duration
@@ -21,15 +21,15 @@
 }
 
 type startTime struct {
-	reported time.Time     // by the wall clock
-	started  time.Duration // by the core's clock
+	reported time.Time     // on the wall clock, as reported by the worker
+	started  time.Duration // on the core's clock
 }
 
-// NewStartTimes creates the StartTimes of one endpoint list.
+// NewStartTimes creates the StartTimes of an endpoint list.
 func (l *EventLoop) NewStartTimes() *StartTimes { return &StartTimes{l.Now, map[string]startTime{}} }
 
-// Started returns when a worker started by the core's clock that reports a wall-clock start time; zero: long ago. A
-// worker that is new in the list has started within a time.
+// Started converts a start time that a worker reports to the core's clock. It returns 0 if the worker reports none,
+// which means that it started long ago. within bounds the age of a worker that is new in the list.
 func (s *StartTimes) Started(worker string, reported time.Time, within time.Duration) time.Duration {
 	if reported.IsZero() {
 		delete(s.known, worker)
@@ -40,17 +40,17 @@
 	}
 	age := min(max(0, time.Since(reported)), within)
 	if time.Since(reported)-maxNoticeDelay > within {
-		age = 0 // the clocks differ: it may have started just now, after an outage of the list too
+		age = 0 // the wall clocks differ: even after an outage of the list the worker may have just started
 	}
 	started := max(0, s.now()-age)
 	s.known[worker] = startTime{reported, started}
 	return started
 }
 
-// Forget forgets a worker that is removed from the list.
+// Forget deletes the start time of a worker that was removed from the list.
 func (s *StartTimes) Forget(worker string) { delete(s.known, worker) }
 
-// Retain forgets all workers but those that listed holds.
+// Retain deletes the start times of all workers that are not in listed.
 func (s *StartTimes) Retain(listed map[string]bool) {
 	for worker := range s.known {
 		if !listed[worker] {
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -9,46 +9,47 @@
 	"lupinpond/scheduler"
 )
 
-// Counts are a gateway's numbers since its start. They are printed as JSON under the names of an earlier version.
+// Counts holds a gateway's counters since its start. Their JSON names are those of an earlier version.
 type Counts struct {
 	Accepted            int `json:"Taken"`
 	Completed           int
 	Rejected            int
 	Failed              int
 	ClientsDisconnected int `json:"ClientsLeft"`
-	NotAccepted         int `json:"NotTaken"` // over a limit, or while draining
+	NotAccepted         int `json:"NotTaken"` // requests over a limit, or received while the gateway was draining
 	InvalidRequests     int `json:"Refused"`
 	Attempts            int
 	LoadRequests        int
 	Probes              int
-	LateOutcomes        int `json:"LateAnswers"` // of attempts that had an outcome before
-	UnmatchedResponses  int `json:"Stray"`       // of workers, to no call
-	Connections         int // made to workers
+	LateOutcomes        int `json:"LateAnswers"` // outcomes of attempts that already had an outcome
+	UnmatchedResponses  int `json:"Stray"`       // responses of workers that match no call
+	Connections         int // connections made to workers
 }
 
-// Stats are an event loop's numbers that may be read at any time by any goroutine.
+// Stats holds counters of an event loop that any goroutine may read at any time.
 type Stats struct {
-	Retries              atomic.Int64 // attempts of requests that had one before
-	ReadAfterStall       atomic.Int64 // requests that were read right after the process had not run
-	WithheldDisconnected atomic.Int64 // attempts not sent as their client had disconnected
-	WithheldExpired      atomic.Int64 // attempts not sent as their request had no time left
-	WithheldStalled      atomic.Int64 // attempts not sent as the process had not run since the decision
-	WithheldLease        atomic.Int64 // attempts and load requests not sent as the worker's lease had expired
-	WithheldLoads        atomic.Int64 // load requests not sent as the process had not run since the decision
-	Verifications        atomic.Int64 // load requests that verify that a worker takes new work
-	ReplicaQueries       atomic.Int64 // load requests for no replicas
+	Retries              atomic.Int64 // attempts after the first attempt of a request
+	ReadAfterStall       atomic.Int64 // requests read right after a stall of the process
+	WithheldDisconnected atomic.Int64 // attempts withheld because the client had disconnected
+	WithheldExpired      atomic.Int64 // attempts withheld because the deadline had passed
+	WithheldStalled      atomic.Int64 // attempts withheld because the process had stalled since the core's decision
+	WithheldLease        atomic.Int64 // attempts and load requests withheld because the worker's lease had expired
+	WithheldLoads        atomic.Int64 // load requests withheld because the process had stalled since the core's decision
+	Verifications        atomic.Int64 // load requests that verify that a worker accepts new work
+	ReplicaQueries       atomic.Int64 // replica queries, which are load requests for zero replicas
 	LeaseEvents          [scheduler.LeaseEventKindCount]atomic.Int64
-	// Unserved are the requests answered without being served, by reason.
+	// Unserved counts the requests answered with an outcome other than Completed, by reason.
 	Unserved [scheduler.ReasonCount]atomic.Int64
 }
 
-// Stats returns the event loop's numbers.
+// Stats returns the event loop's counters, which are updated concurrently.
 func (l *EventLoop) Stats() *Stats { return &l.stats }
 
-// Monitor returns what counts violated invariants; nil where nothing does.
+// Monitor returns the monitor that counts violated invariants. It may be nil.
 func (l *EventLoop) Monitor() *invariant.Monitor { return l.monitor }
 
-// Counts returns the event loop's numbers, also after it has stopped; zero where ctx ends before it answers.
+// Counts returns the event loop's counters, also after the event loop has stopped. It returns zeros if ctx is done
+// before the event loop replies.
 func (l *EventLoop) Counts(ctx context.Context) (counts Counts) {
 	if l.query(ctx, func() { counts = l.counts }) {
 		return counts
@@ -61,7 +62,8 @@
 	}
 }
 
-// FleetState returns the core's view of its fleet; zero where ctx ends before the event loop answers.
+// FleetState returns the core's view of the fleet. It returns the zero value if the event loop has stopped or ctx is
+// done before the event loop replies.
 func (l *EventLoop) FleetState(ctx context.Context) (state scheduler.FleetState) {
 	if !l.query(ctx, func() { state = l.core.FleetState() }) {
 		return scheduler.FleetState{}
@@ -69,7 +71,7 @@
 	return state
 }
 
-// logLease counts and logs a change of a lease. What is usual in an outage is logged at debug level.
+// logLease counts and logs a change of a lease. Events that are frequent during an outage are logged at debug level.
 func (l *EventLoop) logLease(event scheduler.LeaseEvent) {
 	l.stats.LeaseEvents[event.Kind].Add(1)
 	level := slog.LevelDebug
--- a/internal/gateway/timeouts_test.go
+++ b/internal/gateway/timeouts_test.go
@@ -16,7 +16,7 @@
 	"lupinpond/scheduler"
 )
 
-// lateTransport reports the results of load requests and probes twice, at about the time of their timeouts.
+// lateTransport reports the result of each load request and probe twice, at random times around its timeout.
 type lateTransport struct {
 	timeout   time.Duration
 	pending   sync.WaitGroup
@@ -24,7 +24,7 @@
 	cancelled int
 }
 
-// report calls done twice at some time around the timeout.
+// report calls done twice, at random times around the timeout.
 func (l *lateTransport) report(done func()) gateway.Canceller {
 	for range 2 {
 		l.pending.Add(1)
@@ -53,15 +53,15 @@
 
 func (l *lateTransport) Subscribe() {}
 
-// Cancel counts.
+// Cancel counts the cancelled calls.
 func (l *lateTransport) Cancel() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cancelled++
 }
 
-// However results race with the timeouts of load requests and probes, the core takes each just once, and each is
-// cancelled in the end.
+// Results race with the timeouts of load requests and probes: the core must receive exactly one result of each, and
+// each must be cancelled in the end.
 func TestResultsRaceWithTimeouts(t *testing.T) {
 	const timeout = 10 * time.Millisecond
 	transport := &lateTransport{timeout: timeout}
@@ -88,8 +88,8 @@
 	}
 	answered.Wait()
 	transport.pending.Wait()
-	time.Sleep(4 * timeout) // all have timed out
-	loop.Pause(0)           // and the core has taken that
+	time.Sleep(4 * timeout) // after this all load requests and probes have timed out
+	loop.Pause(0)           // returns after the core has handled the timeouts
 	stop()
 	if err := <-ended; err != nil {
 		t.Fatal(err)
@@ -106,12 +106,12 @@
 	}
 	loads, probes := actions["order"], actions["probe"]
 	if loads == 0 || loads != inputs[core.OpLoadCompleted] || probes == 0 || probes != inputs[core.OpProbeCompleted] {
-		t.Errorf("sent %v, the core took the results of %d load requests and %d probes", actions,
+		t.Errorf("sent %v, the core received the results of %d load requests and %d probes", actions,
 			inputs[core.OpLoadCompleted], inputs[core.OpProbeCompleted])
 	}
 	transport.mu.Lock()
 	defer transport.mu.Unlock()
 	if transport.cancelled != loads+probes {
-		t.Errorf("%d of %d are cancelled", transport.cancelled, loads+probes)
+		t.Errorf("%d of %d calls were cancelled", transport.cancelled, loads+probes)
 	}
 }
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -14,14 +14,14 @@
 	"lupinpond/scheduler"
 )
 
-// workerClient is the client of a worker's server and the means to stop it.
+// workerClient is the client of a worker, together with the function that stops its goroutine.
 type workerClient struct {
 	*workerrpc.Client
 	entry registry.Entry
 	stop  context.CancelFunc
 }
 
-// watchRegistry watches the registry each time the core subscribes, until ctx ends.
+// watchRegistry watches the registry each time the core subscribes, until ctx is done.
 func (g *Gateway) watchRegistry(ctx context.Context) error {
 	client, closeIdle := g.registryHTTPClient()
 	defer closeIdle()
@@ -40,7 +40,7 @@
 	}
 }
 
-// listAge is the time since the registry last sent an event; 0: it has sent none since the start.
+// listAge returns the time since the registry last sent an event, or 0 if it has sent none since the start.
 func (g *Gateway) listAge() time.Duration {
 	g.workerClientsMu.Lock()
 	defer g.workerClientsMu.Unlock()
@@ -50,7 +50,7 @@
 	return time.Since(g.lastEventAt)
 }
 
-// registryHTTPClient creates the HTTP client of the registry, whose connections pass the tap.
+// registryHTTPClient creates the HTTP client for the registry. The tap captures its connections.
 func (g *Gateway) registryHTTPClient() (client *http.Client, closeIdle func()) {
 	dialer := &net.Dialer{Timeout: g.options.Config.Gateway.WorkerRPC.Dial.Std()}
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -63,9 +63,9 @@
 	return &http.Client{Transport: transport}, transport.CloseIdleConnections
 }
 
-// applyWatchEvent takes an event of the registry. Clients of drained and removed workers are stopped at once,
-// before the event loop knows: what is queued there must not be sent after the grace, even where the event loop is
-// stalled.
+// applyWatchEvent handles an event of the registry. It stops the clients of draining and removed workers immediately,
+// before the event loop handles the event: calls queued in those clients must not be sent after the drain grace, even
+// if the event loop is stalled.
 func (g *Gateway) applyWatchEvent(event registry.WatchEvent) {
 	members, endpoints := g.applyEntries(event)
 	if g.options.OnEndpoints != nil {
@@ -74,7 +74,8 @@
 	g.UpdateMembership(event.Complete, members, nil)
 }
 
-// applyEntries updates the clients and the known endpoints. It returns the event for the core, and the complete list.
+// applyEntries updates the worker clients and the known endpoints. It returns the event's entries converted for the
+// core, and the complete endpoint list.
 func (g *Gateway) applyEntries(event registry.WatchEvent) (members []scheduler.Member, endpoints registry.WatchEvent) {
 	g.workerClientsMu.Lock()
 	defer g.workerClientsMu.Unlock()
@@ -100,7 +101,7 @@
 	return members, g.mergeEndpoints(event, listed)
 }
 
-// member converts an entry for the core. A worker that is new in the list is at most as old as maxAge.
+// member converts a registry entry for the core. maxAge bounds the age of a worker that is new in the list.
 func (g *Gateway) member(entry registry.Entry, maxAge time.Duration) scheduler.Member {
 	member := scheduler.Member{
 		Worker:  entry.Name,
@@ -121,7 +122,7 @@
 	return member
 }
 
-// mergeEndpoints adds an event to the known endpoints and returns all of them, sorted by name.
+// mergeEndpoints merges an event into the known endpoints and returns the complete list, sorted by name.
 func (g *Gateway) mergeEndpoints(event registry.WatchEvent, listed map[string]bool) registry.WatchEvent {
 	if event.Complete {
 		maps.DeleteFunc(g.endpoints, func(name string, _ registry.Entry) bool { return !listed[name] })
@@ -139,7 +140,7 @@
 // updateClient starts, stops or resumes the client of an entry's worker.
 func (g *Gateway) updateClient(entry registry.Entry) {
 	client := g.workerClients[entry.Name]
-	if client != nil && client.entry.Addr != entry.Addr { // the worker listens elsewhere now
+	if client != nil && client.entry.Addr != entry.Addr { // the worker's address has changed
 		client.stop()
 		client = nil
 	}
@@ -158,7 +159,7 @@
 	}
 }
 
-// startClient creates and runs the client of a worker.
+// startClient creates the client of a worker and starts its goroutine.
 func (g *Gateway) startClient(entry registry.Entry) *workerClient {
 	config := g.options.Config.Gateway.WorkerRPC
 	limits := workerrpc.Limits{
@@ -179,7 +180,8 @@
 	return client
 }
 
-// logHandshake logs what a worker reports of its previous incarnation.
+// logHandshake logs what a worker's handshake reports about the worker's previous incarnation: its warm-up time and the
+// loads that were interrupted by a crash.
 func (g *Gateway) logHandshake(handshake *workerrpc.Handshake) {
 	if handshake.WarmUpTime > 0 {
 		g.log.Info("worker warmed up in its previous incarnation", "worker", handshake.Name,
