--- a/internal/gateway/discovery/endpoint.go
+++ b/internal/gateway/discovery/endpoint.go
@@ -1,5 +1,5 @@
-// Package discovery watches the endpoint list of the platform's discovery service. The list changes by numbered events;
-// the package polls for those after the last one that it knows. Parse does no I/O.
+// Package discovery watches the endpoint list of the platform's discovery service. The service publishes changes of the
+// list as numbered events; the package long-polls for the events after the last one that it has received.
 package discovery
 
 import (
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// State is what may be sent to an endpoint.
+// State is the state of an endpoint, which determines whether it may be sent new work.
 type State string
 
 // The states of an endpoint.
 const (
 	Up       State = "up"
-	Draining State = "draining" // finishes what it has, and gets nothing new
+	Draining State = "draining" // finishes the work it has accepted and gets no new work
 	Removed  State = "removed"
 )
 
@@ -34,33 +34,37 @@
 	State State   `json:"health"`
 	Size  float64 `json:"share"`
 
-	// StartedUnixMilli is when a worker that is new has started, in milliseconds of Unix time; 0: long ago.
+	// StartedUnixMilli is the start time of a recently started worker in milliseconds of Unix time. 0 means that the
+	// worker started long ago.
 	StartedUnixMilli int64 `json:"born_ms"`
 }
 
-// Update is what an event says of the endpoint list: the complete list, or the endpoints that have changed.
+// Update is the part of an event that concerns the endpoint list: the complete list if Complete is set, otherwise the
+// endpoints that have changed.
 type Update struct {
 	Complete  bool       `json:"whole"`
 	Endpoints []Endpoint `json:"hosts"`
 }
 
-// Event is a watch event. Update is nil where it does not concern the endpoint list.
+// Event is a watch event. Update is nil if the event does not concern the endpoint list.
 type Event struct {
 	Position int64   `json:"pos"`
 	Update   *Update `json:"hosts"`
 
-	// MaxAge bounds how long ago the event happened, by the time since the answer before the one that held it; 0: no
-	// bound is known.
+	// MaxAge is an upper bound of the event's age: the time since the answer before the one that contained the event. 0
+	// means that no bound is known.
 	MaxAge time.Duration `json:"-"`
 }
 
-// Batch is an answer of the service: events in their order, and the position of the last one that there is.
+// Batch is an answer of the service: events in ascending order, and the position of the last event that the service
+// has.
 type Batch struct {
 	Position int64   `json:"pos"`
 	Events   []Event `json:"entries"`
 }
 
-// Parse parses an answer of the service. One invalid event makes all of it an error: it would come again.
+// Parse parses an answer of the service. It fails if any event is invalid, because the service would return the same
+// event again.
 func Parse(b []byte) (Batch, error) {
 	var batch Batch
 	if err := json.Unmarshal(b, &batch); err != nil {
@@ -76,14 +80,14 @@
 
 func (e Event) validate() error {
 	if e.Position <= 0 {
-		return errors.New("an event without its number")
+		return errors.New("event without a position")
 	}
 	if e.Update == nil {
 		return nil
 	}
 	for _, endpoint := range e.Update.Endpoints {
 		if endpoint.Name == "" || !endpoint.State.valid() {
-			return fmt.Errorf("event %d: worker %q is %q", e.Position, endpoint.Name, endpoint.State)
+			return fmt.Errorf("event %d: invalid worker: name %q, state %q", e.Position, endpoint.Name, endpoint.State)
 		}
 		if _, _, err := net.SplitHostPort(endpoint.Addr); err != nil && endpoint.State != Removed {
 			return fmt.Errorf("event %d: worker %q: %w", e.Position, endpoint.Name, err)
@@ -92,9 +96,9 @@
 	return nil
 }
 
-// continues reports whether no event is missing between a position and each of the batch. An event with the complete
-// list needs none before it.
-func (b Batch) continues(position int64) bool {
+// isContiguous reports whether the events of the batch follow position without a gap. An event with the complete list
+// may follow a gap, because it replaces all events before it.
+func (b Batch) isContiguous(position int64) bool {
 	for _, event := range b.Events {
 		if event.Position > position+1 && (event.Update == nil || !event.Update.Complete) {
 			return false
@@ -104,7 +108,8 @@
 	return true
 }
 
-// compact merges all events into one with the complete list after them. ok: a complete list is among them.
+// compact merges all events of the batch into a single event with the resulting complete list. ok reports whether one
+// of the events contains a complete list.
 func (b Batch) compact() (event Event, ok bool) {
 	endpoints := map[string]Endpoint{}
 	for _, e := range b.Events {
--- a/internal/gateway/discovery/golden_test.go
+++ b/internal/gateway/discovery/golden_test.go
@@ -14,7 +14,7 @@
 	"lupinpond/internal/gateway/discovery"
 )
 
-// requestHead reads the head of a request; the address of the test's listener is replaced.
+// requestHead reads the head of a request and replaces the address of the test's listener by ADDR.
 func requestHead(t *testing.T, in *bufio.Reader, addr string) string {
 	t.Helper()
 	var head strings.Builder
@@ -30,8 +30,8 @@
 	}
 }
 
-// The client sends exactly these bytes, at the start and after event 7; only the address of the test's listener is
-// replaced.
+// The client must send exactly these bytes for the first poll and for a poll after event 7. Only the address of the
+// test's listener is replaced.
 func TestGoldenRequest(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	in := bufio.NewReader(conn)
-	// the first poll waits an eighth: until its answer it is not known whether the list is complete
+	// The first poll waits for an eighth of PollWait, because it must soon be known whether the list is complete.
 	const want = "GET /journal?tail=%d&max_wait=%d HTTP/1.1\r\nHost: ADDR\r\nUser-Agent: Go-http-client/1.1\r\n" +
 		"Accept-Encoding: gzip\r\n\r\n"
 	if got := requestHead(t, in, addr); got != fmt.Sprintf(want, 0, 7500) {
@@ -85,20 +85,21 @@
 	}
 }
 
-// Every form of answer decodes to these values: a complete list, a change with each state, an event of another kind,
-// none.
+// Every form of answer must decode to these values: a complete list, changes to each state, an event that does not
+// concern the endpoint list, no events, and invalid events.
 func TestGoldenBatches(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
-		{`{"pos":5,"entries":[{"pos":1,"hosts":{"seq":1,"whole":true,"hosts":[{"host":"w1","dial":"127.0.0.1:9","site":"z","class":"k",` +
-			`"block":2,"health":"up","share":4.5,"born_ms":1700000000123}]}},{"pos":4,"other":1},{"pos":5,"hosts":{"hosts":[` +
-			`{"host":"w1","dial":"127.0.0.1:9","health":"draining"},{"host":"w2","health":"removed"}]}}]}`,
+		{`{"pos":5,"entries":[{"pos":1,"hosts":{"seq":1,"whole":true,"hosts":[{"host":"w1","dial":"127.0.0.1:9",` +
+			`"site":"z","class":"k","block":2,"health":"up","share":4.5,"born_ms":1700000000123}]}},{"pos":4,"other":1},` +
+			`{"pos":5,"hosts":{"hosts":[{"host":"w1","dial":"127.0.0.1:9","health":"draining"},` +
+			`{"host":"w2","health":"removed"}]}}]}`,
 			"last 5; event 1 whole true {w1 127.0.0.1:9 z k 2 up 4.5 1700000000123}; event 4 no list; " +
 				"event 5 whole false {w1 127.0.0.1:9   0 draining 0 0} {w2    0 removed 0 0}"},
 		{`{"pos":5,"entries":[]}`, "last 5"},
 		{`{"pos":5}`, "last 5"},
-		{`{"pos":5,"entries":[{"hosts":{}}]}`, "error journal: an event without its number"},
+		{`{"pos":5,"entries":[{"hosts":{}}]}`, "error journal: event without a position"},
 		{`{"pos":5,"entries":[{"pos":5,"hosts":{"hosts":[{"host":"w","dial":"127.0.0.1:1","health":"well"}]}}]}`,
-			`error journal: event 5: worker "w" is "well"`},
+			`error journal: event 5: invalid worker: name "w", state "well"`},
 		{`{"pos":5,"entries":[{"pos":5,"hosts":{"hosts":[{"host":"w","dial":"x","health":"up"}]}}]}`,
 			`error journal: event 5: worker "w": address x: missing port in address`},
 	} {
--- a/internal/gateway/discovery/lease.go
+++ b/internal/gateway/discovery/lease.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// The endpoint list is good for a time only: events that the service could not deliver count as delivered at
-// Limits.DeliveryBound after it fell silent. When that was is not known; it was after the last accepted poll was sent,
-// as its answer held all events up to a later moment.
+// The endpoint list is valid for a limited time, its lease: the gateway is considered notified of events that the
+// service could not deliver once Limits.DeliveryBound has passed since the service became unreachable. That moment is
+// unknown, but it is later than the time at which the last accepted poll was sent, because the answer to that poll
+// contained all events up to a later time. The lease is therefore counted from the time at which the poll was sent.
 
-// Freshness is how old the endpoint list is, for logs and metrics.
+// Freshness describes the age of the endpoint list, for logs and metrics.
 type Freshness struct {
-	Age      time.Duration // since the list was complete for certain; since the start where it never was
-	Expired  bool          // events count as delivered that may not have been received
-	Answered int64         // polls whose answers were accepted
-	Failed   int64         // rounds of polls without one
+	Age      time.Duration // time since the list was last known to be complete, or since the start if it never was
+	Expired  bool          // whether the lease has expired: the list may lack events
+	Answered int64         // number of polls whose answer was accepted
+	Failed   int64         // number of poll rounds without an accepted answer
 }
 
-// OnLease has f called with the time until which the list is good, now and at each change. It is to be called before
-// Run.
+// OnLease sets f to be called with the expiry time of the list's lease, once immediately and then at each change. It
+// must be called before Run.
 func (w *Watcher) OnLease(f func(expires time.Time)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -27,8 +28,8 @@
 	f(w.leaseExpires)
 }
 
-// SetListTime notes when the list that the watcher was given at the start was complete, if that was before it was made.
-// It is to be called before Run.
+// SetListTime sets the time at which the list applied at the start was complete, if that was before the Watcher was
+// created. It must be called before Run.
 func (w *Watcher) SetListTime(at time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -36,7 +37,7 @@
 	w.setLeaseLocked(at)
 }
 
-// Freshness is the age of the list now.
+// Freshness returns the current freshness of the endpoint list.
 func (w *Watcher) Freshness() Freshness {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -48,7 +49,7 @@
 	}
 }
 
-// setLeaseLocked sets until when the list is good. The lock is held.
+// setLeaseLocked sets the expiry time of the list's lease. The caller must hold w.mu.
 func (w *Watcher) setLeaseLocked(expires time.Time) {
 	w.leaseExpires = expires
 	if w.onLease != nil {
@@ -56,7 +57,8 @@
 	}
 }
 
-// renewLease notes that the list is complete by the answer to a poll that was sent at a time.
+// renewLease records that the list was complete at sentAt, the time at which an accepted poll was sent, and renews the
+// lease.
 func (w *Watcher) renewLease(sentAt time.Time) {
 	w.mu.Lock()
 	expired := time.Since(w.leaseExpires)
@@ -65,15 +67,16 @@
 	w.setLeaseLocked(sentAt.Add(w.limits.DeliveryBound))
 	position := w.position
 	w.mu.Unlock()
-	if !w.failingAt.IsZero() {
-		w.log.Info("discovery reachable again", "position", position, "failing_for", time.Since(w.failingAt),
+	if !w.failingSince.IsZero() {
+		w.log.Info("discovery reachable again", "position", position, "failing_for", time.Since(w.failingSince),
 			"list_expired_for", max(0, expired))
-		w.failingAt = time.Time{}
+		w.failingSince = time.Time{}
 	}
 }
 
-// pollsFailed notes a round of polls without an answer that was accepted. One that a new address has ended is none.
-func (w *Watcher) pollsFailed(err error) {
+// recordFailedRound records a poll round without an accepted answer. A round that was ended by a change of the
+// service's address does not count as failed.
+func (w *Watcher) recordFailedRound(err error) {
 	if errors.Is(err, context.Canceled) || errors.Is(err, errAddressChanged) {
 		return
 	}
@@ -81,19 +84,19 @@
 	w.failed++
 	position, expires := w.position, w.leaseExpires
 	w.mu.Unlock()
-	if w.failingAt.IsZero() {
-		w.failingAt = time.Now()
+	if w.failingSince.IsZero() {
+		w.failingSince = time.Now()
 		w.log.Warn("discovery unreachable", "position", position, "list_expires_in", time.Until(expires), "err", err)
 		return
 	}
 	w.log.Info("discovery poll failed", "err", err)
 }
 
-// pollWait is how long the service may wait for an event before it answers the next poll.
+// pollWait returns the time for which the service may wait for an event before it answers the next poll.
 func (w *Watcher) pollWait() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.confirmed || time.Since(w.completeAt) > maxAnswerWaits*w.limits.PollWait {
+	if !w.confirmed || time.Since(w.completeAt) > staleAnswerWaits*w.limits.PollWait {
 		return max(w.limits.PollWait/confirmWaitDivisor, time.Millisecond)
 	}
 	return w.limits.PollWait
--- a/internal/gateway/discovery/lease_test.go
+++ b/internal/gateway/discovery/lease_test.go
@@ -12,7 +12,7 @@
 	"lupinpond/internal/gateway/discovery"
 )
 
-// leaseLimits are those of a service that is polled often.
+// leaseLimits are the limits of a service that is polled frequently.
 var leaseLimits = discovery.Limits{
 	PollWait:      800 * time.Millisecond,
 	UsualResponse: 200 * time.Millisecond,
@@ -22,14 +22,14 @@
 	MoveBound:     4 * time.Second,
 }
 
-// leases are those that a watcher has set.
-type leases struct {
+// leaseRecorder records the expiry times that a watcher sets for its lease.
+type leaseRecorder struct {
 	mu      sync.Mutex
 	expires []time.Time
 	changed chan struct{}
 }
 
-func (l *leases) set(expires time.Time) {
+func (l *leaseRecorder) set(expires time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expires = append(l.expires, expires)
@@ -39,14 +39,14 @@
 	}
 }
 
-func (l *leases) last() (expires time.Time, count int) {
+func (l *leaseRecorder) last() (expires time.Time, count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.expires[len(l.expires)-1], len(l.expires)
 }
 
-// awaitAfter waits until the lease ends after a time.
-func (l *leases) awaitAfter(t *testing.T, after time.Time) time.Time {
+// awaitAfter waits until the lease's expiry time is later than the given time and returns it.
+func (l *leaseRecorder) awaitAfter(t *testing.T, after time.Time) time.Time {
 	t.Helper()
 	timeout := time.After(20 * time.Second)
 	for {
@@ -56,31 +56,31 @@
 		select {
 		case <-l.changed:
 		case <-timeout:
-			t.Fatal("the lease is never renewed")
+			t.Fatal("the lease was not renewed within 20 seconds")
 		}
 	}
 }
 
-// leasedWatcher is a watcher whose service answers as a test says, at position 1 from the start.
-func leasedWatcher(t *testing.T, handle http.HandlerFunc) (watcher *discovery.Watcher, set *leases) {
+// leasedWatcher runs a watcher, at position 1 from the start, whose service is implemented by handle.
+func leasedWatcher(t *testing.T, handle http.HandlerFunc) (watcher *discovery.Watcher, leases *leaseRecorder) {
 	t.Helper()
 	service := httptest.NewServer(handle)
 	t.Cleanup(service.Close)
 	watcher = discovery.NewWatcher(service.Listener.Addr().String(), leaseLimits, slog.New(slog.DiscardHandler),
 		func(discovery.Event) {})
-	set = &leases{changed: make(chan struct{}, 1)}
-	watcher.OnLease(set.set)
+	leases = &leaseRecorder{changed: make(chan struct{}, 1)}
+	watcher.OnLease(leases.set)
 	known, err := discovery.Parse([]byte(batchJSON(1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	watcher.Apply(known)
 	runExisting(t, watcher)
-	return watcher, set
+	return watcher, leases
 }
 
-// nothingNew is the answer to a poll that has waited.
-func nothingNew(w http.ResponseWriter, r *http.Request) {
+// answerWithoutEvents handles a poll by waiting as long as the poll allows and answering without new events.
+func answerWithoutEvents(w http.ResponseWriter, r *http.Request) {
 	wait, err := time.ParseDuration(r.URL.Query().Get("max_wait") + "ms")
 	if err != nil {
 		return
@@ -89,44 +89,46 @@
 	fmt.Fprintf(w, `{"pos":%s,"entries":[]}`, r.URL.Query().Get("tail"))
 }
 
-// A quiet service that answers its polls is no outage: the lease ends the bound after the last answered poll was sent.
+// A service without new events that answers its polls is not an outage: the lease must be renewed, and must expire
+// DeliveryBound after the last answered poll was sent.
 func TestQuietServiceRenewsLease(t *testing.T) {
 	started := time.Now()
-	watcher, set := leasedWatcher(t, nothingNew)
-	if first, _ := set.last(); first.After(time.Now()) {
-		t.Errorf("before an answer the lease ends in %v", time.Until(first))
+	watcher, leases := leasedWatcher(t, answerWithoutEvents)
+	if first, _ := leases.last(); first.After(time.Now()) {
+		t.Errorf("before the first answer the lease expires in %v, want an expired lease", time.Until(first))
 	}
-	expires := set.awaitAfter(t, started.Add(leaseLimits.DeliveryBound+200*time.Millisecond))
+	expires := leases.awaitAfter(t, started.Add(leaseLimits.DeliveryBound+200*time.Millisecond))
 	if expires.After(time.Now().Add(leaseLimits.DeliveryBound)) {
-		t.Errorf("the lease ends in %v", time.Until(expires))
+		t.Errorf("the lease expires in %v, want at most the delivery bound", time.Until(expires))
 	}
 	if fresh := watcher.Freshness(); fresh.Expired || fresh.Answered == 0 || fresh.Age > time.Second {
 		t.Errorf("%+v", fresh)
 	}
 }
 
-// An answer is as old as its poll: what has happened while it was on its way it does not tell.
+// A lease must be counted from the time at which the poll was sent: a slow answer does not contain events that happened
+// while it was in transit.
 func TestSlowAnswerIsAsOldAsItsPoll(t *testing.T) {
 	const delay = 400 * time.Millisecond
 	var mu sync.Mutex
 	var polled []time.Time
-	_, set := leasedWatcher(t, func(w http.ResponseWriter, r *http.Request) {
+	_, leases := leasedWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		polled = append(polled, time.Now())
 		mu.Unlock()
 		time.Sleep(delay)
-		nothingNew(w, r)
+		answerWithoutEvents(w, r)
 	})
-	expires := set.awaitAfter(t, time.Now())
+	expires := leases.awaitAfter(t, time.Now())
 	mu.Lock()
 	defer mu.Unlock()
 	if sent := expires.Add(-leaseLimits.DeliveryBound); sent.After(polled[0]) {
-		t.Errorf("the lease begins %v after the poll came", sent.Sub(polled[0]))
+		t.Errorf("the lease starts %v after the poll was received, want before", sent.Sub(polled[0]))
 	}
 }
 
-// Answers that tell nothing of the present do not renew the lease: cut off, empty before the wait is over, repeated,
-// from an older position, and with a position whose events are missing.
+// Answers that do not prove that the list is current must not renew the lease: truncated answers, empty ones before the
+// end of the poll wait, repeated ones, those from an older position, and those that lack events before their position.
 func TestAnswersThatProveNothing(t *testing.T) {
 	answer := func(text string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, text) }
@@ -138,52 +140,57 @@
 		}
 	}
 	for name, handle := range map[string]http.HandlerFunc{
-		"nobody answers": func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
-		"an error":       func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusServiceUnavailable) },
-		"cut off":        answer(batchJSON(2)[:60]),
-		"early":          answer(`{"pos":1,"entries":[]}`),
-		"repeated":       late(batchJSON(1)),
-		"older":          late(`{"pos":0,"entries":[]}`),
-		"events missing": late(`{"pos":5,"entries":[]}`),
-		"a gap":          late(batchJSON(4)),
+		"no answer": func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
+		"error status": func(w http.ResponseWriter, _ *http.Request) {
+			http.Error(w, "no", http.StatusServiceUnavailable)
+		},
+		"truncated answer": answer(batchJSON(2)[:60]),
+		"early":            answer(`{"pos":1,"entries":[]}`),
+		"repeated":         late(batchJSON(1)),
+		"older":            late(`{"pos":0,"entries":[]}`),
+		"missing events":   late(`{"pos":5,"entries":[]}`),
+		"gap in events":    late(batchJSON(4)),
 	} {
 		t.Run(name, func(t *testing.T) {
-			watcher, set := leasedWatcher(t, handle)
-			for end := time.Now().Add(10 * time.Second); watcher.Freshness().Failed < 2 && name != "nobody answers"; {
+			watcher, leases := leasedWatcher(t, handle)
+			for end := time.Now().Add(10 * time.Second); watcher.Freshness().Failed < 2 && name != "no answer"; {
 				if time.Sleep(time.Millisecond); time.Now().After(end) {
-					t.Fatal("the answers are accepted")
+					t.Fatal("the answers were accepted")
 				}
 			}
-			if expires, count := set.last(); count != 1 || expires.After(time.Now()) {
-				t.Errorf("the lease was set %d times and ends in %v", count, time.Until(expires))
+			if expires, count := leases.last(); count != 1 || expires.After(time.Now()) {
+				t.Errorf("the lease was set %d times and expires in %v, want once and expired", count, time.Until(expires))
 			}
 		})
 	}
 }
 
-// A new address shortens the lease, also while a poll at the old one is never answered; an answer from it renews.
+// A change of the service's address must shorten the lease, even while a poll at the old address is not answered. An
+// answer from the new address must renew it.
 func TestMoveShortensLease(t *testing.T) {
 	silent := make(chan struct{})
-	watcher, set := leasedWatcher(t, func(w http.ResponseWriter, r *http.Request) {
+	watcher, leases := leasedWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-silent:
 			<-r.Context().Done()
 		default:
-			nothingNew(w, r)
+			answerWithoutEvents(w, r)
 		}
 	})
-	set.awaitAfter(t, time.Now().Add(leaseLimits.MoveBound))
+	leases.awaitAfter(t, time.Now().Add(leaseLimits.MoveBound))
 	close(silent)
-	mute := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
-	t.Cleanup(mute.Close)
+	unresponsive := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		<-r.Context().Done()
+	}))
+	t.Cleanup(unresponsive.Close)
 	moved := time.Now()
-	watcher.SetAddress(mute.Listener.Addr().String())
-	expires, _ := set.last()
+	watcher.SetAddress(unresponsive.Listener.Addr().String())
+	expires, _ := leases.last()
 	if d := expires.Sub(moved); d > leaseLimits.MoveBound+time.Second || d <= 0 {
-		t.Errorf("after the move the lease ends in %v", d)
+		t.Errorf("after the change of address the lease expires in %v, want at most the move bound", d)
 	}
-	other := httptest.NewServer(http.HandlerFunc(nothingNew))
+	other := httptest.NewServer(http.HandlerFunc(answerWithoutEvents))
 	t.Cleanup(other.Close)
 	watcher.SetAddress(other.Listener.Addr().String())
-	set.awaitAfter(t, moved.Add(leaseLimits.DeliveryBound))
+	leases.awaitAfter(t, moved.Add(leaseLimits.DeliveryBound))
 }
--- a/internal/gateway/discovery/poll.go
+++ b/internal/gateway/discovery/poll.go
@@ -9,21 +9,21 @@
 	"lupinpond/internal/base/httpclient"
 )
 
-// maxConcurrentPolls is how many polls are under way at a time where the service is slow or silent.
+// maxConcurrentPolls limits the number of concurrent polls of a service that is slow or does not answer.
 const maxConcurrentPolls = 4
 
 // pollResult is the result of one poll.
 type pollResult struct {
 	batch    Batch
 	sentAt   time.Time
-	wait     time.Duration // that the service was allowed
+	wait     time.Duration // time for which the service was allowed to wait for an event
 	duration time.Duration
 	err      error
 }
 
-// pollRound polls until one answer is accepted, or no poll is left that may be answered. A service that does not
-// answer in time may be slow or silent: it is polled again, which ends a silence, while the polls before go on, as a
-// slow service may still answer them.
+// pollRound polls until the first answer is received or all polls have failed. If the service does not answer in time,
+// it may be slow or may have lost the poll. It is then polled again, in case the poll was lost, while the earlier polls
+// continue, in case the service is slow.
 func (w *Watcher) pollRound(ctx context.Context, client *http.Client) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -63,7 +63,7 @@
 	}
 }
 
-// poll asks the service once for the events after a position.
+// poll sends one poll for the events after a position.
 func (w *Watcher) poll(ctx context.Context, client *http.Client, addr string, after int64, wait time.Duration) (
 	result pollResult) {
 	result.wait, result.sentAt = wait, time.Now()
--- a/internal/gateway/discovery/poll_test.go
+++ b/internal/gateway/discovery/poll_test.go
@@ -11,7 +11,8 @@
 	"lupinpond/internal/gateway/discovery"
 )
 
-// startWatcher runs a watcher of a service until the test ends, and returns the positions of its events.
+// startWatcher runs a watcher of a service implemented by handle until the test ends. It returns the positions of the
+// watcher's events.
 func startWatcher(t *testing.T, limits discovery.Limits, handle http.HandlerFunc) (positions chan int64) {
 	t.Helper()
 	service := httptest.NewServer(handle)
@@ -26,10 +27,10 @@
 	select {
 	case got := <-positions:
 		if got != want {
-			t.Errorf("event %d instead of %d", got, want)
+			t.Errorf("got event %d, want %d", got, want)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatalf("event %d never comes", want)
+		t.Fatalf("event %d not received within 20 seconds", want)
 	}
 }
 
@@ -40,7 +41,7 @@
 	MaxBytes:      1 << 16,
 }
 
-// A service that takes ten times as long as usual for every answer is waited for.
+// The watcher must wait for the answers of a service that takes ten times as long as usual.
 func TestSlowServiceIsWaitedFor(t *testing.T) {
 	positions := startWatcher(t, slowLimits, func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -58,8 +59,8 @@
 	expectPosition(t, positions, 2)
 }
 
-// A service that leaves a poll without an answer is polled again, though a slow answer could still come, and by a few
-// polls at a time only.
+// A service that does not answer a poll must be polled again although a slow answer could still arrive, but only with a
+// few concurrent polls.
 func TestSilentPollIsRepeated(t *testing.T) {
 	var polls, open, most atomic.Int64
 	positions := startWatcher(t, slowLimits, func(w http.ResponseWriter, r *http.Request) {
@@ -76,6 +77,6 @@
 	expectPosition(t, positions, 1)
 	time.Sleep(20 * (slowLimits.PollWait + slowLimits.UsualResponse))
 	if n := most.Load(); n > 4 {
-		t.Error(n, "polls at a time")
+		t.Error(n, "concurrent polls, want at most 4")
 	}
 }
--- a/internal/gateway/discovery/watcher.go
+++ b/internal/gateway/discovery/watcher.go
@@ -13,57 +13,62 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Limits bound the polls of a service.
+// Limits are the time and size limits of polls.
 type Limits struct {
-	// PollWait is how long the service may wait for an event before it answers. Past that and UsualResponse it is
-	// polled again.
+	// PollWait is the time for which the service may wait for an event before it answers. After PollWait + UsualResponse
+	// without an answer the service is polled again.
 	PollWait time.Duration
 
-	// UsualResponse is the time that an answer usually takes beyond PollWait.
+	// UsualResponse is the time that an answer usually takes in addition to PollWait.
 	UsualResponse time.Duration
 
-	// MaxResponse is the longest time for that, and for a connection: a slow service is not cut off while it is polled
-	// again.
+	// MaxResponse is the maximum time that an answer may take in addition to PollWait, including the time to connect. If
+	// it exceeds UsualResponse, a poll of a slow service can still be answered while further polls are sent.
 	MaxResponse time.Duration
 
-	// MaxBytes is the longest answer.
+	// MaxBytes is the maximum size of an answer in bytes.
 	MaxBytes int64
 
-	// DeliveryBound is how long after the service fell silent its events count as delivered, whether they were received
-	// or not.
+	// DeliveryBound is the time after the service became unreachable at which the gateway is considered notified of the
+	// service's events, whether it has received them or not.
 	DeliveryBound time.Duration
 
-	// MoveBound is the same from a change of its address on.
+	// MoveBound is the time after a change of the service's address at which the gateway is considered notified of the
+	// service's events.
 	MoveBound time.Duration
 }
 
-// Divisors of Limits.UsualResponse.
+// Constants that are relative to the Limits.
 const (
-	// minBackoffDivisor gives the first pause after an error an eighth; the longest is all of it.
+	// minBackoffDivisor sets the initial backoff after an error: Limits.UsualResponse / minBackoffDivisor. The maximum
+	// backoff is Limits.UsualResponse.
 	minBackoffDivisor = 8
 
-	// earlyAnswerDivisor makes an answer with nothing new an error where it comes before half of Limits.PollWait.
+	// earlyAnswerDivisor sets the time before which an answer without new events is an error: the poll's wait /
+	// earlyAnswerDivisor.
 	earlyAnswerDivisor = 2
 
-	// confirmWaitDivisor makes the wait of a poll an eighth where the last answer is old: whether events are missing is to
-	// be known soon.
+	// confirmWaitDivisor sets the wait of a poll when the last answer is old: Limits.PollWait / confirmWaitDivisor. The
+	// shorter wait shows sooner whether events are missing.
 	confirmWaitDivisor = 8
 
-	// fullWaitShare of its wait must have passed before an answer with nothing new proves that there was nothing.
-	fullWaitShare = 0.9
+	// minEmptyWaitFraction is the fraction of the poll's wait that must have passed for an answer without new events to
+	// prove that the service had none.
+	minEmptyWaitFraction = 0.9
 
-	// maxAnswerWaits is the number of poll waits after which the last answer is old.
-	maxAnswerWaits = 2
+	// staleAnswerWaits sets the age at which the last answer counts as old: staleAnswerWaits * Limits.PollWait.
+	staleAnswerWaits = 2
 )
 
 var (
-	// errAddressChanged says that an answer came from an address that is not the service's any more.
+	// errAddressChanged is returned for an answer from an address that is no longer the service's.
 	errAddressChanged = errors.New("journal: the address of the service has changed")
 
-	// errEarlyAnswer says that the service does not wait for events: it would be polled without a pause.
-	errEarlyAnswer = errors.New("journal: empty batch before the wait was over")
+	// errEarlyAnswer is returned if the service answers a poll without waiting for events. Without a backoff after this
+	// error the service would be polled in a tight loop.
+	errEarlyAnswer = errors.New("journal: empty batch before the end of the poll wait")
 
-	// errOldAnswer says that an answer is from before the last one: it tells nothing of what has happened since.
+	// errOldAnswer is returned for an answer that is older than the last one. It does not show what has happened since.
 	errOldAnswer = errors.New("journal: answer from an older position")
 )
 
@@ -75,31 +80,31 @@
 	onLease        func(expires time.Time)
 	addressChanged chan struct{}
 
-	// Of the goroutine that runs Run.
-	resync     bool      // the complete list is to be polled for; changes between rounds only
-	answeredAt time.Time // when the last batch was applied
-	failingAt  time.Time // when polls began to fail; zero: they do not
-	polls      sync.WaitGroup
+	// The fields below are only accessed by the goroutine that calls Run.
+	resync       bool      // whether the next round polls for the complete list; only changes between rounds
+	answeredAt   time.Time // time at which the last batch was applied
+	failingSince time.Time // time since which polls have failed; zero if they are not failing
+	polls        sync.WaitGroup
 
-	mu           sync.Mutex
+	mu           sync.Mutex // guards the fields below
 	addr         string
-	position     int64
-	cancelPolls  context.CancelFunc
-	completeAt   time.Time // the list was complete then: at the start, and by the last accepted answer
-	confirmed    bool      // by an answer from the present address
-	leaseExpires time.Time
-	answered     int64 // polls whose answers were accepted
-	failed       int64 // rounds of polls without one
+	position     int64              // position of the last event that was passed to notify
+	cancelPolls  context.CancelFunc // cancels the polls of the current round
+	completeAt   time.Time          // time at which the list was last known to be complete
+	confirmed    bool               // whether an answer from the current address was accepted
+	leaseExpires time.Time          // expiry time of the list's lease
+	answered     int64              // number of polls whose answer was accepted
+	failed       int64              // number of poll rounds without an accepted answer
 }
 
-// cursor is where the service is polled, and after which event.
+// cursor is the address of the service and the position after which it is polled.
 type cursor struct {
 	addr     string
 	position int64
 }
 
-// NewWatcher makes a Watcher of the service at an address; notify gets each event once, in order. Until the first answer
-// the endpoint list is as old as the Watcher.
+// NewWatcher creates a Watcher for the service at an address. notify is called once for each event, in order. Until the
+// first answer the endpoint list is considered complete as of the time of this call.
 func NewWatcher(addr string, limits Limits, log *slog.Logger, notify func(Event)) *Watcher {
 	now := time.Now()
 	return &Watcher{
@@ -114,7 +119,7 @@
 	}
 }
 
-// Position is the position of the last event that was passed on.
+// Position returns the position of the last event that was passed to notify.
 func (w *Watcher) Position() int64 { return w.currentCursor().position }
 
 func (w *Watcher) currentCursor() cursor {
@@ -123,7 +128,8 @@
 	return cursor{w.addr, w.position}
 }
 
-// SetAddress polls the service at another address from now on; positions go on.
+// SetAddress changes the address of the service. Running polls are cancelled; positions remain valid at the new
+// address.
 func (w *Watcher) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -141,7 +147,8 @@
 	}
 }
 
-// Apply passes on the events of a batch that are new, also of one that came another way, as at the start.
+// Apply passes the new events of a batch to notify. The batch may also come from another source than a poll, for
+// example from the configuration at the start.
 func (w *Watcher) Apply(batch Batch) {
 	for _, event := range batch.Events {
 		w.mu.Lock()
@@ -154,7 +161,7 @@
 	}
 }
 
-// Run polls until ctx ends.
+// Run polls the service until ctx is done. It always returns nil.
 func (w *Watcher) Run(ctx context.Context) error {
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval = w.limits.UsualResponse / minBackoffDivisor
@@ -170,7 +177,7 @@
 			continue
 		}
 		transport.CloseIdleConnections()
-		w.pollsFailed(err)
+		w.recordFailedRound(err)
 		select {
 		case <-ctx.Done():
 		case <-w.addressChanged:
@@ -180,7 +187,8 @@
 	return nil
 }
 
-// accept applies the answer to a poll from a cursor, unless the service's address has changed since.
+// accept applies the answer to a poll that was sent with the cursor from, unless the service's address has changed
+// since. It returns an error if the answer does not prove that the list is complete.
 func (w *Watcher) accept(result pollResult, from cursor) error {
 	if w.currentCursor().addr != from.addr {
 		return errAddressChanged
@@ -189,8 +197,9 @@
 	if w.resync {
 		return w.applyComplete(result, maxAge)
 	}
-	if !result.batch.continues(from.position) {
-		// None of these events is passed on: what the missing ones have changed would be lost for good.
+	if !result.batch.isContiguous(from.position) {
+		// Pass on none of these events: the position would advance past the missing ones, and their changes would be lost
+		// permanently.
 		w.resync = true
 		w.log.Warn("discovery events missing, polling for the complete list", "position", from.position)
 		return nil
@@ -208,19 +217,19 @@
 		return errOldAnswer
 	case result.batch.Position > position:
 		w.resync = true
-		return fmt.Errorf("journal: position %d without the events after %d", result.batch.Position, position)
-	case position == from.position && result.duration < time.Duration(fullWaitShare*float64(result.wait)):
-		return nil // it may have been made before the poll
+		return fmt.Errorf("journal: answer at position %d lacks the events after %d", result.batch.Position, position)
+	case position == from.position && result.duration < time.Duration(minEmptyWaitFraction*float64(result.wait)):
+		return nil // does not renew the lease: the answer may have been generated before the poll was sent
 	}
 	w.renewLease(result.sentAt)
 	return nil
 }
 
-// applyComplete ends a resync with a batch that holds the complete list.
+// applyComplete completes a resync with a batch that contains the complete list.
 func (w *Watcher) applyComplete(result pollResult, maxAge time.Duration) error {
 	event, ok := result.batch.compact()
 	if !ok || event.Position < w.position {
-		return fmt.Errorf("journal: resync: no complete list as new as position %d", w.position)
+		return fmt.Errorf("journal: resync: answer has no complete list at or after position %d", w.position)
 	}
 	event.MaxAge = maxAge
 	w.resync = false
--- a/internal/gateway/discovery/watcher_test.go
+++ b/internal/gateway/discovery/watcher_test.go
@@ -20,13 +20,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// eventJSON is an event with one endpoint; the first holds the complete list.
+// eventJSON returns an event with one endpoint as JSON. The event at position 1 contains the complete list.
 func eventJSON(position int) string {
 	return fmt.Sprintf(`{"pos":%d,"hosts":{"seq":1,"whole":%v,"hosts":[{"host":"w%d","dial":"127.0.0.1:9",`+
 		`"site":"z","class":"k","block":2,"health":"up","share":4,"born_ms":0}]}}`, position, position == 1, position)
 }
 
-// batchJSON is an answer with the events at some positions.
+// batchJSON returns an answer with the events at the given positions as JSON.
 func batchJSON(positions ...int) string {
 	var events []string
 	for _, position := range positions {
@@ -35,7 +35,7 @@
 	return fmt.Sprintf(`{"pos":%d,"entries":[%s]}`, positions[len(positions)-1], strings.Join(events, ","))
 }
 
-// runWatcher runs a watcher until the function that it returns is called, or the test ends.
+// runWatcher creates and runs a watcher until stop is called or the test ends.
 func runWatcher(t *testing.T, addr string, limits discovery.Limits, notify func(discovery.Event)) (
 	watcher *discovery.Watcher, stop func()) {
 	t.Helper()
@@ -43,7 +43,7 @@
 	return watcher, runExisting(t, watcher)
 }
 
-// runExisting runs a watcher until the function that it returns is called, or the test ends.
+// runExisting runs a watcher until stop is called or the test ends.
 func runExisting(t *testing.T, watcher *discovery.Watcher) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -59,12 +59,12 @@
 	return stop
 }
 
-// expectEvent receives the next event.
+// expectEvent receives the next event and checks its position.
 func expectEvent(t *testing.T, events chan discovery.Event, position int64) discovery.Event {
 	t.Helper()
 	event := <-events
 	if event.Position != position {
-		t.Error(event.Position, "instead of", position)
+		t.Error(event.Position, "is the position of the event, want", position)
 	}
 	return event
 }
@@ -76,21 +76,21 @@
 		t.Error(batch, err)
 	}
 	for name, bad := range map[string]string{
-		"empty":       "",
-		"no JSON":     "{",
-		"cut off":     batchJSON(1)[:80],
-		"no position": `{"pos":1,"entries":[{"hosts":{"hosts":[]}}]}`,
-		"no address":  `{"pos":1,"entries":[{"pos":1,"hosts":{"hosts":[{"host":"w","dial":"x","health":"up"}]}}]}`,
-		"no such state": `{"pos":1,"entries":[{"pos":1,"hosts":{"hosts":[` +
+		"empty":             "",
+		"invalid JSON":      "{",
+		"truncated JSON":    batchJSON(1)[:80],
+		"no event position": `{"pos":1,"entries":[{"hosts":{"hosts":[]}}]}`,
+		"invalid address":   `{"pos":1,"entries":[{"pos":1,"hosts":{"hosts":[{"host":"w","dial":"x","health":"up"}]}}]}`,
+		"unknown state": `{"pos":1,"entries":[{"pos":1,"hosts":{"hosts":[` +
 			`{"host":"w","dial":"127.0.0.1:1","health":"well"}]}}]}`,
 	} {
 		if batch, err := discovery.Parse([]byte(bad)); err == nil {
-			t.Errorf("%s: %s is parsed as %+v", name, bad, batch)
+			t.Errorf("%s: %s was parsed as %+v, want an error", name, bad, batch)
 		}
 	}
 	batch, err = discovery.Parse([]byte(`{"pos":3,"entries":[{"pos":3,"other":1}]}`))
 	if err != nil || batch.Events[0].Update != nil {
-		t.Error("an event of another sort:", batch, err)
+		t.Error("event that does not concern the endpoint list:", batch, err)
 	}
 }
 
@@ -112,10 +112,10 @@
 	MaxBytes:      1 << 16,
 }
 
-// An answer that breaks off counts as none, a silent service is polled again, at another address the positions go on,
-// and each event is passed on once.
+// A truncated answer must not be applied, a service that does not answer must be polled again, a new address must be
+// polled from the same position, and each event must be passed on only once.
 func TestWatch(t *testing.T) {
-	polls := make(chan string, 1000) // positions after which the services are polled
+	polls := make(chan string, 1000) // positions in the polls of both services
 	script := func(answers ...func(w http.ResponseWriter)) *httptest.Server {
 		var next atomic.Int64
 		service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -147,13 +147,13 @@
 	watcher, stop := runWatcher(t, first.Listener.Addr().String(), limits, func(event discovery.Event) { events <- event })
 	expectEvent(t, events, 1)
 	expectEvent(t, events, 2)
-	for range 7 { // past its script the service is silent, and is polled again after that
+	for range 7 { // at the end of its script the service does not answer, and is polled again
 		<-polls
 	}
 	watcher.SetAddress(second.Listener.Addr().String())
 	expectEvent(t, events, 3)
 	stop()
-	first.Close() // no handler runs any more
+	first.Close() // wait for the running handlers
 	second.Close()
 	last := ""
 	for len(polls) > 0 {
@@ -164,22 +164,22 @@
 	}
 }
 
-// A new address ends a wait at the old one at once.
+// A change of address must immediately cancel a poll that waits for an answer from the old address.
 func TestSetAddressInterruptsPoll(t *testing.T) {
-	mute, err := net.Listen("tcp", "127.0.0.1:0")
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer mute.Close()
+	defer unresponsive.Close()
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, batchJSON(1))
 	}))
 	defer service.Close()
-	patient := limits
-	patient.PollWait = time.Hour
+	longWait := limits
+	longWait.PollWait = time.Hour
 	events := make(chan discovery.Event, 1)
-	watcher, stop := runWatcher(t, mute.Addr().String(), patient, func(event discovery.Event) { events <- event })
-	conn, err := mute.Accept()
+	watcher, stop := runWatcher(t, unresponsive.Addr().String(), longWait, func(event discovery.Event) { events <- event })
+	conn, err := unresponsive.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -189,8 +189,8 @@
 	stop()
 }
 
-// scriptedWatcher runs a watcher whose service gives one answer after the other, and none after them. It returns the
-// events, and the positions after which the service is polled.
+// scriptedWatcher runs a watcher whose service returns the given answers in order and then does not answer any more. It
+// returns the events and the positions in the polls.
 func scriptedWatcher(t *testing.T, answers ...string) (events chan discovery.Event, polls chan string) {
 	t.Helper()
 	events, polls = make(chan discovery.Event, 100), make(chan string, 100)
@@ -208,14 +208,15 @@
 		}
 	}))
 	t.Cleanup(service.Close)
-	patient := limits
-	patient.PollWait = time.Minute
-	runWatcher(t, service.Listener.Addr().String(), patient, func(event discovery.Event) { events <- event })
+	longWait := limits
+	longWait.PollWait = time.Minute
+	runWatcher(t, service.Listener.Addr().String(), longWait, func(event discovery.Event) { events <- event })
 	return events, polls
 }
 
-// Events that are missing may have drained a worker: none of the answer is passed on, and the watcher polls for the
-// complete list. In that, what is left out is removed, and what is removed within the answer never was there.
+// Missing events may have drained a worker: after a gap the watcher must not pass on any event of the answer and must
+// poll for the complete list. Endpoints that are not in that list, or are removed by a later event of the same answer,
+// must not be in the resulting event.
 func TestMissingEventsCauseResync(t *testing.T) {
 	removed := strings.Replace(eventJSON(5), `"up"`, `"removed"`, 1)
 	resync := fmt.Sprintf(`{"pos":6,"entries":[%s,%s,%s,%s]}`,
@@ -229,18 +230,18 @@
 		names = append(names, endpoint.Name)
 	}
 	if !event.Update.Complete || fmt.Sprint(names) != "[w1 w4]" {
-		t.Errorf("complete %v, %v", event.Update.Complete, names)
+		t.Errorf("got complete %v, endpoints %v, want the complete list of w1 and w4", event.Update.Complete, names)
 	}
 	expectEvent(t, events, 7)
 	for _, want := range []string{"0", "2", "0", "6", "7"} {
 		if got := <-polls; got != want {
-			t.Errorf("polled for events after %s instead of %s", got, want)
+			t.Errorf("polled for events after position %s, want %s", got, want)
 		}
 	}
 }
 
-// A complete list out of turn needs no event before it; an event that is known already is not passed on again, nor an
-// older list.
+// An event with the complete list must be accepted after a gap. Events that were already received, and an older list,
+// must not be passed on again.
 func TestCompleteUpdateNeedsNoPredecessor(t *testing.T) {
 	complete := strings.Replace(eventJSON(9), `"whole":false`, `"whole":true`, 1)
 	events, _ := scriptedWatcher(t,
@@ -250,7 +251,8 @@
 	expectEvent(t, events, 10)
 }
 
-// A service that answers at once with nothing new, or with a position past its events, is not polled without a pause.
+// A service that answers immediately without new events, or with a position beyond its events, must not be polled in a
+// tight loop.
 func TestEmptyBatchBacksOff(t *testing.T) {
 	empty := `{"pos":7,"entries":[]}`
 	_, polls := scriptedWatcher(t, empty, empty, empty, empty, empty)
@@ -259,7 +261,7 @@
 	for range 5 {
 		<-polls
 	}
-	if least := 5 * limits.UsualResponse / 8 / 2; time.Since(first) < least { // a pause is drawn from half its length on
-		t.Errorf("polled five times within %v", time.Since(first))
+	if least := 5 * limits.UsualResponse / 8 / 2; time.Since(first) < least { // a random backoff is at least half as long
+		t.Errorf("polled five times within %v, want backoffs between the polls", time.Since(first))
 	}
 }
