--- a/internal/gateway/settings/core.go
+++ b/internal/gateway/settings/core.go
@@ -9,11 +9,11 @@
 	"lupinpond/scheduler"
 )
 
-// minSubscribeInterval is the interval where endpoints are to be polled for and the settings name none: not 0, which
-// would mean that they come unasked.
+// minSubscribeInterval is the subscribe interval if the gateway must poll for the endpoint list but the settings state
+// no interval. It is not 0, because 0 means that the list is sent without polling.
 const minSubscribeInterval time.Duration = 1
 
-// Core is what a core is started with.
+// Core returns the settings of a gateway's core. seed seeds its random numbers.
 func (v Values) Core(seed uint64) core.Settings {
 	s := core.Settings{
 		Seed:            seed,
@@ -54,21 +54,21 @@
 	return s
 }
 
-// UsesWorkerSizes reports whether the sizes on the endpoint list count.
+// UsesWorkerSizes reports whether the sizes of workers on the endpoint list are used as their capacities.
 func (v Values) UsesWorkerSizes() bool {
 	return v["weight_source"] == "nominal" || v["weight_source"] == "rough"
 }
 
 func (v Values) requestTypes() (types []scheduler.RequestType) {
 	for i := range int(v.Number("request_classes.count", 0)) {
-		at := "request_classes." + strconv.Itoa(i) + "."
-		maxAge := v.Duration(at+"give_up", 0)
+		prefix := "request_classes." + strconv.Itoa(i) + "."
+		maxAge := v.Duration(prefix+"give_up", 0)
 		types = append(types, scheduler.RequestType{
-			Name:        v[at+"name"],
-			Effect:      parseEffect(v[at+"effect"]),
-			DedupScope:  parseDedupScope(v[at+"dedup_scope"]),
-			DedupWindow: v.Duration(at+"window", 0),
-			Objective:   v.Duration(at+"aim", maxAge),
+			Name:        v[prefix+"name"],
+			Effect:      parseEffect(v[prefix+"effect"]),
+			DedupScope:  parseDedupScope(v[prefix+"dedup_scope"]),
+			DedupWindow: v.Duration(prefix+"window", 0),
+			Objective:   v.Duration(prefix+"aim", maxAge),
 		})
 	}
 	return types
@@ -76,8 +76,8 @@
 
 func (v Values) tenants() (tenants []core.Tenant) {
 	for i := range int(v.Number("orgs.count", 0)) {
-		at := "orgs." + strconv.Itoa(i) + "."
-		tenants = append(tenants, core.Tenant{Name: v[at+"name"], Quota: v.Number(at+"quota_per_s", 0)})
+		prefix := "orgs." + strconv.Itoa(i) + "."
+		tenants = append(tenants, core.Tenant{Name: v[prefix+"name"], Quota: v.Number(prefix+"quota_per_s", 0)})
 	}
 	return tenants
 }
@@ -85,7 +85,7 @@
 func (v Values) workerKinds() (kinds []core.WorkerKind) {
 	names, memory := strings.Split(v["kinds"], ","), strings.Split(v["family_info.machine_mb"], ",")
 	for i := range min(len(names), len(memory)) {
-		mb, _ := strconv.ParseFloat(memory[i], 64) // what is no number counts as 0
+		mb, _ := strconv.ParseFloat(memory[i], 64) // an invalid number counts as 0
 		kinds = append(kinds, core.WorkerKind{Name: names[i], Memory: mb})
 	}
 	return kinds
--- a/internal/gateway/settings/settings_test.go
+++ b/internal/gateway/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"lupinpond/scheduler"
 )
 
-// Nested JSON gives the paths that the simulator's first message has.
+// Nested JSON must be flattened to the paths from which Core reads the settings, as in the simulator's first message.
 func TestFlatten(t *testing.T) {
 	decoder := json.NewDecoder(strings.NewReader(`{"index":1,"instances":3,"quantum":0.001,"kinds":["fast","std"],
 		"family_info":{"machine_mb":[183936.0,187136.5],"orders":true,"miss_mode":"load","keep":4.75,"order_limit":4},
--- a/internal/gateway/settings/values.go
+++ b/internal/gateway/settings/values.go
@@ -1,5 +1,5 @@
-// Package settings reads the operators' settings object, which the simulator's first message and the configuration of a
-// gateway on the platform both hold, under the same names and in the same units.
+// Package settings reads the operators' settings object. Both the simulator's first message and the configuration of a
+// gateway on the platform contain this object, with the same keys and units.
 package settings
 
 import (
@@ -10,11 +10,12 @@
 	"time"
 )
 
-// Values holds settings by path. A list of scalars is one text with commas; a list of objects has its count, and its
-// elements by their index.
+// Values maps the paths of settings to their values. The keys on a path are joined by dots. A list of scalars is stored
+// as one comma-separated string. The elements of a list of objects are stored under their index, and every list has its
+// length under the key count.
 type Values map[string]string
 
-// Flatten makes Values of nested JSON, decoded with numbers as json.Number.
+// Flatten converts a nested JSON object to Values. Numbers must be decoded as json.Number.
 func Flatten(object map[string]any) Values {
 	values := Values{}
 	values.flatten("", object)
@@ -45,7 +46,7 @@
 	}
 }
 
-// scalarText is the text of a string, a number or a truth value.
+// scalarText returns the text of a string, number or boolean. ok is false for any other type.
 func scalarText(value any) (text string, ok bool) {
 	switch value := value.(type) {
 	case string:
@@ -58,7 +59,7 @@
 	return "", false
 }
 
-// Number returns the number at a path, or fallback where there is none.
+// Number returns the finite number at a path, or fallback if there is none.
 func (v Values) Number(path string, fallback float64) float64 {
 	n, err := strconv.ParseFloat(v[path], 64)
 	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
@@ -67,7 +68,7 @@
 	return n
 }
 
-// Duration returns the duration at a path, which is in seconds, or fallback where there is none.
+// Duration returns the duration at a path, which is given in seconds, or fallback if there is none or it is negative.
 func (v Values) Duration(path string, fallback time.Duration) time.Duration {
 	if n := v.Number(path, -1); n >= 0 {
 		return Seconds(n)
@@ -75,7 +76,7 @@
 	return fallback
 }
 
-// Bool returns the truth value at a path, or fallback where there is none.
+// Bool returns the boolean at a path, or fallback if there is none.
 func (v Values) Bool(path string, fallback bool) bool {
 	switch v[path] {
 	case "true", "1":
@@ -86,10 +87,11 @@
 	return fallback
 }
 
-// maxMicroseconds is the longest duration, a quarter of what a Duration holds, so that sums of them don't overflow.
+// maxMicroseconds is the maximum duration in microseconds. It is a quarter of the range of time.Duration, so that sums
+// of a few durations do not overflow.
 const maxMicroseconds = math.MaxInt64 / 4000
 
-// Seconds converts seconds to a Duration, to the nearest microsecond.
+// Seconds converts seconds to a Duration, rounded to the nearest microsecond.
 func Seconds(seconds float64) time.Duration {
 	microseconds := math.Round(seconds * 1e6)
 	if microseconds > maxMicroseconds {
