--- a/internal/gateway/fleetconfig/core.go
+++ b/internal/gateway/fleetconfig/core.go
@@ -5,7 +5,8 @@
 	"lupinpond/scheduler"
 )
 
-// Core is what the core of a gateway is started with; index is its own among so many gateways.
+// Core returns the settings of a gateway's core. index is the gateway's index, starting at 0, and gateways is the
+// number of gateways in the fleet.
 func (f File) Core(seed uint64, index, gateways int) core.Settings {
 	policy := f.Fleet.Policy
 	return core.Settings{
@@ -70,7 +71,7 @@
 	return kinds
 }
 
-// SchedulerType is the request type as the scheduler knows it.
+// SchedulerType returns the request type in the form that the scheduler uses.
 func (t RequestType) SchedulerType() scheduler.RequestType {
 	requestType := scheduler.RequestType{
 		Name:        t.Name,
--- a/internal/gateway/fleetconfig/file.go
+++ b/internal/gateway/fleetconfig/file.go
@@ -2,7 +2,7 @@
 
 import (
 	"bytes"
-	_ "embed" // the defaults
+	_ "embed" // embeds defaults.yaml
 	"fmt"
 	"os"
 
@@ -12,10 +12,10 @@
 //go:embed defaults.yaml
 var defaultText []byte
 
-// defaultName is the name of the defaults in messages.
+// defaultName is the name of the default settings in error messages.
 const defaultName = "built-in defaults"
 
-// Default is the embedded file.
+// Default returns the built-in default settings.
 func Default() (File, error) {
 	var file File
 	if err := file.decode(defaultName, defaultText); err != nil {
@@ -24,10 +24,10 @@
 	return file, nil
 }
 
-// DefaultText is the text of the embedded file.
+// DefaultText returns the built-in default settings as YAML text.
 func DefaultText() []byte { return bytes.Clone(defaultText) }
 
-// Read reads a file.
+// Read reads and parses a settings file.
 func Read(path string) (File, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -36,8 +36,8 @@
 	return Parse(path, b)
 }
 
-// Parse parses and checks settings; name is theirs in messages. What they leave out of front is as in the defaults;
-// fleet and functions must be complete.
+// Parse parses and validates settings. name identifies them in error messages. Settings that are missing in the section
+// front have their default values; the sections fleet and functions have no defaults.
 func Parse(name string, b []byte) (File, error) {
 	defaults, err := Default()
 	if err != nil {
@@ -50,7 +50,7 @@
 	return file, nil
 }
 
-// decode decodes settings into the file, and checks them.
+// decode decodes settings into f and validates the result.
 func (f *File) decode(name string, b []byte) error {
 	if err := config.DecodeStrict(name, b, f); err != nil {
 		return err
--- a/internal/gateway/fleetconfig/schema.go
+++ b/internal/gateway/fleetconfig/schema.go
@@ -1,6 +1,6 @@
-// Package fleetconfig reads the YAML file of a fleet: request types, tenants, functions, limits and the gateway
-// itself. It is strict: a value that contradicts another is an error with file, line and column, before anything
-// listens.
+// Package fleetconfig reads the YAML settings file of a fleet: request types, tenants, functions, limits and the
+// gateway itself. It validates strictly: unknown keys, invalid values and values that contradict each other are errors
+// with file, line and column, reported before the program listens on any socket.
 package fleetconfig
 
 import (
@@ -9,32 +9,32 @@
 	"lupinpond/internal/base/config"
 )
 
-// Effects of a request type: what repeating a request of it does.
+// Effects of a request type: whether a request of the type may run more than once.
 const (
-	EffectRedeliverable = "redeliverable" // idempotent: it may run any number of times
-	EffectKeyed         = "keyed"         // idempotent with an idempotency key
-	EffectAtMostOnce    = "at-most-once"
+	EffectRedeliverable = "redeliverable" // the request is idempotent and may run any number of times
+	EffectKeyed         = "keyed"         // the request is idempotent with an idempotency key
+	EffectAtMostOnce    = "at-most-once"  // the request must not run more than once
 )
 
-// Scopes within which workers recognise an idempotency key.
+// Scopes within which workers share idempotency keys and so recognise duplicates.
 const (
 	ScopeAll  = "all"
 	ScopeZone = "zone"
 	ScopeCell = "cell"
 )
 
-// What a worker does with a request whose function is not loaded.
+// Behaviors of a worker that receives a request whose function is not loaded.
 const (
-	OnMissLoad = "load" // it loads the function, and the request waits for that
-	OnMissMiss = "miss" // it returns the request
+	OnMissLoad = "load" // the worker loads the function while the request waits
+	OnMissMiss = "miss" // the worker returns the request without running it
 )
 
-// What the endpoint list and load reports say of workers.
+// Contents of the endpoint list and of load reports.
 const (
-	SizesCores     = "cores"   // the sizes on the list are workers' capacities
-	SizesNone      = "none"    // nothing says those; also when left out
-	ReportsWaiting = "waiting" // load reports have the queue depth; also when left out
-	ReportsNone    = "none"    // they don't
+	SizesCores     = "cores"   // the endpoint list states the capacity of each worker in cores
+	SizesNone      = "none"    // the endpoint list does not state capacities; the default
+	ReportsWaiting = "waiting" // load reports contain the queue depth; the default
+	ReportsNone    = "none"    // load reports do not contain the queue depth
 )
 
 // File is a complete settings file.
@@ -44,7 +44,7 @@
 	Gateway   Gateway    `yaml:"front"`
 }
 
-// Fleet is what all gateways share.
+// Fleet holds the settings that all gateways of a fleet share.
 type Fleet struct {
 	Types      []RequestType `yaml:"types"`
 	Tenants    []Tenant      `yaml:"tenants"`
@@ -52,61 +52,62 @@
 	SlowStart  SlowStart     `yaml:"cold"`
 	Workers    Workers       `yaml:"workers"`
 
-	// CrossZoneCost says that attempts in other zones than the gateway's cost something.
+	// CrossZoneCost is whether attempts in a zone other than the gateway's have a cost.
 	CrossZoneCost bool   `yaml:"crossing"`
 	Policy        Policy `yaml:"allowed"`
 
-	// AnswerSlack is how long after a client's deadline a final answer still counts.
+	// AnswerSlack is the time after a client's deadline within which a final response is still in time.
 	AnswerSlack config.Duration `yaml:"answer-slack"`
 
-	// DrainGrace is how long after the notice of a drain requests may still go to the worker.
+	// DrainGrace is the time after the notice of a worker's drain within which requests may still be sent to the worker.
 	DrainGrace config.Duration `yaml:"stop-sending-within"`
 
-	// SubscribeInterval is how often the endpoint list is polled for without a subscription.
+	// SubscribeInterval is the interval at which the gateway requests the endpoint list while it has no subscription.
 	SubscribeInterval config.Duration `yaml:"ask-list-within"`
 
-	// MinTickInterval is the least time between two calls of the scheduler.
+	// MinTickInterval is the minimum time between two ticks of the scheduler.
 	MinTickInterval config.Duration `yaml:"quantum"`
 }
 
-// RequestType is what is known beforehand of the requests of one type.
+// RequestType holds the settings of the requests of one type.
 type RequestType struct {
 	Name   string `yaml:"name"`
 	Effect string `yaml:"effect"`
 
-	// DedupScope is where, and DedupWindow how long, duplicates of a keyed type are recognised.
-	DedupScope  string          `yaml:"group"`
-	DedupWindow config.Duration `yaml:"window"`
+	DedupScope  string          `yaml:"group"`  // scope within which workers recognise duplicates of a keyed request
+	DedupWindow config.Duration `yaml:"window"` // time for which workers recognise duplicates of a keyed request
 
-	Objective config.Duration `yaml:"target"` // of latency
-	MaxAge    config.Duration `yaml:"max-age"`
-	Weight    float64         `yaml:"benefit"` // of priority
+	Objective config.Duration `yaml:"target"`  // latency objective
+	MaxAge    config.Duration `yaml:"max-age"` // maximum time until the client's deadline
+	Weight    float64         `yaml:"benefit"` // priority weight; the gateway does not use it
 }
 
-// Tenant is a tenant and its quota, in requests a second at all gateways together.
+// Tenant is a tenant and its quota in requests per second, summed over all gateways.
 type Tenant struct {
 	Name  string  `yaml:"name"`
 	Quota float64 `yaml:"share"`
 }
 
-// LoadPolicy is how functions are loaded at workers.
+// LoadPolicy specifies how functions are loaded at workers.
 type LoadPolicy struct {
-	RequestLoads       bool            `yaml:"orders"`
-	OnMiss             string          `yaml:"on-miss"`
-	ReplicaIdleTimeout config.Duration `yaml:"keep"` // the least time that an idle replica stays
-	RequestTimeout     config.Duration `yaml:"order-limit"`
+	RequestLoads       bool            `yaml:"orders"`      // whether gateways send load requests
+	OnMiss             string          `yaml:"on-miss"`     // behavior of a worker on a miss: OnMissLoad or OnMissMiss
+	ReplicaIdleTimeout config.Duration `yaml:"keep"`        // minimum time for which an idle replica stays loaded
+	RequestTimeout     config.Duration `yaml:"order-limit"` // timeout of a load request
 	RateLimit          LoadRateLimit   `yaml:"ration"`
 }
 
-// LoadRateLimit bounds the load requests in any window: Burst, and PerRequest for each request in it.
+// LoadRateLimit limits the number of load requests in any interval of length Window to Burst + PerRequest * n, where n
+// is the number of client requests in the interval.
 type LoadRateLimit struct {
 	Window     config.Duration `yaml:"within"`
 	Burst      float64         `yaml:"free"`
 	PerRequest float64         `yaml:"share"`
 }
 
-// SlowStart is what a worker that is warming up can take: at first InitialShare of its capacity, all of it after
-// WarmUpTime. CrashMultiple of its present capacity, for CrashWindow, makes it crash.
+// SlowStart describes the capacity of a worker that is warming up. It starts at InitialShare of the full capacity and
+// reaches the full capacity after WarmUpTime. A load of CrashMultiple times the current capacity for CrashWindow makes
+// the worker crash.
 type SlowStart struct {
 	InitialShare  float64         `yaml:"from"`
 	WarmUpTime    config.Duration `yaml:"warm-after"`
@@ -114,75 +115,76 @@
 	CrashWindow   config.Duration `yaml:"fall"`
 }
 
-// Workers is what the endpoint list and the load reports say of workers.
+// Workers specifies what the endpoint list and the load reports state about workers.
 type Workers struct {
-	Sizes   string       `yaml:"sizes"`
-	Kinds   []WorkerKind `yaml:"kinds"` // of the list; none: their memory is not known
-	Reports string       `yaml:"reports"`
+	Sizes   string       `yaml:"sizes"`   // contents of the endpoint list: SizesCores or SizesNone
+	Kinds   []WorkerKind `yaml:"kinds"`   // kinds on the endpoint list; if empty, the memory of workers is unknown
+	Reports string       `yaml:"reports"` // contents of load reports: ReportsWaiting or ReportsNone
 }
 
-// WorkerKind is a kind of worker.
+// WorkerKind is a kind of worker and the memory of a worker of that kind.
 type WorkerKind struct {
 	Name   string          `yaml:"name"`
 	Memory config.ByteSize `yaml:"memory"`
 }
 
-// Policy is what a gateway may do.
+// Policy specifies which actions a gateway may take.
 type Policy struct {
-	MaxAttempts int  `yaml:"launches"`
-	Cancel      bool `yaml:"cancel"`
-	Probe       bool `yaml:"probe"`
+	MaxAttempts int  `yaml:"launches"` // maximum number of attempts of a request
+	Cancel      bool `yaml:"cancel"`   // whether attempts may be cancelled
+	Probe       bool `yaml:"probe"`    // whether workers may be probed
 
-	// MaxRetryAfter is the longest Retry-After that clients honour; with 0s none is sent.
+	// MaxRetryAfter is the maximum Retry-After that clients honor. If it is 0s, no Retry-After is sent.
 	MaxRetryAfter config.Duration `yaml:"retry-after"`
 
-	// Hedging lets attempts of one request overlap. The scheduler starts none; rule 2 is judged by it.
+	// Hedging allows concurrent attempts of the same request. The scheduler never sends hedged requests; the setting only
+	// affects how the test bed's checker judges rule 2.
 	Hedging bool `yaml:"second-copies"`
 }
 
-// Function is a function that requests name.
+// Function is a function that requests can invoke by its name.
 type Function struct {
 	Name        string          `yaml:"name"`
 	Type        string          `yaml:"type"`
 	Tenant      string          `yaml:"tenant"`
-	Concurrency int             `yaml:"lanes"`
-	Memory      config.ByteSize `yaml:"memory"`
-	LoadTime    config.Duration `yaml:"load-time"` // usual; 0s: not known
+	Concurrency int             `yaml:"lanes"`     // maximum number of concurrent requests of a replica
+	Memory      config.ByteSize `yaml:"memory"`    // memory of a replica
+	LoadTime    config.Duration `yaml:"load-time"` // usual load time; 0s if unknown
 }
 
-// ID is the number by which the scheduler knows the function.
+// ID returns the ID of the function in the scheduler.
 func (f Function) ID() uint64 { return xxhash.Sum64String(f.Name) }
 
-// Gateway is one gateway.
+// Gateway holds the settings of a single gateway.
 type Gateway struct {
 	Listen      string       `yaml:"listen"`
 	RegistryURL string       `yaml:"list"`
-	Zone        string       `yaml:"zone"` // its own, as on the endpoint list; only with fleet.crossing
+	Zone        string       `yaml:"zone"` // the gateway's zone, named as on the endpoint list; only with fleet.crossing
 	Limits      ClientLimits `yaml:"limits"`
 	WorkerRPC   WorkerRPC    `yaml:"link"`
 }
 
-// ClientLimits bound what clients can take of a gateway.
+// ClientLimits limits the resources of a gateway that clients can occupy.
 type ClientLimits struct {
-	Header      config.ByteSize `yaml:"header"`
-	Body        config.ByteSize `yaml:"body"`
-	Connections int             `yaml:"connections"`
-	InFlight    int             `yaml:"in-hand"`
-	Read        config.Duration `yaml:"read"`  // of a complete request
-	Write       config.Duration `yaml:"write"` // of a complete response
-	Idle        config.Duration `yaml:"idle"`  // between requests
+	Header      config.ByteSize `yaml:"header"`      // maximum size of a request's headers
+	Body        config.ByteSize `yaml:"body"`        // maximum size of a request's body
+	Connections int             `yaml:"connections"` // maximum number of open connections
+	InFlight    int             `yaml:"in-hand"`     // maximum number of requests in flight
+	Read        config.Duration `yaml:"read"`        // timeout for reading a complete request
+	Write       config.Duration `yaml:"write"`       // timeout for writing a complete response
+	Idle        config.Duration `yaml:"idle"`        // timeout of a connection between requests
 }
 
-// WorkerRPC bounds the connections to workers.
+// WorkerRPC limits the connections to workers.
 type WorkerRPC struct {
-	Dial  config.Duration `yaml:"dial"`
-	Queue config.Duration `yaml:"queue"`
-	Stall config.Duration `yaml:"stall"`
-	Calls int             `yaml:"calls"`
-	Bytes config.ByteSize `yaml:"bytes"`
+	Dial  config.Duration `yaml:"dial"`  // timeout for connecting
+	Queue config.Duration `yaml:"queue"` // maximum time for which a call waits to be written
+	Stall config.Duration `yaml:"stall"` // timeout of a write, after which the connection is closed
+	Calls int             `yaml:"calls"` // maximum number of queued calls per worker
+	Bytes config.ByteSize `yaml:"bytes"` // maximum total size of the bodies of queued calls per worker
 }
 
-// RequestType finds a request type by name.
+// RequestType returns the request type with the given name. It returns false if there is none.
 func (f File) RequestType(name string) (RequestType, bool) {
 	for _, t := range f.Fleet.Types {
 		if t.Name == name {
--- a/internal/gateway/fleetconfig/validate.go
+++ b/internal/gateway/fleetconfig/validate.go
@@ -8,17 +8,17 @@
 	"lupinpond/internal/base/config"
 )
 
-// Bounds of settings.
+// Limits of settings.
 const (
 	maxAttempts      = 100
 	maxWeight        = 1e9
-	maxQuota         = 1e9      // requests a second
-	maxCrashMultiple = 1e6      // of a worker's capacity
+	maxQuota         = 1e9      // requests per second
+	maxCrashMultiple = 1e6      // multiple of a worker's capacity
 	minHeader        = 1 << 10  // bytes
 	maxBody          = 12 << 20 // bytes
 )
 
-// violation is a setting that is not valid, at a YAML path.
+// violation is an invalid setting: its YAML path and the reason why it is invalid.
 type violation struct{ path, reason string }
 
 // validate returns the first violation, or nil.
@@ -31,7 +31,7 @@
 		f.Fleet.Policy.validate,
 		f.Fleet.validateTimes,
 		f.Fleet.Workers.validate,
-		f.validateShape,
+		f.validateConsistency,
 		f.validateFunctions,
 		f.Gateway.validate,
 	} {
@@ -48,37 +48,37 @@
 	}
 	names := map[string]bool{}
 	for i, t := range f.Types {
-		at := fmt.Sprintf("$.fleet.types[%d].", i)
+		prefix := fmt.Sprintf("$.fleet.types[%d].", i)
 		if t.Name == "" || names[t.Name] {
-			return &violation{at + "name", "each request type needs a name of its own"}
+			return &violation{prefix + "name", "each request type needs a unique name"}
 		}
 		names[t.Name] = true
-		if v := t.validate(at); v != nil {
+		if v := t.validate(prefix); v != nil {
 			return v
 		}
 	}
 	return nil
 }
 
-// validate checks all of a request type but its name; at is the beginning of its path.
-func (t RequestType) validate(at string) *violation {
+// validate checks all settings of a request type except its name. prefix is the prefix of their YAML paths.
+func (t RequestType) validate(prefix string) *violation {
 	switch keyed := t.Effect == EffectKeyed; {
 	case t.Effect != EffectRedeliverable && !keyed && t.Effect != EffectAtMostOnce:
-		return &violation{at + "effect", fmt.Sprintf("%q is not redeliverable, keyed or at-most-once", t.Effect)}
+		return &violation{prefix + "effect", fmt.Sprintf("%q is not redeliverable, keyed or at-most-once", t.Effect)}
 	case keyed && t.DedupScope != ScopeAll && t.DedupScope != ScopeZone && t.DedupScope != ScopeCell:
-		return &violation{at + "group", fmt.Sprintf("a keyed type needs the group all, zone or cell, not %q", t.DedupScope)}
+		return &violation{prefix + "group", fmt.Sprintf("a keyed type needs group all, zone or cell, got %q", t.DedupScope)}
 	case !keyed && t.DedupScope != "":
-		return &violation{at + "group", "only keyed types have a group"}
+		return &violation{prefix + "group", "only a keyed type may have a group"}
 	case keyed && t.DedupWindow <= 0:
-		return &violation{at + "window", "a keyed type needs a window"}
+		return &violation{prefix + "window", "a keyed type needs a window of more than 0s"}
 	case !keyed && t.DedupWindow != 0:
-		return &violation{at + "window", "only keyed types have a window"}
+		return &violation{prefix + "window", "only a keyed type may have a window"}
 	case t.Objective <= 0:
-		return &violation{at + "target", "a target time is more than 0s"}
+		return &violation{prefix + "target", "the target time must be more than 0s"}
 	case t.MaxAge < t.Objective:
-		return &violation{at + "max-age", "the max age is at least the target time"}
+		return &violation{prefix + "max-age", "the max age must be at least the target time"}
 	case !(t.Weight >= 0 && t.Weight < maxWeight):
-		return &violation{at + "benefit", "a benefit is 0 or more"}
+		return &violation{prefix + "benefit", "the benefit must be at least 0 and less than 1e9"}
 	}
 	return nil
 }
@@ -86,12 +86,12 @@
 func (f Fleet) validateTenants() *violation {
 	names := map[string]bool{}
 	for i, t := range f.Tenants {
-		at := fmt.Sprintf("$.fleet.tenants[%d].", i)
+		prefix := fmt.Sprintf("$.fleet.tenants[%d].", i)
 		if t.Name == "" || names[t.Name] {
-			return &violation{at + "name", "each tenant needs a name of its own"}
+			return &violation{prefix + "name", "each tenant needs a unique name"}
 		}
 		if !(t.Quota > 0 && t.Quota < maxQuota) {
-			return &violation{at + "share", "a share is more than 0 requests a second"}
+			return &violation{prefix + "share", "the share must be more than 0 and less than 1e9 requests per second"}
 		}
 		names[t.Name] = true
 	}
@@ -103,15 +103,15 @@
 	case p.OnMiss != OnMissLoad && !miss:
 		return &violation{"$.fleet.loading.on-miss", fmt.Sprintf("%q is not load or miss", p.OnMiss)}
 	case miss && !p.RequestLoads:
-		return &violation{"$.fleet.loading.on-miss", "miss without orders: nothing would ever load"}
+		return &violation{"$.fleet.loading.on-miss", "miss requires orders: no function would ever be loaded without them"}
 	case p.ReplicaIdleTimeout <= 0:
-		return &violation{"$.fleet.loading.keep", "an idle replica stays longer than 0s"}
+		return &violation{"$.fleet.loading.keep", "the time for which an idle replica is kept must be more than 0s"}
 	case p.RequestLoads && p.RequestTimeout <= 0:
-		return &violation{"$.fleet.loading.order-limit", "orders need a limit of more than 0s"}
+		return &violation{"$.fleet.loading.order-limit", "orders require an order limit of more than 0s"}
 	case !(p.RateLimit.Burst >= 0 && p.RateLimit.PerRequest >= 0):
-		return &violation{"$.fleet.loading.ration", "free and share are 0 or more"}
+		return &violation{"$.fleet.loading.ration", "free and share must be at least 0"}
 	case miss && p.RateLimit.Window > 0 && p.RateLimit.Burst+p.RateLimit.PerRequest == 0:
-		return &violation{"$.fleet.loading.ration", "no order would ever be allowed, and nothing loads on a miss"}
+		return &violation{"$.fleet.loading.ration", "with on-miss: miss, free or share must be more than 0 to allow orders"}
 	}
 	return nil
 }
@@ -119,18 +119,18 @@
 func (s SlowStart) validate() *violation {
 	switch {
 	case !(s.InitialShare >= 0 && s.InitialShare <= 1):
-		return &violation{"$.fleet.cold.from", "a part of the capacity is between 0 and 1"}
+		return &violation{"$.fleet.cold.from", "the initial share of the capacity must be between 0 and 1"}
 	case !(s.CrashMultiple >= 0 && s.CrashMultiple < maxCrashMultiple):
-		return &violation{"$.fleet.cold.fall-multiple", "a multiple is 0 or more"}
+		return &violation{"$.fleet.cold.fall-multiple", "the fall multiple must be at least 0 and less than 1e6"}
 	case s.CrashMultiple > 0 && (s.CrashWindow <= 0 || s.WarmUpTime <= 0 || s.InitialShare == 0):
-		return &violation{"$.fleet.cold", "a fall multiple needs from, warm-after and fall"}
+		return &violation{"$.fleet.cold", "a fall multiple requires from, warm-after and fall to be more than 0"}
 	}
 	return nil
 }
 
 func (p Policy) validate() *violation {
 	if p.MaxAttempts < 1 || p.MaxAttempts > maxAttempts {
-		return &violation{"$.fleet.allowed.launches", "between 1 and 100 attempts a request"}
+		return &violation{"$.fleet.allowed.launches", "the number of attempts per request must be between 1 and 100"}
 	}
 	return nil
 }
@@ -138,11 +138,11 @@
 func (f Fleet) validateTimes() *violation {
 	switch {
 	case f.MinTickInterval <= 0:
-		return &violation{"$.fleet.quantum", "more than 0s"}
+		return &violation{"$.fleet.quantum", "must be more than 0s"}
 	case f.SubscribeInterval <= 0:
-		return &violation{"$.fleet.ask-list-within", "more than 0s"}
+		return &violation{"$.fleet.ask-list-within", "must be more than 0s"}
 	case f.DrainGrace <= 0:
-		return &violation{"$.fleet.stop-sending-within", "more than 0s"}
+		return &violation{"$.fleet.stop-sending-within", "must be more than 0s"}
 	}
 	return nil
 }
@@ -150,12 +150,12 @@
 func (w Workers) validate() *violation {
 	names := map[string]bool{}
 	for i, kind := range w.Kinds {
-		at := fmt.Sprintf("$.fleet.workers.kinds[%d].", i)
+		prefix := fmt.Sprintf("$.fleet.workers.kinds[%d].", i)
 		switch {
 		case kind.Name == "" || names[kind.Name]:
-			return &violation{at + "name", "each kind needs a name of its own"}
+			return &violation{prefix + "name", "each kind needs a unique name"}
 		case kind.Memory <= 0:
-			return &violation{at + "memory", "more than 0B"}
+			return &violation{prefix + "memory", "must be more than 0B"}
 		}
 		names[kind.Name] = true
 	}
@@ -168,15 +168,15 @@
 	return nil
 }
 
-// validateShape finds settings that stand for different shapes of deployment.
-func (f File) validateShape() *violation {
+// validateConsistency checks settings of different sections that must be consistent with each other.
+func (f File) validateConsistency() *violation {
 	switch {
 	case f.Fleet.LoadPolicy.OnMiss == OnMissMiss && f.Fleet.Policy.MaxAttempts < 2:
-		return &violation{"$.fleet.allowed.launches", "with fleet.loading.on-miss miss a miss spends an attempt: at least 2"}
+		return &violation{"$.fleet.allowed.launches", "with fleet.loading.on-miss: miss, at least 2 launches are needed"}
 	case f.Fleet.CrossZoneCost && f.Gateway.Zone == "":
 		return &violation{"$.front.zone", "fleet.crossing needs the gateway's own zone"}
 	case !f.Fleet.CrossZoneCost && f.Gateway.Zone != "":
-		return &violation{"$.front.zone", "a zone has no meaning without fleet.crossing"}
+		return &violation{"$.front.zone", "a zone has no effect without fleet.crossing"}
 	}
 	return nil
 }
@@ -193,18 +193,18 @@
 		tenants[t.Name] = true
 	}
 	for i, function := range f.Functions {
-		at := fmt.Sprintf("$.functions[%d].", i)
+		prefix := fmt.Sprintf("$.functions[%d].", i)
 		switch {
 		case function.Name == "" || names[function.Name] || strings.ContainsAny(function.Name, "/?# "):
-			return &violation{at + "name", "each function needs a name of its own without /, ?, # or a space"}
+			return &violation{prefix + "name", "each function needs a unique name without /, ?, # or spaces"}
 		case !types[function.Type]:
-			return &violation{at + "type", fmt.Sprintf("no request type %q in fleet.types", function.Type)}
+			return &violation{prefix + "type", fmt.Sprintf("no request type %q in fleet.types", function.Type)}
 		case function.Tenant != "" && !tenants[function.Tenant]:
-			return &violation{at + "tenant", fmt.Sprintf("no tenant %q in fleet.tenants", function.Tenant)}
+			return &violation{prefix + "tenant", fmt.Sprintf("no tenant %q in fleet.tenants", function.Tenant)}
 		case function.Concurrency < 1:
-			return &violation{at + "lanes", "at least one lane"}
+			return &violation{prefix + "lanes", "must be at least 1"}
 		case function.Memory <= 0:
-			return &violation{at + "memory", "more than 0B"}
+			return &violation{prefix + "memory", "must be more than 0B"}
 		}
 		names[function.Name] = true
 	}
@@ -217,29 +217,29 @@
 	}
 	registry, err := url.Parse(g.RegistryURL)
 	if err != nil || registry.Scheme != "http" || config.CheckLoopback(registry.Host) != nil {
-		return &violation{"$.front.list", fmt.Sprintf("%q is no http address on loopback", g.RegistryURL)}
+		return &violation{"$.front.list", fmt.Sprintf("%q is not an http URL on loopback", g.RegistryURL)}
 	}
 	if reason := g.Limits.reason(); reason != "" {
 		return &violation{"$.front.limits", reason}
 	}
 	switch rpc := g.WorkerRPC; {
 	case rpc.Dial <= 0 || rpc.Queue <= 0 || rpc.Stall <= 0:
-		return &violation{"$.front.link", "dial, queue and stall are more than 0s"}
+		return &violation{"$.front.link", "dial, queue and stall must be more than 0s"}
 	case rpc.Calls < 1 || rpc.Bytes < g.Limits.Body:
-		return &violation{"$.front.link", "at least 1 call, and bytes for at least one whole body"}
+		return &violation{"$.front.link", "calls must be at least 1, and bytes at least front.limits.body"}
 	}
 	return nil
 }
 
-// reason is why limits are not valid; empty: they are.
+// reason returns the reason why the limits are invalid, or an empty string if they are valid.
 func (l ClientLimits) reason() string {
 	switch {
 	case l.Header < minHeader || l.Body < 1 || l.Body > maxBody:
-		return "header at least 1KiB, body from 1B to 12MiB"
+		return "header must be at least 1KiB, and body between 1B and 12MiB"
 	case l.Connections < 1 || l.InFlight < 1:
-		return "connections and in-hand are at least 1"
+		return "connections and in-hand must be at least 1"
 	case l.Read <= 0 || l.Write <= 0 || l.Idle <= 0:
-		return "read, write and idle are more than 0s"
+		return "read, write and idle must be more than 0s"
 	}
 	return ""
 }
--- a/internal/gateway/fleetconfig/validate_test.go
+++ b/internal/gateway/fleetconfig/validate_test.go
@@ -9,7 +9,7 @@
 	"lupinpond/internal/gateway/fleetconfig"
 )
 
-// Every invalid setting is one error with file, line and column, at the value that is wrong.
+// Every invalid setting must result in an error with file, line and column of the invalid value.
 func TestValidationErrorsHavePosition(t *testing.T) {
 	text := string(fleetconfig.DefaultText())
 	const last = "  quantum: 2ms\n" // setting of the fleet
@@ -17,9 +17,9 @@
 		{"effect: at-most-once", "effect: twice", `f.yaml:4:38: fleet.types[0].effect: "twice" is not`},
 		{"target: 1500ms", "target: 1500", `f.yaml:4:60: "1500" is no time with a unit`},
 		{"target: 1500ms", "target: -2s", "a time is at least 0"},
-		{"max-age: 6s", "max-age: 1s", "f.yaml:4:77: fleet.types[0].max-age: the max age is at least"},
+		{"max-age: 6s", "max-age: 1s", "f.yaml:4:77: fleet.types[0].max-age: the max age must be at least"},
 		{"benefit: 5", "worth: 5", "f.yaml:4:81: unknown field \"worth\""},
-		{"group: zone, ", "", "fleet.types[1].group: a keyed type needs the group"},
+		{"group: zone, ", "", "fleet.types[1].group: a keyed type needs group"},
 		{"on-miss: load", "on-miss: wait", `f.yaml:14:14: fleet.loading.on-miss: "wait" is not load or miss`},
 		{"type: tax-check", "type: tax", `functions[3].type: no request type "tax"`},
 		{"memory: 192MiB", "memory: 192", `"192" is no size with a unit`},
@@ -28,10 +28,10 @@
 		{"launches: 6", "launches: [6]", "f.yaml:19:"},
 		{"keep: 8s", "keep: 8s\n    by: all", "unknown field"},
 		{last, last + "  workers: {sizes: big}\n", `fleet.workers.sizes: "big" is not cores or none`},
-		{last, last + "  workers: {kinds: [{name: a, memory: 0B}]}\n", "fleet.workers.kinds[0].memory: more"},
+		{last, last + "  workers: {kinds: [{name: a, memory: 0B}]}\n", "fleet.workers.kinds[0].memory: must be more"},
 		{last, last + "  workers: {reports: held}\n", `fleet.workers.reports: "held" is not waiting or none`},
 		{last, last + "  crossing: true\n", "front.zone: fleet.crossing needs"},
-		{"  listen:", "  zone: a\n  listen:", "f.yaml:32:9: front.zone: a zone has no meaning"},
+		{"  listen:", "  zone: a\n  listen:", "f.yaml:32:9: front.zone: a zone has no effect"},
 		{text, "", "f.yaml:1:1: the file is empty"},
 		{text, "fleet: [", "f.yaml:1:"},
 	} {
@@ -48,7 +48,7 @@
 	miss := strings.NewReplacer("on-miss: load", "on-miss: miss", "launches: 6", "launches: 1").Replace(text)
 	_, err := fleetconfig.Parse("f.yaml", []byte(miss))
 	if err == nil || !strings.Contains(err.Error(), "fleet.allowed.launches: with") {
-		t.Errorf("misses with one attempt: %v", err)
+		t.Errorf("on-miss: miss with a single attempt: got %v, want an error at fleet.allowed.launches", err)
 	}
 }
 
@@ -60,10 +60,10 @@
 		file, err := fleetconfig.Parse("f", b)
 		var position *config.Error
 		if err != nil && (!errors.As(err, &position) || position.Line < 1) {
-			t.Errorf("no position: %v", err)
+			t.Errorf("error without a position: %v", err)
 		}
 		if err == nil && (len(file.Functions) == 0 || len(file.Core(1, 0, 1).Types) == 0) {
-			t.Error("settings without functions or types are accepted")
+			t.Error("settings without functions or request types were accepted")
 		}
 	})
 }
