--- a/internal/gateway/invoke/invoke.go
+++ b/internal/gateway/invoke/invoke.go
@@ -1,5 +1,5 @@
-// Package invoke is the invoke API over HTTP: it reads a client's request into a Call and writes the Response. It knows
-// nothing of workers. docs/operate/gate.md specifies the API.
+// Package invoke implements the invoke API over HTTP: it parses a client's request into a Call and writes the Response.
+// It does not depend on how requests are sent to workers. docs/operate/gate.md specifies the API.
 package invoke
 
 import (
@@ -8,13 +8,13 @@
 	"net/http"
 )
 
-// Headers of the API beside those of HTTP and CloudEvents.
+// Headers that the API defines in addition to those of HTTP and CloudEvents.
 const (
-	HeaderTenant           = "Lupin-Tenant"   // the client's tenant; a function of another tenant is forbidden
-	HeaderRetry            = "Lupin-Repeat"   // 1: the client marks the request as a retry
-	HeaderRequestID        = "Lupin-Event"    // response: the gateway's id of the request
-	HeaderAttempts         = "Lupin-Launches" // response: attempts of the request
-	HeaderRetryAfterMillis = "Lupin-Back-Ms"  // response: as Retry-After, but in milliseconds
+	HeaderTenant           = "Lupin-Tenant"   // request: the client's tenant; must equal that of the function, if any
+	HeaderRetry            = "Lupin-Repeat"   // request: 1 marks the request as a retry
+	HeaderRequestID        = "Lupin-Event"    // response: the ID that the gateway assigned to the request
+	HeaderAttempts         = "Lupin-Launches" // response: the number of attempts of the request
+	HeaderRetryAfterMillis = "Lupin-Back-Ms"  // response: the value of Retry-After in milliseconds
 )
 
 // Headers of HTTP and CloudEvents that the API reads.
@@ -27,7 +27,7 @@
 	headerPrefer         = "Prefer"
 )
 
-// Types of problems. With all but ProblemRejected and ProblemFailed the request was never accepted.
+// Types of problems. For all types except ProblemRejected and ProblemFailed, the request was not accepted.
 const (
 	ProblemRejected       = "urn:lupinpond:deferred"
 	ProblemFailed         = "urn:lupinpond:dead-lettered"
@@ -42,18 +42,18 @@
 	Status     int    `json:"status"`
 	Detail     string `json:"detail,omitempty"`
 	RequestID  string `json:"event,omitempty"`
-	MayHaveRun *bool  `json:"may-have-run,omitempty"` // of a failed request
+	MayHaveRun *bool  `json:"may-have-run,omitempty"` // whether a failed request may have run; nil for other problems
 	Attempts   int    `json:"launches,omitempty"`
 }
 
-// Write writes the problem as the response.
+// Write writes the problem as an HTTP response.
 func (p *Problem) Write(w http.ResponseWriter) {
 	w.Header().Set("Content-Type", "application/problem+json")
 	w.WriteHeader(p.Status)
-	_ = json.NewEncoder(w).Encode(p) // it fails only where the client has disconnected
+	_ = json.NewEncoder(w).Encode(p) // fails only if the client has disconnected
 }
 
-// invalidRequest is the problem of a request that can't be accepted as it is.
+// invalidRequest returns the problem for an invalid request, which the client must not retry unchanged.
 func invalidRequest(status int, format string, args ...any) *Problem {
 	return &Problem{Type: ProblemInvalidRequest, Title: http.StatusText(status), Status: status,
 		Detail: fmt.Sprintf(format, args...)}
--- a/internal/gateway/invoke/request.go
+++ b/internal/gateway/invoke/request.go
@@ -17,27 +17,27 @@
 	maxClientIDBytes       = 256
 	maxSourceBytes         = 1024
 	maxIdempotencyKeyBytes = 256
-	// maxWaitSeconds bounds the time that a client may prefer to wait.
+	// maxWaitSeconds limits the wait preference of a client.
 	maxWaitSeconds = 1e6
 )
 
-// specVersion is the version of CloudEvents that the API takes.
+// specVersion is the only version of CloudEvents that the API accepts.
 const specVersion = "1.0"
 
-// Call is one request as a client sends it.
+// Call is a parsed request of a client.
 type Call struct {
 	Function       fleetconfig.Function
 	Type           fleetconfig.RequestType
 	Tenant         string
-	Source         string        // the client's own name of itself
-	ClientID       string        // the client's own id of the request, unique by source
-	IdempotencyKey string        // of a type with idempotency keys, unique in the fleet
-	TimeLeft       time.Duration // until the client's deadline
-	Retry          bool          // the client marks it as a retry
+	Source         string        // name by which the client identifies itself (ce-source)
+	ClientID       string        // the client's ID of the request (ce-id), unique per source
+	IdempotencyKey string        // idempotency key, unique in the fleet; empty if the request type has none
+	TimeLeft       time.Duration // time until the client's deadline
+	Retry          bool          // whether the client marked the request as a retry
 	Body           []byte
 }
 
-// Catalogue holds the functions, request types and tenants of the settings.
+// Catalogue holds the functions, request types and tenants of the settings, by which requests are validated.
 type Catalogue struct {
 	functions map[string]fleetconfig.Function
 	types     map[string]fleetconfig.RequestType
@@ -45,7 +45,7 @@
 	maxBody   int64
 }
 
-// NewCatalogue creates the Catalogue of the settings.
+// NewCatalogue creates a Catalogue from the settings.
 func NewCatalogue(config fleetconfig.File) *Catalogue {
 	c := &Catalogue{
 		functions: map[string]fleetconfig.Function{},
@@ -65,8 +65,8 @@
 	return c
 }
 
-// ReadRequest reads an HTTP request into a Call. A problem, if any, is the whole response; the request was not
-// accepted.
+// ReadRequest parses an HTTP request into a Call. If it returns a problem, the request is not accepted and the problem
+// is the complete response.
 func (c *Catalogue) ReadRequest(w http.ResponseWriter, r *http.Request) (Call, *Problem) {
 	call, problem := c.ReadHeader(r.PathValue("name"), r.Header)
 	if problem != nil {
@@ -84,7 +84,7 @@
 	return call, nil
 }
 
-// ReadHeader reads the headers of a request for a function into a Call without a body.
+// ReadHeader parses the headers of a request for the function with the given name into a Call without a body.
 func (c *Catalogue) ReadHeader(name string, header http.Header) (Call, *Problem) {
 	function, known := c.functions[name]
 	if !known {
@@ -111,7 +111,7 @@
 	return call, problem
 }
 
-// checkEvent checks the headers of CloudEvents and the lengths of what the client names.
+// checkEvent checks the CloudEvents headers and the lengths of the values that the client chooses.
 func checkEvent(call *Call, header http.Header) *Problem {
 	if version := header.Get(headerSpecVersion); version != "" && version != specVersion {
 		return badRequest("ce-specversion %q, 1.0 is taken", version)
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// readTenant reads the client's tenant, which must be that of the function where that has one.
+// readTenant reads the client's tenant. If the function belongs to a tenant, it must be the same tenant.
 func (c *Catalogue) readTenant(call *Call, header http.Header) *Problem {
 	tenant := header.Get(HeaderTenant)
 	switch {
@@ -141,7 +141,9 @@
 	return nil
 }
 
-// readIdempotencyKey reads the key of a request whose type has one; the client's own id stands in for it.
+// readIdempotencyKey reads the idempotency key of a request whose type requires one. Without an Idempotency-Key header
+// it uses the client's source and ID instead. The key is prefixed by tenant and function, so that keys of different
+// tenants and functions do not collide.
 func readIdempotencyKey(call *Call, header http.Header) *Problem {
 	if call.Type.Effect != "keyed" {
 		return nil
@@ -157,7 +159,7 @@
 	return nil
 }
 
-// readTimeLeft reads how long the client waits, at most the max age of the type.
+// readTimeLeft sets the time left to the client's wait preference, limited to the max age of the request type.
 func readTimeLeft(call *Call, header http.Header) *Problem {
 	preferences, err := parsePrefer(header.Values(headerPrefer))
 	if err != nil {
@@ -173,13 +175,13 @@
 	return nil
 }
 
-// preferences are those of RFC 7240 that the API knows.
+// preferences holds the preferences of RFC 7240 that the API supports.
 type preferences struct {
-	wait  time.Duration // 0: not stated
-	async bool
+	wait  time.Duration // value of "wait"; 0 if not stated
+	async bool          // whether "respond-async" is stated
 }
 
-// parsePrefer parses the values of Prefer headers; unknown preferences are ignored, as RFC 7240 says.
+// parsePrefer parses the values of Prefer headers. It ignores unknown preferences, as RFC 7240 requires.
 func parsePrefer(values []string) (parsed preferences, err error) {
 	for _, value := range values {
 		for _, preference := range strings.Split(value, ",") {
--- a/internal/gateway/invoke/request_test.go
+++ b/internal/gateway/invoke/request_test.go
@@ -30,16 +30,16 @@
 		call, problem := catalogue.ReadHeader(name, header)
 		keyMissing := call.Type.Effect == "keyed" && call.IdempotencyKey == ""
 		if problem == nil && (call.TimeLeft <= 0 || call.TimeLeft > call.Type.MaxAge.Std() || keyMissing) {
-			t.Errorf("%q %q was read as %+v", name, lines, call)
+			t.Errorf("%q %q was accepted as %+v, want a problem", name, lines, call)
 		}
 		if problem != nil && (problem.Status < 400 || problem.Detail == "") {
-			t.Errorf("problem without a reason: %+v", problem)
+			t.Errorf("problem without an error status or a detail: %+v", problem)
 		}
 		w := httptest.NewRecorder()
 		if problem != nil {
 			problem.Write(w)
 			if !bytes.Contains(w.Body.Bytes(), []byte(problem.Type)) {
-				t.Error("the problem's type is not written")
+				t.Error("the written problem does not contain its type")
 			}
 		}
 	})
--- a/internal/gateway/invoke/response.go
+++ b/internal/gateway/invoke/response.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Outcome is how a request ended.
+// Outcome is the final outcome of a request.
 type Outcome int
 
-// The outcomes.
+// The outcomes of requests.
 const (
-	Completed   Outcome = iota
-	Rejected            // it may safely be retried
-	Failed              // it may have run, and its type allows no further attempt
-	NotAccepted         // over a limit, or while the gateway is draining
-	InFlight            // not accepted: a request of the same client id is in flight
+	Completed   Outcome = iota // the function returned a result
+	Rejected                   // the client may safely retry the request
+	Failed                     // the request may have run, and its type does not allow another attempt
+	NotAccepted                // the request was over a limit or arrived while the gateway was draining
+	InFlight                   // the request was not accepted because one with the same client ID is in flight
 )
 
 var outcomeNames = [...]string{
@@ -27,24 +27,24 @@
 	InFlight:    "in_hand",
 }
 
-// String returns the outcome's name in logs and metrics.
+// String returns the name of the outcome in logs and metrics.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// accepted reports whether a request with that outcome was accepted.
+// accepted reports whether a request with this outcome was accepted.
 func (o Outcome) accepted() bool { return o != NotAccepted && o != InFlight }
 
-// Response is the response to a request.
+// Response is the gateway's response to a request.
 type Response struct {
 	Outcome    Outcome
 	RequestID  string
 	Attempts   int
-	Body       []byte        // of a completed request
-	RetryAfter time.Duration // 0: not stated
-	MayHaveRun bool          // of a failed request
+	Body       []byte        // response body of a completed request
+	RetryAfter time.Duration // time after which the client may retry; 0 if not stated
+	MayHaveRun bool          // whether a failed request may have run
 	Reason     string
 }
 
-// WriteResponse writes a response.
+// WriteResponse writes a response as an HTTP response.
 func WriteResponse(w http.ResponseWriter, response Response) {
 	header := w.Header()
 	if response.RequestID != "" && response.Outcome.accepted() {
@@ -54,7 +54,7 @@
 	if response.Outcome == Completed {
 		header.Set("Content-Type", "application/octet-stream")
 		header.Set("Content-Length", strconv.Itoa(len(response.Body)))
-		_, _ = w.Write(response.Body) // it fails only where the client has disconnected
+		_, _ = w.Write(response.Body) // fails only if the client has disconnected
 		return
 	}
 	if response.Outcome == NotAccepted {
@@ -68,7 +68,7 @@
 	response.problem().Write(w)
 }
 
-// problem is the body of a response that is not a success.
+// problem returns the problem detail of a response that is not a success.
 func (r *Response) problem() *Problem {
 	problem := &Problem{RequestID: r.RequestID, Attempts: r.Attempts, Detail: r.Reason}
 	switch r.Outcome {
