--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -118,7 +118,8 @@
 			l.dropFiredTimers()
 		}
 		if late || l.stall.Lag(time.Now()) > 0 {
-			// The process was paused: read what arrived in the meantime before the core handles timeouts.
+			// The process was paused: wait until the messages that arrived during the pause have been read from the
+			// sockets, before the core handles timeouts.
 			select {
 			case <-ctx.Done():
 				return nil
--- a/internal/gateway/fleetconfig/schema.go
+++ b/internal/gateway/fleetconfig/schema.go
@@ -137,8 +137,8 @@
 	// MaxRetryAfter is the maximum Retry-After that clients honor. If it is 0s, no Retry-After is sent.
 	MaxRetryAfter config.Duration `yaml:"retry-after"`
 
-	// Hedging allows concurrent attempts of the same request. The scheduler never sends hedged requests; the setting only
-	// affects how the test bed's checker judges rule 2.
+	// Hedging allows concurrent attempts of a request of a redeliverable type. The scheduler never sends hedged requests;
+	// the setting only affects the test bed's check of rule 2, that no effect happens twice.
 	Hedging bool `yaml:"second-copies"`
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -103,8 +103,8 @@
 	})
 }
 
-// A paused gateway must read what arrived during the pause before it handles timeouts: here a result that arrived in
-// time.
+// After a pause a gateway must read the messages that arrived during the pause before it handles timeouts: here the
+// result of an attempt whose deadline passed during the pause.
 func TestPausedGateway(t *testing.T) {
 	r := startHarness(t, nil)
 	r.wantResponse("gross-salary", "1", 2*time.Second, 200, " released") // loads the function
--- a/internal/gateway/lease_test.go
+++ b/internal/gateway/lease_test.go
@@ -9,7 +9,7 @@
 	"lupinpond/scheduler"
 )
 
-// requestLoadsNoTimeout is a policy with which the core sends load requests.
+// requestLoadsNoTimeout is a policy with which the core sends load requests, whose timeout is longer than a test.
 var requestLoadsNoTimeout = core.LoadPolicy{RequestLoads: true, LoadOnMiss: true, ReplicaIdleTimeout: time.Minute,
 	RequestTimeout: time.Minute}
 
@@ -58,7 +58,7 @@
 	}
 	for end := time.Now().Add(20 * time.Second); permit.MaySend(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the load request is still permitted 20 seconds after the lease expired")
+			t.Fatal("the load request was still permitted after 20 seconds")
 		}
 	}
 	if n := s.loop.Stats().WithheldLease.Load(); n == 0 {
