--- a/internal/gateway/fleetconfig/schema.go
+++ b/internal/gateway/fleetconfig/schema.go
@@ -25,8 +25,8 @@
 
 // Behaviors of a worker that receives a request whose function is not loaded.
 const (
-	OnMissLoad = "load" // the worker loads the function while the request waits
-	OnMissMiss = "miss" // the worker returns the request without running it
+	OnMissLoad   = "load" // the worker loads the function while the request waits
+	OnMissReturn = "miss" // the worker returns the request without running it
 )
 
 // Contents of the endpoint list and of load reports.
@@ -91,7 +91,7 @@
 // LoadPolicy specifies how functions are loaded at workers.
 type LoadPolicy struct {
 	RequestLoads       bool            `yaml:"orders"`      // whether gateways send load requests
-	OnMiss             string          `yaml:"on-miss"`     // behavior of a worker on a miss: OnMissLoad or OnMissMiss
+	OnMiss             string          `yaml:"on-miss"`     // behavior of a worker on a miss: OnMissLoad or OnMissReturn
 	ReplicaIdleTimeout config.Duration `yaml:"keep"`        // minimum time for which an idle replica stays loaded
 	RequestTimeout     config.Duration `yaml:"order-limit"` // timeout of a load request
 	RateLimit          LoadRateLimit   `yaml:"ration"`
--- a/internal/gateway/fleetconfig/validate.go
+++ b/internal/gateway/fleetconfig/validate.go
@@ -99,7 +99,7 @@
 }
 
 func (p LoadPolicy) validate() *violation {
-	switch miss := p.OnMiss == OnMissMiss; {
+	switch miss := p.OnMiss == OnMissReturn; {
 	case p.OnMiss != OnMissLoad && !miss:
 		return &violation{"$.fleet.loading.on-miss", fmt.Sprintf("%q is not load or miss", p.OnMiss)}
 	case miss && !p.RequestLoads:
@@ -171,7 +171,7 @@
 // validateConsistency checks settings of different sections that must be consistent with each other.
 func (f File) validateConsistency() *violation {
 	switch {
-	case f.Fleet.LoadPolicy.OnMiss == OnMissMiss && f.Fleet.Policy.MaxAttempts < 2:
+	case f.Fleet.LoadPolicy.OnMiss == OnMissReturn && f.Fleet.Policy.MaxAttempts < 2:
 		return &violation{"$.fleet.allowed.launches", "with fleet.loading.on-miss: miss, at least 2 launches are needed"}
 	case f.Fleet.CrossZoneCost && f.Gateway.Zone == "":
 		return &violation{"$.front.zone", "fleet.crossing needs the gateway's own zone"}
