--- a/internal/workerrpc/call.go
+++ b/internal/workerrpc/call.go
@@ -5,65 +5,65 @@
 	"time"
 )
 
-// Status is how a call ended, as far as the gateway can tell.
+// Status describes how a call ended, as far as the gateway can determine.
 type Status int
 
-// The statuses. Of an attempt, StatusUnsent means that none of its bytes were written: it never ran. With
-// StatusConnectionLost, StatusCancelled, or StatusAnswered with a code that does not say otherwise, it may have
-// run.
+// The statuses. An attempt with StatusUnsent never ran, as none of its bytes were written. An attempt with
+// StatusConnectionLost or StatusCancelled may have run, and so may one with StatusAnswered unless Code.NeverRan returns
+// true for its code.
 const (
 	StatusAnswered       Status = iota
-	StatusUnsent                // no connection, or the call was still queued
-	StatusConnectionLost        // bytes were written, and the connection was lost before an answer
-	StatusCancelled             // cancelled by the gateway before an answer
+	StatusUnsent                // ended before any of its bytes were written
+	StatusConnectionLost        // the connection was lost after bytes may have been written and before the answer
+	StatusCancelled             // cancelled by the gateway before the answer
 )
 
-// Errors of calls that have no answer.
+// Errors in the outcomes of calls that were not answered.
 var (
-	ErrQueueFull      = errors.New("the worker's queue is full")
-	ErrStopped        = errors.New("the worker is stopped")
-	ErrQueueTimeout   = errors.New("queued for too long")
-	ErrBackoff        = errors.New("a connection failed a moment ago")
+	ErrQueueFull      = errors.New("the queue of calls to the worker is full")
+	ErrStopped        = errors.New("sending to the worker is stopped")
+	ErrQueueTimeout   = errors.New("call exceeded the queue timeout")
+	ErrBackoff        = errors.New("connecting failed recently and the backoff has not elapsed")
 	ErrWorkerDraining = errors.New("the worker is draining")
 	ErrCancelled      = errors.New("cancelled")
-	ErrWithheld       = errors.New("withheld by its sender")
-	errClientClosed   = errors.New("the gateway closes")
+	ErrWithheld       = errors.New("withheld: the gateway no longer permits sending it")
+	errClientClosed   = errors.New("the client is closed")
 )
 
-// Outcome ends a call. Each call has exactly one.
+// Outcome is the result of a call. Each call has exactly one.
 type Outcome struct {
 	Status        Status
-	AttemptResult *AttemptResult // of an attempt that was answered
-	LoadResult    *LoadResult    // of a load request
-	ProbeReply    *ProbeReply    // of a probe
-	Err           error          // why there is no answer
+	AttemptResult *AttemptResult // the worker's answer to an attempt; nil for other calls or without an answer
+	LoadResult    *LoadResult    // the worker's answer to a load request; nil for other calls or without an answer
+	ProbeReply    *ProbeReply    // the worker's answer to a probe; nil for other calls or without an answer
+	Err           error          // the reason why the call was not answered; nil with an answer
 }
 
-// NeverRan reports whether an attempt provably never ran.
+// NeverRan reports whether it is certain that the attempt never ran.
 func (o Outcome) NeverRan() bool {
 	answered := o.Status == StatusAnswered && o.AttemptResult != nil
 	return o.Status == StatusUnsent || answered && o.AttemptResult.Code.NeverRan()
 }
 
-// callState is how far a call has come from the queue to its outcome.
+// callState is the state of a call on its way from the queue to its outcome.
 type callState int
 
 const (
 	callQueued callState = iota
 	callWriting
 	callSent
-	callAbandoned // it has its outcome, and the worker has not answered yet
+	callAbandoned // cancelled: the outcome was reported, the worker's answer is still expected
 	callCompleted
 )
 
-// Call is one attempt, load request or probe in flight. The client's mutex guards it.
+// Call is one attempt, load request or probe that is queued or in flight. The client's mutex guards its fields.
 type Call struct {
 	client      *Client
 	seq         uint64
-	attempt     *Attempt     // nil: it is another call
-	loadRequest *LoadRequest // nil: it is another call
-	deadline    time.Time    // of an attempt: the client's
-	maySend     func() bool  // of an attempt or a load request: asked when it is about to be written; nil: it may
+	attempt     *Attempt     // nil if the call is a load request or a probe
+	loadRequest *LoadRequest // nil if the call is an attempt or a probe
+	deadline    time.Time    // the deadline of the client's request; set for attempts only
+	maySend     func() bool  // if it returns false just before the call is written, the call is withheld; may be nil
 	state       callState
 	queueTimer  *time.Timer
 	done        func(Outcome)
@@ -71,14 +71,14 @@
 	cancelRequested bool
 }
 
-// onConnection reports whether bytes of the call may have been written and it has no outcome; the client's mutex is
-// held.
+// onConnection reports whether bytes of the call may have been written and the call has no outcome yet. The client's
+// mutex must be held.
 func (c *Call) onConnection() bool { return c.state == callWriting || c.state == callSent }
 
-// Cancel cancels an attempt. One that is queued is unsent. Of one that was sent the worker is notified, and the
-// attempt is cancelled once that notice is written, so that no further attempt can overtake it; a result that
-// arrives before is its outcome, one that arrives later is counted and dropped. A call that has its outcome stays
-// as it is.
+// Cancel cancels an attempt. A queued attempt ends with StatusUnsent. For an attempt that was sent, a cancel message is
+// queued, and the attempt ends with StatusCancelled once that message is written, so that an attempt sent in response
+// follows the cancel message on the connection. A result that arrives earlier becomes the outcome; one that arrives
+// later is counted and dropped. Cancel has no effect on a call that already has an outcome.
 func (c *Call) Cancel() {
 	client := c.client
 	if client.abortQueued(c, ErrCancelled) {
@@ -93,7 +93,7 @@
 	client.mu.Unlock()
 }
 
-// Abandon cancels an attempt without notifying the worker: one that was sent is cancelled at once.
+// Abandon cancels an attempt without notifying the worker. An attempt that was sent ends with StatusCancelled at once.
 func (c *Call) Abandon() {
 	if c.client.abortQueued(c, ErrCancelled) {
 		return
--- a/internal/workerrpc/client.go
+++ b/internal/workerrpc/client.go
@@ -9,68 +9,69 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// The backoff between failed connections, relative to the dial timeout.
+// The backoff between attempts to connect, as multiples of the dial timeout.
 const (
-	// initialBackoffDivisor divides the dial timeout into the first pause.
+	// initialBackoffDivisor sets the first pause: dial timeout / initialBackoffDivisor.
 	initialBackoffDivisor = 20
-	// maxBackoffFactor is the longest pause, in dial timeouts.
+	// maxBackoffFactor sets the longest pause: dial timeout * maxBackoffFactor.
 	maxBackoffFactor = 2
 )
 
-// DialFunc connects to an address.
+// DialFunc opens a connection to an address.
 type DialFunc func(ctx context.Context, addr string) (net.Conn, error)
 
-// Limits bound what a Client queues and how long it waits.
+// Limits are the limits on a Client's queues and the timeouts of its calls.
 type Limits struct {
-	DialTimeout    time.Duration // for a connection and its handshake
-	QueueTimeout   time.Duration // a call not written by then is unsent
-	WriteTimeout   time.Duration // a write that takes longer breaks the connection
+	DialTimeout    time.Duration // maximum time for connecting, including the handshakes
+	QueueTimeout   time.Duration // maximum time in the queue; a call that waits longer ends with StatusUnsent
+	WriteTimeout   time.Duration // maximum time for writing a message before the connection is closed
 	MaxQueuedCalls int
-	MaxQueuedBytes int // of the bodies of queued calls
+	MaxQueuedBytes int // maximum sum of the lengths of the queued attempts' bodies
 }
 
-// Counts are a Client's numbers since its start.
+// Counts are the counters of a Client since its creation.
 type Counts struct {
-	Connections        int
-	UnmatchedResponses int // to calls never made or answered before
-	LateResponses      int // to cancelled calls
+	Connections        int // connections made, with a successful handshake
+	UnmatchedResponses int // responses to no call, to a call already answered, or of the wrong kind for the call
+	LateResponses      int // responses to cancelled calls
 }
 
-// Client is a gateway's side of one worker: one connection, made when it is needed. Its methods may be called by any
-// goroutine; outcomes are reported by goroutines of its own.
+// Client sends a gateway's calls to one worker. It has at most one connection, which it opens when a call is queued.
+// Its methods are safe for concurrent use. Outcomes may be reported on any goroutine.
 type Client struct {
-	// OnHandshake, if set before Run, is called with each handshake of the worker.
+	// OnHandshake, if not nil, is called with the worker's handshake of each connection. It must be set before Run.
 	OnHandshake func(*Handshake)
 
-	worker  string // its name
-	gateway string // its name
-	addr    string // of the worker
+	worker  string // name of the worker
+	gateway string // name of the gateway
+	addr    string // address of the worker
 	limits  Limits
 	dial    DialFunc
-	wakeup  chan struct{} // holds a token when there may be something to write
-
-	mu              sync.Mutex // guards the fields below and all calls
-	controlQueue    []*Call    // load requests and probes
-	cancelQueue     []*Call    // of whose cancellation the worker is to be notified
-	attemptQueue    []*Call
-	queuedBytes     int // of the bodies of queued calls
-	calls           map[uint64]*Call
-	inFlight        int // attempts written and not answered, cancelled or not
-	maxInFlight     int // as the worker's handshake states
-	lastSeq         uint64
-	conn            net.Conn // nil: there is none
-	workerDraining  bool     // the worker has sent a drain notice
-	drainNoticeDue  bool
-	drainNoticeSent chan struct{} // closed when it is written or there is nobody to notify
-	nextDialAt      time.Time
-	dialBackoff     *backoff.ExponentialBackOff
-	closed          bool      // Run has ended
-	stopped         bool      // no new attempts or load requests are sent
-	stopDeadline    time.Time // until then one that is being written may still be completed
-	counts          Counts
+	wakeup  chan struct{} // holds a token if there may be something to write
+
+	mu                   sync.Mutex // guards the fields below and all calls
+	controlQueue         []*Call    // load requests and probes
+	cancelQueue          []*Call    // cancelled calls for which a cancel message is to be sent
+	attemptQueue         []*Call
+	queuedBytes          int // sum of the lengths of the queued attempts' bodies
+	calls                map[uint64]*Call
+	inFlight             int // attempts written and not answered, including cancelled ones
+	maxInFlight          int // maximum of inFlight, from the worker's handshake
+	lastSeq              uint64
+	conn                 net.Conn // nil if not connected
+	workerDraining       bool     // the worker has sent a drain notice on this connection
+	drainNoticeRequested bool
+	drainNoticeSent      chan struct{} // closed when the drain notice is about to be written, or at once if not connected
+	nextDialAt           time.Time
+	dialBackoff          *backoff.ExponentialBackOff
+	closed               bool      // Run has ended
+	stopped              bool      // no new attempts or load requests are sent
+	stopDeadline         time.Time // latest time for completing a write that had started before Stop
+	counts               Counts
 }
 
-// NewClient creates a Client of a worker at addr for a gateway; both are given by name. Run serves it.
+// NewClient returns a Client that sends calls from gateway to worker, both given by name. addr is the worker's address.
+// Calls are sent only while Run runs.
 func NewClient(gateway, worker, addr string, limits Limits, dial DialFunc) *Client {
 	dialBackoff := backoff.NewExponentialBackOff()
 	dialBackoff.InitialInterval = limits.DialTimeout / initialBackoffDivisor
@@ -89,34 +90,34 @@
 	}
 }
 
-// Send sends an attempt whose client has a time left. done is called once.
+// Send queues an attempt; timeLeft is the time until its client's deadline. done is called once with the outcome.
 func (c *Client) Send(attempt Attempt, timeLeft time.Duration, done func(Outcome)) *Call {
 	return c.SendIf(attempt, timeLeft, nil, done)
 }
 
-// SendIf is Send, but the attempt is withheld where maySend, which must not block, returns false when it is about to be
-// written.
+// SendIf is like Send but withholds the attempt if maySend returns false when the attempt is about to be written.
+// maySend must not block.
 func (c *Client) SendIf(attempt Attempt, timeLeft time.Duration, maySend func() bool, done func(Outcome)) *Call {
 	return c.enqueue(&Call{attempt: &attempt, deadline: time.Now().Add(timeLeft), maySend: maySend, done: done})
 }
 
-// Load sends a load request. done is called once.
+// Load queues a load request. done is called once with the outcome.
 func (c *Client) Load(request LoadRequest, done func(Outcome)) *Call {
 	return c.LoadIf(request, nil, done)
 }
 
-// LoadIf is Load, but the request is withheld where maySend, which must not block, returns false when it is about to be
-// written.
+// LoadIf is like Load but withholds the request if maySend returns false when the request is about to be written.
+// maySend must not block.
 func (c *Client) LoadIf(request LoadRequest, maySend func() bool, done func(Outcome)) *Call {
 	return c.enqueue(&Call{loadRequest: &request, maySend: maySend, done: done})
 }
 
-// Probe asks for a load report. done is called once.
+// Probe queues a request for the worker's load report. done is called once with the outcome.
 func (c *Client) Probe(done func(Outcome)) *Call { return c.enqueue(&Call{done: done}) }
 
-// Stop ends queued attempts and load requests as unsent, and those that are sent from now on: the worker is draining or
-// removed. A write that is not completed within grace breaks the connection, so that nothing is sent later. Probes and
-// cancels are still sent.
+// Stop is called when the worker is draining or was removed. Queued attempts and load requests, and those queued until
+// Resume is called, end with StatusUnsent. If the write of one is not completed within grace, the connection is closed,
+// so that none is sent later. Probes and cancels are still sent.
 func (c *Client) Stop(grace time.Duration) {
 	c.mu.Lock()
 	if c.stopped {
@@ -143,28 +144,28 @@
 	}
 }
 
-// Resume undoes Stop: the worker is listed as in service.
+// Resume reverts Stop, after the worker is listed as in service again.
 func (c *Client) Resume() {
 	c.mu.Lock()
 	c.stopped = false
 	c.mu.Unlock()
 }
 
-// NotifyDraining has a drain notice sent to the worker; AwaitDrainNotice waits for it.
+// NotifyDraining queues a drain notice for the worker if there is a connection. AwaitDrainNotice waits for it.
 func (c *Client) NotifyDraining() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.drainNoticeDue {
+	if c.drainNoticeRequested {
 		return
 	}
-	c.drainNoticeDue = true
+	c.drainNoticeRequested = true
 	if c.conn == nil {
 		close(c.drainNoticeSent)
 	}
 	c.wake()
 }
 
-// AwaitDrainNotice waits until the drain notice is written, or for a time.
+// AwaitDrainNotice waits until the drain notice of NotifyDraining is about to be written, or until timeout has elapsed.
 func (c *Client) AwaitDrainNotice(timeout time.Duration) {
 	timer := time.NewTimer(max(0, timeout))
 	defer timer.Stop()
@@ -174,7 +175,7 @@
 	}
 }
 
-// Counts returns the client's numbers.
+// Counts returns the current values of the client's counters.
 func (c *Client) Counts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/workerrpc/connection.go
+++ b/internal/workerrpc/connection.go
@@ -9,11 +9,11 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// maxIdleWriteBuffer is the longest buffer that a writer keeps between frames, in bytes.
+// maxIdleWriteBuffer is the largest buffer that the write loop retains between frames, in bytes.
 const maxIdleWriteBuffer = 1 << 20
 
-// Run connects when a call is queued and serves the connection, until ctx ends. Then every call without an outcome
-// gets one.
+// Run connects when a call is queued and serves the connection, until ctx is done. Before it returns, it ends every
+// call that has no outcome.
 func (c *Client) Run(ctx context.Context) error {
 	defer c.close()
 	for {
@@ -24,11 +24,11 @@
 		}
 		c.mu.Lock()
 		queued := len(c.attemptQueue)+len(c.controlQueue) > 0
-		pause := time.Until(c.nextDialAt)
+		backoffLeft := time.Until(c.nextDialAt)
 		c.mu.Unlock()
 		switch {
 		case !queued:
-		case pause > 0: // calls that were queued before the failure was known
+		case backoffLeft > 0: // the calls were queued before the previous connection failed
 			c.failCalls(ErrBackoff)
 		default:
 			c.failCalls(c.serve(ctx))
@@ -36,7 +36,7 @@
 	}
 }
 
-// close ends all calls; later ones are rejected.
+// close ends all calls. Calls made later are rejected.
 func (c *Client) close() {
 	c.mu.Lock()
 	c.closed = true
@@ -44,7 +44,7 @@
 	c.failCalls(errClientClosed)
 }
 
-// failCalls gives every call an outcome after the connection is lost or none could be made.
+// failCalls ends every call that has no outcome, after the connection is lost or could not be opened.
 func (c *Client) failCalls(reason error) {
 	type failure struct {
 		call   *Call
@@ -69,7 +69,7 @@
 	}
 }
 
-// serve makes one connection and serves it until it is lost.
+// serve opens a connection and serves it until it is lost.
 func (c *Client) serve(ctx context.Context) error {
 	conn, handshake, reader, err := c.connect(ctx)
 	c.mu.Lock()
@@ -95,17 +95,17 @@
 	return group.Wait()
 }
 
-// connect dials the worker and exchanges handshakes, within the dial timeout.
+// connect dials the worker and exchanges handshakes within the dial timeout.
 func (c *Client) connect(ctx context.Context) (net.Conn, *Handshake, *FrameReader, error) {
-	ctx, stop := context.WithTimeout(ctx, c.limits.DialTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, c.limits.DialTimeout)
+	defer cancel()
 	conn, err := c.dial(ctx, c.addr)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	release := context.AfterFunc(ctx, func() { conn.Close() })
+	stopClosing := context.AfterFunc(ctx, func() { conn.Close() })
 	handshake, reader, err := c.handshake(conn)
-	if !release() && err == nil {
+	if !stopClosing() && err == nil {
 		err = ctx.Err()
 	}
 	if err != nil {
@@ -115,7 +115,7 @@
 	return conn, handshake, reader, nil
 }
 
-// handshake exchanges handshakes on a new connection and checks the worker's.
+// handshake exchanges handshakes on a new connection and validates the worker's.
 func (c *Client) handshake(conn net.Conn) (*Handshake, *FrameReader, error) {
 	frame, err := AppendFrame(nil, &Handshake{Version: ProtocolVersion, Name: c.gateway, MaxFrame: MaxFrame})
 	if err != nil {
@@ -132,17 +132,17 @@
 	handshake, ok := body.(*Handshake)
 	switch {
 	case !ok:
-		return nil, nil, fmt.Errorf("%w: %T instead of a handshake", ErrProtocol, body)
+		return nil, nil, fmt.Errorf("%w: received %T, want a handshake", ErrProtocol, body)
 	case handshake.Version != ProtocolVersion:
-		return nil, nil, fmt.Errorf("%w: the worker speaks version %d, this program %d", ErrProtocol, handshake.Version,
-			ProtocolVersion)
+		return nil, nil, fmt.Errorf("%w: worker has protocol version %d, gateway has version %d", ErrProtocol,
+			handshake.Version, ProtocolVersion)
 	case handshake.Name != c.worker:
-		return nil, nil, fmt.Errorf("%w: %q answers at the address of %q", ErrProtocol, handshake.Name, c.worker)
+		return nil, nil, fmt.Errorf("%w: worker is named %q, want %q", ErrProtocol, handshake.Name, c.worker)
 	}
 	return handshake, reader, nil
 }
 
-// readLoop reads the worker's messages until the connection is lost.
+// readLoop reads and handles the worker's messages until the connection is lost.
 func (c *Client) readLoop(reader *FrameReader) error {
 	for {
 		body, err := reader.Next()
@@ -165,12 +165,12 @@
 		case *DrainNotice:
 			c.handleDrainNotice()
 		default:
-			return fmt.Errorf("%w: %s sent a %T", ErrProtocol, c.worker, body)
+			return fmt.Errorf("%w: worker %s sent an unexpected %T", ErrProtocol, c.worker, body)
 		}
 	}
 }
 
-// handleDrainNotice ends all queued calls: the worker starts nothing new.
+// handleDrainNotice ends all queued calls with StatusUnsent: the draining worker starts no new work.
 func (c *Client) handleDrainNotice() {
 	c.mu.Lock()
 	c.workerDraining = true
@@ -181,8 +181,8 @@
 	}
 }
 
-// completeCall ends the call that an answer is for. match returns the outcome, and whether the answer is of the
-// call's kind.
+// completeCall ends the call with sequence number seq. match returns the outcome, and false if the answer does not
+// belong to the call. An answer that belongs to no call, or to a cancelled one, is counted and dropped.
 func (c *Client) completeCall(seq uint64, match func(*Call) (Outcome, bool)) {
 	c.mu.Lock()
 	call := c.calls[seq]
@@ -212,7 +212,7 @@
 	}
 }
 
-// writeLoop writes queued messages until ctx ends or the connection is lost.
+// writeLoop writes queued messages until ctx is done or the connection is lost.
 func (c *Client) writeLoop(ctx context.Context, conn net.Conn) error {
 	var frame []byte
 	for {
@@ -242,7 +242,8 @@
 	}
 }
 
-// writeFrame writes a frame that starts call, which may be nil. Where no byte of it was written, the call is unsent.
+// writeFrame writes the frame that sends call; call is nil for cancels and drain notices. If the write fails before any
+// byte is written, the call ends with StatusUnsent.
 func (c *Client) writeFrame(conn net.Conn, call *Call, frame []byte) error {
 	if err := c.setWriteDeadline(conn, call); err != nil {
 		c.failUnwritten(call, err)
@@ -265,7 +266,7 @@
 	return nil
 }
 
-// abandon ends a call that is cancelled while the worker may still answer it.
+// abandon ends a sent call with StatusCancelled. The worker may still answer it.
 func (c *Client) abandon(call *Call) {
 	c.mu.Lock()
 	onConnection := call.onConnection()
@@ -278,8 +279,8 @@
 	}
 }
 
-// setWriteDeadline bounds the next write. What was taken from the queue just before a Stop must not be written
-// after its grace.
+// setWriteDeadline sets the deadline of the next write. An attempt or load request that was removed from the queue just
+// before Stop must not be written after the grace of Stop.
 func (c *Client) setWriteDeadline(conn net.Conn, call *Call) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -291,7 +292,7 @@
 	return conn.SetWriteDeadline(deadline)
 }
 
-// failUnwritten ends a call of which no byte was written; nil: there is none.
+// failUnwritten ends a call with StatusUnsent because none of its bytes were written. call may be nil.
 func (c *Client) failUnwritten(call *Call, reason error) {
 	if call == nil {
 		return
--- a/internal/workerrpc/frame.go
+++ b/internal/workerrpc/frame.go
@@ -1,7 +1,8 @@
-// Package workerrpc is the protocol between gateways and workers: length-prefixed frames with CBOR bodies over TCP,
-// many attempts on a connection. docs/link.md specifies it for other languages. Every outcome states whether the
-// attempt never ran or may have run, by what was written and what the worker answered; nothing is guessed, and
-// nothing is ever sent a second time by itself.
+// Package workerrpc implements the protocol between gateways and workers: length-prefixed frames with CBOR bodies over
+// TCP, with many attempts in flight on one connection. docs/link.md specifies it for implementations in other
+// languages. The outcome of an attempt states whether the attempt never ran or may have run. It is derived only from
+// what was written to the connection and what the worker answered. The package never retries: it sends no message
+// twice.
 package workerrpc
 
 import (
@@ -13,26 +14,26 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ProtocolVersion is the protocol's version; peers of another one are rejected.
+// ProtocolVersion is the version of the protocol. Connections of peers with a different version are rejected.
 const ProtocolVersion = 1
 
-// MaxFrame bounds the body of a frame, in bytes.
+// MaxFrame is the maximum length of a frame without its length prefix, in bytes: the kind and the body.
 const MaxFrame = 16 << 20
 
-// lengthPrefix is the length of a frame's length, in bytes.
+// lengthPrefix is the size of a frame's length prefix, in bytes.
 const lengthPrefix = 4
 
-// readChunk is how far a reader's buffer grows ahead of the bytes that have arrived.
+// readChunk is the number of bytes by which a reader's buffer may exceed the bytes received so far.
 const readChunk = 64 << 10
 
-// maxIdleReadBuffer is the longest buffer that a reader keeps between frames.
+// maxIdleReadBuffer is the largest buffer that a reader retains between frames, in bytes.
 const maxIdleReadBuffer = 4 * readChunk
 
 // Kind is the type of a frame.
 type Kind byte
 
-// The kinds. A handshake goes both ways first; attempts, cancels, load requests and probes go to the worker, their
-// results come from it; a drain notice goes both ways.
+// The kinds of frames. Both sides send a handshake first. After that a gateway sends attempts, cancels, load requests
+// and probes, and a worker sends their results. Either side may send a drain notice.
 const (
 	KindHandshake Kind = iota + 1
 	KindAttempt
@@ -45,7 +46,7 @@
 	KindDrainNotice
 )
 
-// ErrProtocol reports that a peer violated the protocol; the connection is closed.
+// ErrProtocol is the error for a violation of the protocol. The connection is closed after it.
 var ErrProtocol = errors.New("worker protocol violated")
 
 var encMode, decMode = newModes()
@@ -53,7 +54,7 @@
 func newModes() (cbor.EncMode, cbor.DecMode) {
 	enc, err := cbor.EncOptions{Time: cbor.TimeRFC3339NanoUTC}.EncMode()
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err) // can't happen: the options are constant and valid
 	}
 	dec, err := cbor.DecOptions{MaxNestedLevels: 8, MaxArrayElements: 1024, MaxMapPairs: 64,
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden}.DecMode()
@@ -63,7 +64,7 @@
 	return enc, dec
 }
 
-// kindOf returns the kind of a frame's body; 0: there is none.
+// kindOf returns the kind of frame that a body belongs to, or 0 if its type is not a frame body.
 func kindOf(body any) Kind {
 	switch body.(type) {
 	case *Handshake:
@@ -88,7 +89,7 @@
 	return 0
 }
 
-// newBody creates an empty body of a kind; nil: there is none.
+// newBody returns an empty body for a kind of frame, or nil if the kind is unknown.
 func newBody(kind Kind) any {
 	switch kind {
 	case KindHandshake:
@@ -113,12 +114,12 @@
 	return nil
 }
 
-// AppendFrame appends a frame to b: four bytes of length in network order, which counts the kind and the body, one
-// byte of kind, the body. It fails if the body is longer than MaxFrame.
+// AppendFrame appends a frame to b: the length of kind and body as a four-byte big-endian integer, the kind as one
+// byte, and the CBOR-encoded body. It fails if kind and body together are longer than MaxFrame.
 func AppendFrame(b []byte, body any) ([]byte, error) {
 	kind := kindOf(body)
 	if kind == 0 {
-		return b, fmt.Errorf("%w: no frame has a body of type %T", ErrProtocol, body)
+		return b, fmt.Errorf("%w: type %T is not a frame body", ErrProtocol, body)
 	}
 	encoded, err := encMode.Marshal(body)
 	if err != nil {
@@ -131,10 +132,10 @@
 	return append(append(b, byte(kind)), encoded...), nil
 }
 
-// ParseFrame decodes the kind and body of a frame without its length.
+// ParseFrame decodes a frame without its length prefix and returns its body.
 func ParseFrame(frame []byte) (any, error) {
 	if len(frame) == 0 {
-		return nil, fmt.Errorf("%w: a frame of no length", ErrProtocol)
+		return nil, fmt.Errorf("%w: frame is empty", ErrProtocol)
 	}
 	body := newBody(Kind(frame[0]))
 	if body == nil {
@@ -146,7 +147,7 @@
 	return body, nil
 }
 
-// FrameReader reads frames. Its memory grows with the bytes that have arrived, not with the length that a peer claims.
+// FrameReader reads frames. It allocates memory for the bytes received, not for the length that a peer announces.
 type FrameReader struct {
 	source io.Reader
 	limit  int
@@ -154,19 +155,20 @@
 	buffer []byte
 }
 
-// NewFrameReader reads frames of up to limit bytes from source.
+// NewFrameReader returns a FrameReader that reads frames of up to limit bytes, without their length prefix, from
+// source.
 func NewFrameReader(source io.Reader, limit int) *FrameReader {
 	return &FrameReader{source: source, limit: limit}
 }
 
-// Next reads one frame and returns its body. io.EOF comes only between frames.
+// Next reads one frame and returns its body. It returns io.EOF only if the source ends between two frames.
 func (r *FrameReader) Next() (any, error) {
 	if _, err := io.ReadFull(r.source, r.length[:]); err != nil {
 		return nil, err
 	}
 	length := int(binary.BigEndian.Uint32(r.length[:]))
 	if length == 0 || length > r.limit {
-		return nil, fmt.Errorf("%w: a frame of %d bytes, 1 to %d are taken", ErrProtocol, length, r.limit)
+		return nil, fmt.Errorf("%w: frame of %d bytes, want 1 to %d", ErrProtocol, length, r.limit)
 	}
 	r.buffer = r.buffer[:0]
 	for len(r.buffer) < length {
--- a/internal/workerrpc/golden_test.go
+++ b/internal/workerrpc/golden_test.go
@@ -18,7 +18,7 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// golden reads testdata/golden/NAME.hex: hexadecimal digits, split by any white space.
+// golden returns the bytes in testdata/golden/NAME.hex, which has hexadecimal digits and white space.
 func golden(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name+".hex"))
@@ -32,7 +32,7 @@
 	return b
 }
 
-// sameBytes compares encoded bytes and shows both in hexadecimal.
+// sameBytes reports an error with both values in hexadecimal if the bytes differ.
 func sameBytes(t *testing.T, name string, got, want []byte) {
 	t.Helper()
 	if !bytes.Equal(got, want) {
@@ -48,14 +48,15 @@
 		ColdStartRate: 0.1}
 }
 
-// goldenFrame is a message, its kind on the wire and the name of the file with its bytes.
+// goldenFrame is a message with its kind on the wire and the name of the golden file with its encoding.
 type goldenFrame struct {
 	name string
 	kind byte
 	body any
 }
 
-// goldenFrames are messages of every kind: with every field set to a distinct value, and with all fields zero.
+// goldenFrames returns two messages of each kind: one with a distinct value in every field and one with all fields
+// zero.
 func goldenFrames() []goldenFrame {
 	return []goldenFrame{
 		{"hello-full", 1, &workerrpc.Handshake{Version: 1, Name: "w-1", Started: started, MaxAttempts: 64, MaxFrame: 16777216,
@@ -88,39 +89,40 @@
 	}
 }
 
-// TestGoldenFrames: each message encodes to the bytes on file, and those bytes decode to the message.
+// Each message must encode to the bytes of its golden file, and those bytes must decode to the message. A difference
+// would break gateways and workers of other versions.
 func TestGoldenFrames(t *testing.T) {
-	for _, f := range goldenFrames() {
-		t.Run(f.name, func(t *testing.T) {
-			got, err := workerrpc.AppendFrame(nil, f.body)
+	for _, frame := range goldenFrames() {
+		t.Run(frame.name, func(t *testing.T) {
+			got, err := workerrpc.AppendFrame(nil, frame.body)
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := golden(t, f.name)
-			sameBytes(t, f.name, got, want)
-			if len(want) < 6 || int(binary.BigEndian.Uint32(want)) != len(want)-4 || want[4] != f.kind {
-				t.Fatalf("file %s: header %x does not tell its length %d and kind %d", f.name, want, len(want)-4, f.kind)
+			want := golden(t, frame.name)
+			sameBytes(t, frame.name, got, want)
+			if len(want) < 6 || int(binary.BigEndian.Uint32(want)) != len(want)-4 || want[4] != frame.kind {
+				t.Fatalf("file %s: header %x does not state length %d and kind %d", frame.name, want, len(want)-4, frame.kind)
 			}
-			back, err := workerrpc.NewFrameReader(bytes.NewReader(want), len(want)-4).Next()
+			decoded, err := workerrpc.NewFrameReader(bytes.NewReader(want), len(want)-4).Next()
 			if err != nil {
 				t.Fatal(err)
 			}
-			if h, is := back.(*workerrpc.Handshake); is {
-				if exp := f.body.(*workerrpc.Handshake); !h.Started.Equal(exp.Started) {
-					t.Errorf("%s: started got %v, want %v", f.name, h.Started, exp.Started)
+			if h, is := decoded.(*workerrpc.Handshake); is {
+				if wantHandshake := frame.body.(*workerrpc.Handshake); !h.Started.Equal(wantHandshake.Started) {
+					t.Errorf("%s: started got %v, want %v", frame.name, h.Started, wantHandshake.Started)
 				} else {
-					h.Started = exp.Started // the same moment, perhaps of another zone
+					h.Started = wantHandshake.Started // equal times, possibly in different time zones
 				}
 			}
-			if !reflect.DeepEqual(back, f.body) {
-				t.Errorf("%s: decoded\n got %+v\nwant %+v", f.name, back, f.body)
+			if !reflect.DeepEqual(decoded, frame.body) {
+				t.Errorf("%s: decoded\n got %+v\nwant %+v", frame.name, decoded, frame.body)
 			}
 		})
 	}
 }
 
-// TestGoldenCodes: the numbers of the codes, of the replica states and of the kinds, and which codes say that the
-// attempt never ran.
+// The numbers of codes, replica states and kinds are on the wire and must not change, and neither may the codes for
+// which an attempt never ran.
 func TestGoldenCodes(t *testing.T) {
 	for i, c := range []workerrpc.Code{workerrpc.CodeOK, workerrpc.CodeFailed, workerrpc.CodeOverloaded,
 		workerrpc.CodeNotFound, workerrpc.CodeNotStarted, workerrpc.CodeCancelled} {
@@ -134,7 +136,7 @@
 	for i, w := range []workerrpc.ReplicaState{workerrpc.ReplicaStateUnknown, workerrpc.ReplicaWarm,
 		workerrpc.ReplicaLoadStarted, workerrpc.ReplicaLoadAwaited, workerrpc.ReplicaLoadFailed} {
 		if int(w) != i {
-			t.Errorf("warmth: got %d, want %d", w, i)
+			t.Errorf("replica state: got %d, want %d", w, i)
 		}
 	}
 	for i, k := range []workerrpc.Kind{workerrpc.KindHandshake, workerrpc.KindAttempt, workerrpc.KindAttemptResult,
@@ -145,22 +147,24 @@
 		}
 	}
 	if workerrpc.ProtocolVersion != 1 || workerrpc.MaxFrame != 16777216 {
-		t.Errorf("version, longest frame: got %d, %d, want 1, 16777216", workerrpc.ProtocolVersion, workerrpc.MaxFrame)
+		t.Errorf("protocol version, longest frame: got %d, %d, want 1, 16777216", workerrpc.ProtocolVersion,
+			workerrpc.MaxFrame)
 	}
 }
 
-// TestGoldenInvalidFrames: frames that are not of the protocol, and one with a field that this version does not know.
+// Frames that violate the protocol must be rejected. A field that this version does not know must be ignored, so that
+// later versions can add fields.
 func TestGoldenInvalidFrames(t *testing.T) {
 	for name, text := range map[string]string{
-		"no length":              "00000000",
-		"over the limit":         "01000001",
-		"kind 0":                 "0000000200a0",
-		"kind 10":                "000000020aa0",
-		"no body":                "0000000104",
-		"not a map":              "00000003048101",
-		"a key twice":            "0000000604a201010102",
-		"map of indefinite size": "0000000504bf0101ff",
-		"bytes after the body":   "0000000504a1010100",
+		"zero length":           "00000000",
+		"over the limit":        "01000001",
+		"kind 0":                "0000000200a0",
+		"kind 10":               "000000020aa0",
+		"missing body":          "0000000104",
+		"not a map":             "00000003048101",
+		"duplicate key":         "0000000604a201010102",
+		"indefinite-length map": "0000000504bf0101ff",
+		"bytes after the body":  "0000000504a1010100",
 	} {
 		raw, err := hex.DecodeString(text)
 		if err != nil {
@@ -171,7 +175,7 @@
 			t.Errorf("%s (%s): got %+v, %v, want %v", name, text, body, err, workerrpc.ErrProtocol)
 		}
 	}
-	raw, err := hex.DecodeString("0000000704a20107186301") // cancel, 1: 7, 99: 1
+	raw, err := hex.DecodeString("0000000704a20107186301") // a Cancel with key 1: 7 and key 99: 1
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,10 +185,10 @@
 	}
 }
 
-// deadline bounds every exchange on a real connection; it is reached only where the test fails.
-const deadline = 20 * time.Second
+// ioTimeout is the timeout of all I/O on real connections. It is reached only if a test fails.
+const ioTimeout = 20 * time.Second
 
-// expect reads as many bytes as are wanted and compares them.
+// expect reads len(want) bytes from a connection and compares them with want.
 func expect(t *testing.T, conn net.Conn, name string, want []byte) {
 	t.Helper()
 	got := make([]byte, len(want))
@@ -202,41 +206,41 @@
 	}
 }
 
-// goldenHandler answers an attempt with an idempotency key at once and any other when it is cancelled.
-type goldenHandler struct{ got chan any }
+// goldenHandler answers attempts with an idempotency key at once, and other attempts when they are cancelled.
+type goldenHandler struct{ received chan any }
 
-func (h goldenHandler) HandleAttempt(gateway string, l *workerrpc.Attempt,
+func (h goldenHandler) HandleAttempt(gateway string, attempt *workerrpc.Attempt,
 	reply func(*workerrpc.AttemptResult)) func() {
-	h.got <- l
-	if l.IdempotencyKey == "" {
+	h.received <- attempt
+	if attempt.IdempotencyKey == "" {
 		return func() {
 			reply(&workerrpc.AttemptResult{Code: workerrpc.CodeNotStarted, Reason: "cancelled by " + gateway})
 		}
 	}
-	// The server sets the sequence number and the request's id.
+	// The server must replace the sequence number and the request ID.
 	reply(&workerrpc.AttemptResult{Seq: 1, RequestID: "other", Code: workerrpc.CodeOK, Body: []byte("ok")})
 	return nil
 }
 
-func (h goldenHandler) HandleLoadRequest(_ string, o *workerrpc.LoadRequest, reply func(*workerrpc.LoadResult)) {
-	h.got <- o
-	reply(&workerrpc.LoadResult{Seq: 9, Replicas: o.Replicas})
+func (h goldenHandler) HandleLoadRequest(_ string, request *workerrpc.LoadRequest, reply func(*workerrpc.LoadResult)) {
+	h.received <- request
+	reply(&workerrpc.LoadResult{Seq: 9, Replicas: request.Replicas})
 }
 
 func (h goldenHandler) LoadReport() *workerrpc.LoadReport { return fullReport() }
 
-// TestGoldenServer: a worker's bytes on a connection, for each message that a gateway sends.
+// A server must answer each kind of message that a gateway sends with the bytes of the golden files.
 func TestGoldenServer(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	h := goldenHandler{got: make(chan any, 4)}
+	h := goldenHandler{received: make(chan any, 4)}
 	handshake := workerrpc.Handshake{Name: "w-1", Started: started, MaxAttempts: 8, WarmUpTime: 5}
-	s := &workerrpc.Server{Handshake: handshake, Handler: h}
+	server := &workerrpc.Server{Handshake: handshake, Handler: h}
 	ended := make(chan error, 1)
-	go func() { ended <- s.Serve(ctx, listener) }()
+	go func() { ended <- server.Serve(ctx, listener) }()
 	defer func() {
 		stop()
 		if err := <-ended; err != nil {
@@ -244,11 +248,11 @@
 		}
 	}()
 	dial := func() net.Conn {
-		conn, err := net.DialTimeout("tcp", listener.Addr().String(), deadline)
+		conn, err := net.DialTimeout("tcp", listener.Addr().String(), ioTimeout)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := conn.SetDeadline(time.Now().Add(deadline)); err != nil {
+		if err := conn.SetDeadline(time.Now().Add(ioTimeout)); err != nil {
 			t.Fatal(err)
 		}
 		return conn
@@ -261,55 +265,55 @@
 	expect(t, conn, "server-answer", golden(t, "server-answer"))
 	send(t, conn, golden(t, "launch-empty"))
 	send(t, conn, golden(t, "cancel-empty"))
-	// The server may read the cancel only after it knows how to cancel, as it reads one frame at a time.
+	// The server reads one frame at a time, so that it has the attempt's cancel function before it reads the cancel.
 	expect(t, conn, "server-cancelled", golden(t, "server-cancelled"))
 	send(t, conn, golden(t, "order-full"))
 	expect(t, conn, "server-ordered", golden(t, "server-ordered"))
 	send(t, conn, golden(t, "probe-full"))
-	reply := golden(t, "echo-full") // of call 81; the probe is call 71
+	reply := golden(t, "echo-full") // has sequence number 81; the probe has 71
 	reply[bytes.Index(reply, []byte{0x18, 81})+1] = 71
 	expect(t, conn, "server-echo", reply)
-	s.NotifyDraining("r-91")
+	server.NotifyDraining("r-91")
 	expect(t, conn, "server-goodbye", golden(t, "goodbye-full"))
 	for i, want := range []any{goldenFrames()[2].body, goldenFrames()[3].body,
 		&workerrpc.LoadRequest{Seq: 51, Function: "f-52", Replicas: 53}} {
-		if got := <-h.got; !reflect.DeepEqual(got, want) {
-			t.Errorf("handler's call %d:\n got %+v\nwant %+v", i, got, want)
+		if got := <-h.received; !reflect.DeepEqual(got, want) {
+			t.Errorf("call %d of the handler:\n got %+v\nwant %+v", i, got, want)
 		}
 	}
 	send(t, conn, golden(t, "goodbye-empty"))
 	if b, err := io.ReadAll(conn); err != nil || len(b) != 0 {
-		t.Errorf("after goodbye: got %x, %v, want the end", b, err)
+		t.Errorf("after the drain notice: got %x, %v, want the end of the connection", b, err)
 	}
 }
 
-// receiveOutcome returns the outcome of a call.
+// receiveOutcome waits for the outcome of a call and returns it.
 func receiveOutcome(t *testing.T, c chan workerrpc.Outcome) workerrpc.Outcome {
 	t.Helper()
 	select {
 	case o := <-c:
 		return o
-	case <-time.After(deadline):
+	case <-time.After(ioTimeout):
 		t.Fatal("no outcome")
 		return workerrpc.Outcome{}
 	}
 }
 
-// TestGoldenClient: a gateway's bytes on a connection. The time left of an attempt depends on the clock, so that
-// one attempt has a deadline that is past (0 on the wire).
+// A client must send the bytes of the golden files. As an attempt's TimeLeft depends on the clock, the deadlines of the
+// attempts have passed, so that TimeLeft is 0 on the wire.
 func TestGoldenClient(t *testing.T) {
-	here, there := net.Pipe()
-	if err := there.SetDeadline(time.Now().Add(deadline)); err != nil {
+	gatewayConn, workerConn := net.Pipe()
+	if err := workerConn.SetDeadline(time.Now().Add(ioTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	p := workerrpc.NewClient("front-1", "w-1", "addr", workerrpc.Limits{DialTimeout: deadline, QueueTimeout: deadline,
-		WriteTimeout: deadline, MaxQueuedCalls: 8, MaxQueuedBytes: 1 << 20},
-		func(context.Context, string) (net.Conn, error) { return here, nil })
-	greeted := make(chan *workerrpc.Handshake, 1)
-	p.OnHandshake = func(h *workerrpc.Handshake) { greeted <- h }
+	client := workerrpc.NewClient("front-1", "w-1", "addr", workerrpc.Limits{DialTimeout: ioTimeout,
+		QueueTimeout: ioTimeout, WriteTimeout: ioTimeout, MaxQueuedCalls: 8, MaxQueuedBytes: 1 << 20},
+		func(context.Context, string) (net.Conn, error) { return gatewayConn, nil })
+	handshakes := make(chan *workerrpc.Handshake, 1)
+	client.OnHandshake = func(h *workerrpc.Handshake) { handshakes <- h }
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- p.Run(ctx) }()
+	go func() { ended <- client.Run(ctx) }()
 	defer func() {
 		stop()
 		if err := <-ended; err != nil {
@@ -319,49 +323,49 @@
 	outcomes := make(chan workerrpc.Outcome, 1)
 	done := func(o workerrpc.Outcome) { outcomes <- o }
 
-	p.Probe(done)
-	expect(t, there, "peer-hello", golden(t, "peer-hello"))
-	send(t, there, golden(t, "hello-full"))
-	expect(t, there, "peer-probe", []byte{0, 0, 0, 4, 7, 0xa1, 1, 1})
-	reply := golden(t, "echo-full") // of call 81; the probe is call 1
+	client.Probe(done)
+	expect(t, workerConn, "peer-hello", golden(t, "peer-hello"))
+	send(t, workerConn, golden(t, "hello-full"))
+	expect(t, workerConn, "peer-probe", []byte{0, 0, 0, 4, 7, 0xa1, 1, 1})
+	reply := golden(t, "echo-full") // has sequence number 81; the probe has 1
 	reply = bytes.Replace(reply, []byte{0x18, 81}, []byte{1}, 1)
 	reply[3]--
-	send(t, there, reply)
+	send(t, workerConn, reply)
 	wantReply := &workerrpc.ProbeReply{Seq: 1, Report: fullReport()}
 	o := receiveOutcome(t, outcomes)
 	if o.Status != workerrpc.StatusAnswered || !reflect.DeepEqual(o.ProbeReply, wantReply) {
-		t.Errorf("probe: got %+v, want answered, %+v", o, wantReply)
+		t.Errorf("probe: got %+v, want answered with %+v", o, wantReply)
 	}
-	if h := <-greeted; h.Name != "w-1" || h.MaxAttempts != 64 || !h.Started.Equal(started) ||
+	if h := <-handshakes; h.Name != "w-1" || h.MaxAttempts != 64 || !h.Started.Equal(started) ||
 		len(h.InterruptedLoads) != 2 {
-		t.Errorf("hello: got %+v, want that of hello-full", h)
+		t.Errorf("handshake: got %+v, want that of hello-full", h)
 	}
 
-	p.Load(workerrpc.LoadRequest{Seq: 99, Function: "f-52", Replicas: 53}, done)
-	expect(t, there, "peer-order", golden(t, "peer-order"))
-	send(t, there, []byte{0, 0, 0, 8, 6, 0xa3, 1, 2, 2, 3, 3, 4})
+	client.Load(workerrpc.LoadRequest{Seq: 99, Function: "f-52", Replicas: 53}, done)
+	expect(t, workerConn, "peer-order", golden(t, "peer-order"))
+	send(t, workerConn, []byte{0, 0, 0, 8, 6, 0xa3, 1, 2, 2, 3, 3, 4})
 	wantLoad := &workerrpc.LoadResult{Seq: 2, Code: workerrpc.CodeNotFound, Replicas: 4}
 	o = receiveOutcome(t, outcomes)
 	if o.Status != workerrpc.StatusAnswered || !reflect.DeepEqual(o.LoadResult, wantLoad) {
-		t.Errorf("load request: got %+v, want answered, %+v", o, wantLoad)
+		t.Errorf("load request: got %+v, want answered with %+v", o, wantLoad)
 	}
 
-	full := *goldenFrames()[2].body.(*workerrpc.Attempt)
-	p.Send(full, 0, done)
-	expect(t, there, "peer-launch", golden(t, "peer-launch"))
-	send(t, there, []byte{0, 0, 0, 12, 3, 0xa3, 1, 3, 2, 0x64, 'e', '-', '1', '2', 3, 2})
+	attempt := *goldenFrames()[2].body.(*workerrpc.Attempt)
+	client.Send(attempt, 0, done)
+	expect(t, workerConn, "peer-launch", golden(t, "peer-launch"))
+	send(t, workerConn, []byte{0, 0, 0, 12, 3, 0xa3, 1, 3, 2, 0x64, 'e', '-', '1', '2', 3, 2})
 	wantResult := &workerrpc.AttemptResult{Seq: 3, RequestID: "e-12", Code: workerrpc.CodeOverloaded}
 	if o := receiveOutcome(t, outcomes); !o.NeverRan() || !reflect.DeepEqual(o.AttemptResult, wantResult) {
-		t.Errorf("attempt: got %+v, want never ran, %+v", o, wantResult)
+		t.Errorf("attempt: got %+v, want never ran with %+v", o, wantResult)
 	}
 
-	c := p.Send(workerrpc.Attempt{RequestID: "e-2"}, 0, done)
-	expect(t, there, "peer-launch-short", golden(t, "peer-launch-short"))
-	c.Cancel()
-	expect(t, there, "peer-cancel", []byte{0, 0, 0, 4, 4, 0xa1, 1, 4})
+	call := client.Send(workerrpc.Attempt{RequestID: "e-2"}, 0, done)
+	expect(t, workerConn, "peer-launch-short", golden(t, "peer-launch-short"))
+	call.Cancel()
+	expect(t, workerConn, "peer-cancel", []byte{0, 0, 0, 4, 4, 0xa1, 1, 4})
 	if o := receiveOutcome(t, outcomes); o.Status != workerrpc.StatusCancelled || o.NeverRan() {
-		t.Errorf("recalled launch: got %+v, want recalled, may have run", o)
+		t.Errorf("cancelled attempt: got %+v, want cancelled, may have run", o)
 	}
-	p.NotifyDraining()
-	expect(t, there, "peer-goodbye", golden(t, "peer-goodbye"))
+	client.NotifyDraining()
+	expect(t, workerConn, "peer-goodbye", golden(t, "peer-goodbye"))
 }
--- a/internal/workerrpc/messages.go
+++ b/internal/workerrpc/messages.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Handshake opens a connection, in both directions. A worker states its name, its start and how many attempts it
-// takes on the connection.
+// Handshake is the first message on a connection, in both directions. A worker states its name, its start time and how
+// many attempts it accepts on the connection.
 type Handshake struct {
 	Version     int       `cbor:"1,keyasint"`
-	Name        string    `cbor:"2,keyasint"`
-	Started     time.Time `cbor:"3,keyasint,omitempty"` // of the worker's process
-	MaxAttempts int       `cbor:"4,keyasint,omitempty"` // most attempts in flight on this connection
-	MaxFrame    int       `cbor:"5,keyasint,omitempty"` // longest body that the sender takes
-	// InterruptedLoads are, of a worker, the loads that its previous incarnation did not complete.
+	Name        string    `cbor:"2,keyasint"`           // name of the sender
+	Started     time.Time `cbor:"3,keyasint,omitempty"` // start time of the worker's process
+	MaxAttempts int       `cbor:"4,keyasint,omitempty"` // maximum number of attempts in flight on this connection
+	MaxFrame    int       `cbor:"5,keyasint,omitempty"` // longest frame that the sender accepts, in bytes
+	// InterruptedLoads are the loads that the worker's previous incarnation did not complete.
 	InterruptedLoads []InterruptedLoad `cbor:"6,keyasint,omitempty"`
-	// WarmUpTime is how long the worker's previous incarnation warmed up, as it measured it; 0: unknown.
+	// WarmUpTime is the warm-up time that the worker's previous incarnation measured; 0 if it is unknown.
 	WarmUpTime time.Duration `cbor:"7,keyasint,omitempty"`
 }
 
-// InterruptedLoad is a load during which a worker crashed. It failed; the requests were waiting for it, and of each
-// the worker states whether it may have run.
+// InterruptedLoad is a load during which a worker crashed; it counts as failed. Requests are those that waited for the
+// load; for each the worker states whether it may have run.
 type InterruptedLoad struct {
 	Function string               `cbor:"1,keyasint"`
 	Version  string               `cbor:"2,keyasint"`
 	Requests []InterruptedRequest `cbor:"3,keyasint,omitempty"`
 }
 
-// InterruptedRequest is a request that a worker had accepted when it crashed.
+// InterruptedRequest is a request that a worker had accepted before it crashed.
 type InterruptedRequest struct {
 	RequestID  string `cbor:"1,keyasint"`
 	MayHaveRun bool   `cbor:"2,keyasint"`
@@ -32,87 +32,87 @@
 
 // Attempt asks a worker to run a request.
 type Attempt struct {
-	Seq             uint64        `cbor:"1,keyasint"` // of the connection's calls
+	Seq             uint64        `cbor:"1,keyasint"` // sequence number of the call, unique on the connection
 	RequestID       string        `cbor:"2,keyasint"`
-	Number          int           `cbor:"3,keyasint"` // of the request's attempts, from 0
+	Number          int           `cbor:"3,keyasint"` // number of this attempt among the request's attempts, from 0
 	Function        string        `cbor:"4,keyasint"`
 	Type            string        `cbor:"5,keyasint"`
 	Tenant          string        `cbor:"6,keyasint"`
-	IdempotencyKey  string        `cbor:"7,keyasint,omitempty"`  // the worker runs a request of a key once
-	DedupWindow     time.Duration `cbor:"8,keyasint,omitempty"`  // for so long
-	TimeLeft        time.Duration `cbor:"9,keyasint"`            // until the client's deadline
-	ClientRequestID string        `cbor:"10,keyasint,omitempty"` // the client's own name of the request
+	IdempotencyKey  string        `cbor:"7,keyasint,omitempty"`  // the worker runs at most one request per key
+	DedupWindow     time.Duration `cbor:"8,keyasint,omitempty"`  // how long the worker remembers the key
+	TimeLeft        time.Duration `cbor:"9,keyasint"`            // time until the client's deadline
+	ClientRequestID string        `cbor:"10,keyasint,omitempty"` // request ID chosen by the client
 	Body            []byte        `cbor:"11,keyasint,omitempty"`
 }
 
 // Code is a worker's result of an attempt or a load request.
 type Code int
 
-// The codes. CodeOverloaded, CodeNotFound and CodeNotStarted state that the attempt never ran.
+// The codes. With CodeOverloaded, CodeNotFound and CodeNotStarted the attempt never ran.
 const (
-	CodeOK         Code = iota // handled; of a load request: the replicas are ready
-	CodeFailed                 // an error; it may have run
-	CodeOverloaded             // rejected unseen
+	CodeOK         Code = iota // the attempt completed, or the replicas of the load request are ready
+	CodeFailed                 // the call failed; an attempt may have run
+	CodeOverloaded             // rejected before execution because the worker is overloaded
 	CodeNotFound               // the worker does not have the function
-	CodeNotStarted             // cancelled or rejected before it started
-	CodeCancelled              // cancelled; it may have run
+	CodeNotStarted             // cancelled or rejected before execution started
+	CodeCancelled              // cancelled; an attempt may have run
 )
 
 // NeverRan reports whether the code states that the attempt never ran.
 func (c Code) NeverRan() bool { return c == CodeOverloaded || c == CodeNotFound || c == CodeNotStarted }
 
-// LoadReport is a worker's load at one moment.
+// LoadReport is a worker's load at one point in time.
 type LoadReport struct {
-	QueueDepth     int     `cbor:"1,keyasint"` // requests that wait there
-	Running        int     `cbor:"2,keyasint"`
-	CPUUtilization float64 `cbor:"3,keyasint"`           // part of its cores in use
-	MemoryBytes    int64   `cbor:"4,keyasint"`           // in use
-	ColdStartRate  float64 `cbor:"5,keyasint,omitempty"` // part of its last attempts that found no warm replica
+	QueueDepth     int     `cbor:"1,keyasint"`           // requests waiting at the worker
+	Running        int     `cbor:"2,keyasint"`           // requests running at the worker
+	CPUUtilization float64 `cbor:"3,keyasint"`           // fraction of the worker's cores in use
+	MemoryBytes    int64   `cbor:"4,keyasint"`           // memory in use
+	ColdStartRate  float64 `cbor:"5,keyasint,omitempty"` // fraction of the latest attempts that found no warm replica
 }
 
-// ReplicaState is the state of the replica that an attempt found.
+// ReplicaState is the state in which an attempt found the function's replica when it arrived at the worker.
 type ReplicaState int
 
 // The replica states.
 const (
 	ReplicaStateUnknown ReplicaState = iota
 	ReplicaWarm
-	ReplicaLoadStarted
-	ReplicaLoadAwaited
+	ReplicaLoadStarted // the attempt started a load
+	ReplicaLoadAwaited // the attempt waited for a load that was already in progress
 	ReplicaLoadFailed
 )
 
-// AttemptResult completes an attempt.
+// AttemptResult is the answer to an attempt.
 type AttemptResult struct {
 	Seq                uint64        `cbor:"1,keyasint"`
 	RequestID          string        `cbor:"2,keyasint"`
 	Code               Code          `cbor:"3,keyasint"`
 	ReplicaState       ReplicaState  `cbor:"4,keyasint,omitempty"`
-	ConcurrentRequests int           `cbor:"5,keyasint,omitempty"` // of the function at the worker when it arrived
+	ConcurrentRequests int           `cbor:"5,keyasint,omitempty"` // requests of the function at the worker on arrival
 	CPUTime            time.Duration `cbor:"6,keyasint,omitempty"`
 	Report             *LoadReport   `cbor:"7,keyasint,omitempty"`
-	Deduplicated       bool          `cbor:"8,keyasint,omitempty"` // it did not run: the result is that of its first run
+	Deduplicated       bool          `cbor:"8,keyasint,omitempty"` // did not run; this is the first run's result
 	Reason             string        `cbor:"9,keyasint,omitempty"`
 	Body               []byte        `cbor:"10,keyasint,omitempty"`
 }
 
-// Cancel asks a worker to cancel an attempt, which still gets a result.
+// Cancel asks a worker to cancel an attempt. The worker still sends a result for it.
 type Cancel struct {
 	Seq uint64 `cbor:"1,keyasint"`
 }
 
-// LoadRequest asks a worker for a number of replicas of a function in all.
+// LoadRequest asks a worker to load replicas of a function until it has Replicas of them in total.
 type LoadRequest struct {
 	Seq      uint64 `cbor:"1,keyasint"`
 	Function string `cbor:"2,keyasint"`
 	Replicas int    `cbor:"3,keyasint"`
 }
 
-// LoadResult completes a load request.
+// LoadResult is the answer to a load request.
 type LoadResult struct {
 	Seq      uint64 `cbor:"1,keyasint"`
 	Code     Code   `cbor:"2,keyasint"`
-	Replicas int    `cbor:"3,keyasint"` // that are ready now
+	Replicas int    `cbor:"3,keyasint"` // number of replicas that are ready
 	Reason   string `cbor:"4,keyasint,omitempty"`
 }
 
@@ -121,13 +121,14 @@
 	Seq uint64 `cbor:"1,keyasint"`
 }
 
-// ProbeReply completes a probe.
+// ProbeReply is the answer to a probe.
 type ProbeReply struct {
 	Seq    uint64      `cbor:"1,keyasint"`
 	Report *LoadReport `cbor:"2,keyasint"`
 }
 
-// DrainNotice states that its sender starts nothing new; what is in flight still gets a result.
+// DrainNotice announces that its sender starts no new work. A worker that has sent one still answers the calls in
+// flight; a worker that receives one closes the connection.
 type DrainNotice struct {
 	Reason string `cbor:"1,keyasint,omitempty"`
 }
--- a/internal/workerrpc/queue.go
+++ b/internal/workerrpc/queue.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// drainReason is the reason of a gateway's drain notice, as it is sent.
+// drainReason is the reason that a gateway's drain notice states; it is part of the protocol's messages.
 const drainReason = "front end closes"
 
-// message is what is written next.
+// message is a message to write to the connection.
 type message struct {
-	body      any   // nil: there is nothing to write
-	call      *Call // that the body starts; nil: it starts none
-	cancelled *Call // that the body cancels; nil: it cancels none
+	body      any   // the body of the frame; nil if there is nothing to write
+	call      *Call // the call that the message sends; nil for a cancel or a drain notice
+	cancelled *Call // the call that the message cancels; nil unless it is a cancel
 }
 
-// enqueue queues a call, or ends it as unsent where it can't be queued.
+// enqueue queues a call. If the call can't be queued, enqueue ends it with StatusUnsent.
 func (c *Client) enqueue(call *Call) *Call {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,7 +39,7 @@
 	return call
 }
 
-// checkQueue returns why a call with a body of some size can't be queued; the mutex is held.
+// checkQueue returns the reason why a call with a body of size bytes can't be queued, or nil. c.mu must be held.
 func (c *Client) checkQueue(call *Call, size int) error {
 	queued := len(c.attemptQueue) + len(c.controlQueue)
 	switch {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// wake has the writer, or Run, look for something to write.
+// wake signals the write loop, or Run while there is no connection, that there may be something to write.
 func (c *Client) wake() {
 	select {
 	case c.wakeup <- struct{}{}:
@@ -63,7 +63,7 @@
 	}
 }
 
-// abortQueued ends a queued call as unsent; false where it is not queued any more.
+// abortQueued ends a call with StatusUnsent if it is still queued, and reports whether it was.
 func (c *Client) abortQueued(call *Call, reason error) bool {
 	c.mu.Lock()
 	queued := call.state == callQueued
@@ -78,7 +78,7 @@
 	return queued
 }
 
-// dequeue removes a call from its queue; the mutex is held.
+// dequeue removes a call from its queue. c.mu must be held.
 func (c *Client) dequeue(call *Call) {
 	queue := &c.controlQueue
 	if call.attempt != nil {
@@ -93,15 +93,16 @@
 	}
 }
 
-// finish forgets a call that has its outcome and, if it was sent, its answer; the mutex is held.
+// finish marks a call as completed and removes it: it has an outcome, and no answer of the worker is expected. c.mu
+// must be held.
 func (c *Client) finish(call *Call) {
 	call.state = callCompleted
 	delete(c.calls, call.seq)
 	call.queueTimer.Stop()
 }
 
-// dropWithheld ends the attempts and load requests at the heads of the queues that must not be sent any more; the mutex
-// is held.
+// dropWithheld ends the calls at the heads of the queues that must no longer be sent. It stops at the first call of
+// each queue that may be sent. c.mu must be held.
 func (c *Client) dropWithheld() {
 	for len(c.controlQueue) > 0 && !c.controlQueue[0].mayBeSent() {
 		c.dropCall(c.controlQueue[0])
@@ -115,7 +116,7 @@
 	}
 }
 
-// dropCall ends a queued call that must not be sent any more; the mutex is held.
+// dropCall ends a queued call that must no longer be sent, with ErrWithheld. c.mu must be held.
 func (c *Client) dropCall(call *Call) {
 	c.dequeue(call)
 	c.finish(call)
@@ -124,8 +125,8 @@
 
 func (c *Call) mayBeSent() bool { return c.maySend == nil || c.maySend() }
 
-// nextMessage takes what is to be written next: cancels first, then load requests and probes, then attempts as far
-// as the worker takes them, and a drain notice when no attempt can be written.
+// nextMessage removes and returns the next message to write: cancels first, then load requests and probes, then
+// attempts up to the worker's limit of attempts in flight, and a drain notice if no attempt can be written.
 func (c *Client) nextMessage() message {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,20 +150,20 @@
 		c.inFlight++
 		call.attempt.Seq, call.attempt.TimeLeft = call.seq, max(0, time.Until(call.deadline))
 		return message{body: call.attempt, call: call}
-	case c.drainNoticeDue:
+	case c.drainNoticeRequested:
 		return c.drainNotice()
 	}
 	return message{}
 }
 
-// startWriting takes a call from its queue; the mutex is held.
+// startWriting removes a call from its queue to write it. c.mu must be held.
 func (c *Client) startWriting(call *Call) {
 	c.dequeue(call)
 	call.queueTimer.Stop()
 	call.state = callWriting
 }
 
-// drainNotice takes the drain notice, once; the mutex is held.
+// drainNotice returns the drain notice the first time it is called, and an empty message after that. c.mu must be held.
 func (c *Client) drainNotice() message {
 	select {
 	case <-c.drainNoticeSent:
--- a/internal/workerrpc/server.go
+++ b/internal/workerrpc/server.go
@@ -10,22 +10,22 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// maxConnections is how many connections a Server serves; more are closed at once.
+// maxConnections is the maximum number of connections that a Server serves; further ones are closed at once.
 const maxConnections = 1024
 
-// Handler is what a worker does with calls. Its methods return at once; reply may be called later by any goroutine,
-// and only its first call counts. A reply to a connection that is lost is dropped: the gateway sees a lost
-// connection.
+// Handler handles the calls of gateways at a worker. Its methods must not block. reply may be called later and on any
+// goroutine; only its first call has an effect. A reply after the connection is lost is dropped; the gateway has
+// ended the call with StatusConnectionLost.
 type Handler interface {
-	// HandleAttempt runs an attempt. cancel, which may be nil, cancels it; reply is still called.
+	// HandleAttempt runs an attempt. cancel, which may be nil, cancels it; reply is still called after that.
 	HandleAttempt(gateway string, attempt *Attempt, reply func(*AttemptResult)) (cancel func())
-	// HandleLoadRequest has a number of replicas ready.
+	// HandleLoadRequest loads replicas until the requested number is ready.
 	HandleLoadRequest(gateway string, request *LoadRequest, reply func(*LoadResult))
-	// LoadReport returns the worker's load.
+	// LoadReport returns the worker's current load.
 	LoadReport() *LoadReport
 }
 
-// Server is a worker's side of the protocol.
+// Server serves the protocol at a worker.
 type Server struct {
 	Handshake Handshake
 	Handler   Handler
@@ -34,7 +34,8 @@
 	conns map[*serverConn]struct{}
 }
 
-// Serve accepts connections until ctx ends or the listener fails. It closes the listener and leaves no goroutine.
+// Serve accepts and serves connections until ctx is done or the listener fails. It closes the listener and returns
+// after its goroutines have ended.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	s.mu.Lock()
 	if s.conns == nil {
@@ -57,7 +58,7 @@
 	return group.Wait()
 }
 
-// acceptLoop accepts connections and starts those within the limit.
+// acceptLoop accepts connections and passes them to start, except those beyond maxConnections, which it closes.
 func (s *Server) acceptLoop(ctx context.Context, listener net.Listener, start func(*serverConn)) error {
 	for {
 		conn, err := listener.Accept()
@@ -80,7 +81,7 @@
 	}
 }
 
-// add registers a connection; false where there are too many.
+// add registers a connection. It returns false if there are already maxConnections.
 func (s *Server) add(conn *serverConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +109,7 @@
 	}
 }
 
-// NotifyDraining sends a drain notice on all connections: nothing new is started here.
+// NotifyDraining sends a drain notice on all connections: the worker starts no new work.
 func (s *Server) NotifyDraining(reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/workerrpc/serverconn.go
+++ b/internal/workerrpc/serverconn.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// handshakeTimeout is how long a gateway may take for its handshake.
+	// handshakeTimeout is the maximum time to wait for a gateway's handshake.
 	handshakeTimeout = 5 * time.Second
-	// writeTimeout is how long a write may take; a longer one ends the connection.
+	// writeTimeout is the maximum time for writing a frame; after it the connection is closed.
 	writeTimeout = 5 * time.Second
-	// maxExtraFrames is how many frames beyond one for each attempt a gateway may leave unread, and how many load
-	// requests beyond one for each attempt it may have in flight.
+	// maxExtraFrames is added to a connection's maximum number of attempts in flight for two limits: the number of
+	// frames queued for a gateway that does not read them, and the number of load requests in flight.
 	maxExtraFrames = 256
 )
 
-// serverConn is a worker's side of one connection.
+// serverConn is one connection of a Server.
 type serverConn struct {
 	server      *Server
 	conn        net.Conn
-	gateway     string // its name; set by the handshake
-	maxAttempts int    // most attempts in flight
+	gateway     string // name of the gateway, from its handshake
+	maxAttempts int    // maximum number of attempts in flight
 	wakeup      chan struct{}
 
 	mu           sync.Mutex
-	outQueue     [][]byte          // frames to write
-	cancels      map[uint64]func() // of the attempts in flight, by sequence number; nil once the connection is lost
-	loadRequests int               // in flight
+	outQueue     [][]byte          // encoded frames to write
+	cancels      map[uint64]func() // cancel functions of the attempts in flight, by sequence number; nil once closed
+	loadRequests int               // number of load requests in flight
 }
 
 func newServerConn(server *Server, conn net.Conn) *serverConn {
@@ -45,7 +45,7 @@
 	}
 }
 
-// serve serves the connection until it is closed or lost, and then cancels its attempts.
+// serve serves the connection until it is closed or lost, and then cancels the attempts in flight.
 func (c *serverConn) serve(ctx context.Context) {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
@@ -54,7 +54,7 @@
 	})
 	group.Go(c.readLoop)
 	group.Go(func() error { return c.writeLoop(ctx) })
-	_ = group.Wait() // the gateway sees a lost connection, whatever ended it
+	_ = group.Wait() // the reason is not needed: the gateway treats every end as a lost connection
 	c.mu.Lock()
 	cancels := c.cancels
 	c.cancels = nil
@@ -66,7 +66,8 @@
 	}
 }
 
-// send queues a message. A result that is too long for a frame is replaced by a failure.
+// send queues a message. An attempt result that can't be encoded, such as one longer than MaxFrame, is replaced by one
+// with CodeFailed.
 func (c *serverConn) send(body any) {
 	frame, err := AppendFrame(nil, body)
 	if result, ok := body.(*AttemptResult); ok && err != nil {
@@ -87,7 +88,7 @@
 	}
 }
 
-// writeLoop writes queued frames until ctx ends or the connection is lost.
+// writeLoop writes queued frames until ctx is done or the connection is lost.
 func (c *serverConn) writeLoop(ctx context.Context) error {
 	for {
 		c.mu.Lock()
@@ -113,15 +114,15 @@
 	}
 }
 
-// queuedFrames is the number of frames that are not written yet.
+// queuedFrames returns the number of frames that wait for the write loop.
 func (c *serverConn) queuedFrames() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.outQueue)
 }
 
-// readLoop reads the gateway's messages. It always returns an error: io.EOF where the gateway closed the connection
-// in order.
+// readLoop reads and handles the gateway's messages until it fails. Its error is never nil; it is io.EOF if the gateway
+// closed the connection between two frames or sent a drain notice.
 func (c *serverConn) readLoop() error {
 	reader := NewFrameReader(c.conn, MaxFrame)
 	if err := c.handshake(reader); err != nil {
@@ -133,7 +134,7 @@
 			return err
 		}
 		if c.queuedFrames() > c.maxAttempts+maxExtraFrames {
-			return fmt.Errorf("%w: %s does not read its results", ErrProtocol, c.gateway)
+			return fmt.Errorf("%w: gateway %s does not read its results", ErrProtocol, c.gateway)
 		}
 		if err := c.dispatch(body); err != nil {
 			return err
@@ -141,7 +142,7 @@
 	}
 }
 
-// handshake reads the gateway's handshake and sends the worker's, also to a gateway of another version.
+// handshake reads the gateway's handshake and sends the worker's, even if the gateway has a different protocol version.
 func (c *serverConn) handshake(reader *FrameReader) error {
 	if err := c.conn.SetReadDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return err
@@ -152,7 +153,7 @@
 	}
 	received, ok := body.(*Handshake)
 	if !ok {
-		return fmt.Errorf("%w: %T instead of a handshake", ErrProtocol, body)
+		return fmt.Errorf("%w: received %T, want a handshake", ErrProtocol, body)
 	}
 	if err := c.conn.SetReadDeadline(time.Time{}); err != nil {
 		return err
@@ -162,12 +163,12 @@
 	sent.Version, sent.MaxFrame = ProtocolVersion, MaxFrame
 	c.send(&sent)
 	if received.Version != ProtocolVersion {
-		return fmt.Errorf("%w: %q speaks version %d", ErrProtocol, received.Name, received.Version)
+		return fmt.Errorf("%w: gateway %q has protocol version %d", ErrProtocol, received.Name, received.Version)
 	}
 	return nil
 }
 
-// dispatch handles one message of the gateway; io.EOF after a drain notice.
+// dispatch handles one message of the gateway. It returns io.EOF for a drain notice, which closes the connection.
 func (c *serverConn) dispatch(body any) error {
 	switch message := body.(type) {
 	case *Attempt:
@@ -183,21 +184,21 @@
 	case *DrainNotice:
 		return io.EOF
 	default:
-		return fmt.Errorf("%w: %s sent a %T", ErrProtocol, c.gateway, body)
+		return fmt.Errorf("%w: gateway %s sent an unexpected %T", ErrProtocol, c.gateway, body)
 	}
 }
 
-// handleAttempt has the handler run an attempt.
+// handleAttempt passes an attempt to the handler and records its cancel function.
 func (c *serverConn) handleAttempt(attempt *Attempt) error {
 	c.mu.Lock()
 	_, duplicate := c.cancels[attempt.Seq]
-	over := len(c.cancels) >= c.maxAttempts
-	if !duplicate && !over {
+	overLimit := len(c.cancels) >= c.maxAttempts
+	if !duplicate && !overLimit {
 		c.cancels[attempt.Seq] = nil
 	}
 	c.mu.Unlock()
-	if duplicate || over {
-		return fmt.Errorf("%w: %s has more than %d attempts in flight or uses a sequence number twice", ErrProtocol,
+	if duplicate || overLimit {
+		return fmt.Errorf("%w: gateway %s has more than %d attempts in flight or reuses a sequence number", ErrProtocol,
 			c.gateway, c.maxAttempts)
 	}
 	cancel := c.server.Handler.HandleAttempt(c.gateway, attempt, func(result *AttemptResult) {
@@ -218,7 +219,7 @@
 	return nil
 }
 
-// handleCancel cancels an attempt, unless it has its result.
+// handleCancel cancels an attempt if it is still in flight.
 func (c *serverConn) handleCancel(message *Cancel) {
 	c.mu.Lock()
 	cancel := c.cancels[message.Seq]
@@ -228,14 +229,14 @@
 	}
 }
 
-// handleLoadRequest has the handler carry out a load request.
+// handleLoadRequest passes a load request to the handler.
 func (c *serverConn) handleLoadRequest(request *LoadRequest) error {
 	c.mu.Lock()
 	c.loadRequests++
-	over := c.loadRequests > c.maxAttempts+maxExtraFrames
+	overLimit := c.loadRequests > c.maxAttempts+maxExtraFrames
 	c.mu.Unlock()
-	if over {
-		return fmt.Errorf("%w: %s has too many load requests in flight", ErrProtocol, c.gateway)
+	if overLimit {
+		return fmt.Errorf("%w: gateway %s has too many load requests in flight", ErrProtocol, c.gateway)
 	}
 	var once sync.Once
 	c.server.Handler.HandleLoadRequest(c.gateway, request, func(result *LoadResult) {
--- a/internal/workerrpc/workerrpc_test.go
+++ b/internal/workerrpc/workerrpc_test.go
@@ -28,7 +28,7 @@
 	MaxQueuedBytes: 1 << 20,
 }
 
-// fakeWorker is a worker's end of a pipe that does just what a test says.
+// fakeWorker is the worker's end of a connection over a pipe. A test scripts what it reads and sends.
 type fakeWorker struct {
 	net.Conn
 	t      *testing.T
@@ -46,10 +46,10 @@
 	}
 }
 
-// discardRest reads until the connection is closed.
+// discardRest reads and discards data until the connection is closed.
 func (w *fakeWorker) discardRest() { _, _ = io.Copy(io.Discard, w) }
 
-// next reads one message.
+// next reads one message and returns its body.
 func (w *fakeWorker) next() any {
 	w.t.Helper()
 	body, err := w.frames.Next()
@@ -59,8 +59,9 @@
 	return body
 }
 
-// startClient runs a client of worker w until the test ends. Its connections are served by behaviors, one after the
-// other, over pipes: a byte is written when it is read.
+// startClient runs a client of worker w until the test ends. The client's connections are pipes: a write returns only
+// when its bytes are read. The first connection is served by the first of behaviors, the next one by the second, and so
+// on; further connections are refused.
 func startClient(t *testing.T, limits workerrpc.Limits, behaviors ...func(*fakeWorker)) *workerrpc.Client {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -68,13 +69,13 @@
 	dialed := 0
 	client := workerrpc.NewClient("front", "w", "addr", limits, func(context.Context, string) (net.Conn, error) {
 		if dialed++; dialed > len(behaviors) {
-			return nil, errors.New("nobody listens")
+			return nil, errors.New("connection refused")
 		}
 		behave := behaviors[dialed-1]
 		gatewayConn, workerConn := net.Pipe()
 		workers.Go(func() {
 			worker := &fakeWorker{Conn: workerConn, t: t, frames: workerrpc.NewFrameReader(workerConn, workerrpc.MaxFrame)}
-			worker.next() // handshake
+			worker.next() // the gateway's handshake
 			worker.send(&workerrpc.Handshake{Version: workerrpc.ProtocolVersion, Name: "w", MaxAttempts: 2})
 			behave(worker)
 			workerConn.Close()
@@ -93,14 +94,14 @@
 	return client
 }
 
-// sendAttempt sends an attempt of a request and returns its outcomes, of which there should be one.
+// sendAttempt sends an attempt of a request and returns a channel with its outcomes. There should be exactly one.
 func sendAttempt(client *workerrpc.Client, id string) (*workerrpc.Call, <-chan workerrpc.Outcome) {
 	outcomes := make(chan workerrpc.Outcome, 2)
 	call := client.Send(workerrpc.Attempt{RequestID: id}, time.Minute, func(o workerrpc.Outcome) { outcomes <- o })
 	return call, outcomes
 }
 
-// wantOutcome waits for an outcome and compares it.
+// wantOutcome waits for an outcome, checks its status and whether it never ran, and returns it.
 func wantOutcome(t *testing.T, outcomes <-chan workerrpc.Outcome, status workerrpc.Status,
 	neverRan bool) workerrpc.Outcome {
 	t.Helper()
@@ -112,8 +113,8 @@
 	return outcome
 }
 
-// Results of a worker for an attempt that it never had, or has answered before, are counted; the requests' own
-// outcomes stand.
+// A worker sends results with an unknown sequence number, with another request's ID, and a second result for an
+// attempt. They must be counted as unmatched and must not change the outcome of any attempt.
 func TestUnmatchedResponses(t *testing.T) {
 	client := startClient(t, limits, func(w *fakeWorker) {
 		a := w.next().(*workerrpc.Attempt)
@@ -127,7 +128,7 @@
 	})
 	_, outcomes := sendAttempt(client, "a")
 	if o := wantOutcome(t, outcomes, workerrpc.StatusAnswered, false); o.AttemptResult.Code != workerrpc.CodeOK {
-		t.Error("the second result counted")
+		t.Error("an unmatched result replaced the outcome")
 	}
 	_, outcomes = sendAttempt(client, "b")
 	wantOutcome(t, outcomes, workerrpc.StatusAnswered, true)
@@ -137,7 +138,8 @@
 	client.NotifyDraining()
 }
 
-// An attempt that must not be sent any more when it is about to be written is withheld, and the one behind it is sent.
+// If maySend returns false when an attempt is about to be written, the attempt must not be sent, and the attempt queued
+// after it must still be sent.
 func TestWithheldAttempt(t *testing.T) {
 	client := startClient(t, limits, func(w *fakeWorker) {
 		b := w.next().(*workerrpc.Attempt)
@@ -158,37 +160,38 @@
 	client.NotifyDraining()
 }
 
-// An attempt partly written when the connection is lost may have run; one behind it, still queued, never did.
-// Nothing is sent a second time.
+// The connection is lost while an attempt is partly written: that attempt may have run, and the one still queued after
+// it never ran. The client must not send either again on a new connection.
 func TestPartlyWrittenAttempt(t *testing.T) {
-	waits := make(chan struct{})
+	closeConn := make(chan struct{})
 	client := startClient(t, limits, func(w *fakeWorker) {
-		if _, err := io.ReadFull(w, make([]byte, 6)); err != nil { // the length, the kind and one byte
+		if _, err := io.ReadFull(w, make([]byte, 6)); err != nil { // the length, the kind and one byte of the body
 			t.Error(err)
 		}
-		<-waits
+		<-closeConn
 	})
 	_, first := sendAttempt(client, "half")
 	_, second := sendAttempt(client, "behind")
-	close(waits)
+	close(closeConn)
 	wantOutcome(t, first, workerrpc.StatusConnectionLost, false)
 	wantOutcome(t, second, workerrpc.StatusUnsent, true)
 	if n := client.Counts().Connections; n != 1 {
-		t.Errorf("%d connections", n)
+		t.Errorf("%d connections, want 1", n)
 	}
 }
 
-// A stop while attempts are queued: those are unsent at once, a write that is not completed breaks the connection
-// after the grace, and nothing new is sent until the worker is in service again.
+// Stop is called while one attempt is being written and another is queued. The queued one must end with StatusUnsent at
+// once, the connection must be closed if the write does not complete within the grace, and no attempt may be sent until
+// Resume is called.
 func TestDrainWithQueuedAttempts(t *testing.T) {
-	waits, begun := make(chan struct{}), make(chan struct{})
-	client := startClient(t, limits, func(w *fakeWorker) { // the second attempt finds a reader that has stopped
+	closeConn, secondStarted := make(chan struct{}), make(chan struct{})
+	client := startClient(t, limits, func(w *fakeWorker) { // stops reading within the second attempt
 		w.next()
 		if _, err := io.ReadFull(w, make([]byte, 2)); err != nil {
 			t.Error(err)
 		}
-		close(begun)
-		<-waits
+		close(secondStarted)
+		<-closeConn
 	}, func(w *fakeWorker) {
 		a := w.next().(*workerrpc.Attempt)
 		w.send(&workerrpc.AttemptResult{Seq: a.Seq, RequestID: a.RequestID})
@@ -197,7 +200,7 @@
 	_, first := sendAttempt(client, "sent")
 	_, second := sendAttempt(client, "writing")
 	_, third := sendAttempt(client, "waiting")
-	<-begun
+	<-secondStarted
 	client.Stop(20 * time.Millisecond)
 	wantOutcome(t, third, workerrpc.StatusUnsent, true)
 	_, fourth := sendAttempt(client, "too late")
@@ -206,23 +209,23 @@
 	}
 	wantOutcome(t, first, workerrpc.StatusConnectionLost, false)
 	wantOutcome(t, second, workerrpc.StatusConnectionLost, false)
-	close(waits)
+	close(closeConn)
 	client.Resume()
 	_, fifth := sendAttempt(client, "back")
 	wantOutcome(t, fifth, workerrpc.StatusAnswered, false)
 	client.NotifyDraining()
 }
 
-// A cancel that races with a result: the attempt is cancelled once the cancel is written; the result is late and
-// dropped.
+// A cancel races with the attempt's result: the attempt ends with StatusCancelled once the cancel message is written.
+// The result that arrives later must be counted as late and must not become a second outcome.
 func TestCancelRacesWithResult(t *testing.T) {
-	both, cancelled := make(chan struct{}), make(chan struct{})
+	bothReceived, cancelled := make(chan struct{}), make(chan struct{})
 	client := startClient(t, limits, func(w *fakeWorker) {
 		a := w.next().(*workerrpc.Attempt)
 		b := w.next().(*workerrpc.Attempt)
-		close(both)
+		close(bothReceived)
 		if cancel, ok := w.next().(*workerrpc.Cancel); !ok || cancel.Seq != a.Seq {
-			t.Error("no cancel of the first attempt")
+			t.Error("the cancel message of the first attempt was not received")
 		}
 		<-cancelled
 		w.send(&workerrpc.AttemptResult{Seq: a.Seq, RequestID: a.RequestID})
@@ -231,30 +234,31 @@
 	})
 	call, first := sendAttempt(client, "a")
 	_, second := sendAttempt(client, "b")
-	<-both
+	<-bothReceived
 	call.Cancel()
 	wantOutcome(t, first, workerrpc.StatusCancelled, false)
 	close(cancelled)
 	wantOutcome(t, second, workerrpc.StatusAnswered, true)
 	call.Cancel()
 	if counts := client.Counts(); len(first) != 0 || counts.LateResponses != 1 || counts.UnmatchedResponses != 0 {
-		t.Errorf("%d more outcomes, %+v", len(first), counts)
+		t.Errorf("%d further outcomes of the cancelled attempt; counts %+v", len(first), counts)
 	}
 	client.NotifyDraining()
 }
 
-// While a worker does not read, a bounded number of calls and bytes is queued; the rest is unsent at once.
-func TestQueueIsBoundedWhileNobodyReads(t *testing.T) {
-	waits := make(chan struct{})
-	client := startClient(t, limits, func(w *fakeWorker) { <-waits })
-	var all []<-chan workerrpc.Outcome
+// While a worker does not read, the number and bytes of queued attempts must stay within the limits. Attempts beyond
+// them must end with StatusUnsent at once.
+func TestQueueIsBoundedWhileWorkerDoesNotRead(t *testing.T) {
+	closeConn := make(chan struct{})
+	client := startClient(t, limits, func(w *fakeWorker) { <-closeConn })
+	var calls []<-chan workerrpc.Outcome
 	for i := range 40 {
 		_, outcomes := sendAttempt(client, fmt.Sprint(i))
-		all = append(all, outcomes)
+		calls = append(calls, outcomes)
 	}
 	full := 0
 	for range 40 - limits.MaxQueuedCalls - 1 {
-		for _, outcomes := range all {
+		for _, outcomes := range calls {
 			select {
 			case outcome := <-outcomes:
 				if errors.Is(outcome.Err, workerrpc.ErrQueueFull) && outcome.NeverRan() {
@@ -265,32 +269,33 @@
 		}
 	}
 	if full < 40-limits.MaxQueuedCalls-1 {
-		t.Errorf("%d of 40 were rejected, at most %d may be queued", full, limits.MaxQueuedCalls)
+		t.Errorf("%d of 40 attempts were rejected; at most %d may be queued", full, limits.MaxQueuedCalls)
 	}
-	over := make(chan workerrpc.Outcome, 1)
+	bigOutcomes := make(chan workerrpc.Outcome, 1)
 	big := workerrpc.Attempt{RequestID: "big", Body: make([]byte, limits.MaxQueuedBytes+1)}
-	client.Send(big, time.Minute, func(o workerrpc.Outcome) { over <- o })
-	wantOutcome(t, over, workerrpc.StatusUnsent, true)
-	close(waits)
+	client.Send(big, time.Minute, func(o workerrpc.Outcome) { bigOutcomes <- o })
+	wantOutcome(t, bigOutcomes, workerrpc.StatusUnsent, true)
+	close(closeConn)
 }
 
-// Frames that no peer should send are rejected with a reason and without memory for what they claim.
+// Invalid frames must be rejected with an error that states the reason, and before memory for the announced length is
+// allocated.
 func TestInvalidFrames(t *testing.T) {
 	nested := append([]byte{byte(workerrpc.KindAttemptResult)}, bytes.Repeat([]byte{0x81}, 5000)...)
 	for _, c := range []struct {
 		name, want string
 		frame      []byte
 	}{
-		{"4 GiB", "4294967295 bytes", binary.BigEndian.AppendUint32(nil, 1<<32-1)},
+		{"length of 4 GiB", "4294967295 bytes", binary.BigEndian.AppendUint32(nil, 1<<32-1)},
 		{"zero length", "0 bytes", make([]byte, 4)},
-		{"nested to depth", "nested level", append(binary.BigEndian.AppendUint32(nil, uint32(len(nested))), nested...)},
+		{"nested too deeply", "nested level", append(binary.BigEndian.AppendUint32(nil, uint32(len(nested))), nested...)},
 		{"unknown kind", "unknown kind 99", []byte{0, 0, 0, 2, 99, 0xa0}},
-		{"a key twice", "duplicate", []byte{0, 0, 0, 6, byte(workerrpc.KindProbe), 0xa2, 1, 1, 1, 2}},
-		{"cut short", "unexpected EOF", []byte{0, 0, 0, 9, byte(workerrpc.KindProbe), 0xa1}},
+		{"duplicate key", "duplicate", []byte{0, 0, 0, 6, byte(workerrpc.KindProbe), 0xa2, 1, 1, 1, 2}},
+		{"truncated body", "unexpected EOF", []byte{0, 0, 0, 9, byte(workerrpc.KindProbe), 0xa1}},
 	} {
 		_, err := workerrpc.NewFrameReader(bytes.NewReader(c.frame), workerrpc.MaxFrame).Next()
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %s", c.name, err, c.want)
+			t.Errorf("%s: got error %v, want %s", c.name, err, c.want)
 		}
 	}
 }
@@ -318,7 +323,7 @@
 				return
 			}
 			if _, err := workerrpc.AppendFrame(nil, body); err != nil {
-				t.Fatalf("what was read can't be written: %v", err)
+				t.Fatalf("a decoded body can't be encoded again: %v", err)
 			}
 		}
 	})
