--- a/internal/worker/idempotency/compat_test.go
+++ b/internal/worker/idempotency/compat_test.go
@@ -10,8 +10,9 @@
 	"lupinpond/internal/worker/idempotency"
 )
 
-// A register file that an earlier version wrote keeps its claims. The clock kept in the file stands in the year 2200 and
-// goes on from there, so that no verdict depends on the date of the run.
+// A register file written by an earlier version must be read with all of its claims, key count and clock. The clock
+// mark in the file is in the year 2200 and the clock continues from there, so that no result depends on the current
+// date.
 func TestStoredRegisterIsRead(t *testing.T) {
 	stored, err := os.ReadFile("testdata/stored/register.bolt")
 	if err != nil {
@@ -23,36 +24,39 @@
 	}
 	type claim struct {
 		key, claim string
-		said       idempotency.Vote
-		holder     string
-		body       string
+		vote       idempotency.Vote
+		owner      string
+		response   string
 	}
 	check := func(r *idempotency.Register, c claim) {
 		t.Helper()
-		said, have, err := r.Claim(c.key, c.claim, time.Hour)
-		if err != nil || said != c.said || have.Claim != c.holder || string(have.Response) != c.body {
-			t.Errorf("claim %q of key %q: got %d, holder %q, answer %q, error %v; want %d, holder %q, answer %q",
-				c.claim, c.key, said, have.Claim, have.Response, err, c.said, c.holder, c.body)
+		vote, entry, err := r.Claim(c.key, c.claim, time.Hour)
+		if err != nil || vote != c.vote || entry.Claim != c.owner || string(entry.Response) != c.response {
+			t.Errorf("claim %q of key %q: got vote %d, owner %q, response %q, error %v; want vote %d, owner %q, response %q",
+				c.claim, c.key, vote, entry.Claim, entry.Response, err, c.vote, c.owner, c.response)
 		}
 	}
-	for life := 1; life <= 2; life++ {
-		r, err := idempotency.Open(dir, 3) // held, settled, expired
+	for incarnation := 1; incarnation <= 2; incarnation++ {
+		r, err := idempotency.Open(dir, 3) // the file has the keys held, settled and expired
 		if err != nil {
-			t.Fatalf("life %d: got error %v, want none", life, err)
+			t.Fatalf("incarnation %d: got error %v, want none", incarnation, err)
 		}
 		check(r, claim{"held", "second", idempotency.VoteClaimed, "first", ""})
-		check(r, claim{"held", "first", idempotency.VoteGranted, "first", ""}) // asked again
+		check(r, claim{"held", "first", idempotency.VoteGranted, "first", ""}) // the same claim again
 		check(r, claim{"settled", "second", idempotency.VoteCompleted, "first", "the stored answer"})
-		_, have, err := r.Claim("held", "second", time.Hour)
-		if from, to := time.Date(2200, 12, 1, 0, 0, 0, 0, time.UTC), time.Date(2201, 2, 1, 0, 0, 0, 0, time.UTC); err != nil ||
-			have.ExpiresAt.Before(from) || have.ExpiresAt.After(to) {
-			t.Errorf("end of the window of key %q: got %v, error %v, want between %v and %v", "held", have.ExpiresAt, err, from, to)
+		_, entry, err := r.Claim("held", "second", time.Hour)
+		if from, to := time.Date(2200, 12, 1, 0, 0, 0, 0, time.UTC),
+			time.Date(2201, 2, 1, 0, 0, 0, 0, time.UTC); err != nil ||
+			entry.ExpiresAt.Before(from) || entry.ExpiresAt.After(to) {
+			t.Errorf("end of the window of key %q: got %v, error %v, want between %v and %v", "held",
+				entry.ExpiresAt, err, from, to)
 		}
-		if life == 2 {
-			// The stored number of keys counts: the register is full until the expired key is swept away.
+		if incarnation == 2 {
+			// The key count in the file is in effect: the register is full until the expired key is swept.
 			check(r, claim{"released", "second", idempotency.VoteGranted, "second", ""})
-			if said, _, err := r.Claim("unknown", "second", time.Hour); !errors.Is(err, idempotency.ErrFull) {
-				t.Errorf("claim beyond the limit: got %d, error %v, want error %v", said, err, idempotency.ErrFull)
+			if vote, _, err := r.Claim("unknown", "second", time.Hour); !errors.Is(err, idempotency.ErrFull) {
+				t.Errorf("claim beyond the maximum number of keys: got vote %d, error %v, want error %v", vote, err,
+					idempotency.ErrFull)
 			}
 		}
 		if err := r.Close(); err != nil {
--- a/internal/worker/idempotency/group.go
+++ b/internal/worker/idempotency/group.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// maxIdleConnections is how many connections to one register are held open.
+	// maxIdleConnections is the maximum number of idle connections that are kept open to one register.
 	maxIdleConnections = 64
-	// maxNotifyAttempts is how often a register is notified before it is given up.
+	// maxNotifyAttempts is the maximum number of attempts to notify a register.
 	maxNotifyAttempts = 3
-	// maxAnswerBytes is the longest answer that is read from a register.
+	// maxAnswerBytes is the maximum length of a register's answer.
 	maxAnswerBytes = 2 * maxMessageBytes
 )
 
-// Group asks the registers of a group. Its methods may be called by any goroutine.
+// Group is the client of a group's registers. Its methods are safe for concurrent use.
 type Group struct {
 	registerURLs []string
 	client       *http.Client
@@ -32,18 +32,18 @@
 	background   sync.WaitGroup
 }
 
-// NewGroup makes a Group of an odd number of registers, given as addresses HOST:PORT; all workers of a group name the
-// same ones. timeout bounds each request.
+// NewGroup returns a Group of an odd number of registers, given as addresses HOST:PORT. All workers of a group must be
+// given the same registers. timeout is the timeout of each request to a register.
 func NewGroup(registers []string, timeout time.Duration, log *slog.Logger) (*Group, error) {
 	if len(registers)%2 == 0 {
-		return nil, fmt.Errorf("%d registers: a group has an odd number, so that more than half is clear", len(registers))
+		return nil, fmt.Errorf("group has %d registers: the number must be odd, so that the votes can't tie", len(registers))
 	}
 	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}
 	g := &Group{client: &http.Client{Timeout: timeout, Transport: transport}, log: log}
 	seen := map[string]bool{}
 	for _, address := range registers {
 		if seen[address] {
-			return nil, fmt.Errorf("register %s is named twice", address)
+			return nil, fmt.Errorf("register %s is listed twice", address)
 		}
 		seen[address] = true
 		g.registerURLs = append(g.registerURLs, "http://"+address)
@@ -59,13 +59,14 @@
 	response []byte
 }
 
-// Claim claims a key at all registers and returns as soon as the decision is clear. What was granted without running
-// is given back. The claim is for Complete and Release; response is what a duplicate of a completed request gets, nil
-// if it was too long to be stored.
+// Claim claims a key at all registers and returns as soon as their votes decide; if ctx is done first, the decision is
+// DecisionUnknown. It returns the claim, to be passed to Complete or Release, the decision, and for DecisionCompleted
+// the response of the completed request, which is nil if it was too long to be stored. Unless the decision is
+// DecisionExecute, the claim is released in the background at the registers that granted it or may have granted it.
 func (g *Group) Claim(ctx context.Context, key string, window time.Duration) (string, Decision, []byte) {
 	message := claimMessage{Key: key, Claim: rand.Text(), WindowMS: max(1, window.Milliseconds())}
 	replies := make(chan registerReply, len(g.registerURLs))
-	var decision Decision // read by the goroutines once decided is closed
+	var decision Decision // the goroutines read it after decided is closed
 	decided := make(chan struct{})
 	for i, url := range g.registerURLs {
 		g.background.Go(func() {
@@ -85,7 +86,7 @@
 // claimAt claims a key at one register.
 func (g *Group) claimAt(ctx context.Context, register int, url string, message claimMessage) registerReply {
 	var answer claimAnswer
-	// not bounded by ctx: a claim that is on its way is followed by its release
+	// Not cancelled with ctx: the release of a claim must not be sent before the claim was answered or has timed out.
 	if err := g.post(context.WithoutCancel(ctx), url+pathClaim, message, &answer); err != nil {
 		g.log.Warn("idempotency claim failed", "register", url, "err", err)
 		return registerReply{register: register, vote: VoteFailed}
@@ -97,7 +98,8 @@
 	return registerReply{register: register, vote: vote, owner: answer.Owner, response: answer.Response}
 }
 
-// awaitDecision takes replies until they decide on the claim, or ctx ends.
+// awaitDecision records replies until they decide on the claim or ctx is done. It returns the decision and the response
+// of a completed request.
 func (g *Group) awaitDecision(ctx context.Context, replies <-chan registerReply) (Decision, []byte) {
 	tally := NewTally(len(g.registerURLs))
 	for range g.registerURLs {
@@ -114,10 +116,10 @@
 			return DecisionUnknown, nil
 		}
 	}
-	return DecisionPending, nil // a tally of all registers' votes is never pending
+	return DecisionPending, nil // unreachable: with the votes of all registers the decision is not pending
 }
 
-// Complete notifies all registers that the request of a claim was completed. It does not wait for them.
+// Complete notifies all registers in the background that the request of a claim was completed.
 func (g *Group) Complete(key, claim string, response []byte) {
 	if len(response) > MaxStoredResponse {
 		response = nil
@@ -125,12 +127,12 @@
 	g.notifyAll(pathComplete, claimMessage{Key: key, Claim: claim, Response: response})
 }
 
-// Release notifies all registers that the request of a claim was not run after all. It does not wait for them.
+// Release notifies all registers in the background that the request of a claim was not run.
 func (g *Group) Release(key, claim string) {
 	g.notifyAll(pathRelease, claimMessage{Key: key, Claim: claim})
 }
 
-// Close waits for the notifications under way.
+// Close waits until the notifications in the background have ended, and closes idle connections.
 func (g *Group) Close() {
 	g.background.Wait()
 	g.client.CloseIdleConnections()
@@ -143,8 +145,8 @@
 	}
 }
 
-// notify notifies one register, with retries. A register that is never notified takes the request for one that may have
-// run.
+// notify notifies one register, with retries. A register that could not be notified keeps the claim, and votes as if
+// its request may have run, until the window ends.
 func (g *Group) notify(url string, message claimMessage) {
 	post := func() (struct{}, error) { return struct{}{}, g.post(context.Background(), url, message, nil) }
 	_, err := backoff.Retry(context.Background(), post,
@@ -154,7 +156,7 @@
 	}
 }
 
-// post sends a message to a register and decodes its answer, unless that is nil.
+// post sends a message to a register and decodes the register's answer into answer, unless answer is nil.
 func (g *Group) post(ctx context.Context, url string, message claimMessage, answer *claimAnswer) error {
 	body, err := json.Marshal(message)
 	if err != nil {
--- a/internal/worker/idempotency/http.go
+++ b/internal/worker/idempotency/http.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// maxKeyBytes is the longest idempotency key, scoped by request type and tenant.
+	// maxKeyBytes is the maximum length of an idempotency key including its scope, the request type and tenant.
 	maxKeyBytes = 2048
-	// maxClaimBytes is the longest claim.
+	// maxClaimBytes is the maximum length of a claim.
 	maxClaimBytes = 64
 	// maxWindow is the longest window.
 	maxWindow = 24 * time.Hour
-	// maxMessageBytes is the longest request body: MaxStoredResponse in base64, and the rest.
+	// maxMessageBytes is the maximum length of a request body: MaxStoredResponse bytes in base64 and the other fields.
 	maxMessageBytes = 96 << 10
 )
 
@@ -32,17 +32,17 @@
 	Key      string `json:"key"`
 	Claim    string `json:"claim"`
 	WindowMS int64  `json:"window-ms,omitempty"`
-	Response []byte `json:"body,omitempty"` // of a completed request
+	Response []byte `json:"body,omitempty"` // the response of a completed request
 }
 
 // claimAnswer is the body of the answer to a claim.
 type claimAnswer struct {
-	Vote     string `json:"said"` // see voteName
-	Owner    string `json:"holder,omitempty"`
-	Response []byte `json:"body,omitempty"`
+	Vote     string `json:"said"`             // a name from voteName
+	Owner    string `json:"holder,omitempty"` // the claim that owns the key
+	Response []byte `json:"body,omitempty"`   // the response of the owner's completed request
 }
 
-// voteName is how a vote of a register is spelled in a claimAnswer; empty: a register gives no such vote.
+// voteName returns the name of a vote in a claimAnswer, or an empty string for a vote that registers do not send.
 func voteName(vote Vote) string {
 	switch vote {
 	case VoteGranted:
@@ -55,7 +55,7 @@
 	return ""
 }
 
-// parseVote is the vote of a name; one that is not known counts as none given.
+// parseVote returns the vote with the given name, or VoteFailed if the name is unknown.
 func parseVote(name string) Vote {
 	for _, vote := range []Vote{VoteGranted, VoteClaimed, VoteCompleted} {
 		if voteName(vote) == name {
@@ -65,7 +65,7 @@
 	return VoteFailed
 }
 
-// Handler is the HTTP interface: POST /v1/claim, /v1/handled and /v1/release with a claimMessage.
+// Handler returns the register's HTTP interface: POST /v1/claim, /v1/handled and /v1/release, each with a claimMessage.
 func (r *Register) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+pathClaim, withMessage(r.handleClaim))
@@ -78,7 +78,7 @@
 	return mux
 }
 
-// handleClaim answers a claim.
+// handleClaim claims a key and responds with the register's vote.
 func (r *Register) handleClaim(w http.ResponseWriter, message claimMessage) {
 	if message.WindowMS < 1 || message.WindowMS > maxWindow.Milliseconds() {
 		reason := fmt.Sprintf("window-ms %d is not between 1 and %d", message.WindowMS, maxWindow.Milliseconds())
@@ -95,11 +95,11 @@
 	default:
 		w.Header().Set("Content-Type", "application/json")
 		answer := claimAnswer{Vote: voteName(vote), Owner: entry.Claim, Response: entry.Response}
-		_ = json.NewEncoder(w).Encode(answer) // a worker that is gone does not run the request
+		_ = json.NewEncoder(w).Encode(answer) // a worker that does not receive the answer counts it as VoteFailed
 	}
 }
 
-// withMessage decodes the body of a request.
+// withMessage returns a handler that decodes the request's body and passes it to handle.
 func withMessage(handle func(http.ResponseWriter, claimMessage)) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		message, err := decodeMessage(http.MaxBytesReader(w, request.Body, maxMessageBytes))
@@ -111,7 +111,7 @@
 	}
 }
 
-// writeEmpty answers a request that has no answer but its success.
+// writeEmpty responds with err, or with status 204 if err is nil.
 func writeEmpty(w http.ResponseWriter, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -120,7 +120,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// decodeMessage reads and checks the body of a request.
+// decodeMessage decodes and validates the body of a request.
 func decodeMessage(body io.Reader) (message claimMessage, err error) {
 	decoder := json.NewDecoder(body)
 	decoder.DisallowUnknownFields()
--- a/internal/worker/idempotency/idempotency.go
+++ b/internal/worker/idempotency/idempotency.go
@@ -1,60 +1,61 @@
-// Package idempotency decides whether a request with an idempotency key is a duplicate, for groups of several
-// workers. A group has a fixed number of registers, each of which stores the first claim of a key until its window is
-// over. A worker claims a key at all of them and runs the request only when a majority granted it: two majorities
-// share a register, so that no two claims of a key are both granted inside a window, whichever registers, workers or
+// Package idempotency detects duplicates of requests with an idempotency key in a group of workers. A group has a fixed
+// number of registers. Each register stores the first claim of a key until the end of the key's window. A worker claims
+// a key at all registers and runs the request only if a majority of them granted the claim. As any two majorities have
+// a register in common, at most one claim of a key is granted within its window, whichever registers, workers or
 // messages are lost.
 //
-// This file decides and does no I/O; register.go stores a register's entries, http.go serves them, group.go asks the
-// registers of a group.
+// This file has the decisions and does no I/O. register.go stores the entries of a register, http.go serves them to
+// workers, and group.go is the client of a group's registers.
 package idempotency
 
 import "time"
 
-// MaxStoredResponse is how many bytes of a response are stored for duplicates; of a longer one they learn only that the
-// request was completed.
+// MaxStoredResponse is the length in bytes of the longest response that is stored for duplicates. A duplicate of a
+// request with a longer response is answered without a body.
 const MaxStoredResponse = 64 << 10
 
-// Vote is what one register says to a claim.
+// Vote is the answer of one register to a claim.
 type Vote int
 
 // The votes.
 const (
-	VotePending   Vote = iota // nothing yet
-	VoteGranted               // the key is this claim's
-	VoteClaimed               // another claim has it: its request may have run
-	VoteCompleted             // another claim has it and its request was completed
-	VoteFailed                // no answer, or an error: it may have granted
+	VotePending   Vote = iota // the register has not answered yet
+	VoteGranted               // the register stores this claim as the owner of the key
+	VoteClaimed               // another claim owns the key; its request may have run
+	VoteCompleted             // another claim owns the key; its request was completed
+	VoteFailed                // the register returned an error or no answer; it may have granted the claim
 )
 
-// Decision is what follows from the votes on a claim.
+// Decision is the result of the votes on a claim.
 type Decision int
 
 // The decisions.
 const (
-	DecisionPending   Decision = iota
-	DecisionExecute            // the claim is granted
-	DecisionDuplicate          // of a request that may have run
-	DecisionCompleted          // of a request that was completed
-	DecisionUnknown            // too few registers answered: the request is not run
+	DecisionPending   Decision = iota // more votes are needed
+	DecisionExecute                   // a majority granted the claim: run the request
+	DecisionDuplicate                 // duplicate of a request that may have run
+	DecisionCompleted                 // duplicate of a request that was completed
+	DecisionUnknown                   // no claim has a majority of the votes: the request is not run
 )
 
-// Entry is what a register stores of a key.
+// Entry is what a register stores for a key.
 type Entry struct {
-	Claim     string    `cbor:"1,keyasint"`
-	ExpiresAt time.Time `cbor:"2,keyasint"` // the end of its window
-	Completed bool      `cbor:"3,keyasint,omitempty"`
-	Response  []byte    `cbor:"4,keyasint,omitempty"` // of the completed request, if it is short enough to be stored
+	Claim     string    `cbor:"1,keyasint"`           // the claim that owns the key
+	ExpiresAt time.Time `cbor:"2,keyasint"`           // end of the key's window
+	Completed bool      `cbor:"3,keyasint,omitempty"` // the claim's request was completed
+	Response  []byte    `cbor:"4,keyasint,omitempty"` // response of the completed request, if short enough to be stored
 }
 
-// EvaluateClaim votes on a claim at one register; known says whether the register has an entry of its key. It returns
-// the entry that stands from then on; changed says that it has to be stored before the vote is given.
+// EvaluateClaim returns the vote of one register on a claim. entry is the register's entry for the key, if known is
+// true. stored is the entry that is valid after the vote. If changed is true, the register must store it before it
+// sends the vote.
 func EvaluateClaim(
 	now time.Time, entry Entry, known bool, claim string, window time.Duration,
 ) (stored Entry, changed bool, vote Vote) {
 	switch {
 	case !known || !now.Before(entry.ExpiresAt):
 		return Entry{Claim: claim, ExpiresAt: now.Add(window)}, true, VoteGranted
-	case entry.Claim == claim: // claimed again: the vote before was lost
+	case entry.Claim == claim: // the same claim again: its previous vote was lost
 		return entry, false, VoteGranted
 	case entry.Completed:
 		return entry, false, VoteCompleted
@@ -63,19 +64,19 @@
 	}
 }
 
-// Tally has the votes on one claim. The zero value is not ready; use NewTally.
+// Tally collects the votes on one claim. Use NewTally to create one.
 type Tally struct {
 	votes  []Vote
-	owners []string // by register: the claim that has the key there, where it is another
+	owners []string // by register: the claim that owns the key there
 }
 
-// NewTally begins the tally of a claim at so many registers.
+// NewTally returns a Tally without votes for a claim at the given number of registers.
 func NewTally(registers int) *Tally {
 	return &Tally{votes: make([]Vote, registers), owners: make([]string, registers)}
 }
 
-// Record adds a register's vote, and which claim has the key there if it is another one, and returns what follows
-// from all votes so far.
+// Record records the vote of a register and the claim that owns the key there. It returns the decision that follows
+// from all votes recorded so far.
 func (t *Tally) Record(register int, vote Vote, owner string) Decision {
 	t.votes[register], t.owners[register] = vote, owner
 	granted, pending := 0, 0
@@ -87,7 +88,7 @@
 		case VotePending:
 			pending++
 		case VoteCompleted:
-			return DecisionCompleted // only a claim with a majority was run and completed
+			return DecisionCompleted // only the request of a claim with a majority is run and completed
 		case VoteClaimed:
 			claimed[t.owners[i]]++
 		}
@@ -103,8 +104,8 @@
 	case pending > 0:
 		return DecisionPending
 	}
-	return DecisionUnknown // split, or too few answered: no claim is known to have it
+	return DecisionUnknown // the votes are split, or too few registers answered
 }
 
-// isMajority reports whether so many votes are more than half of all.
+// isMajority reports whether votes is more than half the number of registers.
 func (t *Tally) isMajority(votes int) bool { return 2*votes > len(t.votes) }
--- a/internal/worker/idempotency/idempotency_test.go
+++ b/internal/worker/idempotency/idempotency_test.go
@@ -21,7 +21,8 @@
 	"lupinpond/internal/worker/idempotency"
 )
 
-// TestMain is also the program of a register that is to be killed.
+// TestMain runs the tests. With LP_TEST_REGISTER set, the process instead claims keys at a register until a test kills
+// it.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("LP_TEST_REGISTER"); dir != "" {
 		claimUntilKilled(dir)
@@ -29,7 +30,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// delivery is what happens to one message and its answer at one register.
+// delivery states whether the messages between a worker and a register arrive.
 type delivery int
 
 const (
@@ -38,13 +39,14 @@
 	answerLost
 )
 
-// registerOutcome is what two workers get to hear from one register.
+// registerOutcome is the result of one register's answers to two workers that claim the same key.
 type registerOutcome struct {
-	votes  [2]idempotency.Vote
-	owners [2]string
+	votes  [2]idempotency.Vote // by worker
+	owners [2]string           // by worker: the owner of the key in the register's answer
 }
 
-// claimBoth has two workers claim a key at one register, one of them first, with a message or an answer lost or not.
+// claimBoth simulates two workers that claim a key at one register. Worker first claims it first; deliveries states, by
+// worker, whether the request or the answer is lost.
 func claimBoth(now time.Time, first int, deliveries [2]delivery) registerOutcome {
 	outcome := registerOutcome{votes: [2]idempotency.Vote{idempotency.VoteFailed, idempotency.VoteFailed}}
 	var entry idempotency.Entry
@@ -64,7 +66,8 @@
 	return outcome
 }
 
-// decide is what a worker makes of the registers' votes, taken until they decide; lossless says that none is missing.
+// decide returns a worker's decision from the registers' votes, recorded until they decide. lossless is false if one of
+// the votes is missing.
 func decide(worker int, outcomes ...registerOutcome) (decision idempotency.Decision, lossless bool) {
 	tally := idempotency.NewTally(len(outcomes))
 	lossless = true
@@ -77,8 +80,8 @@
 	return decision, lossless
 }
 
-// Two workers claim one key at three registers, in every order at each of them and with every message or answer lost;
-// never do both run it, and where nothing is lost one does.
+// Two workers claim one key at three registers, with every order of arrival at each register and every combination of
+// lost requests and answers. Both must never execute the request. If no message is lost, one of them must execute it.
 func TestConcurrentClaimsEveryOrderAndLoss(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var outcomes []registerOutcome
@@ -95,18 +98,18 @@
 		var decisions [2]idempotency.Decision
 		lossless := true
 		for worker := range 2 {
-			decision, all := decide(worker, votes...)
+			decision, allReceived := decide(worker, votes...)
 			if decision == idempotency.DecisionPending {
-				t.Fatal("no decision though all votes are recorded: ", votes)
+				t.Fatal("decision is pending although all votes are recorded: ", votes)
 			}
 			decisions[worker] = decision
-			lossless = lossless && all
+			lossless = lossless && allReceived
 		}
 		if decisions[0] == idempotency.DecisionExecute && decisions[1] == idempotency.DecisionExecute {
-			t.Fatal("both run: ", votes)
+			t.Fatal("both workers execute the request: ", votes)
 		}
 		if lossless && decisions[0] != idempotency.DecisionExecute && decisions[1] != idempotency.DecisionExecute {
-			t.Fatal("nobody runs though nothing was lost: ", votes)
+			t.Fatal("no worker executes the request although no message was lost: ", votes)
 		}
 		total++
 		seen[fmt.Sprint(decisions)]++
@@ -123,7 +126,9 @@
 	}
 }
 
-// A key whose claim was released before it ran is granted to the next claim; a claim of a completed key is a duplicate.
+// A released key must be granted to the next claim, a claimed or completed key must make the next claim a duplicate,
+// and without a majority of the registers no request may be executed. Late releases, registers that are down, responses
+// too long to be stored and the end of a window must not change that.
 func TestReleasedAndCompletedClaims(t *testing.T) {
 	g, registers := newGroup(t, 3)
 	ctx := context.Background()
@@ -136,28 +141,28 @@
 	second, decision, _ := g.Claim(ctx, "k", time.Minute)
 	expectDecision(t, decision, idempotency.DecisionExecute)
 	g.Complete("k", second, []byte("its answer"))
-	g.Release("k", first) // late: of another claim
+	g.Release("k", first) // late: another claim owns the key
 	g.Close()
 	_, decision, body := g.Claim(ctx, "k", time.Minute)
 	expectDecision(t, decision, idempotency.DecisionCompleted)
 	if string(body) != "its answer" {
-		t.Errorf("a duplicate got %q", body)
+		t.Errorf("response of the duplicate: got %q", body)
 	}
-	registers[0].down.Store(true) // one of three is away: nothing changes
+	registers[0].down.Store(true) // one of three registers is down: a majority still decides
 	_, decision, _ = g.Claim(ctx, "k", time.Minute)
 	expectDecision(t, decision, idempotency.DecisionCompleted)
 	other, decision, _ := g.Claim(ctx, "other", time.Minute)
 	expectDecision(t, decision, idempotency.DecisionExecute)
-	registers[1].down.Store(true) // two are away: nothing is run that is not known to be the first
+	registers[1].down.Store(true) // two are down: no majority, so that nothing is executed
 	_, decision, _ = g.Claim(ctx, "third", time.Minute)
 	expectDecision(t, decision, idempotency.DecisionUnknown)
 	g.Complete("other", other, make([]byte, idempotency.MaxStoredResponse+1))
 	g.Close()
 	registers[0].down.Store(false)
 	registers[1].down.Store(false)
-	_, decision, _ = g.Claim(ctx, "other", time.Minute) // register 2 knows
+	_, decision, _ = g.Claim(ctx, "other", time.Minute) // register 2 has stored the completion
 	expectDecision(t, decision, idempotency.DecisionCompleted)
-	_, decision, _ = g.Claim(ctx, "third", time.Minute) // was released where it had been granted
+	_, decision, _ = g.Claim(ctx, "third", time.Minute) // register 2 had granted and then released it
 	expectDecision(t, decision, idempotency.DecisionExecute)
 	short, decision, _ := g.Claim(ctx, "short", time.Millisecond)
 	expectDecision(t, decision, idempotency.DecisionExecute)
@@ -167,43 +172,44 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("a key outlives its window")
+			t.Fatal("the key is still claimed after the end of its window")
 		}
 	}
 }
 
-// Fifty workers claim each of twenty keys at the same time, one register answering errors now and then: each key is
-// granted to one at most.
+// Fifty workers claim each of twenty keys concurrently while one register fails every third request. Each key must be
+// granted to at most one of them.
 func TestConcurrentClaimsRunOnce(t *testing.T) {
 	g, registers := newGroup(t, 3)
 	var count atomic.Int64
 	registers[1].requests = &count
-	var ran [20]atomic.Int64
+	var granted [20]atomic.Int64
 	claim := func(k int) {
 		_, decision, _ := g.Claim(context.Background(), fmt.Sprint("k", k), time.Minute)
 		if decision == idempotency.DecisionExecute {
-			ran[k].Add(1)
+			granted[k].Add(1)
 		}
 	}
-	claim(0) // alone: granted for sure; where many claim at once it may be that nobody has a majority
-	var all sync.WaitGroup
+	claim(0) // without concurrent claims it must be granted; with them, possibly none gets a majority
+	var workers sync.WaitGroup
 	for range 50 {
-		for k := range ran {
-			all.Go(func() { claim(k) })
+		for k := range granted {
+			workers.Go(func() { claim(k) })
 		}
 	}
-	all.Wait()
-	for k := range ran {
-		if n := ran[k].Load(); n > 1 {
-			t.Errorf("key %d was granted %d times", k, n)
+	workers.Wait()
+	for k := range granted {
+		if n := granted[k].Load(); n > 1 {
+			t.Errorf("key %d was granted %d times, want at most once", k, n)
 		}
 	}
-	if ran[0].Load() == 0 {
-		t.Error("a key that one alone claimed was not granted")
+	if granted[0].Load() == 0 {
+		t.Error("a key that was first claimed without concurrent claims was not granted")
 	}
 }
 
-// A register that is killed at any moment knows every claim that it granted.
+// A register process is killed while it grants claims. After a restart the register must still have every claim that it
+// had reported as granted.
 func TestRegisterSurvivesCrash(t *testing.T) {
 	dir := t.TempDir()
 	granted := 0
@@ -229,7 +235,7 @@
 		if err := cmd.Process.Kill(); err != nil {
 			t.Fatal(err)
 		}
-		for { // what it had said before its end
+		for { // read what it had printed before it was killed
 			n, err := out.Read(buf)
 			text.Write(buf[:n])
 			if err != nil {
@@ -261,7 +267,7 @@
 	}
 }
 
-// claimUntilKilled claims one key after the other and prints those granted.
+// claimUntilKilled claims one key after another and prints each that was granted, until the process is killed.
 func claimUntilKilled(dir string) {
 	r, err := idempotency.Open(dir, 1<<20)
 	if err != nil {
@@ -276,7 +282,8 @@
 	}
 }
 
-// A register that is full of keys inside their windows grants no other, and does once windows are over.
+// A register that stores its maximum number of keys must reject claims of other keys until a window ends or a key is
+// released.
 func TestRegisterFull(t *testing.T) {
 	r, err := idempotency.Open(t.TempDir(), 2)
 	if err != nil {
@@ -292,7 +299,7 @@
 			t.Error(i, err)
 		}
 	}
-	for end := time.Now().Add(10 * time.Second); ; { // b's window ends
+	for end := time.Now().Add(10 * time.Second); ; { // until the window of b has ended
 		_, _, err := r.Claim("c", "c", time.Hour)
 		if err == nil {
 			break
@@ -302,17 +309,17 @@
 		}
 	}
 	if _, _, err := r.Claim("d", "c", time.Hour); !errors.Is(err, idempotency.ErrFull) {
-		t.Error("granted past its maximum: ", err)
+		t.Error("a key beyond the maximum was granted: ", err)
 	}
 	if err := r.Release("a", "c"); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := r.Claim("d", "c", time.Hour); err != nil {
-		t.Error("nothing is granted after a key was released: ", err)
+		t.Error("no key is granted after one was released: ", err)
 	}
 }
 
-// Whatever is sent, a register answers, and says what is wrong.
+// A register must answer any request without an internal error (status 500), and give a reason for each rejection.
 func FuzzRegisterHTTP(f *testing.F) {
 	f.Add("claim", `{"key":"k","claim":"c","window-ms":10}`)
 	f.Add("claim", `{"key":"k","claim":"c","window-ms":9223372036854775807}`)
@@ -338,10 +345,10 @@
 	})
 }
 
-// flakyRegister is a register's handler that can fail.
+// flakyRegister is a register's handler with injected failures.
 type flakyRegister struct {
-	down     atomic.Bool
-	requests *atomic.Int64 // counts them, and every third one fails; nil: none does
+	down     atomic.Bool   // all requests fail
+	requests *atomic.Int64 // if set, counts requests, and every third one fails
 	handler  http.Handler
 }
 
@@ -353,7 +360,7 @@
 	f.handler.ServeHTTP(w, request)
 }
 
-// newGroup is a group of so many registers.
+// newGroup starts a group of size registers and returns a client of it with the registers' handlers.
 func newGroup(t *testing.T, size int) (*idempotency.Group, []*flakyRegister) {
 	t.Helper()
 	var addresses []string
--- a/internal/worker/idempotency/register.go
+++ b/internal/worker/idempotency/register.go
@@ -18,34 +18,35 @@
 const (
 	// registerFile is the name of a register's file in its folder.
 	registerFile = "register.bolt"
-	// formatVersion is the format of that file.
+	// formatVersion is the version of the file's format.
 	formatVersion = 1
-	// clockMarkKey is where durable.MetaBucket has the mark of the register's clock.
+	// clockMarkKey is the key of the register's clock mark in durable.MetaBucket.
 	clockMarkKey = "mark"
-	// maxSweptEntries is how many entries one transaction removes.
+	// maxSweptEntries is the maximum number of expired entries that one transaction removes.
 	maxSweptEntries = 1000
-	// batchDelay is how long a claim waits for others, to be synced together with them.
+	// batchDelay is how long a change waits for others, so that one fsync covers all of them.
 	batchDelay = time.Millisecond
 )
 
 // The buckets of a register's file.
 var (
-	entriesBucket  = []byte("keys") // Entry by key
-	expiriesBucket = []byte("ends") // end of the window, then the key
+	entriesBucket  = []byte("keys") // maps a key to its Entry
+	expiriesBucket = []byte("ends") // has a key from expiryKey for each entry, in the order of the windows' ends
 )
 
-// ErrFull says that a register has as many keys inside their windows as it may store.
+// ErrFull is returned when a register already stores the maximum number of keys and the window of none has ended.
 var ErrFull = errors.New("the register is full")
 
-// Register is one register: entries that survive the process and a crash of the machine.
+// Register stores the claims of keys durably, so that they survive a crash of the process or the machine.
 type Register struct {
 	db      *bolt.DB
 	maxKeys int
-	now     func() time.Time // goes on over restarts, whatever happens to the system's time
+	now     func() time.Time // clock that continues across restarts even if the system time is changed
 }
 
-// Open opens or makes a register's file in a folder. A file that another process has open is an error. The register
-// stores at most maxKeys keys; while as many are inside their windows it grants nothing.
+// Open opens the register's file in a folder, creating it if it does not exist. It fails if another process has the
+// file open. The register stores at most maxKeys keys; while the windows of that many have not ended, it grants no
+// claims of other keys.
 func Open(folder string, maxKeys int) (*Register, error) {
 	path := filepath.Join(folder, registerFile)
 	db, err := durable.Open(path, formatVersion, entriesBucket, expiriesBucket)
@@ -60,14 +61,14 @@
 	return r, nil
 }
 
-// continueClock goes on with the clock of the file's last user, and stores its new mark.
+// continueClock sets r.now to a clock that continues from the mark stored in the file, and stores a new mark.
 func (r *Register) continueClock() error {
 	return r.db.Update(func(tx *bolt.Tx) error {
 		meta := tx.Bucket(durable.MetaBucket)
 		var last durableclock.Mark
 		if encoded := meta.Get([]byte(clockMarkKey)); encoded != nil {
 			if err := cbor.Unmarshal(encoded, &last); err != nil {
-				return fmt.Errorf("mark: %w", err)
+				return fmt.Errorf("decode clock mark: %w", err)
 			}
 		}
 		now, mark := durableclock.Continue(last)
@@ -83,7 +84,8 @@
 // Close closes the file.
 func (r *Register) Close() error { return r.db.Close() }
 
-// Claim claims a key. The vote, and the entry that stands now, are durable.
+// Claim claims a key for window. It returns the register's vote and the key's entry after the vote. If err is nil,
+// the entry is stored durably.
 func (r *Register) Claim(key, claim string, window time.Duration) (vote Vote, entry Entry, err error) {
 	err = r.db.Batch(func(tx *bolt.Tx) error {
 		now := r.now()
@@ -107,7 +109,7 @@
 	return vote, entry, err
 }
 
-// makeSpace makes sure that one more key can be stored.
+// makeSpace ensures that one more key can be stored. If the register is full, it removes expired keys.
 func (r *Register) makeSpace(tx *bolt.Tx, now time.Time) error {
 	if keyCount(tx) < r.maxKeys {
 		return nil
@@ -119,7 +121,8 @@
 	return err
 }
 
-// Complete stores that the request of a claim was completed, with its response; of another claim it changes nothing.
+// Complete records that the request of a claim was completed, and stores its response unless that is longer than
+// MaxStoredResponse. It has no effect if the claim does not own the key or is already completed.
 func (r *Register) Complete(key, claim string, response []byte) error {
 	return r.db.Batch(func(tx *bolt.Tx) error {
 		previous, open, err := getOpenEntry(tx, key, claim)
@@ -135,7 +138,7 @@
 	})
 }
 
-// Release gives a key back whose request was not run; of another claim it changes nothing.
+// Release removes a key whose request was not run. It has no effect if the claim does not own the key or is completed.
 func (r *Register) Release(key, claim string) error {
 	return r.db.Batch(func(tx *bolt.Tx) error {
 		entry, open, err := getOpenEntry(tx, key, claim)
@@ -152,7 +155,7 @@
 	})
 }
 
-// Sweep removes keys whose windows are over, a bounded number of them, and returns how many.
+// Sweep removes up to maxSweptEntries keys whose windows have ended and returns their number.
 func (r *Register) Sweep() (swept int, err error) {
 	err = r.db.Batch(func(tx *bolt.Tx) error {
 		swept, err = sweepExpired(tx, r.now())
@@ -161,7 +164,7 @@
 	return swept, err
 }
 
-// getEntry is the entry of a key.
+// getEntry returns the entry of a key. known is false if there is none.
 func getEntry(tx *bolt.Tx, key string) (entry Entry, known bool, err error) {
 	encoded := tx.Bucket(entriesBucket).Get([]byte(key))
 	if encoded == nil {
@@ -173,13 +176,13 @@
 	return entry, true, nil
 }
 
-// getOpenEntry is the entry of a key; open says that it is the claim's and not completed.
+// getOpenEntry returns the entry of a key. open reports whether claim owns the key and is not completed.
 func getOpenEntry(tx *bolt.Tx, key, claim string) (entry Entry, open bool, err error) {
 	entry, known, err := getEntry(tx, key)
 	return entry, err == nil && known && entry.Claim == claim && !entry.Completed, err
 }
 
-// addEntry stores the entry of a key that had none.
+// addEntry stores the first entry of a key.
 func addEntry(tx *bolt.Tx, key string, entry Entry) error {
 	if err := addToKeyCount(tx, 1); err != nil {
 		return err
@@ -187,7 +190,7 @@
 	return putEntry(tx, key, entry)
 }
 
-// replaceEntry stores another entry of a key.
+// replaceEntry replaces the entry of a key.
 func replaceEntry(tx *bolt.Tx, key string, previous, entry Entry) error {
 	if err := tx.Bucket(expiriesBucket).Delete(expiryKey(previous, key)); err != nil {
 		return err
@@ -195,7 +198,7 @@
 	return putEntry(tx, key, entry)
 }
 
-// putEntry writes an entry and its expiry.
+// putEntry writes an entry and its key in expiriesBucket.
 func putEntry(tx *bolt.Tx, key string, entry Entry) error {
 	encoded, err := durable.EncMode().Marshal(entry)
 	if err != nil {
@@ -207,20 +210,22 @@
 	return tx.Bucket(entriesBucket).Put([]byte(key), encoded)
 }
 
-// keyCount is the number of keys. It is stored as the sequence of a bucket, as bbolt would walk all keys to count them.
+// keyCount returns the number of keys. It is kept in the sequence number of a bucket, because bbolt can count keys only
+// by visiting all of them.
 func keyCount(tx *bolt.Tx) int { return int(tx.Bucket(durable.MetaBucket).Sequence()) }
 
-// addToKeyCount changes the number of keys.
+// addToKeyCount adds change to the number of keys.
 func addToKeyCount(tx *bolt.Tx, change int) error {
 	return tx.Bucket(durable.MetaBucket).SetSequence(uint64(keyCount(tx) + change))
 }
 
-// expiryKey is a key of expiriesBucket, which is ordered by the end of the window.
+// expiryKey returns the key of an entry in expiriesBucket: the end of the window in big-endian Unix nanoseconds, by
+// which the bucket is ordered, followed by the key.
 func expiryKey(entry Entry, key string) []byte {
 	return append(binary.BigEndian.AppendUint64(nil, uint64(entry.ExpiresAt.UnixNano())), key...)
 }
 
-// sweepExpired removes keys whose windows are over, the earliest first.
+// sweepExpired removes up to maxSweptEntries keys whose windows have ended, in the order of their ends.
 func sweepExpired(tx *bolt.Tx, now time.Time) (swept int, err error) {
 	entries := tx.Bucket(entriesBucket)
 	cursor := tx.Bucket(expiriesBucket).Cursor()
