--- a/internal/testbed/discoverytest/server.go
+++ b/internal/testbed/discoverytest/server.go
@@ -1,5 +1,5 @@
-// Package discoverytest emulates the platform's discovery service, in its published form: numbered events, polled by
-// GET /journal?tail=N&max_wait=MS.
+// Package discoverytest emulates the platform's discovery service with its published interface: numbered events, which
+// clients poll by GET /journal?tail=N&max_wait=MS.
 package discoverytest
 
 import (
@@ -22,32 +22,32 @@
 )
 
 const (
-	// maxChanges is how many changes are answered one by one; who has missed more gets the complete list.
+	// maxChanges is the maximum number of changes that are stored. A client that missed more gets the complete list.
 	maxChanges = 1000
-	// headerTimeout is how long the header of a poll may take.
+	// headerTimeout is the timeout for reading the header of a poll.
 	headerTimeout = 5 * time.Second
 )
 
-// Server is one endpoint list and the HTTP interface to it.
+// Server has one endpoint list and serves it over HTTP.
 type Server struct {
 	mu               sync.Mutex
 	workers          map[string]discovery.Endpoint // by name
-	changes          []discovery.Event             // the last ones, without a gap up to the position
-	position         int64
-	changed          chan struct{} // closed at the next change
-	completeResponse []byte        // with the complete list of the position; nil: not made yet
+	changes          []discovery.Event             // the latest changes, consecutive and ending at position
+	position         int64                         // the number of the latest event
+	changed          chan struct{}                 // closed at the next change
+	completeResponse []byte                        // encoded complete list at position; nil if not encoded yet
 
 	polls             atomic.Int64
 	completeResponses atomic.Int64
 	bytes             atomic.Int64
 
-	// Addr is where it listens.
+	// Addr is the address at which the service listens.
 	Addr    string
-	cancel  context.CancelFunc // nil: stopped
+	cancel  context.CancelFunc // nil if stopped
 	stopped chan error
 }
 
-// New makes a service that listens at a free port of loopback.
+// New starts a service with these workers on a free port of the loopback interface.
 func New(workers []discovery.Endpoint) (*Server, error) {
 	s := &Server{workers: map[string]discovery.Endpoint{}, position: 1, changed: make(chan struct{})}
 	for _, worker := range workers {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// Stop stops the service with all that is under way. What was published stays.
+// Stop stops the service and the polls in progress. The endpoint list is kept for Resume.
 func (s *Server) Stop() error {
 	if s.cancel == nil {
 		return nil
@@ -80,13 +80,13 @@
 	return <-s.stopped
 }
 
-// Resume has a stopped service listen at its address again.
+// Resume starts a stopped service at the same address.
 func (s *Server) Resume() error { return s.listen(s.Addr) }
 
-// Close stops the service for good.
+// Close stops the service.
 func (s *Server) Close() error { return s.Stop() }
 
-// Publish publishes one change of some endpoints.
+// Publish publishes one event with changes of endpoints. It returns the event's number and the time of publication.
 func (s *Server) Publish(endpoints []discovery.Endpoint) (position int64, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,8 +110,8 @@
 	return s.position, at
 }
 
-// completeLocked is the response with the list as it stands; s.mu is held.
-func (s *Server) completeLocked() ([]byte, error) {
+// completeListLocked returns the response with the complete list. s.mu must be held.
+func (s *Server) completeListLocked() ([]byte, error) {
 	if s.completeResponse != nil {
 		return s.completeResponse, nil
 	}
@@ -131,11 +131,12 @@
 	return json.Marshal(discovery.Batch{Position: position, Events: events})
 }
 
-// after is the response to who knows the events up to tail; nil: there is nothing new until changed is closed.
-func (s *Server) after(tail int64) (response []byte, changed chan struct{}, err error) {
+// responseAfter returns the response to a client that has the events up to tail. If there is no later event, the
+// response is nil and changed is closed at the next one.
+func (s *Server) responseAfter(tail int64) (response []byte, changed chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	oldest := s.position - int64(len(s.changes)) // the last event that need not be known
+	oldest := s.position - int64(len(s.changes)) // number of the event before the stored changes
 	switch {
 	case tail > s.position:
 		return nil, nil, fmt.Errorf("tail %d is after the last event %d", tail, s.position)
@@ -143,16 +144,17 @@
 		return nil, s.changed, nil
 	case tail < oldest || tail == 0:
 		s.completeResponses.Add(1)
-		response, err = s.completeLocked()
+		response, err = s.completeListLocked()
 	default:
 		response, err = encodeBatch(s.position, s.changes[tail-oldest:])
 	}
 	return response, nil, err
 }
 
-// poll is the response to a poll, which waits for the next change if need be; nil: the client has disconnected.
+// poll returns the response to a poll. If there is no new event, it waits for the next one, for up to maxWait. The
+// response is nil if the client has disconnected.
 func (s *Server) poll(ctx context.Context, tail int64, maxWait time.Duration) ([]byte, error) {
-	response, changed, err := s.after(tail)
+	response, changed, err := s.responseAfter(tail)
 	if err != nil || response != nil {
 		return response, err
 	}
@@ -160,7 +162,7 @@
 	defer timer.Stop()
 	select {
 	case <-changed:
-		response, _, err = s.after(tail)
+		response, _, err = s.responseAfter(tail)
 		return response, err
 	case <-timer.C:
 		return fmt.Appendf(nil, `{"pos":%d,"entries":[]}`, tail), nil
@@ -169,7 +171,7 @@
 	}
 }
 
-// ServeHTTP answers a poll.
+// ServeHTTP handles a poll.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.polls.Add(1)
 	tail, tailErr := strconv.ParseInt(r.URL.Query().Get("tail"), 10, 64)
@@ -184,20 +186,20 @@
 		return
 	}
 	if response != nil {
-		_, _ = w.Write(response) // who does not read it polls again
+		_, _ = w.Write(response) // a client that does not receive it polls again
 	}
 }
 
-// Counts are a service's numbers.
+// Counts are the counters and the state of a Server.
 type Counts struct {
-	Polls             int64  `json:"asked"`
-	CompleteResponses int64  `json:"whole"` // with the complete list
-	Bytes             int64  `json:"bytes"` // both ways, with the headers of HTTP
-	Position          int64  `json:"position"`
-	Digest            string `json:"digest"`
+	Polls             int64  `json:"asked"`    // polls received
+	CompleteResponses int64  `json:"whole"`    // responses with the complete list
+	Bytes             int64  `json:"bytes"`    // bytes of all connections in both directions, including HTTP headers
+	Position          int64  `json:"position"` // number of the latest event
+	Digest            string `json:"digest"`   // digest of the endpoint list; see Digest
 }
 
-// Counts tells what it did.
+// Counts returns the current counters and state.
 func (s *Server) Counts() *Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,7 +216,7 @@
 	}
 }
 
-// Digest names an endpoint list by its workers and their states.
+// Digest returns a hash of an endpoint list's worker names and their states, by which lists are compared.
 func Digest(states map[string]discovery.State) string {
 	hash := xxhash.New()
 	for _, name := range slices.Sorted(maps.Keys(states)) {
--- a/internal/testbed/discoverytest/server_test.go
+++ b/internal/testbed/discoverytest/server_test.go
@@ -9,8 +9,8 @@
 	"lupinpond/internal/gateway/discovery"
 )
 
-// The service answers what came after the event that is known; who knows none, or too old a one, gets the complete
-// list.
+// A poll must be answered with the events after the client's last one. A client without an event, or one that missed
+// more than maxChanges, must get the complete list.
 func TestPollAnswers(t *testing.T) {
 	s, err := New([]discovery.Endpoint{{Name: "a", Addr: "127.0.0.1:1", State: discovery.Up}})
 	if err != nil {
--- a/internal/testbed/faultproxy/proxy.go
+++ b/internal/testbed/faultproxy/proxy.go
@@ -1,5 +1,5 @@
-// Package faultproxy relays TCP connections on loopback and does to them what networks and machines do: it holds,
-// delays, cuts and resets.
+// Package faultproxy is a TCP proxy on the loopback interface that injects the faults of networks and machines: it
+// blocks, delays, truncates and resets connections.
 package faultproxy
 
 import (
@@ -12,23 +12,23 @@
 )
 
 const (
-	// pollInterval is how often a relay that is held looks whether it may go on.
+	// pollInterval is the interval at which a blocked connection checks whether the fault has ended.
 	pollInterval = 2 * time.Millisecond
-	// dialTimeout bounds a dial.
+	// dialTimeout is the timeout for connecting to the target.
 	dialTimeout = 2 * time.Second
-	// bufferBytes is how much is relayed at a time.
+	// bufferBytes is the maximum number of bytes that are forwarded at a time.
 	bufferBytes = 16 << 10
 )
 
-// Fault is what is done to what passes. The zero value relays.
+// Fault is a fault that a Proxy injects. The zero value injects none.
 type Fault struct {
-	Blackhole       bool          // nothing passes, nothing is closed: a machine that is cut off
-	Reject          bool          // new connections are reset at once: nobody listens
-	Delay           time.Duration // of each part that passes, both ways
-	CloseAfterBytes int           // bytes of responses after which a connection ends; 0: none does
+	Blackhole       bool          // no data is forwarded and no connection is closed, as if the network were partitioned
+	Reject          bool          // new connections are reset at once, as if no process were listening
+	Delay           time.Duration // delay before each chunk of data is forwarded, in both directions
+	CloseAfterBytes int           // a connection is reset after this many response bytes; 0: no limit
 }
 
-// Proxy relays connections to one address.
+// Proxy forwards TCP connections to one address.
 type Proxy struct {
 	target     string
 	listener   net.Listener
@@ -39,13 +39,13 @@
 	pairs map[*connPair]bool
 }
 
-// connPair is a connection and the one that it is relayed to.
+// connPair is a client's connection and the proxy's connection to the target for it.
 type connPair struct {
 	client, server net.Conn
 	responseBytes  atomic.Int64
 }
 
-// New makes a proxy at a free port of loopback.
+// New starts a proxy to target that listens on a free port of the loopback interface.
 func New(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,13 +57,13 @@
 	return p, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address at which the proxy listens.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// SetFault has a fault from now on, on the open connections too.
+// SetFault replaces the current fault. It also applies to open connections.
 func (p *Proxy) SetFault(fault Fault) { p.fault.Store(&fault) }
 
-// Reset resets every connection, towards both ends.
+// Reset resets all connections, to the client and to the target.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// Close ends the proxy and every connection.
+// Close stops the proxy, resets all connections and waits for its goroutines.
 func (p *Proxy) Close() {
 	p.listener.Close()
 	p.SetFault(Fault{})
@@ -81,10 +81,10 @@
 	p.background.Wait()
 }
 
-// ResetConn ends a connection with a reset.
+// ResetConn closes a connection so that the peer gets a TCP reset.
 func ResetConn(conn net.Conn) {
 	if tcp, is := conn.(*net.TCPConn); is {
-		_ = tcp.SetLinger(0) // where it can't be a reset, an end serves as well
+		_ = tcp.SetLinger(0) // if this fails, a close without a reset is sufficient
 	}
 	conn.Close()
 }
@@ -103,7 +103,7 @@
 	}
 }
 
-// relay relays one connection until both ways have ended.
+// relay forwards one connection until both directions have ended.
 func (p *Proxy) relay(client net.Conn) {
 	if p.fault.Load().Reject {
 		ResetConn(client)
@@ -118,19 +118,20 @@
 	p.mu.Lock()
 	p.pairs[pair] = true
 	p.mu.Unlock()
-	var ways sync.WaitGroup
-	ways.Go(func() { p.copy(server, client, p.forwardRequest) })
-	ways.Go(func() {
-		p.copy(client, server, func(to net.Conn, part []byte) bool { return p.forwardResponse(pair, to, part) })
+	var directions sync.WaitGroup
+	directions.Go(func() { p.copy(server, client, p.forwardRequest) })
+	directions.Go(func() {
+		p.copy(client, server, func(to net.Conn, chunk []byte) bool { return p.forwardResponse(pair, to, chunk) })
 	})
-	ways.Wait()
+	directions.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.pairs, pair)
 }
 
-// copy forwards one way until it ends, and ends the other end as this one has ended.
-func (p *Proxy) copy(to, from net.Conn, forward func(to net.Conn, part []byte) bool) {
+// copy forwards data in one direction until from ends. Then it closes both connections, with a reset unless from
+// ended with io.EOF.
+func (p *Proxy) copy(to, from net.Conn, forward func(to net.Conn, chunk []byte) bool) {
 	buffer := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buffer)
@@ -153,29 +154,30 @@
 	}
 }
 
-// forwardRequest forwards a part towards the server; false: the connection ends.
-func (p *Proxy) forwardRequest(to net.Conn, part []byte) bool {
-	p.await()
-	_, err := to.Write(part)
+// forwardRequest forwards a chunk to the server. It returns false if the connection must be reset.
+func (p *Proxy) forwardRequest(to net.Conn, chunk []byte) bool {
+	p.waitForFault()
+	_, err := to.Write(chunk)
 	return err == nil
 }
 
-// forwardResponse forwards a part towards the client; false: the connection ends.
-func (p *Proxy) forwardResponse(pair *connPair, to net.Conn, part []byte) bool {
-	fault := p.await()
+// forwardResponse forwards a chunk to the client. It returns false if the connection must be reset.
+func (p *Proxy) forwardResponse(pair *connPair, to net.Conn, chunk []byte) bool {
+	fault := p.waitForFault()
 	if fault.CloseAfterBytes > 0 {
-		before := int(pair.responseBytes.Add(int64(len(part)))) - len(part)
-		if left := fault.CloseAfterBytes - before; left < len(part) {
-			_, _ = to.Write(part[:max(0, left)]) // it ends anyway
+		before := int(pair.responseBytes.Add(int64(len(chunk)))) - len(chunk)
+		if left := fault.CloseAfterBytes - before; left < len(chunk) {
+			_, _ = to.Write(chunk[:max(0, left)]) // the connection is reset anyway
 			return false
 		}
 	}
-	_, err := to.Write(part)
+	_, err := to.Write(chunk)
 	return err == nil
 }
 
-// await waits as the fault of now says, and gives it.
-func (p *Proxy) await() *Fault {
+// waitForFault applies the delay of the current fault, blocks while the fault is a blackhole, and returns the fault
+// that was current at the call.
+func (p *Proxy) waitForFault() *Fault {
 	fault := p.fault.Load()
 	if fault.Delay > 0 {
 		time.Sleep(fault.Delay)
--- a/internal/testbed/faultproxy/proxy_test.go
+++ b/internal/testbed/faultproxy/proxy_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startEchoServer starts a server that sends back what it gets.
+// startEchoServer starts a server that sends back the data it receives, and returns its address.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,14 +29,15 @@
 			}
 			go func() {
 				defer conn.Close()
-				_, _ = io.Copy(conn, conn) // until the test ends it
+				_, _ = io.Copy(conn, conn) // until the test closes the connection
 			}()
 		}
 	}()
 	return listener.Addr().String()
 }
 
-// What passes is held, cut and reset as the fault says.
+// A blackhole must block data and forward it afterwards, Reset must end the connection, and CloseAfterBytes must
+// truncate the response.
 func TestFaults(t *testing.T) {
 	p, err := faultproxy.New(startEchoServer(t))
 	if err != nil {
@@ -78,7 +79,7 @@
 		t.Fatal(err)
 	}
 	if n, err := conn.Read(make([]byte, 1)); n > 0 || err == nil {
-		t.Error("what is held passes")
+		t.Error("data was forwarded during the blackhole")
 	}
 	p.SetFault(faultproxy.Fault{})
 	if text, err := receive(1); text != "b" || err != nil {
@@ -86,7 +87,7 @@
 	}
 	p.Reset()
 	if _, err := receive(1); err == nil {
-		t.Error("a reset connection goes on")
+		t.Error("the connection is still usable after Reset")
 	}
 	p.SetFault(faultproxy.Fault{CloseAfterBytes: 3})
 	conn = dial()
