--- a/internal/workerrpc/call.go
+++ b/internal/workerrpc/call.go
@@ -33,10 +33,10 @@
 // Outcome is the result of a call. Each call has exactly one.
 type Outcome struct {
 	Status        Status
-	AttemptResult *AttemptResult // the worker's answer to an attempt; nil for other calls or without an answer
-	LoadResult    *LoadResult    // the worker's answer to a load request; nil for other calls or without an answer
-	ProbeReply    *ProbeReply    // the worker's answer to a probe; nil for other calls or without an answer
-	Err           error          // the reason why the call was not answered; nil with an answer
+	AttemptResult *AttemptResult // the worker's answer to an attempt, or nil
+	LoadResult    *LoadResult    // the worker's answer to a load request, or nil
+	ProbeReply    *ProbeReply    // the worker's answer to a probe, or nil
+	Err           error          // why the call was not answered; nil if it was answered
 }
 
 // NeverRan reports whether it is certain that the attempt never ran.
--- a/internal/workerrpc/client.go
+++ b/internal/workerrpc/client.go
@@ -9,7 +9,7 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// The backoff between attempts to connect, as multiples of the dial timeout.
+// The pauses after failed connection attempts, relative to the dial timeout.
 const (
 	// initialBackoffDivisor sets the first pause: dial timeout / initialBackoffDivisor.
 	initialBackoffDivisor = 20
@@ -115,9 +115,9 @@
 // Probe queues a request for the worker's load report. done is called once with the outcome.
 func (c *Client) Probe(done func(Outcome)) *Call { return c.enqueue(&Call{done: done}) }
 
-// Stop is called when the worker is draining or was removed. Queued attempts and load requests, and those queued until
-// Resume is called, end with StatusUnsent. If the write of one is not completed within grace, the connection is closed,
-// so that none is sent later. Probes and cancels are still sent.
+// Stop ends queued attempts and load requests, and all that follow until Resume is called, with StatusUnsent. It is
+// called when the worker is draining or was removed. If a write in progress is not completed within grace, the
+// connection is closed, so that nothing is sent later. Probes and cancels are still sent.
 func (c *Client) Stop(grace time.Duration) {
 	c.mu.Lock()
 	if c.stopped {
--- a/internal/workerrpc/frame.go
+++ b/internal/workerrpc/frame.go
@@ -1,8 +1,7 @@
 // Package workerrpc implements the protocol between gateways and workers: length-prefixed frames with CBOR bodies over
 // TCP, with many attempts in flight on one connection. docs/link.md specifies it for implementations in other
 // languages. The outcome of an attempt states whether the attempt never ran or may have run. It is derived only from
-// what was written to the connection and what the worker answered. The package never retries: it sends no message
-// twice.
+// what was written to the connection and what the worker answered. The package never sends a message twice.
 package workerrpc
 
 import (
@@ -155,8 +154,8 @@
 	buffer []byte
 }
 
-// NewFrameReader returns a FrameReader that reads frames of up to limit bytes, without their length prefix, from
-// source.
+// NewFrameReader returns a FrameReader that reads frames from source. limit is the maximum length of a frame without
+// its length prefix, in bytes.
 func NewFrameReader(source io.Reader, limit int) *FrameReader {
 	return &FrameReader{source: source, limit: limit}
 }
