--- a/internal/worker/idempotency/golden_test.go
+++ b/internal/worker/idempotency/golden_test.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// recorder is a register that records requests and gives a fixed answer to claims.
+// fakeRegister is a register that records requests and returns a fixed answer to claims.
 type fakeRegister struct {
 	mu       sync.Mutex
 	answer   string
--- a/internal/workerrpc/golden_test.go
+++ b/internal/workerrpc/golden_test.go
@@ -48,7 +48,8 @@
 		ColdStartRate: 0.1}
 }
 
-// goldenFrame is a message with its kind on the wire and the name of the golden file with its encoding.
+// goldenFrame is a message with its kind on the wire and the name of the golden file with its encoding. The file names
+// differ from the types' names, such as hello for a Handshake, launch for an Attempt and order for a LoadRequest.
 type goldenFrame struct {
 	name string
 	kind byte
