--- a/internal/gateway/platform/backends_test.go
+++ b/internal/gateway/platform/backends_test.go
@@ -10,8 +10,8 @@
 	"lupinpond/internal/gateway/resp"
 )
 
-// What the core decides is for the incarnation of a worker that it knows. The next incarnation under the same name is
-// found only once the core has applied the update, and then the one before is not.
+// An attempt must not be sent to an incarnation of a worker that the core did not choose. Until the core has applied an
+// update, lookup returns the incarnation before it, and afterwards the next incarnation of the same name.
 func TestNextIncarnationIsFoundOnceApplied(t *testing.T) {
 	pool := resp.NewPool(context.Background(), resp.Limits{MaxCallsPerConn: 1})
 	transport := newWorkerTransport(Config{}, pool, invariant.NewMonitor(slog.New(slog.DiscardHandler)))
@@ -23,23 +23,23 @@
 	transport.update(list(discovery.Up, 1))()
 	first := transport.lookup("w")
 	if first == nil {
-		t.Fatal("the first incarnation is not found")
+		t.Fatal("lookup does not return the first incarnation")
 	}
 	commit := transport.update(list(discovery.Up, 2))
 	if transport.lookup("w") != first || first.stoppedAt.Load() == 0 {
-		t.Error("the next incarnation is found before the core knows it, or the one before may still get something new")
+		t.Error("lookup returns the next incarnation before the core has applied it, or the first may be sent new work")
 	}
 	commit()
 	second := transport.lookup("w")
 	if second == first || second.stoppedAt.Load() != 0 {
-		t.Error("the next incarnation is not found once the core knows it")
+		t.Error("lookup does not return the next incarnation after the core has applied it")
 	}
 	commit = transport.update(list(discovery.Removed, 2))
 	if transport.lookup("w") != second || second.stoppedAt.Load() == 0 {
-		t.Error("a removed worker may still get something new")
+		t.Error("a removed worker may still be sent new work")
 	}
 	commit()
 	if transport.lookup("w") != nil {
-		t.Error("a removed worker is found")
+		t.Error("lookup returns a removed worker after the core has applied the removal")
 	}
 }
--- a/internal/gateway/platform/clock_test.go
+++ b/internal/gateway/platform/clock_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// A worker that has just started is warming up, whatever the wall clock of the discovery service says: one that is an
-// hour behind does not make it old, and with one that is an hour ahead it has started all the same.
+// A worker that has just started must be treated as cold even if the wall clock of the discovery service is wrong. With
+// a clock an hour behind it must not appear to be an hour old, and with one an hour ahead its start time must not be in
+// the future.
 func TestEndpointStartTimesWithSkewedClock(t *testing.T) {
 	h := start(t)
 	awaitPoll(t, h)
@@ -23,7 +24,7 @@
 		members, _ := h.gateway.Members(context.Background())
 		if len(members) < 4 {
 			if time.Now().After(end) {
-				t.Fatal("the event is not applied")
+				t.Fatal("the event was not applied within 20 s")
 			}
 			continue
 		}
@@ -32,7 +33,7 @@
 				continue
 			}
 			if m.Started < before-5*time.Second || m.Started > h.gateway.Now() {
-				t.Errorf("%s: started at %v, it is %v", m.Worker, m.Started, h.gateway.Now())
+				t.Errorf("worker %s: start time %v, want about the present time %v", m.Worker, m.Started, h.gateway.Now())
 			}
 		}
 		return
--- a/internal/gateway/platform/config.go
+++ b/internal/gateway/platform/config.go
@@ -15,26 +15,26 @@
 	"lupinpond/internal/gateway/settings"
 )
 
-// Config is the configuration that the platform gives a gateway.
+// Config is the configuration of a gateway, as the platform writes it.
 type Config struct {
 	Name           string
-	Listen         string // address for clients
+	Listen         string // address at which clients connect
 	DiscoveryAddr  string // address of the discovery service
 	Cores          float64
-	Memory         int64 // bytes
-	Sockets        int   // descriptors that the process may have open
+	Memory         int64 // memory limit in bytes
+	Sockets        int   // maximum number of open file descriptors
 	KnownEndpoints discovery.Batch
 	Settings       settings.Values
 	Core           core.Settings
 }
 
-// maxConfigBytes is the longest configuration file that is read.
+// maxConfigBytes is the maximum size of a configuration file.
 const maxConfigBytes = 16 << 20
 
-// defaultMaxAge is the maximum age of a request whose class names none.
+// defaultMaxAge is the maximum age of a request whose request class sets none.
 const defaultMaxAge = time.Minute
 
-// Read reads a configuration file.
+// Read reads and parses a configuration file.
 func Read(path string) (Config, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return config, nil
 }
 
-// configFile is the form of a configuration file. Field names without a tag are the keys of the file.
+// configFile is the JSON structure of a configuration file. A field without a tag is encoded under its own name.
 type configFile struct {
 	Name, Listen, Seed, Journal string
 	Limits                      struct {
@@ -66,7 +66,7 @@
 	Settings map[string]any
 }
 
-// Parse parses and checks a configuration.
+// Parse parses and validates a configuration.
 func Parse(b []byte) (Config, error) {
 	var file configFile
 	decoder := json.NewDecoder(bytes.NewReader(b))
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// maxAges returns the maximum age of each request type, and the longest.
+// maxAges returns the maximum age of each request type, and the longest of them.
 func (c Config) maxAges() (ages map[string]time.Duration, longest time.Duration) {
 	ages = map[string]time.Duration{}
 	for i, t := range c.Core.Types {
@@ -127,25 +127,25 @@
 	return ages, longest
 }
 
-// dialTimeout is how long a connection to a worker may take.
+// dialTimeout returns the timeout for connecting to a worker.
 func (c Config) dialTimeout() time.Duration {
 	return max(c.Settings.Duration("policy_limits.dial_timeout", defaultDialTimeout), time.Millisecond)
 }
 
-// connIdleTimeout is how long a connection to a client or a worker stays open without a request.
+// connIdleTimeout returns how long a connection to a client or a worker stays open without a request.
 func (c Config) connIdleTimeout() time.Duration {
 	return c.Settings.Duration("policy_limits.conn_idle", defaultConnIdle) / connIdleDivisor
 }
 
-// drainGrace is how long requests may still go to a draining worker.
+// drainGrace returns how long requests may still be sent to a draining worker.
 func (c Config) drainGrace() time.Duration {
 	return c.Settings.Duration("rules.stop_sending_within", defaultDrainGrace)
 }
 
-// maxCallsPerConn is the number of calls that a connection to a worker carries at a time.
+// maxCallsPerConn returns the maximum number of concurrent calls on one connection to a worker.
 func (c Config) maxCallsPerConn() int {
 	return max(1, int(c.Settings.Number("policy_limits.max_streams", defaultMaxStreams)))
 }
 
-// peerSockets is the number of descriptors for clients and workers.
+// peerSockets returns the number of file descriptors available for connections to clients and workers.
 func (c Config) peerSockets() int { return c.Sockets - reservedSockets }
--- a/internal/gateway/platform/deadline_test.go
+++ b/internal/gateway/platform/deadline_test.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// congestedListener listens with a backlog of a single connection, and fills it: a connection to it is established only
-// when the kernel retries, a second after accept has made room.
+// congestedListener is a listener with a backlog of a single connection, which is full. A connection to it is
+// established only after accept has freed the backlog and the kernel of the client retries, a second after its first
+// try.
 type congestedListener struct {
 	fd   int
 	addr string
@@ -47,7 +48,7 @@
 	return l
 }
 
-// accept accepts the next connection; the first is the one that fills the backlog.
+// accept accepts the next connection. The first is the one that fills the backlog.
 func (l *congestedListener) accept(t *testing.T) int {
 	t.Helper()
 	fd, _, err := syscall.Accept(l.fd)
@@ -57,8 +58,8 @@
 	return fd
 }
 
-// awaitDial returns when somebody connecting to the listener waits for the kernel's retry: a socket has sent its SYN, and
-// has the timer for the next one set. The first has failed on the full backlog.
+// awaitDial returns when a client is connecting to the listener and its kernel waits to retry: its socket has sent a
+// SYN, which was dropped because the backlog is full, and has set the retransmission timer.
 func (l *congestedListener) awaitDial(t *testing.T) {
 	t.Helper()
 	_, port, _ := strings.Cut(l.addr, ":")
@@ -80,11 +81,11 @@
 			}
 		}
 	}
-	t.Fatal("nobody connects")
+	t.Fatal("no client connected to the listener within 20 s")
 }
 
-// acceptUntilRead accepts the next connection and closes it once something has come on it, or its end: closed before,
-// it might end under a request that is not written yet.
+// acceptUntilRead accepts the next connection, waits until it has received data or its end, and closes it. If it were
+// closed earlier, a request might fail because it is not completely written.
 func (l *congestedListener) acceptUntilRead(t *testing.T) {
 	t.Helper()
 	fd := l.accept(t)
@@ -94,7 +95,8 @@
 	}
 }
 
-// startWithCongestedWorker starts a gateway whose only worker has a congested listener, and gets nothing but requests.
+// startWithCongestedWorker starts a gateway whose only worker has a congested listener and is sent no load requests or
+// probes.
 func startWithCongestedWorker(t *testing.T) (*congestedListener, *harness) {
 	t.Helper()
 	slow := newCongestedListener(t)
@@ -106,8 +108,8 @@
 	return slow, h
 }
 
-// The time left that a worker gets is what the client has left when the request is written, however long the connection
-// took.
+// The time left that is stated to a worker must not include the time that the connection took to be established: it is
+// the time until the client's deadline when the request is written.
 func TestDeadlineAfterSlowConnection(t *testing.T) {
 	slow, h := startWithCongestedWorker(t)
 	c := h.dial()
@@ -118,17 +120,17 @@
 	fd := slow.accept(t)
 	defer syscall.Close(fd)
 	if connecting := time.Since(sent); connecting < 500*time.Millisecond {
-		t.Fatalf("connected after %v: the test shows nothing", connecting)
+		t.Fatalf("connected after %v, want a delay of at least 500 ms for the test to be meaningful", connecting)
 	}
 	buffer := make([]byte, 4096)
 	for {
 		n, err := syscall.Read(fd, buffer)
 		if err != nil || n == 0 {
-			t.Fatal("no request arrives:", n, err)
+			t.Fatal("the worker received no request:", n, err)
 		}
 		_, rest, found := strings.Cut(string(buffer[:n]), "wait=")
 		if !found {
-			continue // a load request, or a probe
+			continue // a load request or a probe
 		}
 		digits, _, _ := strings.Cut(rest, "\r")
 		wait, err := strconv.Atoi(digits)
@@ -137,15 +139,15 @@
 		}
 		left := 2500*time.Millisecond - time.Since(sent)
 		if stated := time.Duration(wait) * time.Millisecond; stated > left+150*time.Millisecond {
-			t.Errorf("the worker gets %v, the client has %v left", stated, left)
+			t.Errorf("the time left stated to the worker is %v, but the client's deadline is in %v", stated, left)
 		}
 		return
 	}
 }
 
-// For a client that disconnects while its attempt waits for a connection the attempt is not sent, though the event loop
-// stalls and does not know of it yet.
-func TestClientLeavesWhileConnectingAndOwnerStalls(t *testing.T) {
+// An attempt that waits for a connection to a worker must not be sent once its client has disconnected, even if the
+// event loop stalls and has not processed the disconnect yet.
+func TestClientDisconnectsWhileConnectingDuringStall(t *testing.T) {
 	slow, h := startWithCongestedWorker(t)
 	c := h.dial()
 	c.dispatch("a", fields(id(1))...)
@@ -161,11 +163,11 @@
 	}
 	buffer := make([]byte, 4096)
 	if n, _ := syscall.Read(fd, buffer); n > 0 {
-		t.Errorf("an attempt for a client that has disconnected: %q", buffer[:n])
+		t.Errorf("an attempt was sent after its client had disconnected: %q", buffer[:n])
 	}
 }
 
-// awaitPoll returns when the gateway has polled for what follows the batches so far.
+// awaitPoll returns when the gateway has polled for events that follow all batches sent so far.
 func awaitPoll(t *testing.T, h *harness) {
 	t.Helper()
 	for range 2 {
@@ -173,12 +175,13 @@
 	}
 }
 
-// awaitNextPoll returns at the gateway's next poll: the connections to workers have what the batch before it says.
+// awaitNextPoll returns at the gateway's next poll. The previous batch has been applied to the connections to workers
+// by then.
 func awaitNextPoll(t *testing.T, h *harness) {
 	t.Helper()
 	select {
 	case <-h.pollWaits:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the discovery service is not polled")
+		t.Fatal("the discovery service was not polled within 20 s")
 	}
 }
--- a/internal/gateway/platform/dispatch.go
+++ b/internal/gateway/platform/dispatch.go
@@ -10,7 +10,7 @@
 	"lupinpond/scheduler"
 )
 
-// handle handles one message of a client.
+// handle handles one message from a client.
 func (g *Gateway) handle(conn *thrift.Conn, message thrift.Message) {
 	args, err := thrift.ReadArgs(message.Args)
 	reject := func(code thrift.ExceptionCode, reason string) {
@@ -31,21 +31,22 @@
 	}
 }
 
-// dispatch submits a client's request to the event loop, or answers it at once where it is invalid or there is no
-// memory for its body.
+// dispatch submits a client's request to the event loop. It answers the request immediately if it is invalid or if its
+// body would exceed the memory for the bodies of requests in flight.
 func (g *Gateway) dispatch(conn *thrift.Conn, seqID int32, args thrift.Args,
 	reject func(thrift.ExceptionCode, string)) {
 	decoded, err := g.decoder.decode(args)
 	if err != nil {
-		decoded = clientRequest{fact: &scheduler.Request{}}
+		decoded = clientRequest{scheduled: &scheduler.Request{}}
 	}
 	request := &gateway.Request{
-		Scheduled: decoded.fact,
+		Scheduled: decoded.scheduled,
 		Body:      decoded.body,
 		Call:      invoke.Call{IdempotencyKey: decoded.idempotencyKey},
 		Reply:     func(response invoke.Response) { conn.Reply(seqID, encodeResponse(seqID, response)) },
 	}
-	// The sequence ID comes first: an answer under one that is open would be the answer to another request.
+	// The sequence ID is checked before all else: the client would take an answer that carries the ID of another open
+	// request as the answer to that request.
 	if !conn.BeginCall(seqID, func() { g.ClientDisconnected(request) }) {
 		reject(thrift.BadSequenceID, "a number that is not new, or too many requests at a time")
 		return
@@ -57,7 +58,7 @@
 		invalid(err.Error())
 		return
 	}
-	if !g.recentIDs.add(decoded.numericID, time.Now()) { // every request has an ID of its own, a client's retry too
+	if !g.recentIDs.add(decoded.numericID, time.Now()) { // each request has a unique ID, even a client's retry
 		invalid("an event of this id came before")
 		return
 	}
--- a/internal/gateway/platform/endpoints.go
+++ b/internal/gateway/platform/endpoints.go
@@ -9,7 +9,8 @@
 	"lupinpond/scheduler"
 )
 
-// handleEvent applies a watch event: to the connections to workers at once, then to the core, through its event loop.
+// handleEvent applies a watch event: immediately to the connections to workers, then to the core through the event
+// loop.
 func (e *engine) handleEvent(event discovery.Event) {
 	if event.Update == nil {
 		e.notifyApplied(event)
@@ -20,21 +21,21 @@
 	if event.MaxAge > 0 {
 		maxAge = event.MaxAge
 	}
-	named := map[string]bool{}
+	present := map[string]bool{}
 	var members []scheduler.Member
 	for _, endpoint := range event.Update.Endpoints {
-		named[endpoint.Name] = true
+		present[endpoint.Name] = true
 		members = append(members, e.member(endpoint, maxAge))
 	}
 	if event.Update.Complete {
-		e.startTimes.Retain(named)
+		e.startTimes.Retain(present)
 	}
 	e.logUpdate(event)
 	e.UpdateMembership(event.Update.Complete, members, commit)
 	e.notifyApplied(event)
 }
 
-// member is an endpoint as the scheduler knows it. The event that told of it is no older than maxAge.
+// member converts an endpoint to the scheduler's form. maxAge is the maximum age of the event that holds the endpoint.
 func (e *engine) member(endpoint discovery.Endpoint, maxAge time.Duration) scheduler.Member {
 	member := scheduler.Member{
 		Worker: endpoint.Name,
@@ -70,7 +71,7 @@
 		"up", states[discovery.Up], "draining", states[discovery.Draining], "removed", states[discovery.Removed])
 }
 
-// notifyApplied has the event loop report that the core has applied an event.
+// notifyApplied makes the event loop call onApplied once the core has applied an event.
 func (e *engine) notifyApplied(event discovery.Event) {
 	if e.onApplied != nil {
 		e.Do(func() { e.onApplied(event.Position, event.Update != nil && event.Update.Complete) })
--- a/internal/gateway/platform/engine.go
+++ b/internal/gateway/platform/engine.go
@@ -15,8 +15,8 @@
 	"lupinpond/internal/gateway/resp"
 )
 
-// engine is a gateway without its clients: the event loop that owns the core, the connections to workers and the
-// watcher of the endpoint list.
+// engine is the part of a gateway that does not depend on its clients: the event loop that owns the core, the
+// connections to workers and the watcher of the endpoint list.
 type engine struct {
 	*gateway.EventLoop
 	config     Config
@@ -25,10 +25,10 @@
 	startTimes *gateway.StartTimes // used by the watcher's goroutine only
 	monitor    *invariant.Monitor
 	watcher    *discovery.Watcher
-	workCtx    context.Context // ends when nothing is left to do
+	workCtx    context.Context // ends when all work is done, at the earliest when the context of Run ends
 	stopWork   context.CancelFunc
 
-	// onApplied is called by the event loop once the core has applied an event; it may be nil.
+	// onApplied is called by the event loop once the core has applied a watch event. It may be nil.
 	onApplied func(position int64, complete bool)
 }
 
@@ -51,7 +51,7 @@
 	return e
 }
 
-// poolLimits bounds the connections to workers.
+// poolLimits returns the limits of the connections to workers.
 func (c Config) poolLimits() resp.Limits {
 	sockets := c.peerSockets()
 	return resp.Limits{
@@ -64,13 +64,14 @@
 	}
 }
 
-// discoveryLimits bounds the polls of the discovery service: a silent one is polled again before its events count as
-// delivered.
+// discoveryLimits returns the limits of the polls of the discovery service. A service that does not answer is polled
+// again before the platform considers its events delivered.
 func (c Config) discoveryLimits() discovery.Limits {
 	dial := c.dialTimeout()
-	// at the longest the list is as old as two waits and an answer: it is not to expire while the service is well
-	fresh := (deliveryBound + time.Duration(freshGraceShare*float64(c.drainGrace())) - 2*dial) / 2
-	wait := max(min(pollWaitGraces*c.drainGrace(), fresh, maxPollWait), dial)
+	// The list gets at most as old as two poll waits plus the time of an answer. It must not expire while the service
+	// works normally.
+	freshWait := (deliveryBound + time.Duration(listAgeGraceFraction*float64(c.drainGrace())) - 2*dial) / 2
+	wait := max(min(pollWaitGraces*c.drainGrace(), freshWait, maxPollWait), dial)
 	return discovery.Limits{
 		PollWait:      wait,
 		UsualResponse: dial,
@@ -81,7 +82,8 @@
 	}
 }
 
-// run runs the engine, and what start adds to the group, until one of them ends it.
+// run runs the engine together with the goroutines that start adds to the group. It runs until one of them fails or
+// calls stopWork, and returns the first error.
 func (e *engine) run(start func(group *errgroup.Group, workCtx context.Context)) error {
 	defer e.stopWork()
 	group, workCtx := errgroup.WithContext(e.workCtx)
@@ -99,7 +101,8 @@
 	return err
 }
 
-// Reload applies what a new configuration may change while the gateway runs: the address of the discovery service.
+// Reload applies the part of a new configuration that may change while the gateway runs: the address of the discovery
+// service.
 func (e *engine) Reload(config Config) {
 	e.log.Info("configuration reloaded", "discovery_address", config.DiscoveryAddr)
 	e.watcher.SetAddress(config.DiscoveryAddr)
--- a/internal/gateway/platform/gateway.go
+++ b/internal/gateway/platform/gateway.go
@@ -1,7 +1,7 @@
-// Package platform is the gateway as the operators' platform runs it: its configuration, readiness, signals and
+// Package platform implements the gateway for the operators' platform: its configuration, readiness, signals and
 // metrics, and the protocols that the platform prescribes, around the event loop that all gateways share. Clients
-// speak Thrift, workers RESP, and a discovery service over HTTP publishes the endpoint list. The package decides
-// nothing about requests, attempts or loads.
+// speak Thrift, workers speak RESP, and a discovery service publishes the endpoint list over HTTP. All decisions about
+// requests, attempts and load requests are made by the core.
 package platform
 
 import (
@@ -25,15 +25,15 @@
 	longestMaxAge   time.Duration
 	listener        net.Listener
 	server          *thrift.Server
-	bodyBytes       atomic.Int64 // of requests in flight
-	draining        atomic.Bool
+	bodyBytes       atomic.Int64 // total size of the bodies of requests in flight
+	draining        atomic.Bool  // the gateway is draining and reports to clients that it is not ready
 	recentIDs       recentIDs
 	closeCounts     closeCounts
-	droppedLogLines func() int64 // may be nil
+	droppedLogLines func() int64 // see Options.DroppedLogLines; may be nil
 }
 
-// New makes a gateway that serves clients on a listener. Where record is not nil a recording of the core is written
-// there.
+// New returns a gateway that serves clients on a listener. If record is not nil, the gateway writes a recording of the
+// core to it.
 func New(config Config, listener net.Listener, log *slog.Logger, record io.Writer) *Gateway {
 	g := &Gateway{engine: newEngine(config, log, record), listener: listener}
 	maxAges, longest := config.maxAges()
@@ -51,11 +51,11 @@
 	return g
 }
 
-// clientLimits bounds what clients can take of the gateway.
+// clientLimits returns the limits on the resources that clients can use.
 func (c Config) clientLimits() thrift.Limits {
 	dial := c.dialTimeout()
 	return thrift.Limits{
-		MaxFrameBytes:  maxBodyBytes + maxHeadBytes,
+		MaxFrameBytes:  maxBodyBytes + maxHeaderBytes,
 		MaxOpenCalls:   maxOpenRequests,
 		MaxConns:       c.peerSockets() / clientSocketDivisor,
 		MessageTimeout: min(messageTimeoutDials*dial, maxMessageTimeout),
@@ -65,12 +65,12 @@
 	}
 }
 
-// Run serves until ctx ends. Then it goes on accepting requests for as long as the platform may send them, answers all
-// that are in flight before the platform would kill it, and returns.
+// Run serves clients until ctx ends. Then it continues to accept requests for as long as the platform may send them,
+// answers all requests in flight before the platform would kill the process, and returns.
 func (g *Gateway) Run(ctx context.Context) error {
 	return g.run(func(group *errgroup.Group, workCtx context.Context) {
 		group.Go(func() error {
-			defer g.stopWork() // the server is the last to have anything to do
+			defer g.stopWork() // the server is the last component with work to do
 			return g.server.Run(workCtx)
 		})
 		g.log.Info("gateway listening", "address", g.listener.Addr().String())
@@ -85,22 +85,22 @@
 	})
 }
 
-// drain answers every request that the platform still sends, and ends the gateway then. Clients that never stop
-// sending, or never read, hold it no longer than that and one more period of late arrivals.
+// drain keeps the gateway running until it has answered every request that the platform may still send, then ends it.
+// Clients that never stop sending or never read delay the end by at most another lateArrivalPeriod.
 func (g *Gateway) drain(workCtx context.Context) {
-	left := min(g.longestMaxAge, terminationGrace) + lateArrivals/2
+	answerTime := min(g.longestMaxAge, terminationGrace) + lateArrivalPeriod/2
 	g.draining.Store(true)
-	g.ShutdownBy(time.Now().Add(left))
+	g.ShutdownBy(time.Now().Add(answerTime))
 	g.log.Info("draining", "requests_open", g.server.OpenCalls())
-	arrivalsOver, answered, deadline := time.After(lateArrivals),
-		time.After(max(left, lateArrivals)), time.After(left+lateArrivals)
+	arrivalsOver, answered, deadline := time.After(lateArrivalPeriod),
+		time.After(max(answerTime, lateArrivalPeriod)), time.After(answerTime+lateArrivalPeriod)
 	for {
 		select {
 		case <-workCtx.Done():
 			return
 		case <-arrivalsOver:
 			g.server.Drain()
-		case <-answered: // a client that goes on sending would hold its connection until SIGKILL
+		case <-answered: // a client that continues to send would otherwise keep its connection open until SIGKILL
 			g.server.EndConnections()
 		case <-deadline:
 			g.stopWork()
--- a/internal/gateway/platform/golden_test.go
+++ b/internal/gateway/platform/golden_test.go
@@ -24,7 +24,7 @@
 //go:embed testdata/golden/config.json
 var goldenConfig string
 
-// The configuration with every key gives these values.
+// goldenValues is the configuration parsed from goldenConfig, which has every key, printed without field names.
 const goldenValues = "{n0 127.0.0.1:7002 127.0.0.1:7001 1.5 67108864 256 {1 []} map[family_info.keep:5 family_info.load_part:0.1 " +
 	"family_info.loads_anyway:20 family_info.loads_within:10 family_info.machine_mb:1000 family_info.machine_mb.count:1 " +
 	"family_info.miss_mode:load family_info.order_limit:4 family_info.orders:true index:0 instances:1 kinds:k kinds.count:1 " +
@@ -40,7 +40,7 @@
 	"{10096842570142050660 0 1 1ms [{call 0 2 0s 1s} {pay 2 2 0s 1s} {keyed 1 1 5s 1s}] [{acme 100}] 3 true true 2s {true " +
 	"true 5s 4s 10s 20 0.1} {0.2 17s 2.5 1s} 12s [{k 1000}] z 500ms true}} 1 {true [{w 127.0.0.1:7000 z k 3 up 4 0}]}"
 
-// A configuration with every key is read to these values, printed without the names of fields.
+// A configuration that has every key must be parsed to the golden values.
 func TestGoldenConfig(t *testing.T) {
 	c, err := platform.Parse([]byte(goldenConfig))
 	if err != nil {
@@ -56,14 +56,15 @@
 	}
 }
 
-// Each key at the top, and of limits, is read under this name: without it the configuration is another, or is refused
-// so.
+// Each top-level key, and each key of limits, must be read under its present name: without the key, Parse must return a
+// different configuration or the expected error.
 func TestGoldenConfigKeys(t *testing.T) {
 	complete, err := platform.Parse([]byte(goldenConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for key, want := range map[string]string{"name": "", "listen": "listen: missing port in address", "seed": `seed: strconv.ParseUint: parsing "": invalid syntax`,
+	for key, want := range map[string]string{"name": "", "listen": "listen: missing port in address",
+		"seed":             `seed: strconv.ParseUint: parsing "": invalid syntax`,
 		"journal":          "journal: missing port in address",
 		"limits":           "limits: cores and memory_mb above 0 and at least 36 sockets are needed",
 		"limits.cores":     "limits: cores and memory_mb above 0 and at least 36 sockets are needed",
@@ -75,11 +76,11 @@
 			t.Fatal(err)
 		}
 		in, name := object, key
-		if above, below, is := strings.Cut(key, "."); is {
-			in, name = object[above].(map[string]any), below
+		if parent, child, found := strings.Cut(key, "."); found {
+			in, name = object[parent].(map[string]any), child
 		}
-		if _, is := in[name]; !is {
-			t.Errorf("%s is not in the golden configuration", key)
+		if _, found := in[name]; !found {
+			t.Errorf("the golden configuration has no key %s", key)
 		}
 		delete(in, name)
 		b, err := json.Marshal(object)
@@ -91,17 +92,17 @@
 		case err != nil && err.Error() != want, err == nil && want != "":
 			t.Errorf("without %s:\n got %v\nwant %s", key, err, want)
 		case err == nil && fmt.Sprint(c) == fmt.Sprint(complete):
-			t.Errorf("without %s: got the same configuration, want another", key)
+			t.Errorf("without %s: got the same configuration, want a different one", key)
 		}
 	}
 }
 
-// rawFrame reads one array of bulk strings and returns its bytes as they came, and its elements.
-func rawFrame(in *bufio.Reader) (raw string, words []string, err error) {
-	number := func(mark byte) int {
+// readRawArray reads one array of bulk strings and returns its exact bytes and its elements.
+func readRawArray(in *bufio.Reader) (raw string, elements []string, err error) {
+	readLength := func(prefix byte) int {
 		line, lineErr := in.ReadString('\n')
 		raw += line
-		if lineErr != nil || len(line) < 4 || line[0] != mark {
+		if lineErr != nil || len(line) < 4 || line[0] != prefix {
 			err = fmt.Errorf("%q, %v", line, lineErr)
 			return 0
 		}
@@ -111,23 +112,23 @@
 		}
 		return n
 	}
-	n := number('*')
+	n := readLength('*')
 	for i := 0; i < n && err == nil; i++ {
-		b := make([]byte, number('$')+2)
+		b := make([]byte, readLength('$')+2)
 		if err == nil {
 			_, err = io.ReadFull(in, b)
 		}
 		raw += string(b)
-		words = append(words, string(b[:len(b)-2]))
+		elements = append(elements, string(b[:len(b)-2]))
 	}
-	return raw, words, err
+	return raw, elements, err
 }
 
-// goldenHarness is a gateway whose worker, clients and discovery service are bytes of the test.
+// goldenHarness is a gateway whose worker and clients exchange exact bytes with it.
 type goldenHarness struct {
 	t        *testing.T
-	received chan string // commands that the worker received, as bytes
-	addr     string
+	received chan string // exact bytes of the commands that the worker received
+	addr     string      // address of the gateway
 }
 
 func startGolden(t *testing.T, instances int) *goldenHarness {
@@ -152,7 +153,7 @@
 	ended, served := make(chan error, 1), make(chan bool, 1)
 	go func() { ended <- f.Run(ctx) }()
 	go func() {
-		h.work(worker)
+		h.serveWorker(worker)
 		served <- true
 	}()
 	t.Cleanup(func() {
@@ -167,8 +168,8 @@
 	return h
 }
 
-// work plays the worker until its listener is closed; the body of a request chooses the response.
-func (h *goldenHarness) work(l net.Listener) {
+// serveWorker acts as the worker until its listener is closed. The body of a request determines the response.
+func (h *goldenHarness) serveWorker(l net.Listener) {
 	done := make(chan bool, 100)
 	n := 0
 	for {
@@ -182,7 +183,7 @@
 			defer conn.Close()
 			in := bufio.NewReader(conn)
 			for {
-				raw, words, err := rawFrame(in)
+				raw, words, err := readRawArray(in)
 				if err != nil {
 					return
 				}
@@ -214,8 +215,9 @@
 	}
 }
 
-// next is the next command of a name at the worker; the time left, which is volatile, is replaced.
-func (h *goldenHarness) next(name string) string {
+// nextCommand returns the next command of the given name that the worker receives. The time left, which varies, is
+// replaced by a fixed text.
+func (h *goldenHarness) nextCommand(name string) string {
 	h.t.Helper()
 	for {
 		select {
@@ -224,7 +226,7 @@
 				return regexp.MustCompile(`wait=[0-9]{6}\b`).ReplaceAllString(raw, "wait=NNNNNN")
 			}
 		case <-time.After(20 * time.Second):
-			h.t.Fatal("never received: ", name)
+			h.t.Fatal("the worker did not receive a command within 20 s: ", name)
 		}
 	}
 }
@@ -241,18 +243,18 @@
 	return conn
 }
 
-// str is a string as the strict binary protocol has it.
+// sizedString returns a string in the encoding of the strict binary protocol, or a frame, which is encoded alike.
 func sizedString(s string) string {
 	return "\x00\x00" + string([]byte{byte(len(s) >> 8), byte(len(s))}) + s
 }
 
-// message is a framed message; kind 1 is a call, 2 a reply, 3 an exception, 4 a oneway call.
+// messageFrame returns a framed message. Kind 1 is a call, 2 a reply, 3 an exception, 4 a oneway call.
 func messageFrame(kind byte, name string, seq byte, args string) string {
 	return sizedString("\x80\x01\x00" + string([]byte{kind}) + sizedString(name) +
 		"\x00\x00\x00" + string([]byte{seq}) + args)
 }
 
-// dispatched is a dispatch with the usual fields; pairs are changes.
+// dispatchFrame returns a framed call of dispatch with the fields of a valid request. Its pairs change fields.
 func dispatchFrame(seq byte, id, body string, pairs ...string) string {
 	m := fields(id, append([]string{"wait", "500000"}, pairs...)...)
 	args := "\x0d\x00\x01\x0b\x0b\x00\x00\x00" + string([]byte{byte(len(m) / 2)})
@@ -262,7 +264,7 @@
 	return messageFrame(1, "dispatch", seq, args+"\x0b\x00\x02"+sizedString(body)+"\x00")
 }
 
-// exchange sends bytes and wants these bytes back.
+// exchange sends bytes and checks that the answer consists of exactly the wanted bytes.
 func exchange(t *testing.T, conn net.Conn, what, send, want string) {
 	t.Helper()
 	if _, err := io.WriteString(conn, send); err != nil {
@@ -284,50 +286,57 @@
 		"\x0b\x00\x01"+sizedString(reason)+"\x08\x00\x02\x00\x00\x00"+string([]byte{code})+"\x00")
 }
 
-// Every form of answer to clients, and every command to workers, is to the byte what it was.
+// The encoding of each kind of answer to clients, and of each command to workers, must not change by a byte.
 func TestGoldenConversation(t *testing.T) {
 	h := startGolden(t, 1)
 	conn := h.dial()
 	const one, two, three = "00000000000000a1", "00000000000000a2", "00000000000000a3"
-	exchange(t, conn, "alive", messageFrame(1, "alive", 1, "\x00"), "\x00\x00\x00\x2a\x80\x01\x00\x02\x00\x00\x00\x05alive\x00\x00\x00\x01"+
-		"\x0c\x00\x00\x0b\x00\x01\x00\x00\x00\x00\x0d\x00\x02\x0b\x0b\x00\x00\x00\x00\x02\x00\x03\x01\x00\x00")
-	exchange(t, conn, "handled", dispatchFrame(1, one, "ok"), "\x00\x00\x00\x33\x80\x01\x00\x02\x00\x00\x00\x08dispatch\x00\x00\x00\x01"+
-		"\x0c\x00\x00\x0b\x00\x01\x00\x00\x00\x06done\r\n\x0d\x00\x02\x0b\x0b\x00\x00\x00\x00\x02\x00\x03\x01\x00\x00")
-	if got, want := h.next("FN"), "*4\r\n$2\r\nFN\r\n$16\r\n"+one+"\r\n$43\r\nclass=call,key=7f3a9c21e0b4d655,wait=NNNNNN\r\n$2\r\nok\r\n"; got != want {
+	exchange(t, conn, "alive", messageFrame(1, "alive", 1, "\x00"),
+		"\x00\x00\x00\x2a\x80\x01\x00\x02\x00\x00\x00\x05alive\x00\x00\x00\x01"+
+			"\x0c\x00\x00\x0b\x00\x01\x00\x00\x00\x00\x0d\x00\x02\x0b\x0b\x00\x00\x00\x00\x02\x00\x03\x01\x00\x00")
+	exchange(t, conn, "handled", dispatchFrame(1, one, "ok"),
+		"\x00\x00\x00\x33\x80\x01\x00\x02\x00\x00\x00\x08dispatch\x00\x00\x00\x01"+
+			"\x0c\x00\x00\x0b\x00\x01\x00\x00\x00\x06done\r\n\x0d\x00\x02\x0b\x0b\x00\x00\x00\x00\x02\x00\x03\x01\x00\x00")
+	if got, want := h.nextCommand("FN"), "*4\r\n$2\r\nFN\r\n$16\r\n"+one+
+		"\r\n$43\r\nclass=call,key=7f3a9c21e0b4d655,wait=NNNNNN\r\n$2\r\nok\r\n"; got != want {
 		t.Errorf("\n got %q\nwant %q", got, want)
 	}
-	exchange(t, conn, "broken", dispatchFrame(2, two, "error", "class", "pay"), "\x00\x00\x00\x22\x80\x01\x00\x02\x00\x00\x00\x08dispatch"+
-		"\x00\x00\x00\x02\x0c\x00\x02\x0d\x00\x01\x0b\x0b\x00\x00\x00\x00\x00\x00")
-	h.next("FN")
-	exchange(t, conn, "an id that came before", dispatchFrame(3, one, "ok"),
+	exchange(t, conn, "broken", dispatchFrame(2, two, "error", "class", "pay"),
+		"\x00\x00\x00\x22\x80\x01\x00\x02\x00\x00\x00\x08dispatch"+
+			"\x00\x00\x00\x02\x0c\x00\x02\x0d\x00\x01\x0b\x0b\x00\x00\x00\x00\x00\x00")
+	h.nextCommand("FN")
+	exchange(t, conn, "an ID that was used before", dispatchFrame(3, one, "ok"),
 		exceptionFrame("dispatch", 3, 6, "an event of this id came before"))
 	exchange(t, conn, "bad field", dispatchFrame(4, three, "ok", "class", "none"),
 		exceptionFrame("dispatch", 4, 6, `class: "none" is not known`))
 	if _, err := io.WriteString(conn, dispatchFrame(5, three, "hang", "class", "keyed", "once", "m1")); err != nil {
 		t.Fatal(err)
 	}
-	want := "*4\r\n$2\r\nFN\r\n$16\r\n" + three + "\r\n$52\r\nclass=keyed,key=7f3a9c21e0b4d655,wait=NNNNNN,once=m1\r\n$4\r\nhang\r\n"
-	if got := h.next("FN"); got != want {
+	want := "*4\r\n$2\r\nFN\r\n$16\r\n" + three +
+		"\r\n$52\r\nclass=keyed,key=7f3a9c21e0b4d655,wait=NNNNNN,once=m1\r\n$4\r\nhang\r\n"
+	if got := h.nextCommand("FN"); got != want {
 		t.Errorf("\n got %q\nwant %q", got, want)
 	}
-	if _, err := io.WriteString(conn, messageFrame(4, "cancelRequest", 0, "\x08\x00\x01\x00\x00\x00\x05\x00")); err != nil {
+	if _, err := io.WriteString(conn,
+		messageFrame(4, "cancelRequest", 0, "\x08\x00\x01\x00\x00\x00\x05\x00")); err != nil {
 		t.Fatal(err)
 	}
-	if got, want := h.next("KILL"), "*2\r\n$4\r\nKILL\r\n$16\r\n"+three+"\r\n"; got != want {
+	if got, want := h.nextCommand("KILL"), "*2\r\n$4\r\nKILL\r\n$16\r\n"+three+"\r\n"; got != want {
 		t.Errorf("\n got %q\nwant %q", got, want)
 	}
-	exchange(t, conn, "number not new", dispatchFrame(5, "00000000000000a4", "ok"),
+	exchange(t, conn, "a sequence ID that was used before", dispatchFrame(5, "00000000000000a4", "ok"),
 		exceptionFrame("dispatch", 5, 4, "a number that is not new, or too many requests at a time"))
 	if n, err := conn.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-		t.Errorf("after a refusal: got %d bytes, %v, want EOF", n, err)
+		t.Errorf("after the exception: got %d bytes, %v, want EOF", n, err)
 	}
 	exchange(t, h.dial(), "unknown method", messageFrame(1, "other", 1, "\x00"),
 		exceptionFrame("other", 1, 1, `no method "other"`))
-	exchange(t, h.dial(), "arguments cut off", messageFrame(1, "alive", 1, "\x02\x00"),
+	exchange(t, h.dial(), "truncated arguments", messageFrame(1, "alive", 1, "\x02\x00"),
 		exceptionFrame("alive", 1, 7, "thrift: malformed: a value longer than its frame"))
 }
 
-// A request whose time is over is throttled, with a time until a retry in milliseconds (volatile: replaced) or none.
+// The encoding of the answer to a request whose deadline has passed must not change: throttled, with a time until a
+// retry in milliseconds, which varies and is replaced by a fixed text.
 func TestGoldenThrottled(t *testing.T) {
 	h := startGolden(t, 1)
 	conn := h.dial()
@@ -347,8 +356,8 @@
 	}
 }
 
-// Load requests and probes are to the byte what they were; of their tags the number is replaced. With more gateways
-// than workers the core probes.
+// The encoding of load requests and probes must not change by a byte, except for the number in the tag, which is
+// replaced. The configuration has more gateways than workers, as the core sends probes only then.
 func TestGoldenLoadRequests(t *testing.T) {
 	for name, want := range map[string]string{
 		"SPAWN": "*3\r\n$5\r\nSPAWN\r\n$2\r\ntN\r\n$24\r\nkey=7f3a9c21e0b4d655,n=1\r\n",
@@ -360,7 +369,7 @@
 		if _, err := io.WriteString(conn, requests); err != nil {
 			t.Fatal(err)
 		}
-		if got := regexp.MustCompile(`\bt[0-9]\b`).ReplaceAllString(h.next(name), "tN"); got != want {
+		if got := regexp.MustCompile(`\bt[0-9]\b`).ReplaceAllString(h.nextCommand(name), "tN"); got != want {
 			t.Errorf("\n got %q\nwant %q", got, want)
 		}
 	}
@@ -372,8 +381,8 @@
 //go:embed testdata/golden/status.txt
 var goldenStatus string
 
-// The metrics have these names, kinds, help texts and labels, and the status log line these keys in this order.
-// Values are left out: they depend on time.
+// The names, kinds, help texts and labels of the metrics, and the keys of the status log line and their order, must not
+// change. Values are not compared: they depend on time.
 func TestGoldenMetrics(t *testing.T) {
 	h := start(t)
 	metricsAddr, path := freeAddr(t), filepath.Join(t.TempDir(), "config.json")
@@ -405,7 +414,7 @@
 	}
 }
 
-// statusKeys is the keys of the status line in a log, in their order.
+// statusKeys returns the keys of the status line in a log, in their order.
 func statusKeys(t *testing.T, log string) (keys []string) {
 	t.Helper()
 	lines := strings.Split(log, "\n")
--- a/internal/gateway/platform/headless.go
+++ b/internal/gateway/platform/headless.go
@@ -12,19 +12,19 @@
 	"lupinpond/scheduler"
 )
 
-// Headless is a gateway without clients' sockets: the same event loop, core, connections to workers and endpoint list,
-// with requests that are drawn in the process. Scale runs have many of them in a process.
+// Headless is a gateway that serves no client connections: it has the same event loop, core, connections to workers and
+// endpoint list, and its requests are generated in the process. Scale tests run many of them in one process.
 type Headless struct{ *engine }
 
-// NewHeadless makes one. The event loop calls onApplied with the position of each watch event that the core has
-// applied, and whether it held the complete list; onApplied may be nil and must not block.
+// NewHeadless returns a Headless gateway. The event loop calls onApplied with the position of each watch event that the
+// core has applied, and whether the event held the complete list. onApplied may be nil and must not block.
 func NewHeadless(config Config, log *slog.Logger, onApplied func(position int64, complete bool)) *Headless {
 	h := &Headless{newEngine(config, log, nil)}
 	h.onApplied = onApplied
 	return h
 }
 
-// Run runs until ctx ends; requests that are in flight then are abandoned.
+// Run runs the gateway until ctx ends, and abandons the requests that are still in flight.
 func (h *Headless) Run(ctx context.Context) error {
 	return h.run(func(group *errgroup.Group, workCtx context.Context) {
 		group.Go(func() error {
@@ -38,19 +38,19 @@
 	})
 }
 
-// SyntheticRequest is a request that is drawn in the process.
+// SyntheticRequest is a request that is generated in the process.
 type SyntheticRequest struct {
-	ID          string // 16 hex digits, unique
+	ID          string // unique ID of 16 hex digits
 	Class       string
 	Tenant      string
 	Function    uint64
 	Concurrency int
-	Memory      float64 // of a replica, in the unit of the settings
+	Memory      float64 // memory of one replica, in the unit of the settings
 	LoadTime    time.Duration
-	TimeLeft    time.Duration // of the client
+	TimeLeft    time.Duration // time until the client's deadline
 }
 
-// SubmitSynthetic submits a request. The event loop calls reply with the final answer; reply must not block.
+// SubmitSynthetic submits a generated request. The event loop calls reply with the final answer; reply must not block.
 func (h *Headless) SubmitSynthetic(request SyntheticRequest, reply func(invoke.Response)) {
 	h.Submit(&gateway.Request{
 		Scheduled: &scheduler.Request{
--- a/internal/gateway/platform/limits.go
+++ b/internal/gateway/platform/limits.go
@@ -2,112 +2,113 @@
 
 import "time"
 
-// Descriptors: what the platform allows the process, divided by purpose, so that no client or worker can use up what
-// the others need.
+// File descriptors: the platform's limit is divided by purpose, so that neither clients nor workers can use up the
+// descriptors that the others need.
 const (
 	// reservedSockets is the number of descriptors for everything but clients and workers: the standard streams, the
-	// runtime's own, the listener, the connection to the discovery service and one connection being accepted.
+	// Go runtime, the listener, the connection to the discovery service and one connection being accepted.
 	reservedSockets = 12
 
-	// minSockets is the smallest limit on descriptors that a gateway starts with.
+	// minSockets is the smallest limit on descriptors with which a gateway starts.
 	minSockets = 3 * reservedSockets
 
-	// clientSocketDivisor gives clients a half of the remaining descriptors; those that keep to the protocol use a
-	// third at most.
+	// clientSocketDivisor limits client connections to 1/2 of the descriptors that are not reserved. Clients that
+	// follow the protocol use at most 1/3.
 	clientSocketDivisor = 2
 
-	// workerSocketDivisor gives connections to workers a third of the remaining descriptors before calls share them.
+	// workerSocketDivisor limits connections to workers to 1/3 of the descriptors that are not reserved; past that,
+	// calls share connections.
 	workerSocketDivisor = 3
 
-	// extraSocketDivisor gives workers without a connection another twelfth. What remains then is for connections
-	// that are being closed.
+	// extraSocketDivisor allows another 1/12 for workers that have no connection yet. The remaining 1/12 is for
+	// connections that are being closed.
 	extraSocketDivisor = 12
 )
 
 // Memory: divisors of the platform's memory limit in bytes, by purpose.
 const (
-	// bodyMemoryDivisor gives the bodies of requests in flight an eighth.
+	// bodyMemoryDivisor limits the bodies of all requests in flight to 1/8 of the memory limit.
 	bodyMemoryDivisor = 8
 
-	// discoveryMemoryDivisor gives one answer of the discovery service a sixteenth.
+	// discoveryMemoryDivisor limits one answer of the discovery service to 1/16 of the memory limit.
 	discoveryMemoryDivisor = 16
 
-	// bytesPerRecentID bounds a generation of recent request IDs: one ID for so many bytes of memory.
+	// bytesPerRecentID limits a generation of recent request IDs to one ID per 1024 bytes of the memory limit.
 	bytesPerRecentID = 1024
 
-	// goMemoryDivisor gives the Go heap a half; the rest is for the program itself, stacks and what the system counts
-	// beside it.
+	// goMemoryDivisor limits the Go heap to 1/2 of the memory limit. The rest is for the program's code, stacks, and
+	// other memory that the system attributes to the process.
 	goMemoryDivisor = 2
 )
 
 // Messages and calls.
 const (
-	// maxElementBytes is the longest element of a worker's response.
+	// maxElementBytes is the maximum size of an element of a worker's response.
 	maxElementBytes = 1 << 20
 
-	// maxOpenRequests is the platform's limit on requests open on one connection of a client, whatever a connection
-	// to a worker carries.
+	// maxOpenRequests is the platform's limit on open requests per client connection. It does not depend on the
+	// number of calls that a connection to a worker carries.
 	maxOpenRequests = 32
 
-	// defaultMaxStreams is the number of calls on a connection to a worker where the settings name none.
+	// defaultMaxStreams is the maximum number of calls on a connection to a worker if the settings name none.
 	defaultMaxStreams = 32
 )
 
-// Timeouts of clients and workers. Some are multiples of the dial timeout, the platform's measure of the network.
+// Timeouts of clients and workers. Some are multiples of the dial timeout, the platform's measure of network latency.
 const (
-	// defaultDialTimeout is the dial timeout where the settings name none.
+	// defaultDialTimeout is the dial timeout if the settings name none.
 	defaultDialTimeout = 250 * time.Millisecond
 
-	// defaultConnIdle is how long a connection may be idle where the settings do not say.
+	// defaultConnIdle is how long a connection may be idle if the settings name no limit.
 	defaultConnIdle = 15 * time.Second
 
-	// connIdleDivisor ends idle connections after a half of what the platform allows.
+	// connIdleDivisor makes the gateway close idle connections after 1/2 of the time that the platform allows.
 	connIdleDivisor = 2
 
-	// messageTimeoutDials is the number of dial timeouts within which a client's message is complete, or its answer
-	// is read.
+	// messageTimeoutDials is the number of dial timeouts within which a client must complete a message, or read an
+	// answer.
 	messageTimeoutDials = 5
 
-	// maxMessageTimeout bounds that. The platform expects that a client that asks for nothing useful gets an answer,
-	// or the end of its connection, within 3 s.
+	// maxMessageTimeout is the upper limit of the time to complete a message. The platform expects a client that
+	// sends no valid request to get an answer, or the end of its connection, within 3 s.
 	maxMessageTimeout = 2500 * time.Millisecond
 
-	// finalReadDivisor gives the last look at an idle connection an eighth of the dial timeout.
+	// finalReadDivisor limits the final read of an idle connection to 1/8 of the dial timeout.
 	finalReadDivisor = 8
 
-	// maxWriteTime is the longest time for writing a request to a worker: the time left that the request states runs
-	// on meanwhile, and the platform tolerates 150 ms.
+	// maxWriteTime is the maximum time for writing a request to a worker. The request states the time left until the
+	// client's deadline, which is outdated by the time of the write; the platform tolerates 150 ms.
 	maxWriteTime = 100 * time.Millisecond
 )
 
-// Discovery: how long a poll of the discovery service may wait.
+// Discovery: limits of the polls of the discovery service.
 const (
-	// defaultDrainGrace is how long requests may still go to a draining worker where the settings do not say.
+	// defaultDrainGrace is how long requests may still be sent to a draining worker if the settings name no limit.
 	defaultDrainGrace = 500 * time.Millisecond
 
-	// freshGraceShare of the drain grace is how much older than deliveryBound the list may be before workers are
-	// verified.
-	freshGraceShare = 0.4
+	// listAgeGraceFraction is a fraction of the drain grace: workers are verified once the endpoint list is older
+	// than deliveryBound + drain grace * listAgeGraceFraction.
+	listAgeGraceFraction = 0.4
 
-	// pollWaitGraces is the number of drain graces that a poll may wait.
+	// pollWaitGraces is the maximum wait of a poll in multiples of the drain grace.
 	pollWaitGraces = 2
 
-	// maxPollWait is the platform's limit on the wait that a poll may ask for.
+	// maxPollWait is the platform's limit on the wait of a poll.
 	maxPollWait = 5 * time.Second
 
-	// deliveryBound is the time after which the platform takes an event as delivered, whether it was received or not.
+	// deliveryBound is the time after which the platform considers an event delivered, even if it was not received.
 	deliveryBound = 7 * time.Second
 
-	// moveBound is the same after a change of the discovery service's address.
+	// moveBound replaces deliveryBound after a change of the discovery service's address.
 	moveBound = 4 * time.Second
 )
 
 // Shutdown.
 const (
-	// lateArrivals is how long the platform may go on sending requests after SIGTERM.
-	lateArrivals = 700 * time.Millisecond
+	// lateArrivalPeriod is how long the platform may continue to send requests after SIGTERM.
+	lateArrivalPeriod = 700 * time.Millisecond
 
-	// terminationGrace is when the platform sends SIGKILL: so long after SIGTERM, or the longest maximum age of a
-	// request if that is shorter.
+	// terminationGrace is the time from SIGTERM to SIGKILL. If the longest maximum age of a request is shorter, the
+	// platform sends SIGKILL after that age.
 	terminationGrace = 3 * time.Second
 )
--- a/internal/gateway/platform/metrics.go
+++ b/internal/gateway/platform/metrics.go
@@ -19,13 +19,13 @@
 	"lupinpond/scheduler"
 )
 
-// collector exports the state of a gateway to Prometheus.
+// collector is a Prometheus collector of the state of a gateway.
 type collector struct{ gateway *Gateway }
 
-// Describe sends nothing: which metrics there are depends on the reasons and kinds seen.
+// Describe sends nothing, which makes the collector unchecked: the set of metrics depends on the invariants violated.
 func (c collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect sends the state.
+// Collect sends the present state as metrics.
 func (c collector) Collect(out chan<- prometheus.Metric) {
 	s, stats := c.gateway.status(), c.gateway.Stats()
 	sink := metricSink{out}
@@ -50,7 +50,7 @@
 	sink.gauge("requests_open", "Requests without an answer.", s.OpenRequests)
 }
 
-// collectTraffic sends what went to the workers and came from them.
+// collectTraffic sends the metrics of attempts, load requests and probes, and of the answers to them.
 func (c collector) collectTraffic(sink metricSink, s status, stats *gateway.Stats) {
 	sink.counter("attempts_total", "Attempts decided on.", int64(s.Attempts))
 	sink.counter("retries_total", "Attempts of requests that had one before.", stats.Retries.Load())
@@ -98,7 +98,7 @@
 	collectFreshness(sink, s.Freshness)
 }
 
-// collectFreshness sends how old the endpoint list is, and how the polls for it ended.
+// collectFreshness sends the age of the endpoint list and the results of the polls for it.
 func collectFreshness(sink metricSink, freshness discovery.Freshness) {
 	sink.gauge("list_age_milliseconds", "Time since the endpoint list was complete for certain.",
 		freshness.Age.Milliseconds())
@@ -116,10 +116,10 @@
 	return 0
 }
 
-// metricSink sends single numbers to Prometheus under the program's prefix.
+// metricSink sends metrics whose names begin with the program's prefix.
 type metricSink struct{ out chan<- prometheus.Metric }
 
-// counter sends a counter; labels are names and values in turns.
+// counter sends a counter. Its labels are alternating names and values.
 func (s metricSink) counter(name, help string, n int64, labels ...string) {
 	s.send(prometheus.CounterValue, name, help, n, labels...)
 }
@@ -135,10 +135,10 @@
 	s.out <- prometheus.MustNewConstMetric(desc, kind, float64(n), values...)
 }
 
-// metricsHeaderTimeout is how long the header of a scrape may take.
+// metricsHeaderTimeout is the timeout for reading the headers of a scrape request.
 const metricsHeaderTimeout = 5 * time.Second
 
-// serveMetrics serves the state to Prometheus at an address until ctx ends.
+// serveMetrics serves the metrics over HTTP at an address until ctx ends.
 func (g *Gateway) serveMetrics(ctx context.Context, addr string) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/gateway/platform/metrics_test.go
+++ b/internal/gateway/platform/metrics_test.go
@@ -11,7 +11,7 @@
 	"lupinpond/internal/gateway/platform"
 )
 
-// scrape is the text of the metrics at an address.
+// scrape returns the text of the metrics served at an address.
 func scrape(t *testing.T, addr string) string {
 	t.Helper()
 	client := &http.Client{Timeout: 20 * time.Second}
@@ -28,7 +28,7 @@
 	return string(b)
 }
 
-// The state of a gateway is served to Prometheus while it runs, and logged at SIGUSR1 and at the end.
+// The metrics of a gateway are served while it runs, and its status is logged on SIGUSR1 and at the end.
 func TestMetrics(t *testing.T) {
 	h := start(t)
 	metricsAddr := freeAddr(t)
@@ -48,7 +48,7 @@
 		`lupinpond_overloaded 0`,
 	} {
 		if !strings.Contains(metrics, line+"\n") {
-			t.Errorf("%s is missing:\n%s", line, metrics)
+			t.Errorf("metrics do not contain the line %s:\n%s", line, metrics)
 		}
 	}
 	signal(t, syscall.SIGUSR1)
--- a/internal/gateway/platform/platform_test.go
+++ b/internal/gateway/platform/platform_test.go
@@ -25,13 +25,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeWorker is a worker whose responses a test chooses.
+// fakeWorker is a worker whose responses are chosen by the test.
 type fakeWorker struct {
 	net.Listener
 	mu       sync.Mutex
-	respond  func(id, fields, body string) []string // elements after the ID; none: no response
-	received chan []string
-	done     sync.WaitGroup
+	respond  func(id, fields, body string) []string // returns the elements after the ID; nil: no response is sent
+	received chan []string                          // received commands
+	done     sync.WaitGroup                         // goroutines of the worker
 }
 
 func newWorker(t *testing.T) *fakeWorker {
@@ -72,7 +72,7 @@
 func (w *fakeWorker) serve(conn net.Conn) {
 	defer w.done.Done()
 	defer conn.Close()
-	_ = resp.ReadCommands(conn, 1<<20, func(command []string, _ int) error { // until the gateway closes it
+	_ = resp.ReadCommands(conn, 1<<20, func(command []string, _ int) error { // until the gateway closes the connection
 		w.received <- command
 		var response []string
 		switch command[0] {
@@ -94,8 +94,8 @@
 	})
 }
 
-// next is the next command of a name that the worker receives.
-func (w *fakeWorker) next(t *testing.T, name string) []string {
+// nextCommand returns the next command of the given name that the worker receives.
+func (w *fakeWorker) nextCommand(t *testing.T, name string) []string {
 	t.Helper()
 	for {
 		select {
@@ -104,27 +104,27 @@
 				return got
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatal("never received: ", name)
+			t.Fatal("the worker did not receive a command within 20 s: ", name)
 		}
 	}
 }
 
 const key = "7f3a9c21e0b4d655"
 
-// harness is a gateway with one worker.
+// harness is a gateway with one fake worker and a fake discovery service.
 type harness struct {
 	t         *testing.T
 	config    string
 	worker    *fakeWorker
 	addr      string
 	gateway   *platform.Gateway
-	batches   chan string // answers of the discovery service
-	pollWaits chan string // how long it may wait, of each poll
+	batches   chan string // answers of the discovery service to the next polls
+	pollWaits chan string // maximum wait of each poll in milliseconds
 	stop      context.CancelFunc
 	ended     chan error
 }
 
-// start starts a gateway; changes of its configuration are texts and their replacements in turns.
+// start starts a gateway. Its changes are alternating texts of the configuration and their replacements.
 func start(t *testing.T, changes ...string) *harness {
 	t.Helper()
 	h := &harness{
@@ -184,17 +184,17 @@
 	return h
 }
 
-// eventJSON is a watch event with one endpoint; the first holds the complete list.
+// eventJSON returns a watch event with one endpoint. The event at position 1 is marked as the complete list.
 func eventJSON(position int, health, addr string) string {
 	return fmt.Sprintf(`{"pos":%d,"hosts":{"seq":1,"whole":%v,"hosts":[%s]}}`,
 		position, position == 1, hostJSON("w", addr, health))
 }
 
-// client is a connection of a client.
+// client is a client's connection to the gateway.
 type client struct {
 	net.Conn
 	t   *testing.T
-	seq int32
+	seq int32 // sequence ID of the last request
 }
 
 func (h *harness) dial() *client {
@@ -210,7 +210,8 @@
 	return &client{Conn: conn, t: h.t}
 }
 
-// fields are those of a usual request, with changes.
+// fields returns the fields of a valid request as alternating names and values. The changes replace fields; an empty
+// value removes one.
 func fields(id string, changes ...string) []string {
 	m := []string{
 		"class", "call", "id", id, "wait", "2500", "tenant", "acme", "key", key, "facts", "memory_mb:100;lanes:2",
@@ -245,8 +246,9 @@
 	}
 }
 
-// answer reads an answer: handled with its body, throttled with the time until a retry, broken, or exception.
-func (c *client) answer() (seq int32, what, text string) {
+// readAnswer reads an answer and returns what it is: handled, with its body; throttled, with the time until a retry;
+// broken; or exception.
+func (c *client) readAnswer() (seq int32, what, text string) {
 	c.t.Helper()
 	var head [4]byte
 	_, err := io.ReadFull(c, head[:])
@@ -261,7 +263,7 @@
 	if m.Type == thrift.Exception {
 		return m.SeqID, "exception", ""
 	}
-	// the result is a struct of one field: its type, number, and the struct in it
+	// The result is a struct with one field: the field's type and ID, followed by the nested struct.
 	inner, err := thrift.ReadArgs(m.Args[3 : len(m.Args)-1])
 	if err != nil {
 		c.t.Fatal(err)
@@ -280,20 +282,21 @@
 
 func (c *client) expect(what, text string) {
 	c.t.Helper()
-	if seq, got, body := c.answer(); got != what || text != "" && body != text {
-		c.t.Errorf("request %d is %s %q, want %s %q", seq, got, body, what, text)
+	if seq, got, body := c.readAnswer(); got != what || text != "" && body != text {
+		c.t.Errorf("answer to request %d: got %s %q, want %s %q", seq, got, body, what, text)
 	}
 }
 
 func id(n int) string { return fmt.Sprintf("%016x", n) }
 
-// The worker's response decides: handled with its body unchanged, rejected with a time until a retry, or failed.
+// A request must end according to its worker's response: handled with the body unchanged, or failed. Without a response
+// before the deadline it must be rejected with a time until a retry.
 func TestOutcomes(t *testing.T) {
 	h := start(t)
 	c := h.dial()
 	body := "\x00any\r\nbytes"
 	c.dispatch(body, fields(id(1))...)
-	got := h.worker.next(t, "FN")
+	got := h.worker.nextCommand(t, "FN")
 	if got[1] != id(1) || got[3] != body || !strings.HasPrefix(got[2], "class=call,key="+key+",wait=2") {
 		t.Errorf("%q", got)
 	}
@@ -308,13 +311,13 @@
 	c.expect("broken", "")
 	h.worker.respondWith(func(string, string, string) []string { return nil })
 	c.dispatch("", fields(id(3), "wait", "200")...)
-	_, what, after := c.answer()
+	_, what, after := c.readAnswer()
 	if what != "throttled" || after == "" {
 		t.Error(what, after)
 	}
 }
 
-// An invalid request is answered with an exception and never reaches a worker, nor does one with an ID that is not new.
+// An invalid request, or one whose ID was used before, must be answered with an exception and not be sent to a worker.
 func TestInvalidRequests(t *testing.T) {
 	h := start(t)
 	c := h.dial()
@@ -329,8 +332,8 @@
 		{"facts", "memory_mb:NaN"}, {"facts", "memory_mb:1e300"},
 	} {
 		c.dispatch("", fields(id(7), bad...)...)
-		if _, what, _ := c.answer(); what != "exception" {
-			t.Errorf("%q is %s", bad, what)
+		if _, what, _ := c.readAnswer(); what != "exception" {
+			t.Errorf("request with the field %q: got %s, want an exception", bad, what)
 		}
 	}
 	c.dispatch(strings.Repeat("x", 16<<10+1), fields(id(8))...)
@@ -339,20 +342,20 @@
 	c.dispatch("b", fields(id(9))...)
 	got := map[string]int{}
 	for range 2 {
-		_, what, _ := c.answer()
+		_, what, _ := c.readAnswer()
 		got[what]++
 	}
 	if got["handled"] != 1 || got["exception"] != 1 {
-		t.Error("two requests of one id:", got)
+		t.Error("answers to two requests with one ID:", got)
 	}
 	for len(h.worker.received) > 0 {
 		if w := <-h.worker.received; w[0] == "FN" && (w[1] != id(9) || w[3] != "a") {
-			t.Errorf("reached the worker: %q", w)
+			t.Errorf("the worker received an invalid request: %q", w)
 		}
 	}
 }
 
-// A request that its client cancels is cancelled at its worker, and no answer follows.
+// A request that its client cancels must be cancelled at its worker and must not be answered.
 func TestCancelledRequest(t *testing.T) {
 	h := start(t)
 	h.worker.respondWith(func(_, _, body string) []string {
@@ -363,20 +366,20 @@
 	})
 	c := h.dial()
 	c.dispatch("hang", fields(id(1))...)
-	h.worker.next(t, "FN")
+	h.worker.nextCommand(t, "FN")
 	w := thrift.NewWriter("cancelRequest", thrift.Oneway, 0)
 	w.I32(1, 1)
 	c.send(w.Frame())
-	if got := h.worker.next(t, "KILL"); got[1] != id(1) {
+	if got := h.worker.nextCommand(t, "KILL"); got[1] != id(1) {
 		t.Errorf("%q", got)
 	}
 	c.dispatch("next", fields(id(2))...)
-	if seq, what, _ := c.answer(); seq != 2 || what != "handled" {
+	if seq, what, _ := c.readAnswer(); seq != 2 || what != "handled" {
 		t.Error(seq, what)
 	}
 }
 
-// While it drains, a gateway goes on answering what arrives, and it ends with no request open.
+// A draining gateway must continue to answer new requests, and end once no request is open.
 func TestDrain(t *testing.T) {
 	h := start(t)
 	release := make(chan struct{})
@@ -386,7 +389,7 @@
 	})
 	c := h.dial()
 	c.dispatch("before", fields(id(1))...)
-	h.worker.next(t, "FN")
+	h.worker.nextCommand(t, "FN")
 	h.stop()
 	other := h.dial()
 	other.dispatch("after", fields(id(2))...)
@@ -394,35 +397,36 @@
 	c.expect("handled", "before")
 	other.expect("handled", "after")
 	if _, err := io.Copy(io.Discard, other); err != nil {
-		t.Error("not ended:", err)
+		t.Error("the connection was not closed:", err)
 	}
 }
 
-// While it drains, a gateway answers what a worker would have answered too late, before it is killed. An idempotent
-// request is rejected, any other failed.
+// A draining gateway must answer requests in flight before it is killed, even if their workers have not responded by
+// then. It rejects idempotent requests and fails others.
 func TestDrainAnswersInFlightRequests(t *testing.T) {
 	h := start(t, `"give_up":3`, `"give_up":100`)
 	h.worker.respondWith(func(string, string, string) []string { return nil })
 	c := h.dial()
 	c.dispatch("", fields(id(1), "wait", "90000")...)
 	c.dispatch("", fields(id(2), "wait", "90000", "class", "pay")...)
-	h.worker.next(t, "FN")
-	h.worker.next(t, "FN")
+	h.worker.nextCommand(t, "FN")
+	h.worker.nextCommand(t, "FN")
 	h.stop()
 	got := map[int32]string{}
 	for range 2 {
-		seq, what, _ := c.answer()
+		seq, what, _ := c.readAnswer()
 		got[seq] = what
 	}
 	if got[1] != "throttled" || got[2] != "broken" {
 		t.Error(got)
 	}
 	if _, err := io.Copy(io.Discard, c); err != nil {
-		t.Error("not ended:", err)
+		t.Error("the connection was not closed:", err)
 	}
 }
 
-// A draining worker gets nothing new; events come from the discovery service at its new address.
+// After a reload the gateway must poll the discovery service at its new address. The test sees this as new requests are
+// rejected: only the new service reports that the worker is draining.
 func TestDiscoveryAddressChange(t *testing.T) {
 	h := start(t)
 	c := h.dial()
@@ -450,15 +454,15 @@
 		t.Fatal(err)
 	}
 	h.gateway.Reload(config)
-	for n := 2; ; n++ { // until the event is applied
+	for n := 2; ; n++ { // repeat until the event is applied
 		c.dispatch("b", fields(id(n), "wait", "300")...)
-		if _, what, _ := c.answer(); what == "throttled" {
+		if _, what, _ := c.readAnswer(); what == "throttled" {
 			break
 		}
 	}
 }
 
-// A client has as many requests open as the platform allows, though a connection to a worker carries fewer.
+// A client may have as many open requests as the platform allows, even if a connection to a worker carries fewer calls.
 func TestOpenRequests(t *testing.T) {
 	h := start(t, `"max_streams":32`, `"max_streams":2`)
 	release := make(chan struct{})
@@ -472,14 +476,14 @@
 	}
 	close(release)
 	for range 32 {
-		if seq, what, _ := c.answer(); what != "handled" && what != "throttled" {
+		if seq, what, _ := c.readAnswer(); what != "handled" && what != "throttled" {
 			t.Error(seq, what)
 		}
 	}
 }
 
-// The idempotency key of a request goes to the worker unchanged, with a retry too; a request of a keyed type without
-// one, or with one that would end the worker's field, is never sent.
+// The idempotency key of a request must be sent to the worker unchanged, with a retry too. A request of a keyed type
+// must be refused if it has no key, or one that would end the field of the worker's command.
 func TestIdempotencyKey(t *testing.T) {
 	h := start(t, `"effect":"side_effect"`, `"effect":"token","dedup_scope":"all","window":5`)
 	c := h.dial()
@@ -496,25 +500,25 @@
 	})
 	c.dispatch("a", fields(id(50), "class", "pay", "once", "7b2f00aa")...)
 	for range 2 {
-		if got := h.worker.next(t, "FN"); !strings.HasSuffix(got[2], ",once=7b2f00aa") {
+		if got := h.worker.nextCommand(t, "FN"); !strings.HasSuffix(got[2], ",once=7b2f00aa") {
 			t.Errorf("%q", got)
 		}
 	}
 	c.expect("handled", "a")
-	c.dispatch("b", fields(id(51), "once", "of no use")...) // of an idempotent type
-	if got := h.worker.next(t, "FN"); strings.Contains(got[2], "once") {
+	c.dispatch("b", fields(id(51), "once", "of no use")...) // the type is idempotent and needs no key
+	if got := h.worker.nextCommand(t, "FN"); strings.Contains(got[2], "once") {
 		t.Errorf("%q", got)
 	}
 	c.expect("handled", "b")
 }
 
-// hostJSON is an endpoint.
+// hostJSON returns the JSON form of an endpoint.
 func hostJSON(name, addr, health string) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"z","class":"k","block":0,"health":%q,"share":4,"born_ms":0}`,
 		name, addr, health)
 }
 
-// batchJSON is a batch with an event for each list of endpoints, from a position on.
+// batchJSON returns a batch with one event for each list of endpoints. The positions of the events begin with first.
 func batchJSON(first int, complete bool, lists ...string) string {
 	var events []string
 	for i, list := range lists {
@@ -523,8 +527,8 @@
 	return fmt.Sprintf(`{"pos":%d,"entries":[%s]}`, first+len(lists)-1, strings.Join(events, ","))
 }
 
-// A worker that drains and is removed in one batch, another one at its address, and then a complete list without that
-// one: what is in flight at each is still answered, and new requests go where the list says.
+// A request in flight must be answered, and new requests must go to the listed workers, when the endpoint list changes:
+// a worker is drained and removed in one batch, another one appears at its address, and a complete list omits that one.
 func TestRequestsDuringEndpointChanges(t *testing.T) {
 	third := newWorker(t) // closed after the gateway
 	h := start(t)
@@ -538,14 +542,14 @@
 	addr := h.worker.Addr().String()
 	c := h.dial()
 	c.dispatch("out", fields(id(1))...)
-	h.worker.next(t, "FN")
+	h.worker.nextCommand(t, "FN")
 	h.batches <- batchJSON(2, false,
 		hostJSON("w", addr, "draining"), hostJSON("w", addr, "removed"), hostJSON("again", addr, "up"))
 	n := 2
-	handled := func() { // until the events are applied
+	awaitHandled := func() { // sends requests until one is handled, which shows that the events are applied
 		for ; ; n++ {
 			c.dispatch("new", fields(id(n), "wait", "300")...)
-			if _, what, text := c.answer(); what == "handled" {
+			if _, what, text := c.readAnswer(); what == "handled" {
 				n++
 				if text != "new" && text != "done new" {
 					t.Error(text)
@@ -554,16 +558,17 @@
 			}
 		}
 	}
-	handled()
+	awaitHandled()
 	h.batches <- batchJSON(5, true, hostJSON("third", third.Addr().String(), "up"))
 	for len(third.received) == 0 {
-		handled()
+		awaitHandled()
 	}
 	close(release)
 	c.expect("handled", "out")
 }
 
-// Workers, clients and functions that come and go leave no goroutine and no connection behind.
+// Workers that are added and removed, clients that connect and disconnect, and requests for new functions must not leak
+// goroutines or connections.
 func TestNoLeaks(t *testing.T) {
 	h := start(t)
 	c := h.dial()
@@ -576,23 +581,23 @@
 		name = next
 		other := h.dial()
 		other.dispatch("a", fields(id(n), "key", id(n), "wait", "1000")...)
-		if n%3 > 0 { // others disconnect without an answer
-			other.answer()
+		if n%3 > 0 { // every third client disconnects without reading an answer
+			other.readAnswer()
 		}
 		other.Close()
 	}
 	end := time.Now().Add(20 * time.Second)
-	for runtime.NumGoroutine() > before+4 { // the last worker's connection, and a client's that is just ending
+	for runtime.NumGoroutine() > before+4 { // for the last worker's connection, and a client's that is being closed
 		if time.Now().After(end) {
-			t.Fatalf("%d goroutines, %d before", runtime.NumGoroutine(), before)
+			t.Fatalf("%d goroutines run, %d ran before the changes", runtime.NumGoroutine(), before)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// A silent discovery service is noticed before its events count as delivered, two seconds after the wait that a poll
-// asks for. That follows the drain grace, and is never longer than the platform allows. The first poll waits an eighth:
-// until its answer it is not known whether the list of the start is still the present one.
+// The wait of a poll follows the drain grace. It must not exceed the platform's limit, and must be short enough to
+// detect a discovery service that does not answer before its events are considered delivered, two seconds after the
+// wait. The first poll waits 1/8 of that: until its answer the list in the configuration may be outdated.
 func TestPollWait(t *testing.T) {
 	for grace, want := range map[string][]string{
 		"0.5": {"125", "1000"},
@@ -604,7 +609,7 @@
 		first := <-h.pollWaits
 		h.batches <- batchJSON(2, false, hostJSON("w", h.worker.Addr().String(), "up"))
 		if second := <-h.pollWaits; first != want[0] || second != want[1] {
-			t.Errorf("with a grace of %s s polls may wait %s and %s ms instead of %v", grace, first, second, want)
+			t.Errorf("with a drain grace of %s s the polls may wait %s and %s ms, want %v", grace, first, second, want)
 		}
 	}
 }
@@ -621,7 +626,7 @@
 		{"{", ""},
 	} {
 		if _, err := platform.Parse([]byte(strings.Replace(h.config, change[0], change[1], 1))); err == nil {
-			t.Errorf("with %s it is accepted", change[1])
+			t.Errorf("a configuration with %s is accepted", change[1])
 		}
 	}
 }
--- a/internal/gateway/platform/recentids.go
+++ b/internal/gateway/platform/recentids.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// recentIDs remembers request IDs for at least their retention, in two generations. Its size is bounded by what comes
-// in twice that time, and by the size of a generation, past which the older one is dropped early.
+// recentIDs is a set that keeps request IDs for at least the retention time, in two generations. It holds at most the
+// IDs added in twice that time. A generation that reaches maxPerGeneration is rotated early, which may drop the
+// previous one before its retention time is over.
 type recentIDs struct {
 	retention        time.Duration
-	maxPerGeneration int
+	maxPerGeneration int // maximum number of IDs in one generation
 
 	mu                sync.Mutex
 	current, previous map[uint64]struct{}
 	rotatedAt         time.Time
 }
 
-// add adds an ID and reports whether it is new.
+// add adds an ID and reports whether it was not in the set.
 func (r *recentIDs) add(id uint64, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/platform/request.go
+++ b/internal/gateway/platform/request.go
@@ -15,19 +15,19 @@
 
 // Limits on a client's request.
 const (
-	// maxBodyBytes is the longest body.
+	// maxBodyBytes is the maximum size of a body.
 	maxBodyBytes = 16 << 10
 
-	// maxHeadBytes is the longest that all else in a message may be.
-	maxHeadBytes = 4 << 10
+	// maxHeaderBytes is the maximum size of a message without its body.
+	maxHeaderBytes = 4 << 10
 
-	// maxKeyBytes is the longest idempotency key.
+	// maxKeyBytes is the maximum length of an idempotency key.
 	maxKeyBytes = 128
 
-	// maxFact is the largest figure of a function.
-	maxFact = 1e9
+	// maxAttributeValue is the maximum value of a function attribute, such as its memory.
+	maxAttributeValue = 1e9
 
-	// maxConcurrency is the largest concurrency of a replica.
+	// maxConcurrency is the maximum concurrency of a replica.
 	maxConcurrency = 1 << 16
 )
 
@@ -36,23 +36,24 @@
 	errInvalidBody = errors.New("body: missing or longer than 16 KiB")
 )
 
-// clientRequest is a request as a client sends it.
+// clientRequest is the decoded form of a client's request.
 type clientRequest struct {
-	fact           *scheduler.Request
+	scheduled      *scheduler.Request
 	numericID      uint64
-	idempotencyKey string // by which workers recognise a retry of a keyed request
+	idempotencyKey string // lets workers recognise a retry of the request; empty if its type is not keyed
 	body           []byte
 }
 
-// requestDecoder decodes and checks requests by the request types and tenants of the settings.
+// requestDecoder decodes requests and validates them against the request types and tenants of the settings.
 type requestDecoder struct {
-	maxAges map[string]time.Duration // by request type
-	keyed   map[string]bool          // request types with an idempotency key
+	maxAges map[string]time.Duration // maximum age by request type
+	keyed   map[string]bool          // request types whose requests have an idempotency key
 	tenants map[string]bool
 }
 
-// decode decodes the arguments of dispatch. What can't be passed on to a worker, or could be served only by mistake, is
-// an error, whose text the client gets.
+// decode decodes the arguments of dispatch. It returns an error if the request can't be passed on to a worker, or if a
+// field is invalid, as a worker would then serve something else than the client meant. The text of the error is sent to
+// the client.
 func (d requestDecoder) decode(args thrift.Args) (clientRequest, error) {
 	fields, hasFields := args.StringMaps[1]
 	body, hasBody := args.Binaries[2]
@@ -62,19 +63,20 @@
 	if !hasBody || len(body) > maxBodyBytes {
 		return clientRequest{}, errInvalidBody
 	}
-	fact, numericID, err := d.decodeFields(fields)
+	scheduled, numericID, err := d.decodeFields(fields)
 	if err != nil {
 		return clientRequest{}, err
 	}
-	key, err := d.decodeKey(fact.Type, fields["once"])
+	key, err := d.decodeKey(scheduled.Type, fields["once"])
 	if err != nil {
 		return clientRequest{}, err
 	}
-	return clientRequest{fact: fact, numericID: numericID, idempotencyKey: key, body: body}, nil
+	return clientRequest{scheduled: scheduled, numericID: numericID, idempotencyKey: key, body: body}, nil
 }
 
-// decodeFields decodes what the scheduler has to know of a request.
-func (d requestDecoder) decodeFields(fields map[string]string) (fact *scheduler.Request, numericID uint64, err error) {
+// decodeFields decodes the fields of a request that the scheduler needs, and the request's ID as a number.
+func (d requestDecoder) decodeFields(fields map[string]string) (
+	scheduled *scheduler.Request, numericID uint64, err error) {
 	id, class, tenant := fields["id"], fields["class"], fields["tenant"]
 	if numericID, err = parseHexID(id); err != nil {
 		return nil, 0, fmt.Errorf("id: %w", err)
@@ -92,39 +94,40 @@
 	}
 	wait, err := strconv.ParseUint(fields["wait"], 10, 32)
 	timeLeft := time.Duration(wait) * time.Millisecond
-	if err != nil || wait == 0 || timeLeft > maxAge+time.Millisecond { // clients round it up
+	if err != nil || wait == 0 || timeLeft > maxAge+time.Millisecond { // clients round up to whole milliseconds
 		return nil, 0, fmt.Errorf("wait: %q is not from 1 to the max age in milliseconds", fields["wait"])
 	}
-	fact = &scheduler.Request{ID: id, Type: class, Tenant: tenant, Function: function, TimeLeft: timeLeft}
+	scheduled = &scheduler.Request{ID: id, Type: class, Tenant: tenant, Function: function, TimeLeft: timeLeft}
 	switch fields["retry"] {
 	case "", "0":
 	case "1":
-		fact.Retry = true
+		scheduled.Retry = true
 	default:
 		return nil, 0, fmt.Errorf("retry: %q is neither 1 nor absent", fields["retry"])
 	}
-	if err := parseFunctionFacts(fact, fields["facts"]); err != nil {
+	if err := parseFunctionAttributes(scheduled, fields["facts"]); err != nil {
 		return nil, 0, fmt.Errorf("facts: %w", err)
 	}
-	return fact, numericID, nil
+	return scheduled, numericID, nil
 }
 
-// decodeKey checks the idempotency key of a request of a type. Where the type has none it is dropped: no worker would
-// recognise a retry by it.
+// decodeKey validates the idempotency key of a request. It drops the key if requests of that type have none, as no
+// worker would use it to recognise a retry.
 func (d requestDecoder) decodeKey(requestType, key string) (string, error) {
 	if !d.keyed[requestType] {
 		return "", nil
 	}
-	if key == "" || len(key) > maxKeyBytes || strings.ContainsFunc(key, breaksField) {
+	if key == "" || len(key) > maxKeyBytes || strings.ContainsFunc(key, invalidInKey) {
 		return "", fmt.Errorf("once: %q is no mark of a keyed event", key)
 	}
 	return key, nil
 }
 
-// breaksField reports whether a character would end a value in the fields of a worker's command, or is no text.
-func breaksField(c rune) bool { return c == ',' || c == '=' || !unicode.IsPrint(c) }
+// invalidInKey reports whether a character must not occur in an idempotency key, because it is not printable or would
+// end a value in the fields of a command to a worker.
+func invalidInKey(c rune) bool { return c == ',' || c == '=' || !unicode.IsPrint(c) }
 
-// parseHexID parses 16 lower-case hex digits.
+// parseHexID parses an ID of 16 lower-case hex digits.
 func parseHexID(text string) (uint64, error) {
 	id, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != 16 || strings.ToLower(text) != text {
@@ -133,15 +136,15 @@
 	return id, nil
 }
 
-// parseFunctionFacts adds to a request what its client knows of the function.
-func parseFunctionFacts(request *scheduler.Request, text string) error {
+// parseFunctionAttributes parses the attributes of the function that the client states, and sets them in a request.
+func parseFunctionAttributes(request *scheduler.Request, text string) error {
 	if text == "" {
 		return nil
 	}
 	for part := range strings.SplitSeq(text, ";") {
 		name, value, found := strings.Cut(part, ":")
 		n, err := strconv.ParseFloat(value, 64)
-		if !found || err != nil || math.IsNaN(n) || n < 0 || n > maxFact {
+		if !found || err != nil || math.IsNaN(n) || n < 0 || n > maxAttributeValue {
 			return fmt.Errorf("%q is no name and figure", part)
 		}
 		switch name {
--- a/internal/gateway/platform/retry.go
+++ b/internal/gateway/platform/retry.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// Retries of what another process may not have finished yet.
+// Retries of operations that fail until another process has finished its work.
 const (
-	// retryPause is the time between two tries.
-	retryPause = 50 * time.Millisecond
+	// retryInterval is the time between two tries.
+	retryInterval = 50 * time.Millisecond
 
-	// startTimeout is how long a configuration may be incomplete at the start.
+	// startTimeout is how long the configuration file may be incomplete at the start of the process.
 	startTimeout = 2 * time.Second
 
-	// listenTimeout is how long the process before may still use the address.
+	// listenTimeout is how long a previous process may still use the listen address.
 	listenTimeout = 8 * time.Second
 
-	// reloadTimeout is how long a configuration may be incomplete after SIGHUP.
+	// reloadTimeout is how long the configuration file may be incomplete after SIGHUP.
 	reloadTimeout = 10 * time.Second
 )
 
-// readInitialConfig reads the configuration, which may still be being written. readAt is when it was read: the list that
-// it holds is not newer.
+// readInitialConfig reads the configuration file, which may not be completely written yet. readAt is the time just
+// before the file was read; the endpoint list in the file is considered no newer than that.
 func readInitialConfig(ctx context.Context, path string) (config Config, readAt time.Time, err error) {
 	err = retry(ctx, startTimeout, isIncomplete, func() (err error) {
 		readAt = time.Now()
@@ -36,7 +36,8 @@
 	return config, readAt, err
 }
 
-// isIncomplete reports whether a configuration may be one that is being written, or could not be read for now.
+// isIncomplete reports whether an error may be due to a configuration file that is still being written, or that can't
+// be read temporarily.
 func isIncomplete(err error) bool {
 	var syntaxError *json.SyntaxError
 	var errno syscall.Errno
@@ -44,8 +45,8 @@
 		errors.As(err, &errno)
 }
 
-// listen listens, also at an address that the process before has not released yet, or when the system is short of
-// resources.
+// listen listens at an address. It retries while a previous process has not released the address or the system is short
+// of resources.
 func listen(ctx context.Context, addr string) (listener net.Listener, err error) {
 	err = retry(ctx, listenTimeout, isTemporary, func() (err error) {
 		listener, err = net.Listen("tcp", addr)
@@ -54,11 +55,11 @@
 	return listener, err
 }
 
-// isTemporary reports whether the reason why an address can't be listened at may pass.
+// isTemporary reports whether a failure to listen may be temporary.
 func isTemporary(err error) bool {
 	for _, errno := range []syscall.Errno{
-		syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, // the process before still has it
-		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, // the system is short of them
+		syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, // a previous process still uses the address
+		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, // short of descriptors or memory
 	} {
 		if errors.Is(err, errno) {
 			return true
@@ -67,7 +68,8 @@
 	return false
 }
 
-// retry calls try until it succeeds, fails for good, ctx ends, or the timeout has passed; the last error is returned.
+// retry calls try until it succeeds, fails with an error that is not retryable, ctx ends, or the timeout has passed. It
+// returns the last error.
 func retry(ctx context.Context, timeout time.Duration, retryable func(error) bool, try func() error) error {
 	deadline := time.Now().Add(timeout)
 	for {
@@ -78,7 +80,7 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(retryPause):
+		case <-time.After(retryInterval):
 		}
 	}
 }
--- a/internal/gateway/platform/run.go
+++ b/internal/gateway/platform/run.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// Options are what a gateway is run with beside its configuration.
+// Options are the settings of a gateway that are not part of its configuration file.
 type Options struct {
-	MetricsAddr     string       // address where the state is served to Prometheus; empty: nowhere
-	DroppedLogLines func() int64 // number of log lines that found no reader; may be nil
+	MetricsAddr     string       // address at which metrics are served to Prometheus; empty: they are not served
+	DroppedLogLines func() int64 // returns the number of log lines dropped because they were not read; may be nil
 }
 
-// Run runs a gateway by a configuration file until SIGTERM. At SIGHUP it reads the file again, at SIGUSR1 it logs its
-// state.
+// Run runs a gateway with a configuration file until SIGTERM. On SIGHUP it reads the file again, on SIGUSR1 it logs its
+// status.
 func Run(path string, log *slog.Logger, options Options) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGUSR1)
@@ -38,7 +38,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	g := New(config, listener, log, nil)
-	g.watcher.SetListTime(readAt) // the address to listen at may have been taken for seconds
+	g.watcher.SetListTime(readAt) // listen may have waited for seconds until the address was free
 	g.droppedLogLines = options.DroppedLogLines
 	metricsDone := g.startMetrics(options.MetricsAddr)
 	ended := make(chan error, 1)
@@ -48,7 +48,8 @@
 	return err
 }
 
-// startMetrics serves metrics where an address is given. The channel is closed once that has ended, after the gateway.
+// startMetrics starts to serve metrics if an address is given. The channel is closed once the metrics server has ended,
+// which it does after the gateway.
 func (g *Gateway) startMetrics(addr string) (done <-chan struct{}) {
 	ended := make(chan struct{})
 	if addr == "" {
@@ -64,10 +65,10 @@
 	return ended
 }
 
-// handleSignals acts on signals until the gateway has ended.
+// handleSignals handles signals until the gateway has ended, and returns its error.
 func (g *Gateway) handleSignals(path string, signals <-chan os.Signal, ended <-chan error) error {
-	var retry <-chan time.Time // when a configuration that could not be read, perhaps half written, is read again
-	var deadline time.Time
+	var retry <-chan time.Time // fires when a file that could not be read, perhaps half written, is to be read again
+	var deadline time.Time     // time after which the file is not read again
 	for {
 		select {
 		case err := <-ended:
@@ -75,14 +76,14 @@
 			return err
 		case received := <-signals:
 			if received == syscall.SIGUSR1 {
-				g.logStatus(slog.LevelWarn) // asked for, so it is logged at the usual level too
+				g.logStatus(slog.LevelWarn) // an explicit request, so it is also logged at the default level
 				continue
 			}
 			deadline = time.Now().Add(reloadTimeout)
 			retry = nil
 			if err := g.reloadFile(path); err != nil {
 				g.log.Error("configuration reload failed", "err", err)
-				retry = time.After(retryPause)
+				retry = time.After(retryInterval)
 			}
 		case <-retry:
 			retry = nil
@@ -91,13 +92,13 @@
 			case time.Now().After(deadline):
 				g.log.Error("configuration reload abandoned", "err", err)
 			default:
-				retry = time.After(retryPause)
+				retry = time.After(retryInterval)
 			}
 		}
 	}
 }
 
-// reloadFile reads the configuration again. Where it can't be read the gateway goes on with the one it has.
+// reloadFile reads the configuration file again. If it can't be read, the gateway keeps its present configuration.
 func (g *Gateway) reloadFile(path string) error {
 	config, err := Read(path)
 	if err == nil {
--- a/internal/gateway/platform/run_test.go
+++ b/internal/gateway/platform/run_test.go
@@ -14,11 +14,11 @@
 	"lupinpond/internal/gateway/platform"
 )
 
-// logBuffer collects log lines, for tests to wait for.
+// logBuffer is a writer that collects log lines, so that tests can wait for them.
 type logBuffer struct {
 	mu      sync.Mutex
 	text    string
-	changed chan struct{}
+	changed chan struct{} // closed and replaced when text is appended
 }
 
 func (l *logBuffer) Write(b []byte) (int, error) {
@@ -30,20 +30,20 @@
 	return len(b), nil
 }
 
-// wait waits until a text has been logged so many times.
+// wait waits until a text has been logged the given number of times.
 func (l *logBuffer) wait(text string, times int) {
 	for {
 		l.mu.Lock()
-		n, kick := strings.Count(l.text, text), l.changed
+		n, changed := strings.Count(l.text, text), l.changed
 		l.mu.Unlock()
 		if n >= times {
 			return
 		}
-		<-kick
+		<-changed
 	}
 }
 
-// freeAddr is an address at which nothing listens.
+// freeAddr returns an address at which no process listens.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,7 +54,7 @@
 	return listener.Addr().String()
 }
 
-// withListen is a configuration with another address for clients.
+// withListen returns a configuration with its address for clients replaced.
 func withListen(config, addr string) []byte {
 	return []byte(strings.Replace(config, `"listen":`, `"listen":"`+addr+`","was":`, 1))
 }
@@ -66,7 +66,7 @@
 	}
 }
 
-// startProgram runs a gateway by a configuration file, as its program does; the harness dials it then.
+// startProgram runs a gateway with a configuration file, as the gateway program does, and makes the harness dial it.
 func startProgram(t *testing.T, h *harness, config string, options platform.Options) (
 	path string, l *logBuffer, ended chan error) {
 	t.Helper()
@@ -89,8 +89,8 @@
 	}
 }
 
-// A file that can't be read leaves the configuration in force, also in the middle of a reload and while the gateway
-// drains; a second SIGTERM changes nothing; all ends without an error.
+// A gateway must survive signals at awkward moments. If the configuration file can't be read on SIGHUP, the present
+// configuration stays in force; a reload is possible while the gateway is draining; a second SIGTERM has no effect.
 func TestSignals(t *testing.T) {
 	h := start(t)
 	path, l, ended := startProgram(t, h, h.config, platform.Options{})
@@ -125,10 +125,10 @@
 		return []string{"ok", "how=ready", body}
 	})
 	c.dispatch("c", fields(id(50))...)
-	h.worker.next(t, "FN")
+	h.worker.nextCommand(t, "FN")
 	signal(t, syscall.SIGTERM)
 	l.wait("draining", 1)
-	signal(t, syscall.SIGHUP) // in the middle of the drain
+	signal(t, syscall.SIGHUP) // while the gateway is draining
 	l.wait("msg=\"configuration reloaded\"", 2)
 	signal(t, syscall.SIGTERM)
 	close(release)
@@ -138,7 +138,7 @@
 	}
 }
 
-// An invalid configuration ends the start with an error of one line that names what is wrong.
+// A gateway with an invalid configuration must fail to start, with a single-line error that names the invalid key.
 func TestStartWithInvalidConfig(t *testing.T) {
 	h := start(t)
 	for change, names := range map[string]string{
@@ -153,18 +153,17 @@
 		config := strings.Replace(h.config, change, name+`:"x","was":`+value, 1)
 		_, _, ended := startProgram(t, h, config, platform.Options{})
 		if err := <-ended; err == nil || !strings.Contains(err.Error(), names) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("without %s: %v", names, err)
+			t.Errorf("with an invalid %s: got error %v, want one line that names the key", names, err)
 		}
 	}
 	missing := filepath.Join(t.TempDir(), "none")
 	if err := platform.Run(missing, slog.New(slog.DiscardHandler), platform.Options{}); err == nil {
-		t.Error("a missing file is accepted")
+		t.Error("a missing configuration file is accepted")
 	}
 }
 
-// A configuration that is being written at SIGHUP is applied once it is complete, without another signal, and one
-// that is being written at the start too; an address that another process still uses is listened at once that has
-// released it.
+// A configuration file that is incomplete at the start or on SIGHUP must be applied once it is complete, without a
+// further signal. If another process still uses the listen address, the gateway must listen once it is released.
 func TestIncompleteConfigIsRetried(t *testing.T) {
 	h := start(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/gateway/platform/service.go
+++ b/internal/gateway/platform/service.go
@@ -8,14 +8,14 @@
 	"lupinpond/internal/gateway/thrift"
 )
 
-// Methods of the Thrift service that clients call.
+// Methods of the Thrift service for clients.
 const (
 	methodDispatch = "dispatch"
 	methodCancel   = "cancelRequest"
 	methodAlive    = "alive"
 )
 
-// Fields of the result of dispatch: the answer, or one of the declared exceptions.
+// Field IDs of the result of dispatch: the answer, or one of the declared exceptions.
 const (
 	resultSuccess   = 0
 	resultThrottled = 1
@@ -39,18 +39,18 @@
 	return thrift.EncodeException(methodDispatch, seqID, thrift.InternalError, response.Reason)
 }
 
-// encodeReply encodes the successful result of dispatch or alive.
-func encodeReply(method string, seqID int32, body []byte, good bool) []byte {
+// encodeReply encodes a result of dispatch or alive that is not an exception.
+func encodeReply(method string, seqID int32, body []byte, success bool) []byte {
 	w := thrift.NewWriter(method, thrift.Reply, seqID)
 	w.Struct(resultSuccess)
 	w.Binary(1, body)
 	w.StringMap(2)
-	w.Bool(3, good)
+	w.Bool(3, success)
 	w.End()
 	return w.Frame()
 }
 
-// encodeException encodes one of the declared exceptions of dispatch, with names and values in turns.
+// encodeException encodes one of the declared exceptions of dispatch. Its pairs are alternating names and values.
 func encodeException(seqID int32, result int16, pairs ...string) []byte {
 	w := thrift.NewWriter(methodDispatch, thrift.Reply, seqID)
 	w.Struct(result)
--- a/internal/gateway/platform/shutdown_test.go
+++ b/internal/gateway/platform/shutdown_test.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// killTime is when the platform kills a gateway whose longest maximum age is 3 s, after SIGTERM.
+	// killTime is the time from SIGTERM to SIGKILL for a gateway whose longest maximum age is 3 s.
 	killTime = 3700 * time.Millisecond
 
-	// crossing is how soon after it was sent a request may cross the end of its connection.
-	crossing = 50 * time.Millisecond
+	// transitTime is the maximum time that a request spends in transit. One sent less than this before the end of its
+	// connection may remain unanswered.
+	transitTime = 50 * time.Millisecond
 
-	// busyInterval is the time between two requests of a client that goes on sending.
+	// busyInterval is the time between two requests of a client that sends continuously.
 	busyInterval = 5 * time.Millisecond
 )
 
-// sentRequests are the requests of one connection without an answer.
+// sentRequests tracks the unanswered requests of one connection.
 type sentRequests struct {
 	mu   sync.Mutex
-	open map[int32]time.Time // when each was sent
-	sent int
+	open map[int32]time.Time // send times of the unanswered requests, by sequence ID
+	sent int                 // number of requests sent
 }
 
 func (s *sentRequests) begin(seq int32) {
@@ -41,11 +42,11 @@
 	delete(s.open, seq)
 }
 
-// Symptom: a connection on which a client goes on sending after SIGTERM, as clients do until the end, was never idle, so
-// it was ended by SIGKILL under requests that had been read.
+// A connection on which a client sends continuously after SIGTERM must be closed before SIGKILL, at a moment when every
+// request read on it has been answered.
 //
-// Cause: as it shuts down, the server ended a connection after a time without a request, and all others only after the
-// platform's deadline. Such a connection ends before that now, at a moment at which nothing is owed on it.
+// This guards against a server that, on shutdown, closes a connection only once it has been idle for a while. Such a
+// connection is never idle, so it ended with SIGKILL while requests that had been read were unanswered.
 func TestShutdownEndsBusyConnection(t *testing.T) {
 	h := start(t)
 	h.worker.respondWith(func(_, _, body string) []string {
@@ -69,17 +70,18 @@
 		time.Sleep(busyInterval)
 	}
 	closedAt := <-closed
-	if after := closedAt.Sub(signalled); after > killTime-crossing {
-		t.Errorf("the connection ended %v after SIGTERM, SIGKILL comes after %v", after, killTime)
+	if after := closedAt.Sub(signalled); after > killTime-transitTime {
+		t.Errorf("the connection ended %v after SIGTERM, too close to SIGKILL after %v", after, killTime)
 	}
 	for seq, sentAt := range requests.open {
-		if age := closedAt.Sub(sentAt); age > crossing {
-			t.Errorf("request %d of %d has no answer, %v after it was sent", seq, requests.sent, age)
+		if age := closedAt.Sub(sentAt); age > transitTime {
+			t.Errorf("request %d of %d was unanswered at the end of its connection, %v after it was sent",
+				seq, requests.sent, age)
 		}
 	}
 }
 
-// readAnswers takes answers until the connection ends.
+// readAnswers reads answers until the connection ends, and marks their requests as answered.
 func readAnswers(c *client, requests *sentRequests) {
 	for {
 		var head [4]byte
@@ -99,7 +101,7 @@
 	}
 }
 
-// tryDispatch sends a request; false: the connection has ended.
+// tryDispatch sends a request and reports whether the connection was still open.
 func (c *client) tryDispatch(body string, pairs ...string) bool {
 	c.seq++
 	w := thrift.NewWriter("dispatch", thrift.Call, c.seq)
--- a/internal/gateway/platform/status.go
+++ b/internal/gateway/platform/status.go
@@ -13,10 +13,10 @@
 	"lupinpond/scheduler"
 )
 
-// closeCounts counts closed connections of clients by reason.
+// closeCounts counts the closed client connections by reason.
 type closeCounts [thrift.CloseReasonCount]atomic.Int64
 
-// status is the state of a gateway at one moment, for logs and metrics.
+// status is a snapshot of a gateway's state, for logs and metrics.
 type status struct {
 	gateway.Counts
 	Fleet              scheduler.FleetState
@@ -25,14 +25,14 @@
 	WorkerConnections  int64
 	UnmatchedResponses int64
 	EndpointPosition   int64
-	Freshness          discovery.Freshness // of the endpoint list
+	Freshness          discovery.Freshness // age of the endpoint list and results of its polls
 	LogLinesDropped    int64
 }
 
-// statusTimeout is how long the event loop may take to give its part of the status.
+// statusTimeout is how long status waits for the event loop to provide its counts.
 const statusTimeout = time.Second
 
-// status collects the state; numbers that the event loop does not give in time are 0.
+// status returns the present state. Numbers that the event loop does not provide in time are 0.
 func (g *Gateway) status() status {
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
@@ -52,8 +52,8 @@
 	return s
 }
 
-// logStatus logs the state in one line, as an error where an invariant was violated. The golden test holds its keys and
-// their order: scripts may read the line.
+// logStatus logs the state in one line, at error level if an invariant was violated. A golden test holds the keys and
+// their order, as scripts may parse the line.
 func (g *Gateway) logStatus(level slog.Level) {
 	if g.monitor.Total() > 0 {
 		level = slog.LevelError
@@ -111,7 +111,7 @@
 		"replica_queries", stats.ReplicaQueries.Load())
 }
 
-// connectionClosed counts and checks the end of a client's connection.
+// connectionClosed counts, logs and checks the close of a client connection.
 func (g *Gateway) connectionClosed(event thrift.CloseEvent) {
 	g.closeCounts[event.Reason].Add(1)
 	g.log.Debug("connection closed",
@@ -123,7 +123,8 @@
 	g.checkClosed(event)
 }
 
-// checkClosed checks that nothing was owed on a connection that the gateway has closed.
+// checkClosed reports an invariant violation if the gateway closed a connection that had open calls or unwritten
+// answers, though the client had done nothing wrong.
 func (g *Gateway) checkClosed(event thrift.CloseEvent) {
 	if !event.Reason.ByServer() {
 		return
--- a/internal/gateway/platform/transport.go
+++ b/internal/gateway/platform/transport.go
@@ -12,24 +12,25 @@
 	"lupinpond/scheduler"
 )
 
-// workerTransport carries the core's decisions to workers over RESP, and follows the endpoint list.
+// workerTransport sends the core's attempts, load requests and probes to workers over RESP. It follows the endpoint
+// list.
 type workerTransport struct {
 	pool        *resp.Pool
-	canCancel   bool   // attempts may be cancelled at workers
-	reportField string // the field of load reports that has the queue depth; empty: none
-	lastTag     atomic.Uint64
-	drainGrace  time.Duration // within which nothing new goes to a worker that drains or is removed
+	canCancel   bool          // attempts may be cancelled at workers
+	reportField string        // field of load reports that holds the queue depth; empty: reports are ignored
+	lastTag     atomic.Uint64 // number of the last tag that nextTag returned
+	drainGrace  time.Duration // time after which no new work may be sent to a draining or removed worker
 	monitor     *invariant.Monitor
 	startedAt   time.Time
 
 	mu     sync.Mutex
-	listed map[string]*backend // by the last update of the endpoint list
-	// applied is the endpoint list as the core knows it: what the core decides is for the incarnation of a worker that it
-	// knows, not for one that has taken its name since.
+	listed map[string]*backend // backends by worker name, according to the last update of the endpoint list
+	// applied holds the backends by worker name according to the last update that the core has applied. The core's
+	// decisions are meant for these incarnations, not for a later incarnation that has the same name.
 	applied map[string]*backend
 }
 
-// newWorkerTransport makes a transport over the connections of a pool.
+// newWorkerTransport returns a transport that uses the connections of a pool.
 func newWorkerTransport(config Config, pool *resp.Pool, monitor *invariant.Monitor) *workerTransport {
 	t := &workerTransport{
 		pool:       pool,
@@ -46,13 +47,13 @@
 	return t
 }
 
-// now is the transport's clock; never 0.
+// now returns the time since the transport was made. It is never 0.
 func (t *workerTransport) now() time.Duration { return time.Since(t.startedAt) + 1 }
 
-// cancellableCall is a call to a worker that is under way.
+// cancellableCall is a call to a worker with the command that cancels it.
 type cancellableCall struct {
 	*resp.Call
-	cancelCommand []byte // cancels it at the worker; nil: it can only be abandoned here, as load requests and probes are
+	cancelCommand []byte // cancels the call at the worker; nil for load requests and probes, which are only abandoned
 }
 
 // Cancel cancels the call.
@@ -139,5 +140,5 @@
 // Subscribe does nothing: the discovery service is watched all the time.
 func (t *workerTransport) Subscribe() {}
 
-// nextTag is a new ID for a load request or a probe.
+// nextTag returns a new ID for a load request or a probe.
 func (t *workerTransport) nextTag() string { return "t" + strconv.FormatUint(t.lastTag.Add(1), 10) }
--- a/internal/gateway/platform/workerprotocol.go
+++ b/internal/gateway/platform/workerprotocol.go
@@ -20,7 +20,7 @@
 	commandProbe   = "TOP"
 )
 
-// Elements of a response, after the ID.
+// Indexes of the elements of a response, after the ID.
 const (
 	responseStatus = iota
 	responseFields
@@ -28,13 +28,13 @@
 	responseElements
 )
 
-// reportedQueueDepth is the field of a load report that has the number of requests waiting.
+// reportedQueueDepth is the field of a load report that holds the number of waiting requests.
 const reportedQueueDepth = "pending"
 
-// requestOverhead is the capacity in bytes for all of an encoded request but its body.
+// requestOverhead is the capacity in bytes that is allocated for an encoded request without its body.
 const requestOverhead = 160
 
-// encodeRequest encodes an attempt with the time that its client has left.
+// encodeRequest encodes an attempt with the time left until the client's deadline.
 func encodeRequest(request *gateway.Request, timeLeft time.Duration) []byte {
 	fields := "class=" + request.Scheduled.Type + ",key=" + formatFunction(request.Scheduled.Function) +
 		",wait=" + strconv.FormatInt(max(1, timeLeft.Milliseconds()), 10)
@@ -52,7 +52,7 @@
 
 func formatFunction(function uint64) string { return fmt.Sprintf("%016x", function) }
 
-// parseOutcome returns the outcome of an attempt, and the body of the answer.
+// parseOutcome returns the outcome of an attempt and the body of its answer.
 func (t *workerTransport) parseOutcome(result resp.Result) (outcome scheduler.Outcome, body []byte) {
 	switch result.Outcome {
 	case resp.NotSent:
@@ -64,7 +64,7 @@
 	case resp.Cancelled:
 		return scheduler.Outcome{Result: scheduler.Cancelled}, nil
 	}
-	if len(result.Elements) != responseElements { // the request has run, and how it ended can't be known
+	if len(result.Elements) != responseElements { // the request has run, but its result is unknown
 		return scheduler.Outcome{Result: scheduler.ConnectionLost}, nil
 	}
 	fields := resp.ParsePairs(string(result.Elements[responseFields]))
@@ -87,7 +87,7 @@
 	return outcome, body
 }
 
-// parseReplicaState parses in which state an attempt found the replica.
+// parseReplicaState parses the state in which an attempt found the replica.
 func parseReplicaState(text string) (state scheduler.ReplicaState) {
 	switch text {
 	case "ready":
@@ -102,8 +102,8 @@
 	return state
 }
 
-// controlFailure is the result of a load request or a probe that got no response of so many elements; ok: it has got
-// one.
+// controlFailure returns the result of a load request or a probe that got no response, or one of fewer than the given
+// number of elements. ok is true if the response is long enough.
 func controlFailure(result resp.Result, elements int) (failure scheduler.Result, ok bool) {
 	switch {
 	case result.Outcome == resp.NotSent:
@@ -116,7 +116,8 @@
 	return 0, true
 }
 
-// parseLoadResult returns how many replicas a load request has loaded, and its result.
+// parseLoadResult returns the number of replicas in the response to a load request, and the result. Without a response
+// the number is the one that was requested.
 func parseLoadResult(request scheduler.LoadRequest, result resp.Result) (replicas int, outcome scheduler.Result) {
 	if failure, ok := controlFailure(result, responseFields+1); !ok {
 		return request.Replicas, failure
@@ -137,7 +138,7 @@
 	return max(0, replicas), outcome
 }
 
-// parseProbeResult returns the result of a probe, and the load that the worker reports.
+// parseProbeResult returns the result of a probe and the load that the worker reports.
 func (t *workerTransport) parseProbeResult(result resp.Result) (scheduler.Result, scheduler.LoadReport) {
 	if failure, ok := controlFailure(result, responseStatus+1); !ok {
 		return failure, scheduler.LoadReport{}
@@ -155,7 +156,7 @@
 	return scheduler.Failed, scheduler.LoadReport{}
 }
 
-// parseLoad parses a load report.
+// parseLoad parses a load report, a list of name:value pairs separated by semicolons.
 func (t *workerTransport) parseLoad(text string) scheduler.LoadReport {
 	if text == "" || t.reportField == "" {
 		return scheduler.LoadReport{}
