--- a/internal/gateway/platform/gateway.go
+++ b/internal/gateway/platform/gateway.go
@@ -55,13 +55,13 @@
 func (c Config) clientLimits() thrift.Limits {
 	dial := c.dialTimeout()
 	return thrift.Limits{
-		MaxFrameBytes:  maxBodyBytes + maxHeaderBytes,
-		MaxOpenCalls:   maxOpenRequests,
-		MaxConns:       c.peerSockets() / clientSocketDivisor,
-		MessageTimeout: min(messageTimeoutDials*dial, maxMessageTimeout),
-		IdleTimeout:    c.connIdleTimeout(),
-		WriteTimeout:   messageTimeoutDials * dial,
-		FinalRead:      max(dial/finalReadDivisor, 1),
+		MaxFrameBytes:    maxBodyBytes + maxHeaderBytes,
+		MaxOpenCalls:     maxOpenRequests,
+		MaxConns:         c.peerSockets() / clientSocketDivisor,
+		MessageTimeout:   min(messageTimeoutDials*dial, maxMessageTimeout),
+		IdleTimeout:      c.connIdleTimeout(),
+		WriteTimeout:     messageTimeoutDials * dial,
+		FinalReadTimeout: max(dial/finalReadDivisor, 1),
 	}
 }
 
@@ -101,7 +101,7 @@
 		case <-arrivalsOver:
 			g.server.Drain()
 		case <-answered: // a client that continues to send would otherwise keep its connection open until SIGKILL
-			g.server.EndConnections()
+			g.server.CloseWhenIdle()
 		case <-deadline:
 			g.stopWork()
 		}
--- a/internal/gateway/thrift/close.go
+++ b/internal/gateway/thrift/close.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// CloseReason is why a connection ended.
+// CloseReason is the reason why a connection was closed.
 type CloseReason int
 
-// The reasons.
+// The reasons for closing a connection.
 const (
-	ClientDisconnected CloseReason = iota // its client closed or reset it
-	IdleTimedOut                          // it was idle for too long
-	Evicted                               // it was idle, and a new one needed its place
-	Drained                               // it was idle, and the server was draining
+	ClientDisconnected CloseReason = iota // the client closed or reset the connection
+	IdleTimedOut                          // the connection was idle for longer than the idle timeout
+	Evicted                               // the connection was idle, and the limit was reached when a new one came
+	Drained                               // the connection was idle, and the server was draining
 	Malformed                             // a message was malformed or not allowed
-	IncompleteMessage                     // a message began and did not go on
-	ClientNotReading                      // its client does not read its answers
-	ServerStopped                         // the server ended at once
-	NoCapacity                            // it was new, and there was no place for it
-	CloseReasonCount                      // the number of reasons
+	IncompleteMessage                     // the rest of a message did not arrive in time
+	ClientNotReading                      // the client did not read its answers
+	ServerStopped                         // the server stopped without draining
+	NoCapacity                            // the connection was new, and no idle one could be evicted for it
+	CloseReasonCount                      // number of reasons
 )
 
-// closeReasonNames are the reasons in logs and metrics.
+// closeReasonNames are the names of the reasons in logs and metrics.
 var closeReasonNames = [CloseReasonCount]string{
 	ClientDisconnected: "client_left",
 	IdleTimedOut:       "idle",
@@ -36,39 +36,39 @@
 	NoCapacity:         "no_place",
 }
 
-// String is the name of the reason in logs and metrics.
+// String returns the name of the reason in logs and metrics.
 func (r CloseReason) String() string { return closeReasonNames[r] }
 
-// ByServer reports whether the server closed the connection though its client had done nothing wrong.
+// ByServer reports whether the server closed the connection although the client had not violated the protocol.
 func (r CloseReason) ByServer() bool {
 	return r == IdleTimedOut || r == Evicted || r == Drained || r == IncompleteMessage || r == ServerStopped
 }
 
-// CloseEvent describes the end of a connection.
+// CloseEvent describes a connection that was closed.
 type CloseEvent struct {
 	Reason         CloseReason
 	ClientAddr     string
-	OpenCalls      int // calls without an answer
-	UnwrittenBytes int // of answers
-	Duration       time.Duration
+	OpenCalls      int           // number of calls without an answer
+	UnwrittenBytes int           // size of the answers that were not written
+	Duration       time.Duration // time since the connection was accepted
 }
 
-// Reasons to end a connection on which nothing is owed.
+// Errors with which readFrame ends the reading of an idle connection.
 var (
-	errEvicted     = errors.New("thrift: a new connection needs the place")
-	errIdleTimeout = errors.New("thrift: idle for too long")
+	errEvicted     = errors.New("thrift: connection evicted for a new one")
+	errIdleTimeout = errors.New("thrift: idle timeout")
 	errDrained     = errors.New("thrift: the server is draining")
-	errEnding      = errors.New("thrift: the server ends its connections")
+	errShutdown    = errors.New("thrift: the server closes its idle connections")
 )
 
-// closeReasonOf is the reason for a connection to end where reading from it has failed.
+// closeReasonOf returns the close reason for an error of reading from a connection.
 func closeReasonOf(err error) CloseReason {
 	switch {
 	case errors.Is(err, errEvicted):
 		return Evicted
 	case errors.Is(err, errIdleTimeout):
 		return IdleTimedOut
-	case errors.Is(err, errDrained), errors.Is(err, errEnding):
+	case errors.Is(err, errDrained), errors.Is(err, errShutdown):
 		return Drained
 	case errors.Is(err, ErrMalformed):
 		return Malformed
--- a/internal/gateway/thrift/conn.go
+++ b/internal/gateway/thrift/conn.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// Conn is one connection.
+// Conn is a connection of a client.
 type Conn struct {
 	server     *Server
 	conn       net.Conn
 	peeker     peekConn
-	wakeup     chan struct{} // for the writer
-	done       chan struct{} // closed once the connection is
+	wakeup     chan struct{} // wakes the writer
+	done       chan struct{} // closed once the connection is closed
 	acceptedAt time.Time
 
 	mu              sync.Mutex
-	calls           map[int32]func() // open calls, with what to do when the client cancels one
-	lastSeqID       int32            // the highest of a call so far
-	outbound        []byte           // to be written
-	writing         bool             // some is being written
-	closing         bool             // nothing is written after outbound
-	disconnected    bool
-	hasRequested    bool // a complete message has come
-	awaitingMessage bool // the reader waits for a message
-	messageBegan    time.Time
-	lastActivity    time.Time
-	evicting        bool // asked to end for a new connection
+	calls           map[int32]func() // functions that cancel the open calls, by sequence ID
+	lastSeqID       int32            // highest sequence ID of all calls
+	outbound        []byte           // frames that the writer has not taken yet
+	writing         bool             // the writer is writing frames that it has taken from outbound
+	closing         bool             // the writer closes the connection once outbound is written
+	disconnected    bool             // the reader has ended
+	hasRequested    bool             // a complete message has been received
+	awaitingMessage bool             // the reader waits for the first byte of a message
+	messageBegan    time.Time        // when the reader last ended its wait for the first byte of a message
+	lastActivity    time.Time        // when a message was last received, or a call or the write of an answer last ended
+	evicting        bool             // the reader must close the connection, unless a request has been received
 	closeReason     CloseReason
 	closeReasonSet  bool
-	openAtEnd       int // calls that were open at the end
+	openAtClose     int // number of calls that were open when the reader ended
 }
 
 func newConn(s *Server, conn net.Conn) *Conn {
@@ -46,8 +46,8 @@
 	}
 }
 
-// BeginCall opens a call. The connection calls cancelled when the client cancels it or disconnects. The result is false
-// where the sequence ID is not higher than those before, or too many calls are open.
+// BeginCall opens a call. The connection calls cancelled if the client cancels the call or disconnects. BeginCall
+// returns false if the sequence ID is not higher than those of all earlier calls, or if too many calls are open.
 func (c *Conn) BeginCall(seqID int32, cancelled func()) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,7 +60,7 @@
 	return true
 }
 
-// CancelCall ends a call that the client cancels: no answer is owed.
+// CancelCall ends a call that the client cancels. The call gets no answer.
 func (c *Conn) CancelCall(seqID int32) {
 	c.mu.Lock()
 	cancelled := c.calls[seqID]
@@ -71,7 +71,7 @@
 	}
 }
 
-// Reply ends an open call with its answer; one that is not open any more gets none.
+// Reply ends an open call with its answer. If the call is not open any more, the answer is dropped.
 func (c *Conn) Reply(seqID int32, frame []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,14 +81,14 @@
 	}
 }
 
-// Send sends a frame that ends no call.
+// Send sends a frame that is not the answer to an open call.
 func (c *Conn) Send(frame []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.enqueue(frame)
 }
 
-// Close closes the connection of a client that has broken the protocol, once its answers are written; open calls are
+// Close closes the connection of a client that has violated the protocol, once its answers are written. Open calls are
 // cancelled.
 func (c *Conn) Close() {
 	c.mu.Lock()
@@ -98,7 +98,7 @@
 	c.wake()
 }
 
-// endCall forgets a call. The lock is held.
+// endCall removes a call from the open ones. The caller must hold c.mu.
 func (c *Conn) endCall(seqID int32) {
 	if _, open := c.calls[seqID]; open {
 		delete(c.calls, seqID)
@@ -108,23 +108,23 @@
 	}
 }
 
-// isIdle reports whether nothing is owed on the connection: no call is open and all is written. The lock is held.
+// isIdle reports whether no call is open and all answers are written. The caller must hold c.mu.
 func (c *Conn) isIdle() bool { return len(c.calls) == 0 && len(c.outbound) == 0 && !c.writing }
 
-// setCloseReason notes why the connection ends; the first reason stands. The lock is held.
+// setCloseReason records why the connection is closed. Only the first reason is kept. The caller must hold c.mu.
 func (c *Conn) setCloseReason(reason CloseReason) {
 	if !c.closeReasonSet {
 		c.closeReasonSet, c.closeReason = true, reason
 	}
 }
 
-// enqueue has the writer write a frame. The lock is held.
+// enqueue passes a frame to the writer. The caller must hold c.mu.
 func (c *Conn) enqueue(frame []byte) {
 	if c.disconnected || c.closing {
 		return
 	}
 	limits := &c.server.limits
-	if len(c.outbound) > (limits.MaxOpenCalls+1)*limits.MaxFrameBytes { // the client sends requests but does not read
+	if len(c.outbound) > (limits.MaxOpenCalls+1)*limits.MaxFrameBytes { // the client sends requests but reads no answers
 		c.setCloseReason(ClientNotReading)
 		c.conn.Close()
 		return
@@ -133,7 +133,7 @@
 	c.wake()
 }
 
-// wake has the writer look for work.
+// wake makes the writer check for frames to write.
 func (c *Conn) wake() {
 	select {
 	case c.wakeup <- struct{}{}:
--- a/internal/gateway/thrift/conn_read.go
+++ b/internal/gateway/thrift/conn_read.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// readBufferBytes is the size of one read.
+// readBufferBytes is the size of the read buffer of a connection.
 const readBufferBytes = 2048
 
-// readLoop reads messages until the connection ends, and cancels the calls that are open then.
+// readLoop reads messages until the connection is to be closed, and then cancels the open calls.
 func (c *Conn) readLoop() {
 	defer c.server.running.Done()
 	reason := c.readMessages()
 	c.mu.Lock()
 	c.setCloseReason(reason)
 	c.disconnected, c.closing = true, true
-	c.openAtEnd = len(c.calls)
+	c.openAtClose = len(c.calls)
 	var cancelled []func()
 	for seqID, cancel := range c.calls {
 		cancelled = append(cancelled, cancel)
@@ -32,7 +32,7 @@
 	c.wake()
 }
 
-// readMessages reads and handles messages until there is a reason to end.
+// readMessages reads and handles messages until there is a reason to close the connection, and returns the reason.
 func (c *Conn) readMessages() CloseReason {
 	in := bufio.NewReaderSize(&c.peeker, readBufferBytes)
 	for {
@@ -56,7 +56,7 @@
 	}
 }
 
-// readFrame reads a frame. An invalid length ends the connection before a byte of the message is read.
+// readFrame reads a frame. It returns an error for an invalid length before any byte of the message is read.
 func (c *Conn) readFrame(in *bufio.Reader) ([]byte, error) {
 	if err := c.awaitMessage(in); err != nil {
 		return nil, err
@@ -67,15 +67,15 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n == 0 || n > uint32(c.server.limits.MaxFrameBytes) {
-		return nil, malformedError("a frame of that length")
+		return nil, malformedError("frame length is 0 or above the limit")
 	}
 	frame := make([]byte, n)
 	err := c.readFull(in, frame)
 	return frame, err
 }
 
-// readFull reads a part of a message. One that does not go on ends the connection, but not while something else is owed
-// on it.
+// readFull reads a part of a message. It returns an error if the part does not arrive in time, but not before the
+// connection is idle apart from the message.
 func (c *Conn) readFull(in *bufio.Reader, b []byte) error {
 	for read := 0; ; {
 		c.mu.Lock()
@@ -99,7 +99,8 @@
 	}
 }
 
-// mayTimeOut reports whether nothing is owed on the connection; else it is not to be evicted either.
+// mayTimeOut reports whether the connection is idle and may be closed because a message is incomplete. If it is not
+// idle, mayTimeOut also cancels its eviction.
 func (c *Conn) mayTimeOut() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,32 +111,32 @@
 	return false
 }
 
-// awaitMessage waits for the first byte of a message; an error ends the connection. Before a connection ends as idle,
-// or as the server drains, there is a final read: what came while the process stalled is there, though its time is
-// up.
+// awaitMessage waits for the first byte of a message. It returns an error if the connection is to be closed. Before an
+// idle connection is closed there is a final read, because a request that arrived during a stall of the process must be
+// served even if its read deadline has passed.
 func (c *Conn) awaitMessage(in *bufio.Reader) error {
 	for {
-		deadline, end := c.awaitDeadline()
-		if end == errEvicted || end == errEnding {
+		deadline, closeErr := c.awaitDeadline()
+		if closeErr == errEvicted || closeErr == errShutdown {
 			if !c.peeker.peek() {
-				return end
+				return closeErr
 			}
-			end, deadline = nil, time.Now().Add(c.server.limits.MessageTimeout)
+			closeErr, deadline = nil, time.Now().Add(c.server.limits.MessageTimeout)
 		}
 		if err := c.conn.SetReadDeadline(deadline); err != nil {
 			return err
 		}
-		if end == nil { // a call may have ended, or Drain been called, since
+		if closeErr == nil { // a call may have ended, or Drain may have been called, since awaitDeadline
 			c.mu.Lock()
 			c.wakeIdleReader()
 			c.mu.Unlock()
 		}
 		_, err := in.Peek(1)
 		timeout := errors.Is(err, os.ErrDeadlineExceeded)
-		if timeout && end != nil {
-			err = end
+		if timeout && closeErr != nil {
+			err = closeErr
 		}
-		if err == nil || !timeout || end != nil {
+		if err == nil || !timeout || closeErr != nil {
 			c.mu.Lock()
 			c.awaitingMessage, c.messageBegan = false, time.Now()
 			if err == nil {
@@ -147,8 +148,9 @@
 	}
 }
 
-// awaitDeadline is how long to wait for a message, and why the connection ends if none comes by then; nil: it does not.
-func (c *Conn) awaitDeadline() (deadline time.Time, end error) {
+// awaitDeadline returns until when the reader waits for a message, and the error with which the connection is closed if
+// none arrives by then. The error is nil if the connection stays open.
+func (c *Conn) awaitDeadline() (deadline time.Time, closeErr error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	timeout := c.server.limits.IdleTimeout
@@ -162,12 +164,12 @@
 	switch {
 	case c.evicting:
 		return now, errEvicted
-	case idle && c.server.ending.Load():
-		return now, errEnding
+	case idle && c.server.closeWhenIdle.Load():
+		return now, errShutdown
 	case idle && c.server.draining.Load():
-		return now.Add(c.server.limits.FinalRead), errDrained
+		return now.Add(c.server.limits.FinalReadTimeout), errDrained
 	case idle && now.Sub(c.lastActivity) >= timeout:
-		return now.Add(c.server.limits.FinalRead), errIdleTimeout
+		return now.Add(c.server.limits.FinalReadTimeout), errIdleTimeout
 	case idle:
 		deadline = c.lastActivity.Add(timeout)
 	default:
@@ -177,10 +179,10 @@
 	return deadline, nil
 }
 
-// wakeIdleReader has a reader that waits while nothing is owed look once more, and end, where the server drains or the
-// connection is being evicted. The lock is held.
+// wakeIdleReader interrupts a reader that waits for a message on an idle connection, if the server is draining or the
+// connection is being evicted. The reader then closes the connection after a final read. The caller must hold c.mu.
 func (c *Conn) wakeIdleReader() {
-	if c.awaitingMessage && c.isIdle() && (c.evicting || c.server.draining.Load() || c.server.ending.Load()) {
-		_ = c.conn.SetReadDeadline(time.Now()) // a closed one has its error already
+	if c.awaitingMessage && c.isIdle() && (c.evicting || c.server.draining.Load() || c.server.closeWhenIdle.Load()) {
+		_ = c.conn.SetReadDeadline(time.Now()) // fails only on a closed connection, whose reader gets an error anyway
 	}
 }
--- a/internal/gateway/thrift/conn_write.go
+++ b/internal/gateway/thrift/conn_write.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// writeChunkBytes is what is written within Limits.WriteTimeout.
+// writeChunkBytes is the number of bytes that must be written within Limits.WriteTimeout.
 const writeChunkBytes = 16 << 10
 
-// writeLoop writes what is enqueued until the connection ends, and closes it.
+// writeLoop writes enqueued frames until the connection is to be closed, and closes it.
 func (c *Conn) writeLoop() {
 	defer c.server.running.Done()
 	unwritten := c.writeOutbound()
@@ -21,7 +21,7 @@
 	event := CloseEvent{
 		Reason:         c.closeReason,
 		ClientAddr:     c.conn.RemoteAddr().String(),
-		OpenCalls:      max(c.openAtEnd, len(c.calls)),
+		OpenCalls:      max(c.openAtClose, len(c.calls)),
 		UnwrittenBytes: unwritten + len(c.outbound),
 		Duration:       time.Since(c.acceptedAt),
 	}
@@ -29,8 +29,8 @@
 	c.server.notifyClosed(event)
 }
 
-// writeOutbound writes until nothing more is to be written or writing fails, and returns the number of bytes that it
-// took and did not write.
+// writeOutbound writes until the connection is closing and all frames are written, or until a write fails. It returns
+// the number of bytes that it has taken from outbound and not written.
 func (c *Conn) writeOutbound() (unwritten int) {
 	for {
 		outbound, last := c.takeOutbound()
@@ -41,7 +41,7 @@
 			<-c.wakeup
 			continue
 		}
-		for len(outbound) > 0 { // in chunks: a client that reads slowly is not one that does not read
+		for len(outbound) > 0 { // in chunks, so that a client that reads slowly does not exceed the write timeout
 			n, err := c.writeChunk(outbound[:min(len(outbound), writeChunkBytes)])
 			outbound = outbound[n:]
 			if err != nil {
@@ -51,7 +51,7 @@
 	}
 }
 
-// takeOutbound takes what is to be written; last: nothing comes after it.
+// takeOutbound takes the frames that are to be written. last is true if none will follow.
 func (c *Conn) takeOutbound() (outbound []byte, last bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +65,7 @@
 	return outbound, last
 }
 
-// writeChunk writes a chunk within the write timeout.
+// writeChunk writes a chunk within the write timeout, and returns the number of bytes written.
 func (c *Conn) writeChunk(chunk []byte) (int, error) {
 	if err := c.conn.SetWriteDeadline(time.Now().Add(c.server.limits.WriteTimeout)); err != nil {
 		return 0, err
--- a/internal/gateway/thrift/decode.go
+++ b/internal/gateway/thrift/decode.go
@@ -2,24 +2,24 @@
 
 import "encoding/binary"
 
-// Limits of what is decoded.
+// Limits of the decoder.
 const (
-	// maxDepth is how deep values may be nested that are skipped.
+	// maxDepth is the maximum nesting depth of skipped values.
 	maxDepth = 16
 
-	// maxEntries is the largest number of fields of a struct, and of entries of a map.
+	// maxEntries is the maximum number of fields of a struct, and of entries of a map.
 	maxEntries = 256
 )
 
-// Args are the fields of a struct by their ID, of the types that are supported.
+// Args holds the fields of a struct that have a supported type, by field ID.
 type Args struct {
 	StringMaps map[int16]map[string]string
-	Binaries   map[int16][]byte // share the frame's memory
+	Binaries   map[int16][]byte // slices of the frame, not copies
 	Ints       map[int16]int32
 	Bools      map[int16]bool
 }
 
-// ReadArgs parses a struct; after it nothing may come. Values of other types are skipped.
+// ReadArgs parses a struct, which must not be followed by other bytes. Fields of unsupported types are skipped.
 func ReadArgs(b []byte) (Args, error) {
 	r := reader{b: b}
 	args := Args{map[int16]map[string]string{}, map[int16][]byte{}, map[int16]int32{}, map[int16]bool{}}
@@ -51,13 +51,13 @@
 	return args, r.err
 }
 
-// reader takes values from the beginning of its bytes; the first error stands.
+// reader decodes values from the beginning of a byte slice. It keeps its first error; later reads return zero values.
 type reader struct {
 	b   []byte
 	err error
 }
 
-// take takes n bytes; nil: there are fewer.
+// take returns the next n bytes. It returns nil and sets an error if fewer are left.
 func (r *reader) take(n int) []byte {
 	if r.err == nil && (n < 0 || n > len(r.b)) {
 		r.err = malformedError("a value longer than its frame")
@@ -91,10 +91,10 @@
 	return 0
 }
 
-// bytes takes a binary or a string.
+// bytes reads a binary or a string.
 func (r *reader) bytes() []byte { return r.take(int(int32(r.u32()))) }
 
-// stringMap takes a map of strings; one with a key twice is malformed, as either value may be meant.
+// stringMap reads a map of strings. A map with a duplicate key is malformed, as either value may be the intended one.
 func (r *reader) stringMap() map[string]string {
 	keyType, valueType, n := r.u8(), r.u8(), int32(r.u32())
 	if r.err == nil && (n < 0 || n > maxEntries || n > 0 && (keyType != typeString || valueType != typeString)) {
@@ -115,7 +115,7 @@
 	return m
 }
 
-// skip takes a value of a type that is not supported.
+// skip reads a value and discards it. depth is the number of further levels of nesting that are allowed.
 func (r *reader) skip(kind byte, depth int) {
 	if depth == 0 && r.err == nil {
 		r.err = malformedError("nested too deep")
@@ -152,10 +152,10 @@
 	}
 }
 
-// skipElements takes a count, and as many elements that have a value of each of these types.
+// skipElements reads a count and discards that number of elements, each of which has one value of each given type.
 func (r *reader) skipElements(depth int, kinds ...byte) {
 	n := int32(r.u32())
-	if n < 0 || int(n) > len(r.b) { // every value has a byte at least
+	if n < 0 || int(n) > len(r.b) { // each value takes at least one byte
 		r.err = malformedError("a count longer than its frame")
 	}
 	for i := int32(0); i < n && r.err == nil; i++ {
--- a/internal/gateway/thrift/drain_test.go
+++ b/internal/gateway/thrift/drain_test.go
@@ -12,11 +12,11 @@
 	"lupinpond/internal/gateway/thrift"
 )
 
-// gatedListener accepts nothing until it is opened, as a process that stalls does, and wraps the connections.
+// gatedListener is a listener that accepts no connections until opened is closed, like one of a stalled process.
 type gatedListener struct {
 	*net.TCPListener
 	opened chan struct{}
-	wrap   func(net.Conn) net.Conn
+	wrap   func(net.Conn) net.Conn // wraps accepted connections; may be nil
 }
 
 func (l *gatedListener) Accept() (net.Conn, error) {
@@ -28,13 +28,13 @@
 	return conn, err
 }
 
-// drainingServer is a server whose calls come to the test, which drains it.
+// drainingServer is a server that passes its calls to the test and is drained by it.
 type drainingServer struct {
 	*thrift.Server
 	t        *testing.T
 	listener *gatedListener
-	calls    chan func() (*thrift.Conn, thrift.Message)
-	ended    chan error
+	calls    chan func() (*thrift.Conn, thrift.Message) // received calls
+	ended    chan error                                 // result of Run
 	stop     context.CancelFunc
 }
 
@@ -48,7 +48,7 @@
 		calls: make(chan func() (*thrift.Conn, thrift.Message), 100), ended: make(chan error, 1)}
 	d.Server = thrift.NewServer(d.listener, limits, func(c *thrift.Conn, m thrift.Message) {
 		if !c.BeginCall(m.SeqID, func() { t.Error("cancelled:", m.SeqID) }) {
-			t.Error("not begun:", m.SeqID)
+			t.Error("BeginCall rejected call", m.SeqID)
 			return
 		}
 		d.calls <- func() (*thrift.Conn, thrift.Message) { return c, m }
@@ -60,7 +60,7 @@
 	return d
 }
 
-// answerNext answers the next call.
+// answerNext waits for the next call and answers it.
 func (d *drainingServer) answerNext(text string) {
 	d.t.Helper()
 	select {
@@ -68,22 +68,22 @@
 		c, m := call()
 		c.Reply(m.SeqID, replyFrame(m.SeqID, text))
 	case <-time.After(20 * time.Second):
-		d.t.Fatal("no call came for", text)
+		d.t.Fatal("received no call within 20 s to answer with", text)
 	}
 }
 
-// expectLastReply reads an answer, and the end of the connection after it.
+// expectLastReply checks that the connection carries the answer to a call and is then closed.
 func expectLastReply(t *testing.T, conn net.Conn, seq int32) {
 	t.Helper()
 	if m := readReply(t, conn); m.SeqID != seq || m.Type != thrift.Reply {
-		t.Errorf("%+v instead of the answer to %d", m, seq)
+		t.Errorf("got %+v, want the answer to call %d", m, seq)
 	}
 	if _, err := io.Copy(io.Discard, conn); err != nil {
-		t.Error("instead of the end:", err)
+		t.Error("the connection was not closed after the answer:", err)
 	}
 }
 
-// What is in the listen backlog when the server begins to drain is accepted, read and answered.
+// A connection in the listen backlog when the server starts draining must be accepted, and its request answered.
 func TestDrainAcceptsListenQueue(t *testing.T) {
 	d := startDrainingServer(t, limits, nil)
 	conn := dial(t, d.listener.Addr().String())
@@ -97,17 +97,17 @@
 	}
 }
 
-// A request that has come in part when the server begins to drain is read to its end and answered; an open one is
-// answered, and one that follows it on its connection.
+// When the server starts draining, a request that has been received in part must be read completely and answered. An
+// open request must be answered, and so must one that follows it on the same connection.
 func TestDrainReadsPartialMessages(t *testing.T) {
 	d := startDrainingServer(t, limits, nil)
 	close(d.listener.opened)
-	half, open := dial(t, d.listener.Addr().String()), dial(t, d.listener.Addr().String())
-	write(t, half, callFrame(1, "a"))
+	partial, open := dial(t, d.listener.Addr().String()), dial(t, d.listener.Addr().String())
+	write(t, partial, callFrame(1, "a"))
 	d.answerNext("a")
-	readReply(t, half)
+	readReply(t, partial)
 	frame := callFrame(2, "b")
-	write(t, half, frame[:9])
+	write(t, partial, frame[:9])
 	write(t, open, callFrame(1, "c"))
 	c, m := (<-d.calls)()
 	d.Drain()
@@ -118,15 +118,15 @@
 	}
 	d.answerNext("d")
 	expectLastReply(t, open, 2)
-	write(t, half, frame[9:])
+	write(t, partial, frame[9:])
 	d.answerNext("b")
-	expectLastReply(t, half, 2)
+	expectLastReply(t, partial, 2)
 	if err := <-d.ended; err != nil {
 		t.Error(err)
 	}
 }
 
-// An answer that is being written when the server begins to drain is written to its end.
+// An answer that is being written when the server starts draining must be written completely.
 func TestDrainFinishesWrites(t *testing.T) {
 	large := limits
 	large.MaxFrameBytes = 32 << 20
@@ -134,7 +134,7 @@
 	close(d.listener.opened)
 	conn := dial(t, d.listener.Addr().String())
 	write(t, conn, callFrame(1, "a"))
-	d.answerNext(string(make([]byte, large.MaxFrameBytes/2))) // more than the sockets take while nobody reads
+	d.answerNext(string(make([]byte, large.MaxFrameBytes/2))) // more than the socket buffers hold
 	d.Drain()
 	expectLastReply(t, conn, 1)
 	if err := <-d.ended; err != nil {
@@ -142,7 +142,7 @@
 	}
 }
 
-// An idle connection ends as soon as the server begins to drain.
+// An idle connection must be closed as soon as the server starts draining.
 func TestDrainClosesIdleConnections(t *testing.T) {
 	d := startDrainingServer(t, limits, nil)
 	close(d.listener.opened)
@@ -158,39 +158,40 @@
 	}
 }
 
-// lateReader is a connection whose process stalls past the deadline of the second read: the time is up when it reads,
-// though a message is there.
-type lateReader struct {
+// stalledReader is a connection of a process that stalls until the deadline of the second read: the read times out
+// although a message has arrived.
+type stalledReader struct {
 	net.Conn
-	mu    sync.Mutex
-	until time.Time
-	reads int
+	mu       sync.Mutex
+	deadline time.Time
+	reads    int
 }
 
-func (c *lateReader) SetReadDeadline(t time.Time) error {
+func (c *stalledReader) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.until = t
+	c.deadline = t
 	return c.Conn.SetReadDeadline(t)
 }
 
-func (c *lateReader) Read(b []byte) (int, error) {
+func (c *stalledReader) Read(b []byte) (int, error) {
 	c.mu.Lock()
 	c.reads++
-	n, until := c.reads, c.until
+	n, deadline := c.reads, c.deadline
 	c.mu.Unlock()
 	if n != 2 {
 		return c.Conn.Read(b)
 	}
-	time.Sleep(time.Until(until))
+	time.Sleep(time.Until(deadline))
 	return 0, os.ErrDeadlineExceeded
 }
 
-// A request that came before a connection is closed as idle is read, however late its reader is.
+// A request that arrives before its connection is closed as idle must be answered, even if the process stalls and the
+// read of the request times out. Without the final read the request would be lost.
 func TestIdleTimeoutRacesWithRequest(t *testing.T) {
 	short := limits
-	short.IdleTimeout, short.FinalRead = 20*time.Millisecond, 10*time.Second
-	d := startDrainingServer(t, short, func(conn net.Conn) net.Conn { return &lateReader{Conn: conn} })
+	short.IdleTimeout, short.FinalReadTimeout = 20*time.Millisecond, 10*time.Second
+	d := startDrainingServer(t, short, func(conn net.Conn) net.Conn { return &stalledReader{Conn: conn} })
 	close(d.listener.opened)
 	conn := dial(t, d.listener.Addr().String())
 	write(t, conn, callFrame(1, "a"))
@@ -207,35 +208,35 @@
 	}
 }
 
-// A connection of which a message is being read is not evicted for a new one while another is idle, though that one was
-// used later.
+// A connection on which a message is being read must not be evicted for a new one if another connection is idle, even
+// if the idle one was used later.
 func TestIdleConnectionIsEvictedBeforeReadingOne(t *testing.T) {
 	few := limits
 	few.MaxConns = 2
 	d := startDrainingServer(t, few, nil)
 	close(d.listener.opened)
-	reading := func(n int) {
+	awaitReadingConns := func(n int) {
 		for d.ReadingConns() != n {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	half := dial(t, d.listener.Addr().String())
-	write(t, half, callFrame(1, "a"))
+	partial := dial(t, d.listener.Addr().String())
+	write(t, partial, callFrame(1, "a"))
 	d.answerNext("a")
-	readReply(t, half)
+	readReply(t, partial)
 	frame := callFrame(2, "b")
-	write(t, half, frame[:9])
-	reading(1)
+	write(t, partial, frame[:9])
+	awaitReadingConns(1)
 	idle := dial(t, d.listener.Addr().String())
 	write(t, idle, callFrame(1, "c"))
 	d.answerNext("c")
 	readReply(t, idle)
-	reading(1)
+	awaitReadingConns(1)
 	last := dial(t, d.listener.Addr().String())
 	expectClosed(t, idle)
-	write(t, half, frame[9:])
+	write(t, partial, frame[9:])
 	d.answerNext("b")
-	if m := readReply(t, half); m.SeqID != 2 {
+	if m := readReply(t, partial); m.SeqID != 2 {
 		t.Error(m)
 	}
 	last.Close()
--- a/internal/gateway/thrift/encode.go
+++ b/internal/gateway/thrift/encode.go
@@ -2,21 +2,21 @@
 
 import "encoding/binary"
 
-// Writer builds one frame with a message in it.
+// Writer encodes one message as a frame.
 type Writer struct{ b []byte }
 
 // Sizes of a frame.
 const (
-	// frameHeadBytes is the size of the length before a message.
-	frameHeadBytes = 4
+	// frameHeaderBytes is the size of the length field before a message.
+	frameHeaderBytes = 4
 
-	// frameCapacity is the capacity that a frame is made with.
+	// frameCapacity is the initial capacity of a frame's buffer.
 	frameCapacity = 128
 )
 
-// NewWriter begins a frame.
+// NewWriter returns a Writer that has written the header of a message.
 func NewWriter(name string, messageType MessageType, seqID int32) *Writer {
-	w := &Writer{b: make([]byte, frameHeadBytes, frameCapacity)}
+	w := &Writer{b: make([]byte, frameHeaderBytes, frameCapacity)}
 	w.appendU32(version | uint32(messageType))
 	w.appendString(name)
 	w.appendU32(uint32(seqID))
@@ -35,20 +35,20 @@
 	w.b = binary.BigEndian.AppendUint16(w.b, uint16(id))
 }
 
-// Struct begins a struct in a field; End ends it.
+// Struct begins a field of a struct type. End ends the struct.
 func (w *Writer) Struct(id int16) { w.appendField(typeStruct, id) }
 
-// End ends a struct.
+// End ends the innermost open struct.
 func (w *Writer) End() { w.b = append(w.b, typeStop) }
 
-// Binary writes a field of bytes.
+// Binary writes a field of type binary.
 func (w *Writer) Binary(id int16, v []byte) {
 	w.appendField(typeString, id)
 	w.appendU32(uint32(len(v)))
 	w.b = append(w.b, v...)
 }
 
-// Bool writes a flag.
+// Bool writes a field of type bool.
 func (w *Writer) Bool(id int16, v bool) {
 	w.appendField(typeBool, id)
 	if v {
@@ -58,13 +58,13 @@
 	}
 }
 
-// I32 writes an integer.
+// I32 writes a field of type i32.
 func (w *Writer) I32(id int16, v int32) {
 	w.appendField(typeI32, id)
 	w.appendU32(uint32(v))
 }
 
-// StringMap writes a map of strings, given as keys and values in turns.
+// StringMap writes a field that is a map of strings. Its pairs are alternating keys and values.
 func (w *Writer) StringMap(id int16, pairs ...string) {
 	w.appendField(typeMap, id)
 	w.b = append(w.b, typeString, typeString)
@@ -77,11 +77,11 @@
 // Frame ends the outermost struct and returns the complete frame.
 func (w *Writer) Frame() []byte {
 	w.End()
-	binary.BigEndian.PutUint32(w.b, uint32(len(w.b)-frameHeadBytes))
+	binary.BigEndian.PutUint32(w.b, uint32(len(w.b)-frameHeaderBytes))
 	return w.b
 }
 
-// EncodeException is the frame of an application exception.
+// EncodeException returns the frame of an application exception.
 func EncodeException(name string, seqID int32, code ExceptionCode, reason string) []byte {
 	w := NewWriter(name, Exception, seqID)
 	w.Binary(1, []byte(reason))
--- a/internal/gateway/thrift/eviction.go
+++ b/internal/gateway/thrift/eviction.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// Eviction: past Limits.MaxConns, idle connections end for new ones.
+// Eviction: once there are Limits.MaxConns connections, idle ones are closed to make room for new ones.
 const (
-	// capacityWait is how long a new connection waits for a place, and those behind it in the listen backlog.
+	// capacityWait is how long a new connection waits for capacity. The connections behind it in the listen backlog
+	// wait as long.
 	capacityWait = 500 * time.Millisecond
 
-	// maxEvictionAttempts is the number of connections that are asked to end for one place.
+	// maxEvictionAttempts is the maximum number of connections that are asked to close for one new connection.
 	maxEvictionAttempts = 3
 
-	// evictionTimeout is how long each of them may take.
+	// evictionTimeout is how long a connection that is asked to close may take.
 	evictionTimeout = 50 * time.Millisecond
 )
 
-// awaitCapacity waits until there is a place for one more connection; false: there is none in time. Where something
-// is owed on all, a new one waits rather than be closed with a request that its client may have sent.
+// awaitCapacity waits until the server can serve one more connection, and reports whether that was in time. If no
+// connection is idle, a new one waits, as its client may have sent a request that would be lost if it were closed.
 func (s *Server) awaitCapacity(ctx context.Context) bool {
 	for deadline := time.Now().Add(capacityWait); s.Connections() >= s.limits.MaxConns && !s.evictIdle(); {
 		if ctx.Err() != nil || time.Now().After(deadline) {
@@ -29,8 +30,8 @@
 	return true
 }
 
-// evictIdle ends one connection on which nothing is owed. It ends by itself, once it has looked whether a request has
-// come.
+// evictIdle evicts one idle connection and reports whether it has been closed. The reader of the connection closes it,
+// after a check that no request has arrived.
 func (s *Server) evictIdle() bool {
 	for range maxEvictionAttempts {
 		candidate := s.evictionCandidate()
@@ -49,8 +50,8 @@
 	return false
 }
 
-// evictionCandidate is the connection that has been idle longest. Those that have never sent a request go first, and
-// those that have sent a part of a message last.
+// evictionCandidate returns the connection that has been idle longest, or nil if none can be evicted. Connections that
+// have never sent a request are evicted first, and those that have sent a part of a message last.
 func (s *Server) evictionCandidate() (candidate *Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,7 +66,8 @@
 	return candidate
 }
 
-// evictionRank ranks a connection by the time of its last activity, the earliest to be evicted first.
+// evictionRank returns the time of the last activity of a connection, adjusted for its state, and whether it can be
+// evicted. The connection with the earliest rank is evicted first.
 func (c *Conn) evictionRank(now time.Time) (rank time.Time, evictable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,7 +76,7 @@
 	if !c.hasRequested {
 		rank = rank.Add(-limits.IdleTimeout)
 	}
-	if !c.awaitingMessage { // a message is being read
+	if !c.awaitingMessage { // a message is being read or handled
 		rank = rank.Add(2 * limits.IdleTimeout)
 		if now.Sub(c.messageBegan) < limits.MessageTimeout/2 {
 			return rank, false
@@ -83,7 +85,8 @@
 	return rank, c.isIdle() && !c.disconnected && !c.closing && !c.evicting
 }
 
-// requestEviction asks a connection on which nothing is owed to end, if no request has come on it; false: it must not.
+// requestEviction asks an idle connection to close itself, which it does if no request has arrived. It returns false if
+// the connection is not idle or is already closing.
 func (c *Conn) requestEviction() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,6 +94,6 @@
 		return false
 	}
 	c.evicting = true
-	_ = c.conn.SetReadDeadline(time.Now()) // a closed one has its error already
+	_ = c.conn.SetReadDeadline(time.Now()) // fails only on a closed connection, whose reader gets an error anyway
 	return true
 }
--- a/internal/gateway/thrift/eviction_test.go
+++ b/internal/gateway/thrift/eviction_test.go
@@ -13,7 +13,7 @@
 	"lupinpond/internal/gateway/thrift"
 )
 
-// blockedWriter is a connection whose writes wait until they are released, as with a client that does not read.
+// blockedWriter is a connection whose writes block until release is closed, like those to a client that does not read.
 type blockedWriter struct {
 	net.Conn
 	release chan struct{}
@@ -24,7 +24,7 @@
 	return c.Conn.Write(b)
 }
 
-// A connection whose answer is not written yet is not evicted for a new one: the answer would never arrive.
+// A connection whose answer is not completely written must not be evicted for a new one, as the answer would be lost.
 func TestUnwrittenAnswerPreventsEviction(t *testing.T) {
 	single := limits
 	single.MaxConns = 1
@@ -45,10 +45,10 @@
 	if err := other.SetReadDeadline(time.Now().Add(100 * time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
-	_, _ = other.Read(make([]byte, 1)) // it is closed by now, or waits for a place
+	_, _ = other.Read(make([]byte, 1)) // by then the new connection is closed or waits for capacity
 	close(release)
 	if m := readReply(t, conn); m.SeqID != 1 {
-		t.Errorf("%+v instead of the answer", m)
+		t.Errorf("got %+v, want the answer to call 1", m)
 	}
 	d.stop()
 	if err := <-d.ended; err != nil {
@@ -56,10 +56,11 @@
 	}
 }
 
-// blockedReader is a connection whose first read blocks until it is released, as in a process without a processor.
+// blockedReader is a connection whose first read blocks until release is closed, like one of a process that is not
+// scheduled.
 type blockedReader struct {
 	net.Conn
-	blocked chan struct{} // closed when it blocks
+	blocked chan struct{} // closed when the first read blocks
 	release chan struct{}
 	reads   atomic.Int32
 }
@@ -72,12 +73,12 @@
 	return c.Conn.Read(b)
 }
 
-// SyscallConn is that of the connection itself.
+// SyscallConn returns the raw connection of the wrapped connection.
 func (c *blockedReader) SyscallConn() (syscall.RawConn, error) {
 	return c.Conn.(syscall.Conn).SyscallConn()
 }
 
-// A request that has come, but is not read yet when its connection is to be evicted, is read and answered.
+// A request that has arrived, but is not read when its connection is chosen for eviction, must be read and answered.
 func TestEvictionReadsPendingRequest(t *testing.T) {
 	single := limits
 	single.MaxConns = 1
@@ -94,11 +95,11 @@
 	conn := dial(t, d.listener.Addr().String())
 	<-blocked
 	write(t, conn, callFrame(1, "a"))
-	expectClosed(t, dial(t, d.listener.Addr().String())) // the first one is to be evicted, and has not looked yet
+	expectClosed(t, dial(t, d.listener.Addr().String())) // the first one was asked to close; its reader still blocks
 	close(release)
 	d.answerNext("a")
 	if m := readReply(t, conn); m.SeqID != 1 {
-		t.Errorf("%+v instead of the answer", m)
+		t.Errorf("got %+v, want the answer to call 1", m)
 	}
 	d.stop()
 	if err := <-d.ended; err != nil {
@@ -106,10 +107,10 @@
 	}
 }
 
-// scriptedListener is a listener for which a test chooses the result of each Accept: an error, or nil to accept.
+// scriptedListener is a listener for which the test chooses the result of each Accept.
 type scriptedListener struct {
 	net.Listener
-	next chan error
+	next chan error // result of the next Accept: an error, or nil to accept a connection
 }
 
 func (l *scriptedListener) Accept() (net.Conn, error) {
@@ -119,12 +120,12 @@
 	return l.Listener.Accept()
 }
 
-// Errors of Accept for which no connection of the server is to blame cost no client its connection; where the process
-// is short of descriptors, an idle one is evicted.
+// An error of Accept must cause an eviction only if the process is short of descriptors, as an eviction helps only
+// then. After any other error all clients must keep their connections.
 func TestAcceptErrors(t *testing.T) {
 	for _, c := range []struct {
-		err  syscall.Errno
-		left int // connections, of two
+		err       syscall.Errno
+		wantConns int // number of connections that are left of two
 	}{
 		{syscall.ENFILE, 2},
 		{syscall.ENOBUFS, 2},
@@ -149,9 +150,9 @@
 		listener.next <- c.err
 		listener.next <- nil // the error has been handled
 		dial(t, inner.Addr().String())
-		listener.next <- nil // and that connection is served
-		if n := s.Connections(); n != c.left+1 {
-			t.Errorf("%v: %d connections are left, want %d", c.err, n, c.left+1)
+		listener.next <- nil // the connection is served
+		if n := s.Connections(); n != c.wantConns+1 {
+			t.Errorf("%v: %d connections are left, want %d", c.err, n, c.wantConns+1)
 		}
 		stop()
 		close(listener.next)
@@ -161,7 +162,8 @@
 	}
 }
 
-// A client that stops in the middle of a message gets the answers to its requests before; then the connection ends.
+// A client that sends only a part of a message must get the answers to its earlier requests before the connection is
+// closed.
 func TestPartialMessageBesideOpenCalls(t *testing.T) {
 	short := limits
 	short.MessageTimeout = 50 * time.Millisecond
@@ -180,11 +182,11 @@
 	}
 }
 
-// A client that reads slowly loses neither its answer nor a request that comes while the answer is written: the
-// connection does not end as idle meanwhile.
+// A connection must not be closed as idle while an answer is being written to a client that reads slowly: the client
+// would lose the answer, and a request that it sends in the meantime.
 func TestIdleTimeoutWaitsForSlowReader(t *testing.T) {
 	short := limits
-	short.IdleTimeout, short.FinalRead = 20*time.Millisecond, time.Millisecond
+	short.IdleTimeout, short.FinalReadTimeout = 20*time.Millisecond, time.Millisecond
 	release := make(chan struct{})
 	d := startDrainingServer(t, short, func(conn net.Conn) net.Conn { return &blockedWriter{conn, release} })
 	close(d.listener.opened)
@@ -206,11 +208,11 @@
 	}
 }
 
-// slowWriter is a connection that writes a little at a time, as to a client that reads slowly.
+// slowWriter is a connection that writes 8 KiB at a time, with a pause before each, like to a client that reads slowly.
 type slowWriter struct {
 	net.Conn
 	pause    time.Duration
-	deadline time.Time
+	deadline time.Time // write deadline, which slowWriter itself enforces
 }
 
 func (c *slowWriter) SetWriteDeadline(t time.Time) error {
@@ -232,7 +234,8 @@
 	return n, nil
 }
 
-// A client that reads slowly, but reads, gets all its answers.
+// A client that reads slowly must get all its answers. This guards against a write timeout that covers all enqueued
+// answers instead of a chunk of them.
 func TestSlowReaderReceivesAnswers(t *testing.T) {
 	slow := limits
 	slow.WriteTimeout, slow.MaxOpenCalls, slow.MaxFrameBytes = 200*time.Millisecond, 32, 16<<10
@@ -242,7 +245,7 @@
 	close(d.listener.opened)
 	conn := dial(t, d.listener.Addr().String())
 	text := strings.Repeat("x", 8<<10)
-	const calls = 30 // take 0.6 s
+	const calls = 30 // whose answers take 0.6 s to write, longer than the write timeout
 	for seq := range int32(calls) {
 		write(t, conn, callFrame(seq+1, "a"))
 	}
@@ -251,7 +254,7 @@
 	}
 	for seq := range int32(calls) {
 		if m := readReply(t, conn); m.SeqID != seq+1 {
-			t.Fatal(m.SeqID, "instead of", seq+1)
+			t.Fatal(m.SeqID, "is the answered call, want", seq+1)
 		}
 	}
 	d.stop()
@@ -260,7 +263,7 @@
 	}
 }
 
-// A connection that comes while something is owed on all others waits for a place.
+// A connection that is accepted while no other one is idle must wait for capacity instead of being closed.
 func TestNewConnectionWaitsForCapacity(t *testing.T) {
 	single := limits
 	single.MaxConns = 1
--- a/internal/gateway/thrift/export_test.go
+++ b/internal/gateway/thrift/export_test.go
@@ -1,6 +1,6 @@
 package thrift
 
-// ReadingConns is the number of connections of which a message is being read or handled.
+// ReadingConns returns the number of connections on which a message is being read or handled.
 func (s *Server) ReadingConns() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/thrift/golden_test.go
+++ b/internal/gateway/thrift/golden_test.go
@@ -12,22 +12,26 @@
 	"lupinpond/internal/gateway/thrift"
 )
 
-// goldenDispatch is a framed request in the strict binary protocol: dispatch, number 7, {1: {"id": "a1"}, 2: "body"}.
+// goldenDispatch is a framed call in the strict binary protocol: method dispatch, sequence ID 7, arguments
+// {1: {"id": "a1"}, 2: "body"}.
 const goldenDispatch = "\x00\x00\x00\x35" + "\x80\x01\x00\x01" + "\x00\x00\x00\x08dispatch" + "\x00\x00\x00\x07" +
-	"\x0d\x00\x01\x0b\x0b\x00\x00\x00\x01" + "\x00\x00\x00\x02id" + "\x00\x00\x00\x02a1" + "\x0b\x00\x02\x00\x00\x00\x04body" + "\x00"
+	"\x0d\x00\x01\x0b\x0b\x00\x00\x00\x01" + "\x00\x00\x00\x02id" + "\x00\x00\x00\x02a1" +
+	"\x0b\x00\x02\x00\x00\x00\x04body" + "\x00"
 
-// goldenResult, goldenDeclaredException and goldenException are the forms of answers: a result struct in field 0, an
-// exception struct in field 1, an application exception.
+// goldenResult, goldenDeclaredException and goldenException are the three kinds of answers: a result struct in field 0,
+// an exception struct in field 1, and an application exception.
 const (
 	goldenResult = "\x00\x00\x00\x31" + "\x80\x01\x00\x02" + "\x00\x00\x00\x08dispatch" + "\x00\x00\x00\x07" +
-		"\x0c\x00\x00" + "\x0b\x00\x01\x00\x00\x00\x04done" + "\x0d\x00\x02\x0b\x0b\x00\x00\x00\x00" + "\x02\x00\x03\x01" + "\x00" + "\x00"
+		"\x0c\x00\x00" + "\x0b\x00\x01\x00\x00\x00\x04done" + "\x0d\x00\x02\x0b\x0b\x00\x00\x00\x00" +
+		"\x02\x00\x03\x01" + "\x00" + "\x00"
 	goldenDeclaredException = "\x00\x00\x00\x31" + "\x80\x01\x00\x02" + "\x00\x00\x00\x08dispatch" + "\x00\x00\x00\x07" +
-		"\x0c\x00\x01" + "\x0d\x00\x01\x0b\x0b\x00\x00\x00\x01" + "\x00\x00\x00\x05after" + "\x00\x00\x00\x0212" + "\x00" + "\x00"
+		"\x0c\x00\x01" + "\x0d\x00\x01\x0b\x0b\x00\x00\x00\x01" + "\x00\x00\x00\x05after" +
+		"\x00\x00\x00\x0212" + "\x00" + "\x00"
 	goldenException = "\x00\x00\x00\x26" + "\x80\x01\x00\x03" + "\x00\x00\x00\x08dispatch" + "\x00\x00\x00\x07" +
 		"\x0b\x00\x01\x00\x00\x00\x03why" + "\x08\x00\x02\x00\x00\x00\x04" + "\x00"
 )
 
-// texts makes binaries readable in messages.
+// texts converts binaries to strings, for readable failure messages.
 func texts(bins map[int16][]byte) map[int16]string {
 	m := map[int16]string{}
 	for id, b := range bins {
@@ -36,7 +40,7 @@
 	return m
 }
 
-// The writer gives exactly the golden bytes, for each type of value and kind of message.
+// The writer must produce exactly the golden bytes for each type of value and each type of message.
 func TestGoldenFrames(t *testing.T) {
 	request := thrift.NewWriter("dispatch", thrift.Call, 7)
 	request.StringMap(1, "id", "a1")
@@ -61,9 +65,10 @@
 	}{
 		{"request", request.Frame(), goldenDispatch},
 		{"result", result.Frame(), goldenResult},
-		{"exception of the service", declared.Frame(), goldenDeclaredException},
+		{"declared exception", declared.Frame(), goldenDeclaredException},
 		{"application exception", thrift.EncodeException("dispatch", 7, thrift.BadSequenceID, "why"), goldenException},
-		{"oneway", oneway.Frame(), "\x00\x00\x00\x25" + "\x80\x01\x00\x04" + "\x00\x00\x00\x0dcancelRequest" + "\xff\xff\xff\xfe" +
+		{"oneway", oneway.Frame(), "\x00\x00\x00\x25" + "\x80\x01\x00\x04" + "\x00\x00\x00\x0dcancelRequest" +
+			"\xff\xff\xff\xfe" +
 			"\x08\x00\x01\x00\x00\x00\x07" + "\x02\x00\x02\x00" + "\x00"},
 	} {
 		if string(c.got) != c.want {
@@ -76,7 +81,7 @@
 	}
 }
 
-// Golden requests and answers decode to these values.
+// The golden requests and answers must be decoded to the expected values.
 func TestGoldenDecoding(t *testing.T) {
 	m, err := thrift.Parse([]byte(goldenDispatch[4:]))
 	got := fmt.Sprintf("%s %d %d %v", m.Name, m.Type, m.SeqID, err)
@@ -88,8 +93,9 @@
 	if want := `map[1:map[id:a1]] map[2:body] map[] map[] <nil>`; got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
-	// a double, a list and a struct are skipped; an i32 and a bool are kept
-	a, err = thrift.ReadArgs([]byte("\x04\x00\x09\x00\x00\x00\x00\x00\x00\x00\x00" + "\x0f\x00\x08\x08\x00\x00\x00\x01\x00\x00\x00\x05" +
+	// The double, the list and the struct are skipped; the i32 and the bool are kept.
+	a, err = thrift.ReadArgs([]byte("\x04\x00\x09\x00\x00\x00\x00\x00\x00\x00\x00" +
+		"\x0f\x00\x08\x08\x00\x00\x00\x01\x00\x00\x00\x05" +
 		"\x0c\x00\x07\x03\x00\x01\x05\x00" + "\x08\x00\x01\xff\xff\xff\xfe" + "\x02\x00\x03\x01" + "\x00"))
 	got = fmt.Sprintf("%v %v %v %v %v", a.StringMaps, texts(a.Binaries), a.Ints, a.Bools, err)
 	if want := "map[] map[] map[1:-2] map[3:true] <nil>"; got != want {
@@ -112,21 +118,21 @@
 	}
 }
 
-// The server passes on golden requests and writes golden answers; to bytes that are no message it writes one
-// application exception and closes the connection.
+// The server must read golden requests and write golden answers. It must answer bytes that are not a message with one
+// application exception and close the connection.
 func TestGoldenServer(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := thrift.NewServer(listener, thrift.Limits{
-		MaxFrameBytes:  1 << 10,
-		MaxOpenCalls:   4,
-		MaxConns:       4,
-		MessageTimeout: 20 * time.Second,
-		IdleTimeout:    20 * time.Second,
-		WriteTimeout:   20 * time.Second,
-		FinalRead:      time.Second,
+		MaxFrameBytes:    1 << 10,
+		MaxOpenCalls:     4,
+		MaxConns:         4,
+		MessageTimeout:   20 * time.Second,
+		IdleTimeout:      20 * time.Second,
+		WriteTimeout:     20 * time.Second,
+		FinalReadTimeout: time.Second,
 	}, func(c *thrift.Conn, m thrift.Message) {
 		c.BeginCall(m.SeqID, func() {})
 		c.Reply(m.SeqID, []byte(goldenResult))
--- a/internal/gateway/thrift/message.go
+++ b/internal/gateway/thrift/message.go
@@ -1,7 +1,7 @@
-// Package thrift implements the strict binary protocol of Apache Thrift over framed transport, as much of it as a
-// server without generated code needs: messages, maps of strings, binaries, integers and flags. The codec does no
-// I/O; its input is not trusted, so that it allocates nothing by a length before the bytes are there. The package
-// knows no service.
+// Package thrift implements the strict binary protocol of Apache Thrift over the framed transport, limited to what a
+// server without generated code needs: messages, maps of strings, binaries, integers and booleans. The codec does no
+// I/O. Its input is not trusted: it does not allocate memory for a length before it has received that many bytes. The
+// package is independent of any service.
 package thrift
 
 import (
@@ -55,20 +55,20 @@
 	versionMask = 0xffffff00
 )
 
-// ErrMalformed says that bytes are no valid message.
+// ErrMalformed is the error for bytes that are not a valid message.
 var ErrMalformed = errors.New("thrift: malformed")
 
 func malformedError(what string) error { return fmt.Errorf("%w: %s", ErrMalformed, what) }
 
-// Message is a message. Args is the struct that follows its head.
+// Message is a message with a decoded header.
 type Message struct {
 	Name  string
 	Type  MessageType
 	SeqID int32
-	Args  []byte
+	Args  []byte // encoded struct that follows the header
 }
 
-// Parse parses the head of a message.
+// Parse parses the header of a message.
 func Parse(frame []byte) (Message, error) {
 	r := reader{b: frame}
 	head := r.u32()
@@ -83,7 +83,7 @@
 	return message, r.err
 }
 
-// ReadMessage reads one framed message, as a client does; a frame longer than maxBytes is malformed.
+// ReadMessage reads one framed message. It is for clients. A frame longer than maxBytes is malformed.
 func ReadMessage(from io.Reader, maxBytes uint32) (Message, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(from, head[:]); err != nil {
@@ -91,7 +91,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n > maxBytes {
-		return Message{}, malformedError("a frame of that length")
+		return Message{}, malformedError("frame length is above the limit")
 	}
 	frame := make([]byte, n)
 	if _, err := io.ReadFull(from, frame); err != nil {
@@ -100,15 +100,15 @@
 	return Parse(frame)
 }
 
-// resultHeadBytes is the size of what comes before the struct in the result of a call: its type and its field ID.
-const resultHeadBytes = 3
+// resultHeaderBytes is the size of the type and the field ID that precede the struct in the result of a call.
+const resultHeaderBytes = 3
 
-// Result parses the result of a call: the ID of the one field that it has, and the struct in it. An application
-// exception is no result, and malformed.
+// Result parses the result of a call. It returns the ID of its only field and the fields of the struct in that field.
+// An application exception has no result, so it is malformed.
 func (m Message) Result() (field int, args Args, err error) {
-	if m.Type != Reply || len(m.Args) <= resultHeadBytes {
+	if m.Type != Reply || len(m.Args) <= resultHeaderBytes {
 		return 0, Args{}, malformedError("no result")
 	}
-	args, err = ReadArgs(m.Args[resultHeadBytes : len(m.Args)-1])
+	args, err = ReadArgs(m.Args[resultHeaderBytes : len(m.Args)-1])
 	return int(binary.BigEndian.Uint16(m.Args[1:])), args, err
 }
--- a/internal/gateway/thrift/peek.go
+++ b/internal/gateway/thrift/peek.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// peekConn is a connection that can be read from without waiting.
+// peekConn is a connection with a read that does not block.
 type peekConn struct {
 	net.Conn
-	peeked []byte
+	peeked []byte // data that peek has read from the connection and Read has not returned yet
 }
 
-// Read reads what peek has read first.
+// Read returns the data that peek has read, then reads from the connection.
 func (p *peekConn) Read(b []byte) (int, error) {
 	if len(p.peeked) > 0 {
 		n := copy(b, p.peeked)
@@ -22,8 +22,8 @@
 	return p.Conn.Read(b)
 }
 
-// peek reports whether something can be read now, though the time for reading may be up; false also where the system
-// does not say.
+// peek reads the data that has been received, without blocking, and reports whether there is any. It ignores the read
+// deadline, and clears it. It returns false if the connection does not support such a read.
 func (p *peekConn) peek() bool {
 	raw, ok := p.Conn.(syscall.Conn)
 	if !ok || p.SetReadDeadline(time.Time{}) != nil {
--- a/internal/gateway/thrift/server.go
+++ b/internal/gateway/thrift/server.go
@@ -13,31 +13,31 @@
 
 // Limits protect a server from its clients.
 type Limits struct {
-	// MaxFrameBytes is the longest message.
+	// MaxFrameBytes is the maximum size of a message.
 	MaxFrameBytes int
 
-	// MaxOpenCalls is the number of calls at a time on a connection.
+	// MaxOpenCalls is the maximum number of open calls on a connection.
 	MaxOpenCalls int
 
-	// MaxConns is the number of connections, past which idle ones are evicted for new ones.
+	// MaxConns is the maximum number of connections. Once it is reached, idle connections are evicted for new ones.
 	MaxConns int
 
-	// MessageTimeout is the longest time from the connection to its first complete message, and from the first byte of a
-	// message to its last.
+	// MessageTimeout is the maximum time from the start of a connection to its first complete message, and from the
+	// first byte of a message to its last.
 	MessageTimeout time.Duration
 
 	// IdleTimeout is how long a connection stays open without a call.
 	IdleTimeout time.Duration
 
-	// WriteTimeout is the longest time for writing 16 KiB; a client that does not read is disconnected.
+	// WriteTimeout is the maximum time for writing 16 KiB. A client that reads more slowly is disconnected.
 	WriteTimeout time.Duration
 
-	// FinalRead is how long a connection is read from before it ends as idle: what came while the process stalled is read
-	// within that.
-	FinalRead time.Duration
+	// FinalReadTimeout is how long an idle connection is read from before it is closed, to receive a request that
+	// arrived while the process was stalled.
+	FinalReadTimeout time.Duration
 }
 
-// Pauses between two tries to accept, where the system is short of resources.
+// Backoff between two calls of Accept when the system is short of resources.
 const (
 	minAcceptBackoff = time.Millisecond
 	maxAcceptBackoff = 50 * time.Millisecond
@@ -45,25 +45,26 @@
 
 // Server serves the connections of one listener.
 type Server struct {
-	listener  net.Listener
-	limits    Limits
-	handle    func(*Conn, Message)
-	onClose   func(CloseEvent)
-	openCalls atomic.Int64 // on all connections
-	draining  atomic.Bool
-	ending    atomic.Bool // connections end without waiting for another request
+	listener      net.Listener
+	limits        Limits
+	handle        func(*Conn, Message)
+	onClose       func(CloseEvent)
+	openCalls     atomic.Int64 // number of open calls on all connections
+	draining      atomic.Bool
+	closeWhenIdle atomic.Bool // see CloseWhenIdle
 
 	mu      sync.Mutex
 	conns   map[*Conn]bool
 	running sync.WaitGroup // goroutines of connections
 }
 
-// NewServer makes a server. It calls handle for every message of a connection in turn; handle must not block.
+// NewServer returns a server, which calls handle for each message of a connection, one after the other. handle must not
+// block.
 func NewServer(listener net.Listener, limits Limits, handle func(*Conn, Message)) *Server {
 	return &Server{listener: listener, limits: limits, handle: handle, conns: map[*Conn]bool{}}
 }
 
-// OnClose has the server call notify at the end of every connection. It is to be called before Run; notify must not
+// OnClose makes the server call notify when a connection is closed. It must be called before Run. notify must not
 // block.
 func (s *Server) OnClose(notify func(CloseEvent)) { s.onClose = notify }
 
@@ -73,18 +74,18 @@
 	}
 }
 
-// OpenCalls is the number of calls without an answer.
+// OpenCalls returns the number of calls without an answer.
 func (s *Server) OpenCalls() int64 { return s.openCalls.Load() }
 
-// Connections is the number of connections.
+// Connections returns the number of connections.
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Run serves until ctx ends; then it closes the listener and every connection. After Drain it ends when all is
-// answered.
+// Run serves connections until ctx ends; then it closes the listener and all connections. After Drain it also returns
+// once all requests are answered.
 func (s *Server) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
 		s.listener.Close()
@@ -93,7 +94,7 @@
 	defer stop()
 	defer s.running.Wait()
 	defer s.listener.Close()
-	backlogEmpty := false // while it drains: the last Accept has timed out
+	backlogEmpty := false // the server is draining and the last Accept timed out
 	backoff := minAcceptBackoff
 	for {
 		conn, err := s.listener.Accept()
@@ -109,9 +110,9 @@
 			s.shortenAccept()
 		}
 		switch {
-		case timedOut: // perhaps its time was up before Accept was called, and a connection waits: it is called once more
+		case timedOut: // accept again: a connection may wait, if the deadline had passed before Accept was called
 		case err != nil:
-			// A connection of this server is to blame only where the process is short of descriptors.
+			// Evicting a connection of this server helps only if the process is short of descriptors.
 			if !errors.Is(err, syscall.EMFILE) || !s.evictIdle() {
 				time.Sleep(backoff)
 				backoff = min(2*backoff, maxAcceptBackoff)
@@ -123,7 +124,7 @@
 	}
 }
 
-// serveConn serves an accepted connection, if there is a place for it.
+// serveConn serves an accepted connection, or closes it if there is no capacity for it.
 func (s *Server) serveConn(ctx context.Context, conn net.Conn) {
 	if !s.awaitCapacity(ctx) {
 		conn.Close()
@@ -134,7 +135,7 @@
 	s.mu.Lock()
 	s.conns[c] = true
 	s.mu.Unlock()
-	if ctx.Err() != nil { // closeAll may not have seen it
+	if ctx.Err() != nil { // closeAll may have run before the connection was added
 		conn.Close()
 	}
 	s.running.Add(2)
@@ -142,18 +143,19 @@
 	go c.writeLoop()
 }
 
-// Drain makes Run return by itself: the connections in the listen backlog are accepted, requests that have come are
-// read and answered, and each connection ends once it is idle. No request that was read is left unanswered.
+// Drain makes Run return once all work is done: the connections in the listen backlog are accepted, requests that have
+// arrived are read and answered, and each connection is closed once it is idle. No request that was read is left
+// unanswered.
 func (s *Server) Drain() {
 	s.draining.Store(true)
 	s.wakeReaders()
 	s.shortenAccept()
 }
 
-// EndConnections has each connection of a server that drains end at the first moment at which nothing is owed on it and
-// nothing unread has come, however busy its client keeps it.
-func (s *Server) EndConnections() {
-	s.ending.Store(true)
+// CloseWhenIdle makes each connection of a draining server close as soon as it is idle and no unread data has arrived,
+// without a wait for further requests. This also closes connections whose clients send continuously.
+func (s *Server) CloseWhenIdle() {
+	s.closeWhenIdle.Store(true)
 	s.wakeReaders()
 }
 
@@ -167,10 +169,10 @@
 	}
 }
 
-// shortenAccept lets Accept wait no longer than Limits.FinalRead for one more connection.
+// shortenAccept limits the time that Accept waits for another connection to Limits.FinalReadTimeout.
 func (s *Server) shortenAccept() {
 	listener, ok := s.listener.(interface{ SetDeadline(time.Time) error })
-	if !ok || listener.SetDeadline(time.Now().Add(s.limits.FinalRead)) != nil {
+	if !ok || listener.SetDeadline(time.Now().Add(s.limits.FinalReadTimeout)) != nil {
 		s.listener.Close()
 	}
 }
@@ -181,7 +183,7 @@
 	delete(s.conns, c)
 }
 
-// closeAll closes every connection at once.
+// closeAll closes all connections immediately.
 func (s *Server) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/thrift/thrift_test.go
+++ b/internal/gateway/thrift/thrift_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// callFrame is the frame of a call with a map and a binary.
+// callFrame returns the frame of a call with a map and a binary.
 func callFrame(seq int32, id string) []byte {
 	w := thrift.NewWriter("ask", thrift.Call, seq)
 	w.StringMap(1, "id", id)
@@ -31,11 +31,11 @@
 	return w.Frame()
 }
 
-// What Writer writes, Parse and ReadArgs read.
+// Parse and ReadArgs must decode the message that a Writer has encoded.
 func TestRoundTrip(t *testing.T) {
 	frame := callFrame(7, "e")
 	if n := binary.BigEndian.Uint32(frame); int(n) != len(frame)-4 {
-		t.Errorf("length %d of %d", n, len(frame)-4)
+		t.Errorf("the frame states the length %d, want %d", n, len(frame)-4)
 	}
 	m, err := thrift.Parse(frame[4:])
 	if err != nil || m.Name != "ask" || m.SeqID != 7 || m.Type != thrift.Call {
@@ -47,7 +47,8 @@
 	}
 }
 
-// Lengths and counts are not trusted before the bytes are there; what is cut off anywhere is malformed.
+// A message with a wrong length or count must be malformed, and so must one that is truncated at any byte. A decoder
+// that trusts a length could be made to allocate large amounts of memory.
 func TestMalformed(t *testing.T) {
 	frame := callFrame(1, "e")[4:]
 	for n := range len(frame) {
@@ -56,14 +57,14 @@
 			_, err = thrift.ReadArgs(m.Args)
 		}
 		if err == nil {
-			t.Errorf("%d of %d bytes are accepted", n, len(frame))
+			t.Errorf("a message truncated to %d of %d bytes is accepted", n, len(frame))
 		}
 	}
 	for name, args := range map[string]string{
 		"negative length": "\x0b\x00\x02\xff\xff\xff\xff\x00",
 		"huge length":     "\x0b\x00\x02\x7f\xff\xff\xff\x00",
 		"huge map":        "\x0d\x00\x01\x0b\x0b\x7f\xff\xff\xff\x00",
-		"map of numbers":  "\x0d\x00\x01\x08\x08\x00\x00\x00\x01\x00\x00\x00\x01\x00\x00\x00\x01\x00",
+		"map of integers": "\x0d\x00\x01\x08\x08\x00\x00\x00\x01\x00\x00\x00\x01\x00\x00\x00\x01\x00",
 		"key twice": "\x0d\x00\x01\x0b\x0b\x00\x00\x00\x02" +
 			"\x00\x00\x00\x01a\x00\x00\x00\x00" + "\x00\x00\x00\x01a\x00\x00\x00\x00" + "\x00",
 		"unknown type":     "\x63\x00\x01\x00",
@@ -94,27 +95,27 @@
 		}
 		a, err := thrift.ReadArgs(m.Args)
 		if err == nil && len(m.Args) == 0 {
-			t.Error("no end, and accepted", a)
+			t.Error("arguments without an end are accepted:", a)
 		}
 	})
 }
 
 var limits = thrift.Limits{
-	MaxFrameBytes:  256,
-	MaxOpenCalls:   2,
-	MaxConns:       3,
-	MessageTimeout: time.Minute,
-	IdleTimeout:    time.Minute,
-	WriteTimeout:   time.Minute,
-	FinalRead:      30 * time.Millisecond,
+	MaxFrameBytes:    256,
+	MaxOpenCalls:     2,
+	MaxConns:         3,
+	MessageTimeout:   time.Minute,
+	IdleTimeout:      time.Minute,
+	WriteTimeout:     time.Minute,
+	FinalReadTimeout: 30 * time.Millisecond,
 }
 
-// testServer is a server whose calls, and those that clients cancel, come to the test.
+// testServer is a server that passes its calls and their cancellations to the test.
 type testServer struct {
 	*thrift.Server
 	addr      string
-	calls     chan func() (*thrift.Conn, thrift.Message)
-	cancelled chan int32
+	calls     chan func() (*thrift.Conn, thrift.Message) // received calls
+	cancelled chan int32                                 // sequence IDs of cancelled calls
 }
 
 func serve(t *testing.T, limits thrift.Limits) *testServer {
@@ -188,16 +189,16 @@
 	return m
 }
 
-// expectClosed reads to the end; a reset is an end too.
+// expectClosed checks that the server closes or resets the connection.
 func expectClosed(t *testing.T, conn net.Conn) {
 	t.Helper()
 	_, err := io.Copy(io.Discard, conn)
 	if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
-		t.Error("the connection stays open")
+		t.Error("the connection was not closed within 30 s")
 	}
 }
 
-// Answers come in any order; to a cancelled call, and a second time, there is none.
+// Calls may be answered in any order. A call must not be answered twice or after it was cancelled.
 func TestReplies(t *testing.T) {
 	s := serve(t, limits)
 	conn := dial(t, s.addr)
@@ -206,7 +207,7 @@
 	<-s.calls
 	c.Reply(2, replyFrame(2, "second"))
 	if m := readReply(t, conn); m.SeqID != 2 {
-		t.Error("answer to", m.SeqID)
+		t.Error("want the answer to call 2, got that to", m.SeqID)
 	}
 	w := thrift.NewWriter("cancel", thrift.Oneway, 0)
 	w.I32(1, 1)
@@ -219,27 +220,28 @@
 	c.Reply(2, replyFrame(2, "again"))
 	c.Reply(3, replyFrame(3, "third"))
 	if m := readReply(t, conn); m.SeqID != 3 || s.OpenCalls() != 0 {
-		t.Error("answer to", m.SeqID, "open", s.OpenCalls())
+		t.Error("want the answer to call 3 and no open calls, got", m.SeqID, "open", s.OpenCalls())
 	}
 	write(t, conn, callFrame(4, "d"))
 	<-s.calls
 	conn.Close()
 	if seq := <-s.cancelled; seq != 4 {
-		t.Error("cancelled at the end:", seq)
+		t.Error("want call 4 to be cancelled when the client disconnects, got", seq)
 	}
 }
 
-// Malformed messages, too many calls at a time, a sequence ID that is not new, and silence end the connection.
+// The server must close a connection on which it receives a malformed message, too many open calls or a sequence ID
+// that was used before, or no complete message in time.
 func TestMisbehavingClients(t *testing.T) {
 	short := limits
 	short.MessageTimeout = 50 * time.Millisecond
 	s := serve(t, short)
 	for name, send := range map[string][]byte{
 		"silence":         nil,
-		"half a request":  callFrame(1, "a")[:9],
+		"partial request": callFrame(1, "a")[:9],
 		"60 MB":           {0x03, 0x93, 0x87, 0x00, 0x80},
 		"negative length": {0xff, 0xff, 0xff, 0xff},
-		"no length":       {0, 0, 0, 0},
+		"zero length":     {0, 0, 0, 0},
 		"another version": {0, 0, 0, 4, 1, 2, 3, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -251,7 +253,7 @@
 	conn := dial(t, s.addr)
 	write(t, conn, callFrame(1, "a"), callFrame(1, "b"))
 	if m := readReply(t, conn); m.Type != thrift.Exception {
-		t.Error("the second request of a sequence ID got", m)
+		t.Error("want an exception for the second call with one sequence ID, got", m)
 	}
 	expectClosed(t, conn)
 	conn = dial(t, s.addr)
@@ -263,7 +265,8 @@
 	}
 }
 
-// Connections without a request are evicted for new ones; one with an open call is not.
+// Connections that have never sent a request must be evicted for new ones. A connection with an open call must not be
+// evicted.
 func TestUnusedConnectionsAreEvicted(t *testing.T) {
 	s := serve(t, limits)
 	busy := dial(t, s.addr)
@@ -284,8 +287,8 @@
 	}
 }
 
-// A connection of which a message is being handled is not evicted, though no call is open on it yet: what was read
-// gets its answer. The new connection is closed, and one that comes once the call has its answer is served.
+// A connection must not be evicted while a message of it is being handled, even if no call has been opened yet, as the
+// request would not be answered. The new connection is closed instead; a later one is served after the answer.
 func TestCallPreventsEviction(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -308,7 +311,7 @@
 	expectClosed(t, dial(t, listener.Addr().String()))
 	close(handle)
 	if !<-begun {
-		t.Error("not begun")
+		t.Error("BeginCall rejected the first call")
 	}
 	c.Reply(1, replyFrame(1, "served"))
 	if m := readReply(t, conn); m.SeqID != 1 || m.Type != thrift.Reply {
@@ -318,7 +321,7 @@
 	write(t, again, callFrame(1, "b"))
 	c = <-conns
 	if !<-begun {
-		t.Error("not begun once there is a place")
+		t.Error("BeginCall rejected the call on the later connection")
 	}
 	c.Reply(1, replyFrame(1, "served"))
 	readReply(t, again)
