--- a/internal/gateway/resp/call.go
+++ b/internal/gateway/resp/call.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-// Outcome is how a call ended.
+// Outcome is the way in which a call ended.
 type Outcome int
 
-// The outcomes.
+// The outcomes of a call.
 const (
-	Answered       Outcome = iota
-	NotSent                // its last byte never left: the worker can't have read it whole
-	ConnectionLost         // the worker may have read it
-	Cancelled              // the worker may have read it
-	Withheld               // not sent, as Message.Encode decided
+	Answered       Outcome = iota // the worker has responded
+	NotSent                       // the last byte was not written: the worker can't have read the complete message
+	ConnectionLost                // the connection ended before a response; the worker may have read the message
+	Cancelled                     // the call was cancelled; the worker may have read the message
+	Withheld                      // Message.Encode returned nil, so the message was not written to the connection
 )
 
-// Result ends a call. Elements are those of the response after the call's ID.
+// Result is the result of a call.
 type Result struct {
 	Outcome  Outcome
-	Elements [][]byte
+	Elements [][]byte // elements of the response after the call's ID
 }
 
-// Sharing says whether a call shares its connection.
+// Sharing determines whether a call may share its connection with other calls.
 type Sharing int
 
 const (
-	// Shared lets a call go over a connection with others.
+	// Shared allows a call to use a connection that carries other calls.
 	Shared Sharing = iota
 
-	// Exclusive asks for a connection without other calls, as long as there are few connections: what breaks a
-	// connection breaks all calls on it.
+	// Exclusive requests a connection without other calls, which is possible as long as there are few connections. The
+	// loss of a shared connection would end all calls on it.
 	Exclusive
 )
 
-// Message is what a call sends.
+// Message is the message that a call sends.
 type Message struct {
-	// Encode encodes the message when it is about to be written, however long it has waited for that. With nil it is not
-	// sent any more. Encode must not block.
+	// Encode encodes the message immediately before it is written, so that the message is not outdated by the time it
+	// waited. If Encode returns nil, the message is withheld. Encode must not block.
 	Encode func() []byte
 
-	// OnWritten is called once the last byte has left; it may be nil.
+	// OnWritten is called once the last byte has been written. It may be nil.
 	OnWritten func()
 
-	// WriteTimeout is the longest time for writing the message, after which its connection ends. 0, or more than
-	// Limits.IOTimeout, means that.
+	// WriteTimeout is the maximum time for writing the message, after which its connection is closed. If it is 0 or
+	// longer than Limits.IOTimeout, Limits.IOTimeout applies.
 	WriteTimeout time.Duration
 }
 
-// FixedMessage is a message that does not change while it waits.
+// FixedMessage returns a message whose encoding does not depend on when it is written.
 func FixedMessage(frame []byte) Message { return Message{Encode: func() []byte { return frame }} }
 
 // Call is a call to a worker.
@@ -56,23 +56,24 @@
 	id     string
 	Message
 	state         callState
-	cancelCommand []byte // to be written when it is cancelled
+	cancelCommand []byte // command that Cancel has queued
 	done          func(Result)
 }
 
-// callState is how far a call is. The worker's mu guards it.
+// callState is the progress of a call. It is guarded by the worker's mu.
 type callState int
 
 const (
-	queued callState = iota
-	sent
-	cancelling // its cancel command is queued
-	completed
+	queued     callState = iota // the message waits to be written
+	sent                        // the message is being written or has been written
+	cancelling                  // the cancel command is queued
+	completed                   // the call has its result
 )
 
-// Cancel cancels the call. One that has not left is not sent. For another, command is written, and the call ends
-// then, so that nothing sent later can overtake it; its connection accepts no more calls, as a response may still
-// come. Without a command the call ends at once.
+// Cancel cancels the call. If its message has not been written, the message is not sent and the call ends immediately.
+// Otherwise command is written to the call's connection, and the call ends only then, so that no later message can
+// reach the worker before the command. The connection accepts no more calls, as a response to the cancelled call may
+// still arrive. If command is nil, the call ends immediately.
 func (c *Call) Cancel(command []byte) {
 	w := c.worker
 	w.mu.Lock()
--- a/internal/gateway/resp/cancel_race_test.go
+++ b/internal/gateway/resp/cancel_race_test.go
@@ -11,7 +11,8 @@
 	"lupinpond/internal/gateway/resp"
 )
 
-// serveRequests runs a worker that answers every request at once. It ends when stop is called, and the pool before it.
+// serveRequests runs a worker that answers every request immediately. stop ends the worker; the pool must be ended
+// first.
 func serveRequests(t *testing.T) (addr string, stop func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,7 +44,8 @@
 	}
 }
 
-// A call that is cancelled as its response comes ends once, with one of the two, and no connection is kept for it.
+// A call that is cancelled at the moment when its response arrives must end exactly once, as answered or cancelled, and
+// its connection must be closed afterwards.
 func TestCancelRacesWithResponse(t *testing.T) {
 	addr, stopWorker := serveRequests(t)
 	ctx, stop := context.WithCancel(context.Background())
@@ -76,11 +78,11 @@
 		call.Cancel(command)
 		outcomes[(<-done).Outcome]++
 		if len(done) > 0 {
-			t.Fatal("a second end of", id)
+			t.Fatal("done was called twice for call", id)
 		}
 	}
 	if outcomes[resp.Answered] == 0 || outcomes[resp.Answered] == calls {
-		t.Errorf("no race: %v", outcomes)
+		t.Errorf("the calls had no race, by outcome: %v", outcomes)
 	}
 	pool.AwaitOpenConns(0)
 	stop()
--- a/internal/gateway/resp/commands.go
+++ b/internal/gateway/resp/commands.go
@@ -2,12 +2,12 @@
 
 import "io"
 
-// readChunkBytes is the size of one read.
+// readChunkBytes is the size of the buffer for one read.
 const readChunkBytes = 4096
 
-// ReadCommands reads commands, as a worker receives them, and calls handle with the elements of each and its size in
-// bytes. It returns the reason why it ended: the connection has, a command is malformed or has an element longer than
-// maxBytes, or handle has returned an error.
+// ReadCommands reads the commands that a worker receives, and calls handle with the elements of each and its size in
+// bytes. It returns the error that ended it: a failed read, a command that is malformed or has an element longer than
+// maxBytes, or an error of handle.
 func ReadCommands(from io.Reader, maxBytes int, handle func(elements []string, size int) error) error {
 	var buffered []byte
 	chunk := make([]byte, readChunkBytes)
@@ -18,19 +18,19 @@
 		}
 		buffered = append(buffered, chunk[:n]...)
 		for {
-			elements, taken, err := ParseArray(buffered, maxBytes)
+			elements, consumed, err := ParseArray(buffered, maxBytes)
 			if err != nil {
 				return err
 			}
-			if taken == 0 {
+			if consumed == 0 {
 				break
 			}
 			texts := make([]string, len(elements))
 			for i, element := range elements {
 				texts[i] = string(element)
 			}
-			buffered = buffered[taken:]
-			if err := handle(texts, taken); err != nil {
+			buffered = buffered[consumed:]
+			if err := handle(texts, consumed); err != nil {
 				return err
 			}
 		}
--- a/internal/gateway/resp/commands_test.go
+++ b/internal/gateway/resp/commands_test.go
@@ -11,14 +11,15 @@
 	"lupinpond/internal/gateway/resp"
 )
 
-// Commands are complete, however their bytes arrive, and reading ends with a malformed one or with the handler's error.
+// ReadCommands must pass on complete commands even if their bytes arrive one at a time. It must end with an error after
+// a malformed command, and with the handler's error.
 func TestReadCommands(t *testing.T) {
 	frames := resp.AppendArray(resp.AppendArray(nil, "FN", "1", "-", "a\r\nb"), "KILL", "1")
 	var got [][]string
 	size := 0
 	slow := iotest.OneByteReader(strings.NewReader(string(frames)))
-	err := resp.ReadCommands(slow, 16, func(elements []string, taken int) error {
-		got, size = append(got, elements), size+taken
+	err := resp.ReadCommands(slow, 16, func(elements []string, consumed int) error {
+		got, size = append(got, elements), size+consumed
 		return nil
 	})
 	if !errors.Is(err, io.EOF) || len(got) != 2 || !slices.Equal(got[0], []string{"FN", "1", "-", "a\r\nb"}) ||
@@ -31,9 +32,9 @@
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
-	enough := errors.New("enough")
-	err = resp.ReadCommands(strings.NewReader(string(frames)), 16, func([]string, int) error { return enough })
-	if !errors.Is(err, enough) {
+	handlerErr := errors.New("enough")
+	err = resp.ReadCommands(strings.NewReader(string(frames)), 16, func([]string, int) error { return handlerErr })
+	if !errors.Is(err, handlerErr) {
 		t.Error(err)
 	}
 }
--- a/internal/gateway/resp/conn.go
+++ b/internal/gateway/resp/conn.go
@@ -7,38 +7,39 @@
 	"time"
 )
 
-// idleChecks is how many times within Limits.IdleTimeout a connection looks whether it is idle.
-const idleChecks = 4
+// idleChecksPerTimeout is the number of times per Limits.IdleTimeout that a connection checks whether it is idle.
+const idleChecksPerTimeout = 4
 
-// conn is one connection, also while it is being established. Its worker's mu guards it.
+// conn is a connection to a worker that is established or being established. It is guarded by its worker's mu.
 type conn struct {
 	worker       *Worker
-	conn         net.Conn // nil while it is being established
-	calls        map[string]*Call
-	queue        []*Call  // to be written; of cancelled ones, the cancel command
-	completedIDs []string // of the latest calls
-	closing      bool     // accepts no more calls, and ends with the last
+	conn         net.Conn         // nil while the connection is being established
+	calls        map[string]*Call // open calls by ID
+	queue        []*Call          // calls whose message, or cancel command if they are cancelled, is to be written
+	completedIDs []string         // IDs of the most recently completed calls
+	closing      bool             // the connection accepts no more calls and is closed after its last open call
 	disconnected bool
-	lastUsed     time.Time
-	wakeup       chan struct{}
+	lastUsed     time.Time     // when the connection was established or last completed a call
+	wakeup       chan struct{} // wakes the writer
 }
 
 func newConn(w *Worker) *conn {
 	return &conn{worker: w, calls: map[string]*Call{}, wakeup: make(chan struct{}, 1)}
 }
 
-// isIdle reports whether the connection is established and has no call.
+// isIdle reports whether the connection is established, open and without calls.
 func (c *conn) isIdle() bool {
 	return c.conn != nil && !c.closing && !c.disconnected && len(c.calls) == 0
 }
 
-// accepts reports whether the connection can carry one more call, with an ID that it has not carried lately.
+// accepts reports whether the connection can carry another call with the given ID. It can't if one of its recent calls
+// had the same ID.
 func (c *conn) accepts(id string) bool {
 	return !c.closing && !c.disconnected && len(c.calls) < c.worker.pool.limits.MaxCallsPerConn && c.calls[id] == nil &&
 		!slices.Contains(c.completedIDs, id)
 }
 
-// run connects, and writes until the connection ends.
+// run establishes the connection, and writes to it until it ends.
 func (c *conn) run() {
 	pool := c.worker.pool
 	defer pool.running.Done()
@@ -68,7 +69,7 @@
 	c.finish()
 }
 
-// finish ends every call of a connection that has ended.
+// finish removes a connection that has ended, and ends its open calls.
 func (c *conn) finish() {
 	type ending struct {
 		call    *Call
@@ -90,18 +91,18 @@
 	}
 }
 
-// outcomeOfDisconnect is the outcome of an open call whose connection has ended.
+// outcomeOfDisconnect returns the outcome of an open call whose connection has ended.
 func (c *Call) outcomeOfDisconnect() Outcome {
 	switch c.state {
 	case queued:
 		return NotSent
-	case cancelling: // its cancel command is not written; the end of the connection cancels it
+	case cancelling: // the cancel command was not written, but the end of the connection also cancels the call
 		return Cancelled
 	}
 	return ConnectionLost
 }
 
-// wake has the writer look for work.
+// wake makes the writer check for work.
 func (c *conn) wake() {
 	select {
 	case c.wakeup <- struct{}{}:
@@ -109,7 +110,7 @@
 	}
 }
 
-// complete forgets a call; the caller gives its result. The worker's lock is held.
+// complete removes a call from the open ones. The caller must hold the worker's mu, and call done with the result.
 func (c *conn) complete(call *Call) {
 	call.state = completed
 	delete(c.calls, call.id)
@@ -123,12 +124,13 @@
 	}
 }
 
-// dequeue takes a call, or its cancel command, out of the queue. The worker's lock is held.
+// dequeue removes a call, or its cancel command, from the queue. The caller must hold the worker's mu.
 func (c *conn) dequeue(call *Call) {
 	c.queue = slices.DeleteFunc(c.queue, func(other *Call) bool { return other == call })
 }
 
-// dropQueued completes the calls that are not written yet, and returns them. The worker's lock is held.
+// dropQueued completes the calls whose messages have not been written, and returns them. The caller must hold the
+// worker's mu.
 func (c *conn) dropQueued() (dropped []*Call) {
 	c.queue = slices.DeleteFunc(c.queue, func(call *Call) bool {
 		if call.state == queued {
--- a/internal/gateway/resp/conn_read.go
+++ b/internal/gateway/resp/conn_read.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// readLoop handles responses until the connection ends or one is malformed.
+// readLoop handles responses until the connection ends or a response is malformed.
 func (c *conn) readLoop(netConn net.Conn) {
 	limits := c.worker.pool.limits
 	var buffered []byte
@@ -19,15 +19,15 @@
 			c.worker.mu.Unlock()
 		}
 		for len(buffered) > 0 {
-			elements, taken, malformed := ParseArray(buffered, limits.MaxElementBytes)
+			elements, consumed, malformed := ParseArray(buffered, limits.MaxElementBytes)
 			if malformed != nil {
 				return
 			}
-			if taken == 0 {
+			if consumed == 0 {
 				break
 			}
 			c.handleResponse(elements)
-			buffered = buffered[taken:]
+			buffered = buffered[consumed:]
 		}
 		if len(buffered) == 0 {
 			buffered = nil
@@ -35,7 +35,7 @@
 		if err != nil {
 			return
 		}
-		// A response that has begun and does not go on holds up all behind it.
+		// An incomplete response must be completed before the deadline, as it delays all responses after it.
 		deadline := time.Time{}
 		if len(buffered) > 0 {
 			deadline = time.Now().Add(limits.IOTimeout)
@@ -46,7 +46,7 @@
 	}
 }
 
-// handleResponse completes the call that a response belongs to; an unmatched one is dropped.
+// handleResponse completes the call to which a response belongs. A response that matches no call is dropped.
 func (c *conn) handleResponse(elements [][]byte) {
 	c.worker.mu.Lock()
 	call := c.calls[string(elements[0])]
--- a/internal/gateway/resp/conn_test.go
+++ b/internal/gateway/resp/conn_test.go
@@ -9,10 +9,10 @@
 	"lupinpond/internal/gateway/resp"
 )
 
-// hugeBody is more than the sockets take while nobody reads.
+// hugeBody is larger than the socket buffers, so that a write of it blocks until the worker reads.
 var hugeBody = strings.Repeat("x", 32<<20)
 
-// callBeingWritten makes a call whose command is being written: the worker has read its beginning.
+// callBeingWritten makes a call and returns while its command is being written: the worker has read one byte of it.
 func (h *harness) callBeingWritten(id string) (*scriptedConn, *resp.Call, chan resp.Result) {
 	h.t.Helper()
 	done := make(chan resp.Result, 2)
@@ -26,7 +26,8 @@
 	return conn, call, done
 }
 
-// A command that is cut off before its last byte left never ran: an at-most-once request may be sent elsewhere.
+// A call whose connection is lost before the last byte is written must end as not sent. The worker can't have run it,
+// so even an at-most-once request may be sent to another worker.
 func TestConnectionLostWhileWriting(t *testing.T) {
 	h := start(t, limits)
 	conn, _, done := h.callBeingWritten("a")
@@ -34,57 +35,57 @@
 	expect(t, done, resp.NotSent, "")
 }
 
-// A call that is cancelled while its command is being written is open until the cancel command is written after it.
+// A call that is cancelled while its command is being written must stay open until the cancel command is written.
 func TestCancelWhileWriting(t *testing.T) {
 	h := start(t, limits)
 	conn, call, done := h.callBeingWritten("a")
 	call.Cancel(resp.AppendArray(nil, "KILL", "a"))
 	if len(done) > 0 {
-		t.Error("over before its cancel command was written")
+		t.Error("the call ended before its cancel command was written")
 	}
 	chunk := make([]byte, 1<<20)
-	for len(conn.buffered) < len(hugeBody) { // most of the command in large chunks, as next reads small ones
+	for len(conn.buffered) < len(hugeBody) { // read most of the command in large chunks; nextCommand reads small ones
 		n, err := conn.Read(chunk)
 		if err != nil {
 			t.Fatal(err)
 		}
 		conn.buffered = append(conn.buffered, chunk[:n]...)
 	}
-	if got := conn.next(); got[0] != "FN" || len(got[2]) != len(hugeBody) {
-		t.Error("a command of", len(got[2]), "bytes")
+	if got := conn.nextCommand(); got[0] != "FN" || len(got[2]) != len(hugeBody) {
+		t.Error("the worker received a command with a body of", len(got[2]), "bytes")
 	}
-	if got := conn.next(); got[0] != "KILL" || got[1] != "a" {
+	if got := conn.nextCommand(); got[0] != "KILL" || got[1] != "a" {
 		t.Error(got)
 	}
 	expect(t, done, resp.Cancelled, "")
 }
 
-// otherWorker is another worker of the pool, whose connections a test accepts.
+// otherWorker returns the client of another worker of the pool, and a function that accepts its connections.
 func (h *harness) otherWorker() (*resp.Worker, func() *scriptedConn) {
 	h.t.Helper()
 	listener, accept := listen(h.t)
 	return h.pool.Worker(listener.Addr().String()), accept
 }
 
-// Past the soft limit of connections a worker without one gets that of an idle one; past the limit its call is not
-// sent.
+// Once the soft limit of connections is reached, a new connection to a worker without one must replace an idle
+// connection. Once the hard limit is reached, a call to such a worker must not be sent.
 func TestConnectionLimits(t *testing.T) {
 	few := limits
 	few.SoftMaxConns, few.MaxConns = 1, 2
 	h := start(t, few)
 	_, a := h.call("a", resp.Exclusive)
 	first := h.accept()
-	first.next()
+	first.nextCommand()
 	first.send(resp.AppendArray(nil, "a", "ok", "-", ""))
 	expect(t, a, resp.Answered, "ok")
-	for i := range int64(2) { // the first takes the place of the idle connection, the second one past the soft limit
+	for i := range int64(2) { // the first connection replaces the idle one, the second is above the soft limit
 		worker, accept := h.otherWorker()
 		worker.Call("b", resp.FixedMessage(resp.AppendArray(nil, "FN", "b")), resp.Exclusive, func(resp.Result) {})
-		accept().next()
+		accept().nextCommand()
 		if _, err := io.Copy(io.Discard, first); err != nil {
-			t.Error("the idle connection stays:", err)
+			t.Error("the idle connection was not closed:", err)
 		}
-		h.pool.AwaitOpenConns(1 + i) // the end of the idle connection has been counted
+		h.pool.AwaitOpenConns(1 + i) // the closed idle connection is not counted any more
 	}
 	worker, _ := h.otherWorker()
 	done := make(chan resp.Result, 1)
@@ -93,7 +94,7 @@
 	expect(t, done, resp.NotSent, "")
 }
 
-// A worker that is stopped while a command waits for its connection gets none of it.
+// A command that waits for a connection to be established must not be sent if the worker is stopped in the meantime.
 func TestStopWhileConnecting(t *testing.T) {
 	h := start(t, limits)
 	open := make(chan struct{})
@@ -107,8 +108,8 @@
 	}
 }
 
-// A call that is cancelled while its connection is being established, as its client has disconnected, is over at once
-// and never sent; later calls go over that connection.
+// A call that is cancelled while its connection is being established must end immediately and not be sent. Later calls
+// must be able to use the connection.
 func TestCancelWhileConnecting(t *testing.T) {
 	h := start(t, limits)
 	open := make(chan struct{})
@@ -119,14 +120,14 @@
 	close(open)
 	_, other := h.call("b", resp.Exclusive)
 	conn := h.accept()
-	if got := conn.next(); got[1] != "b" {
+	if got := conn.nextCommand(); got[1] != "b" {
 		t.Error(got)
 	}
 	conn.send(resp.AppendArray(nil, "b", "ok", "-", ""))
 	expect(t, other, resp.Answered, "ok")
 }
 
-// The end of the pool ends every call.
+// The end of a pool's context must end all open calls.
 func TestPoolShutdown(t *testing.T) {
 	listener, accept := listen(t)
 	ctx, stop := context.WithCancel(context.Background())
@@ -134,7 +135,7 @@
 	done := make(chan resp.Result, 1)
 	message := resp.FixedMessage(resp.AppendArray(nil, "FN", "a"))
 	pool.Worker(listener.Addr().String()).Call("a", message, resp.Exclusive, func(result resp.Result) { done <- result })
-	accept().next()
+	accept().nextCommand()
 	stop()
 	expect(t, done, resp.ConnectionLost, "")
 	pool.Wait()
--- a/internal/gateway/resp/conn_write.go
+++ b/internal/gateway/resp/conn_write.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// writeLoop writes what is queued until the connection ends.
+// writeLoop writes the queued messages and cancel commands until the connection is to be closed.
 func (c *conn) writeLoop(netConn net.Conn) {
-	idleCheck := time.NewTicker(max(c.worker.pool.limits.IdleTimeout/idleChecks, time.Millisecond))
+	idleCheck := time.NewTicker(max(c.worker.pool.limits.IdleTimeout/idleChecksPerTimeout, time.Millisecond))
 	defer idleCheck.Stop()
 	for {
 		call, cancelCommand, more := c.nextWrite()
@@ -26,8 +26,8 @@
 	}
 }
 
-// nextWrite takes the next call from the queue, with the command that cancels it if that is what is to be written. No
-// call: there is nothing to write yet; more is false when the connection has done its work.
+// nextWrite takes the next call from the queue. cancelCommand is not nil if it is to be written instead of the call's
+// message. call is nil if the queue is empty. more is false if the connection is to be closed.
 func (c *conn) nextWrite() (call *Call, cancelCommand []byte, more bool) {
 	c.worker.mu.Lock()
 	defer c.worker.mu.Unlock()
@@ -45,7 +45,8 @@
 	return call, nil, true
 }
 
-// awaitWork waits until there may be something to write. A connection that has been idle for too long is to end.
+// awaitWork waits until there may be something to write. It marks a connection as closing that has been idle for longer
+// than the idle timeout.
 func (c *conn) awaitWork(idleCheck <-chan time.Time) {
 	select {
 	case <-c.wakeup:
@@ -58,7 +59,7 @@
 	}
 }
 
-// writeCall writes a call; false: the connection ends.
+// writeCall writes the message of a call. It returns false if the connection is to be closed.
 func (c *conn) writeCall(netConn net.Conn, call *Call) bool {
 	frame := call.Encode()
 	if frame == nil {
@@ -78,7 +79,8 @@
 	return true
 }
 
-// writeCancel writes the command that cancels a call, which ends the call; false: the connection ends.
+// writeCancel writes the cancel command of a call and ends the call. It returns false if the connection is to be
+// closed.
 func (c *conn) writeCancel(netConn net.Conn, call *Call, command []byte) bool {
 	if !c.write(netConn, call, command, c.worker.pool.limits.IOTimeout) {
 		return false
@@ -90,7 +92,8 @@
 	return true
 }
 
-// write writes a frame of a call. Where its last byte has not left, a worker can't have read the call whole.
+// write writes a frame of a call and reports whether that succeeded. If the last byte was not written, the call is
+// marked as not sent, as the worker can't have read the complete frame.
 func (c *conn) write(netConn net.Conn, call *Call, frame []byte, timeout time.Duration) bool {
 	if netConn.SetWriteDeadline(time.Now().Add(timeout)) != nil {
 		c.markUnsent(call)
@@ -103,7 +106,7 @@
 	return err == nil
 }
 
-// markUnsent takes back that a call was sent. One that is being cancelled stays so.
+// markUnsent marks a call as not sent, unless it is being cancelled.
 func (c *conn) markUnsent(call *Call) {
 	c.worker.mu.Lock()
 	if call.state == sent {
@@ -112,7 +115,7 @@
 	c.worker.mu.Unlock()
 }
 
-// withhold ends a call that is not to be sent any more. A cancel command for it is not needed.
+// withhold ends a call whose message is withheld, and drops its cancel command if it has one.
 func (c *conn) withhold(call *Call) {
 	c.worker.mu.Lock()
 	if call.state == completed {
--- a/internal/gateway/resp/export_test.go
+++ b/internal/gateway/resp/export_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BlockDials lets connections come up only once open is closed.
+// BlockDials delays the establishment of all new connections until open is closed.
 func (p *Pool) BlockDials(open chan struct{}) {
 	dial := p.dial
 	p.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -15,14 +15,14 @@
 	}
 }
 
-// SetSilentFor makes it so long ago that something came from the worker.
+// SetSilentFor sets the time since data was last received from the worker.
 func (w *Worker) SetSilentFor(silence time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.lastReceived = time.Now().Add(-silence)
 }
 
-// AwaitOpenConns returns when the pool has no more than so many connections.
+// AwaitOpenConns waits until the pool has at most limit connections.
 func (p *Pool) AwaitOpenConns(limit int64) {
 	for p.openConns.Load() > limit {
 		time.Sleep(time.Millisecond)
--- a/internal/gateway/resp/pool.go
+++ b/internal/gateway/resp/pool.go
@@ -12,22 +12,25 @@
 
 // Limits bound the connections to workers.
 type Limits struct {
-	// IOTimeout is the longest time for a connection, for a write, and for the rest of a response that has begun.
+	// IOTimeout is the maximum time for establishing a connection, for a write, and for receiving the rest of a response
+	// whose beginning has been received.
 	IOTimeout time.Duration
 
 	// IdleTimeout is how long a connection stays open without a call.
 	IdleTimeout time.Duration
 
-	// MaxCallsPerConn is the number of calls at a time on a connection.
+	// MaxCallsPerConn is the maximum number of concurrent calls on a connection.
 	MaxCallsPerConn int
 
-	// SoftMaxConns is the number of connections to all workers together past which a worker that has one gets no other.
+	// SoftMaxConns is a soft limit on the number of connections to all workers. Once it is reached, only workers without
+	// a connection get new ones.
 	SoftMaxConns int
 
-	// MaxConns is the number of connections past which calls to a worker without one are not sent.
+	// MaxConns is the maximum number of connections to all workers. Once it is reached, calls to workers without a
+	// connection are not sent.
 	MaxConns int
 
-	// MaxElementBytes is the longest element of a response.
+	// MaxElementBytes is the maximum size of an element of a response.
 	MaxElementBytes int
 }
 
@@ -38,56 +41,57 @@
 	ctx       context.Context
 	dial      func(ctx context.Context, network, addr string) (net.Conn, error)
 	running   sync.WaitGroup // goroutines of connections
-	unmatched atomic.Int64   // responses that no call waited for
+	unmatched atomic.Int64   // number of responses that matched no call
 
-	mu    sync.Mutex // taken after a worker's mu, never before
+	mu    sync.Mutex // locked after a worker's mu, never before
 	conns map[*conn]bool
 }
 
-// NewPool makes a Pool whose connections end with ctx.
+// NewPool returns a Pool whose connections are closed when ctx ends.
 func NewPool(ctx context.Context, limits Limits) *Pool {
 	dialer := &net.Dialer{Timeout: limits.IOTimeout}
 	return &Pool{limits: limits, ctx: ctx, dial: dialer.DialContext, conns: map[*conn]bool{}}
 }
 
-// Worker makes the client of the worker at an address. It connects when that is needed.
+// Worker returns a client of the worker at an address. The client connects when it has a call to send.
 func (p *Pool) Worker(addr string) *Worker { return &Worker{pool: p, addr: addr} }
 
-// Wait returns when every connection has ended.
+// Wait waits until all connections have ended.
 func (p *Pool) Wait() { p.running.Wait() }
 
-// OpenConns is the number of connections, with those that are being established.
+// OpenConns returns the number of connections, including those being established.
 func (p *Pool) OpenConns() int64 { return p.openConns.Load() }
 
-// UnmatchedResponses is the number of responses that no call waited for.
+// UnmatchedResponses returns the number of responses that matched no call.
 func (p *Pool) UnmatchedResponses() int64 { return p.unmatched.Load() }
 
-// closeIdlest closes the connection that has been without a call longest: a worker that has none needs its descriptor.
-func (p *Pool) closeIdlest() {
+// closeLongestIdle closes the connection that has been idle longest, to make its descriptor available to a worker that
+// has no connection.
+func (p *Pool) closeLongestIdle() {
 	p.mu.Lock()
 	conns := slices.Collect(maps.Keys(p.conns))
 	p.mu.Unlock()
-	var idlest *conn
+	var longestIdle *conn
 	var since time.Time
 	for _, c := range conns {
 		c.worker.mu.Lock()
-		if c.isIdle() && (idlest == nil || c.lastUsed.Before(since)) {
-			idlest, since = c, c.lastUsed
+		if c.isIdle() && (longestIdle == nil || c.lastUsed.Before(since)) {
+			longestIdle, since = c, c.lastUsed
 		}
 		c.worker.mu.Unlock()
 	}
-	if idlest == nil {
+	if longestIdle == nil {
 		return
 	}
-	idlest.worker.mu.Lock()
-	if idlest.isIdle() { // still
-		idlest.closing = true
-		idlest.wake()
+	longestIdle.worker.mu.Lock()
+	if longestIdle.isIdle() { // check again: a call may have been added since
+		longestIdle.closing = true
+		longestIdle.wake()
 	}
-	idlest.worker.mu.Unlock()
+	longestIdle.worker.mu.Unlock()
 }
 
-// reserve counts a new connection, unless there are as many as the limit already.
+// reserve counts a new connection and returns true, unless the number of connections has reached the limit.
 func (p *Pool) reserve(limit int) bool {
 	if p.openConns.Add(1) > int64(limit) {
 		p.openConns.Add(-1)
--- a/internal/gateway/resp/resp_test.go
+++ b/internal/gateway/resp/resp_test.go
@@ -17,37 +17,38 @@
 func TestParse(t *testing.T) {
 	b := resp.AppendArray(nil, "id", "", "b\r\ny")
 	for n := range len(b) {
-		if _, taken, err := resp.ParseArray(b[:n], 100); taken != 0 || err != nil {
-			t.Errorf("of %d of %d bytes %d are taken: %v", n, len(b), taken, err)
+		if _, consumed, err := resp.ParseArray(b[:n], 100); consumed != 0 || err != nil {
+			t.Errorf("from an array truncated to %d of %d bytes, ParseArray consumed %d: %v", n, len(b), consumed, err)
 		}
 	}
-	words, taken, err := resp.ParseArray(append(b, "*1"...), 100)
-	if err != nil || taken != len(b) || len(words) != 3 || string(words[2]) != "b\r\ny" {
-		t.Errorf("%q %d %v", words, taken, err)
+	elements, consumed, err := resp.ParseArray(append(b, "*1"...), 100)
+	if err != nil || consumed != len(b) || len(elements) != 3 || string(elements[2]) != "b\r\ny" {
+		t.Errorf("got %q, %d bytes, %v", elements, consumed, err)
 	}
 	for _, bad := range []string{
 		"noise", "*0\r\n", "*-1\r\n", "*9\r\n", "*1\n", "*12345678901234567890", "*\r\n",
 		"*1\r\n$x", "*1\r\n$-1\r\n", "*1\r\n$3221225472\r\n", "*1\r\n:1\r\n",
 		"*1\r\n$2\r\nabc", "*1\r\n$2\r\nab\rx",
 	} {
-		if words, taken, err := resp.ParseArray([]byte(bad), 100); err == nil {
-			t.Errorf("%q is taken as %q, %d bytes", bad, words, taken)
+		if elements, consumed, err := resp.ParseArray([]byte(bad), 100); err == nil {
+			t.Errorf("malformed %q was parsed as %q, %d bytes", bad, elements, consumed)
 		}
 	}
 }
 
-// A prefix gets the same verdict as with the rest: it is malformed only if that is, and never parsed as more.
+// A prefix of the input must give a result that is consistent with that of the whole input: it is malformed only if the
+// whole is, and if it is parsed, the same number of bytes is consumed.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("*2\r\n$2\r\nid\r\n$0\r\n\r\n"), 3)
 	f.Add([]byte("*1\r\n$5\r\nab"), 9)
 	f.Fuzz(func(t *testing.T, b []byte, cut int) {
-		words, taken, err := resp.ParseArray(b, 64)
-		if taken > len(b) || taken > 0 && len(words) == 0 {
-			t.Error(taken, words)
+		elements, consumed, err := resp.ParseArray(b, 64)
+		if consumed > len(b) || consumed > 0 && len(elements) == 0 {
+			t.Error(consumed, elements)
 		}
-		_, early, earlyErr := resp.ParseArray(b[:min(max(0, cut), len(b))], 64)
-		if earlyErr != nil && err == nil && taken > 0 || early > 0 && early != taken {
-			t.Errorf("%q: %d, %v; its beginning: %d, %v", b, taken, err, early, earlyErr)
+		_, prefixConsumed, prefixErr := resp.ParseArray(b[:min(max(0, cut), len(b))], 64)
+		if prefixErr != nil && err == nil && consumed > 0 || prefixConsumed > 0 && prefixConsumed != consumed {
+			t.Errorf("%q: consumed %d, %v; for its prefix: %d, %v", b, consumed, err, prefixConsumed, prefixErr)
 		}
 	})
 }
@@ -61,28 +62,28 @@
 	MaxElementBytes: 64,
 }
 
-// scriptedConn is a worker's end of one connection, which a test plays.
+// scriptedConn is the worker's side of a connection, controlled by the test.
 type scriptedConn struct {
 	net.Conn
 	t        *testing.T
-	buffered []byte
+	buffered []byte // data read and not returned as commands yet
 }
 
-// next is the next command.
-func (s *scriptedConn) next() []string {
+// nextCommand reads the next command and returns its elements.
+func (s *scriptedConn) nextCommand() []string {
 	s.t.Helper()
 	chunk := make([]byte, 512)
 	for {
-		elements, taken, err := resp.ParseArray(s.buffered, 1<<26)
+		elements, consumed, err := resp.ParseArray(s.buffered, 1<<26)
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		if taken > 0 {
+		if consumed > 0 {
 			var texts []string
 			for _, element := range elements {
 				texts = append(texts, string(element))
 			}
-			s.buffered = s.buffered[taken:]
+			s.buffered = s.buffered[consumed:]
 			return texts
 		}
 		n, err := s.Read(chunk)
@@ -100,7 +101,7 @@
 	}
 }
 
-// harness is a pool with one worker, whose connections a test accepts.
+// harness is a pool with one worker, whose connections are accepted by the test.
 type harness struct {
 	t        *testing.T
 	accept   func() *scriptedConn
@@ -109,7 +110,7 @@
 	listener net.Listener
 }
 
-// listen listens as a worker does until the test ends.
+// listen opens a worker's listener until the test ends, and returns it with a function that accepts its connections.
 func listen(t *testing.T) (listener net.Listener, accept func() *scriptedConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -145,31 +146,31 @@
 	return h
 }
 
-// call makes a call and returns what ends it.
+// call makes a call and returns it with a channel that receives its result.
 func (h *harness) call(id string, sharing resp.Sharing) (*resp.Call, chan resp.Result) {
 	done := make(chan resp.Result, 2)
 	message := resp.FixedMessage(resp.AppendArray(nil, "FN", id))
 	return h.worker.Call(id, message, sharing, func(result resp.Result) { done <- result }), done
 }
 
-// expect receives the result of a call and checks its outcome, and its first element where one is given.
+// expect receives the result of a call, and checks its outcome and, if status is not empty, its first element.
 func expect(t *testing.T, done chan resp.Result, outcome resp.Outcome, status string) {
 	t.Helper()
 	result := <-done
 	if result.Outcome != outcome ||
 		status != "" && (len(result.Elements) == 0 || string(result.Elements[0]) != status) {
-		t.Errorf("outcome %d %q, want %d %q", result.Outcome, result.Elements, outcome, status)
+		t.Errorf("got the outcome %d %q, want %d %q", result.Outcome, result.Elements, outcome, status)
 	}
 }
 
-// Responses are matched by ID; what belongs to no call, and a duplicate, is dropped.
+// Responses must be matched to calls by ID. A response that matches no call, or is a duplicate, must be dropped.
 func TestResponsesMatchCalls(t *testing.T) {
 	h := start(t, limits)
 	_, a := h.call("a", resp.Shared)
 	conn := h.accept()
 	_, b := h.call("b", resp.Shared)
-	conn.next()
-	conn.next()
+	conn.nextCommand()
+	conn.nextCommand()
 	ok := resp.AppendArray(nil, "b", "ok", "-", "body")
 	conn.send(bytes.Join([][]byte{
 		resp.AppendArray(nil, "z", "ok", "-", "unmatched"),
@@ -180,87 +181,88 @@
 	expect(t, b, resp.Answered, "ok")
 	expect(t, a, resp.Answered, "error")
 	if n := h.pool.UnmatchedResponses(); n != 2 {
-		t.Error(n, "unmatched responses")
+		t.Error(n, "unmatched responses were counted, want 2")
 	}
-	// The same ID goes over another connection: a late duplicate would be taken for the response to this call.
+	// A call with the same ID must use another connection, as a late duplicate would be taken for its response.
 	_, again := h.call("a", resp.Exclusive)
 	other := h.accept()
-	other.next()
+	other.nextCommand()
 	conn.send(resp.AppendArray(nil, "a", "ok", "-", "duplicate"))
 	other.send(resp.AppendArray(nil, "a", "nothing", "-", ""))
 	expect(t, again, resp.Answered, "nothing")
 }
 
-// A malformed response ends its connection: what was on it may have run. Exclusive calls on other connections are not
-// affected; a response that has begun and does not go on ends its connection as well.
+// A malformed response must end its connection, and so must a response that is not completed in time. The calls on that
+// connection end as lost, as they may have run. Exclusive calls on other connections must not be affected.
 func TestMalformedResponse(t *testing.T) {
 	short := limits
 	short.IOTimeout = 300 * time.Millisecond
 	h := start(t, short)
 	_, a := h.call("a", resp.Exclusive)
 	first := h.accept()
-	first.next()
+	first.nextCommand()
 	_, b := h.call("b", resp.Exclusive)
 	second := h.accept()
-	second.next()
+	second.nextCommand()
 	first.send([]byte("*4\r\n$1\r\na\r\n$2\r\nok\r\n$1\r\n-\r\n$3221225472\r\nabc"))
 	expect(t, a, resp.ConnectionLost, "")
 	second.send([]byte("*4\r\n$1\r\nb\r\n$2\r\nok\r\n$1\r\n-\r\n$9\r\nabc"))
 	expect(t, b, resp.ConnectionLost, "")
 }
 
-// A cancelled call has ended when its cancel command is written, and its connection carries nothing new.
+// A cancelled call must end once its cancel command is written, and its connection must not carry new calls.
 func TestCancel(t *testing.T) {
 	h := start(t, limits)
 	call, done := h.call("a", resp.Exclusive)
 	conn := h.accept()
-	conn.next()
+	conn.nextCommand()
 	call.Cancel(resp.AppendArray(nil, "KILL", "a"))
 	expect(t, done, resp.Cancelled, "")
-	if got := conn.next(); got[0] != "KILL" || got[1] != "a" {
+	if got := conn.nextCommand(); got[0] != "KILL" || got[1] != "a" {
 		t.Error(got)
 	}
 	_, other := h.call("b", resp.Exclusive)
 	conn = h.accept()
-	conn.next()
+	conn.nextCommand()
 	conn.send(resp.AppendArray(nil, "b", "ok", "-", ""))
 	expect(t, other, resp.Answered, "ok")
-	call.Cancel(nil) // it has ended already
+	call.Cancel(nil) // no effect: the call has ended
 	if len(done) > 0 {
-		t.Error("a second end:", <-done)
+		t.Error("done was called again with", <-done)
 	}
 }
 
-// A call that is cancelled without a command, as a lost load request is, ends its connection.
+// A call that is cancelled without a command, like a load request that times out, must end its connection.
 func TestCancelWithoutCommand(t *testing.T) {
 	h := start(t, limits)
 	call, done := h.call("t1", resp.Shared)
 	conn := h.accept()
-	conn.next()
+	conn.nextCommand()
 	call.Cancel(nil)
 	expect(t, done, resp.Cancelled, "")
 	if _, err := conn.Read(make([]byte, 1)); err == nil {
-		t.Error("the connection goes on")
+		t.Error("the connection was not closed")
 	}
 }
 
-// What has not left when a worker is stopped is not sent; what has been sent is still answered.
+// When a worker is stopped, calls that have not been written must not be sent, and calls that have been sent must still
+// be answered.
 func TestStop(t *testing.T) {
 	h := start(t, limits)
 	_, a := h.call("a", resp.Exclusive)
 	conn := h.accept()
-	conn.next()
+	conn.nextCommand()
 	h.worker.Stop()
 	_, b := h.call("b", resp.Exclusive)
 	expect(t, b, resp.NotSent, "")
 	conn.send(resp.AppendArray(nil, "a", "ok", "-", ""))
 	expect(t, a, resp.Answered, "ok")
 	if _, err := conn.Read(make([]byte, 1)); err == nil {
-		t.Error("the connection goes on")
+		t.Error("the connection was not closed")
 	}
 	h.worker.Resume()
 	_, c := h.call("c", resp.Exclusive)
-	h.accept().next()
+	h.accept().nextCommand()
 	h.listener.Close()
 	h.worker.Stop()
 	if len(c) > 0 {
@@ -268,12 +270,13 @@
 	}
 }
 
-// Without a connection a call was not sent; when one is lost under a call, that may have run.
+// A call for which no connection can be established must end as not sent. A call whose connection is lost after it was
+// sent must end as lost, as it may have run.
 func TestUnreachableWorker(t *testing.T) {
 	h := start(t, limits)
 	_, a := h.call("a", resp.Exclusive)
 	conn := h.accept()
-	conn.next()
+	conn.nextCommand()
 	conn.Close()
 	expect(t, a, resp.ConnectionLost, "")
 	h.listener.Close()
@@ -281,13 +284,14 @@
 	expect(t, b, resp.NotSent, "")
 }
 
-// A worker that has been silent for a while is called over a new connection: where its machine is down, what is sent
-// on the old one may have run, what waits for the new one never does.
+// A call to a worker from which no data has been received for a while must use a new connection. If the worker's
+// machine is down, a call sent on the old connection may have run, while one that waits for the new connection can't
+// have run.
 func TestSilentWorkerGetsNewConnection(t *testing.T) {
 	h := start(t, limits)
 	_, a := h.call("a", resp.Exclusive)
 	conn := h.accept()
-	conn.next()
+	conn.nextCommand()
 	conn.send(resp.AppendArray(nil, "a", "ok", "-", ""))
 	expect(t, a, resp.Answered, "ok")
 	h.worker.SetSilentFor(2 * limits.IOTimeout)
@@ -296,7 +300,7 @@
 	expect(t, b, resp.NotSent, "")
 }
 
-// Past the limit of connections calls share them, up to the number of calls that one carries.
+// Once the soft limit of connections is reached, calls must share connections, up to the maximum number of calls on one.
 func TestCallsShareConnections(t *testing.T) {
 	few := limits
 	few.SoftMaxConns, few.MaxCallsPerConn = 1, 2
@@ -306,8 +310,8 @@
 	_, c := h.call("c", resp.Exclusive)
 	expect(t, c, resp.NotSent, "")
 	conn := h.accept()
-	conn.next()
-	conn.next()
+	conn.nextCommand()
+	conn.nextCommand()
 	conn.send(append(resp.AppendArray(nil, "b", "ok", "-", ""), resp.AppendArray(nil, "a", "ok", "-", "")...))
 	expect(t, a, resp.Answered, "ok")
 	expect(t, b, resp.Answered, "ok")
--- a/internal/gateway/resp/worker.go
+++ b/internal/gateway/resp/worker.go
@@ -12,15 +12,16 @@
 	addr string
 
 	mu           sync.Mutex
-	conns        []*conn // in the order in which they were made
-	stopped      bool
-	lastReceived time.Time // when something last came from the worker, a new connection too
+	conns        []*conn   // connections, the oldest first
+	stopped      bool      // calls are not sent
+	lastReceived time.Time // when data was last received from the worker or a connection to it was established
 }
 
-// Call sends a message. A response with its ID ends the call, and done is called once, perhaps before Call returns.
+// Call sends a message. The call ends with the response that has the given ID, or for another reason. done is called
+// once with the result, perhaps before Call returns.
 func (w *Worker) Call(id string, message Message, sharing Sharing, done func(Result)) *Call {
 	if w.pool.openConns.Load() >= int64(w.pool.limits.SoftMaxConns) && w.hasNoConns() {
-		w.pool.closeIdlest()
+		w.pool.closeLongestIdle()
 	}
 	w.mu.Lock()
 	call := &Call{worker: w, id: id, Message: message, done: done}
@@ -46,14 +47,15 @@
 	return len(w.conns) == 0
 }
 
-// pickConn finds or makes a connection for a call; nil: there can be none. The lock is held.
+// pickConn returns an existing or new connection for a call, or nil if the call can't be sent. The caller must hold
+// w.mu.
 func (w *Worker) pickConn(id string, sharing Sharing) *conn {
 	if w.stopped || w.pool.ctx.Err() != nil {
 		return nil
 	}
 	least := w.leastLoaded(id)
-	// A machine that is down leaves its connections open and swallows what is sent on them. A new connection shows that,
-	// and what waits for it never runs.
+	// If a worker's machine goes down, its connections stay open and messages written to them are lost. An attempt to
+	// make a new connection fails in that case, and it is certain that a call waiting for that connection has not run.
 	silent := time.Since(w.lastReceived) > w.pool.limits.IOTimeout
 	if least != nil && (least.conn == nil || !silent) && (len(least.calls) == 0 || sharing == Shared) {
 		return least
@@ -73,8 +75,9 @@
 	return c
 }
 
-// leastLoaded is the connection with the fewest calls, the newest first, that may carry a call. Of those that have
-// carried its ID none may: a second response to the earlier call would be taken for one to this. The lock is held.
+// leastLoaded returns the connection with the fewest calls that can carry a call with the given ID, the newest of
+// several, or nil. A connection that has recently carried a call with the same ID can't: a duplicate response to the
+// earlier call would be taken for the response to the new one. The caller must hold w.mu.
 func (w *Worker) leastLoaded(id string) (least *conn) {
 	for _, c := range slices.Backward(w.conns) {
 		if c.accepts(id) && (least == nil || len(c.calls) < len(least.calls)) {
@@ -84,8 +87,8 @@
 	return least
 }
 
-// Stop ends what has not left yet as not sent, and all calls that come later: the worker is draining or removed. What
-// has been sent goes on. No write lasts longer than Limits.IOTimeout.
+// Stop ends all calls whose messages have not been written, and all later calls, as not sent. It is used if the worker
+// is draining or removed. Calls that have been sent continue. A write in progress ends within Limits.IOTimeout.
 func (w *Worker) Stop() {
 	w.mu.Lock()
 	w.stopped = true
@@ -101,7 +104,7 @@
 	}
 }
 
-// Resume lets calls go to the worker again.
+// Resume allows calls to be sent to the worker again after Stop.
 func (w *Worker) Resume() {
 	w.mu.Lock()
 	w.stopped = false
