--- a/internal/gateway/platform/limits.go
+++ b/internal/gateway/platform/limits.go
@@ -77,7 +77,7 @@
 	finalReadDivisor = 8
 
 	// maxWriteTime is the maximum time for writing a request to a worker. The request states the time left until the
-	// client's deadline, which is outdated by the time of the write; the platform tolerates 150 ms.
+	// client's deadline, which becomes outdated during the write; the platform tolerates 150 ms.
 	maxWriteTime = 100 * time.Millisecond
 )
 
--- a/internal/gateway/platform/transport.go
+++ b/internal/gateway/platform/transport.go
@@ -137,7 +137,7 @@
 	return cancellableCall{Call: call}
 }
 
-// Subscribe does nothing: the discovery service is watched all the time.
+// Subscribe does nothing: the gateway always watches the discovery service.
 func (t *workerTransport) Subscribe() {}
 
 // nextTag returns a new ID for a load request or a probe.
--- a/internal/gateway/resp/export_test.go
+++ b/internal/gateway/resp/export_test.go
@@ -15,11 +15,11 @@
 	}
 }
 
-// SetSilentFor sets the time since data was last received from the worker.
-func (w *Worker) SetSilentFor(silence time.Duration) {
+// SetUnresponsiveFor sets the time since data was last received from the worker.
+func (w *Worker) SetUnresponsiveFor(duration time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lastReceived = time.Now().Add(-silence)
+	w.lastReceived = time.Now().Add(-duration)
 }
 
 // AwaitOpenConns waits until the pool has at most limit connections.
--- a/internal/gateway/resp/resp_test.go
+++ b/internal/gateway/resp/resp_test.go
@@ -287,20 +287,20 @@
 // A call to a worker from which no data has been received for a while must use a new connection. If the worker's
 // machine is down, a call sent on the old connection may have run, while one that waits for the new connection can't
 // have run.
-func TestSilentWorkerGetsNewConnection(t *testing.T) {
+func TestUnresponsiveWorkerGetsNewConnection(t *testing.T) {
 	h := start(t, limits)
 	_, a := h.call("a", resp.Exclusive)
 	conn := h.accept()
 	conn.nextCommand()
 	conn.send(resp.AppendArray(nil, "a", "ok", "-", ""))
 	expect(t, a, resp.Answered, "ok")
-	h.worker.SetSilentFor(2 * limits.IOTimeout)
+	h.worker.SetUnresponsiveFor(2 * limits.IOTimeout)
 	h.listener.Close()
 	_, b := h.call("b", resp.Exclusive)
 	expect(t, b, resp.NotSent, "")
 }
 
-// Once the soft limit of connections is reached, calls must share connections, up to the maximum number of calls on one.
+// Once the soft limit of connections is reached, calls must share connections, up to the limit of calls on each.
 func TestCallsShareConnections(t *testing.T) {
 	few := limits
 	few.SoftMaxConns, few.MaxCallsPerConn = 1, 2
--- a/internal/gateway/resp/worker.go
+++ b/internal/gateway/resp/worker.go
@@ -56,8 +56,8 @@
 	least := w.leastLoaded(id)
 	// If a worker's machine goes down, its connections stay open and messages written to them are lost. An attempt to
 	// make a new connection fails in that case, and it is certain that a call waiting for that connection has not run.
-	silent := time.Since(w.lastReceived) > w.pool.limits.IOTimeout
-	if least != nil && (least.conn == nil || !silent) && (len(least.calls) == 0 || sharing == Shared) {
+	unresponsive := time.Since(w.lastReceived) > w.pool.limits.IOTimeout
+	if least != nil && (least.conn == nil || !unresponsive) && (len(least.calls) == 0 || sharing == Shared) {
 		return least
 	}
 	limit := w.pool.limits.MaxConns
