--- a/internal/testbed/emulator/dedup.go
+++ b/internal/testbed/emulator/dedup.go
@@ -7,20 +7,22 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// sweepInterval is how often a group forgets keys whose windows are over.
+// sweepInterval is the interval at which a group removes keys whose windows have ended.
 const sweepInterval = time.Second
 
-// DedupGroup is a group of workers that recognize each other's repeats of keyed requests.
+// DedupGroup is a group of workers that share the idempotency keys of requests, so that each worker detects repeats of
+// requests that another one has executed.
 type DedupGroup struct {
-	mu        sync.Mutex
-	until     map[string]time.Time // by idempotency key: the end of its window
-	nextSweep time.Time
+	mu         sync.Mutex
+	windowEnds map[string]time.Time // end of the deduplication window of each idempotency key
+	nextSweep  time.Time
 }
 
-// NewDedupGroup makes a group without members; workers are given it.
-func NewDedupGroup() *DedupGroup { return &DedupGroup{until: map[string]time.Time{}} }
+// NewDedupGroup returns an empty group. Workers join it by NewWorker.
+func NewDedupGroup() *DedupGroup { return &DedupGroup{windowEnds: map[string]time.Time{}} }
 
-// claim reports whether a keyed request is the first within its window, and notes that it has begun.
+// claim reports whether a request is the first with its idempotency key within the key's window, and records the key.
+// A request without a key is always the first.
 func (g *DedupGroup) claim(attempt *workerrpc.Attempt) (first bool) {
 	if attempt.IdempotencyKey == "" {
 		return true
@@ -29,22 +31,22 @@
 	defer g.mu.Unlock()
 	now := time.Now()
 	g.sweep(now)
-	if now.Before(g.until[attempt.IdempotencyKey]) {
+	if now.Before(g.windowEnds[attempt.IdempotencyKey]) {
 		return false
 	}
-	g.until[attempt.IdempotencyKey] = now.Add(attempt.DedupWindow)
+	g.windowEnds[attempt.IdempotencyKey] = now.Add(attempt.DedupWindow)
 	return true
 }
 
-// sweep forgets keys whose windows are over; the lock is held.
+// sweep removes keys whose windows have ended; g.mu must be held.
 func (g *DedupGroup) sweep(now time.Time) {
 	if !now.After(g.nextSweep) {
 		return
 	}
 	g.nextSweep = now.Add(sweepInterval)
-	for key, until := range g.until {
-		if now.After(until) {
-			delete(g.until, key)
+	for key, windowEnd := range g.windowEnds {
+		if now.After(windowEnd) {
+			delete(g.windowEnds, key)
 		}
 	}
 }
--- a/internal/testbed/emulator/executions.go
+++ b/internal/testbed/emulator/executions.go
@@ -7,47 +7,48 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// ExecutionLog records what ran at workers.
+// ExecutionLog records the executions of requests at workers.
 type ExecutionLog struct {
 	mu         sync.Mutex
-	executions map[string]*execution // by the client's request
+	executions map[string]*execution // by the ID of the client's request
 }
 
-// execution is how often one request ran.
+// execution is the number of executions of one request.
 type execution struct {
 	requestType string
 	count       int
 }
 
-// NewExecutionLog makes an empty log.
+// NewExecutionLog returns an empty log.
 func NewExecutionLog() *ExecutionLog { return &ExecutionLog{executions: map[string]*execution{}} }
 
-// Duplicates lists the requests of a type that ran more than once, by the client's name of the request.
-func (l *ExecutionLog) Duplicates(requestType string) (names []string) {
+// Duplicates returns the IDs of the clients' requests of a type that were executed more than once.
+func (l *ExecutionLog) Duplicates(requestType string) (ids []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for name, execution := range l.executions {
+	for id, execution := range l.executions {
 		if execution.requestType == requestType && execution.count > 1 {
-			names = append(names, name)
+			ids = append(ids, id)
 		}
 	}
-	return names
+	return ids
 }
 
 func (l *ExecutionLog) record(attempt *workerrpc.Attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	name := requestName(attempt.ClientRequestID)
-	if l.executions[name] == nil {
-		l.executions[name] = &execution{requestType: attempt.Type}
+	id := originalRequestID(attempt.ClientRequestID)
+	if l.executions[id] == nil {
+		l.executions[id] = &execution{requestType: attempt.Type}
 	}
-	l.executions[name].count++
+	l.executions[id].count++
 }
 
-// requestName is the client's request behind the name of one of its attempts, which ends in a full stop and a number.
-func requestName(attemptName string) string {
-	if i := strings.LastIndexByte(attemptName, '.'); i > 0 {
-		return attemptName[:i]
+// originalRequestID returns the ID of the client's request from the ID of an attempt, which has a dot and a number
+// appended.
+func originalRequestID(attemptID string) string {
+	if i := strings.LastIndexByte(attemptID, '.'); i > 0 {
+		return attemptID[:i]
 	}
-	return attemptName
+	return attemptID
 }
--- a/internal/testbed/emulator/model.go
+++ b/internal/testbed/emulator/model.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Function is what an emulated worker knows of a function.
+// Function describes a function to an emulated worker.
 type Function struct {
 	Name        string
-	MeanCPUTime time.Duration // of a request
-	LoadTime    time.Duration // of a replica, from a store that is not crowded
-	Memory      int64         // bytes of a replica
-	Concurrency int           // requests that a replica runs at a time
+	MeanCPUTime time.Duration // mean CPU time of a request
+	LoadTime    time.Duration // time to load a replica from a store within its capacity
+	Memory      int64         // size of a replica in bytes
+	Concurrency int           // number of requests that a replica runs concurrently
 }
 
-// Model is what a worker is like.
+// Model is the model of an emulated worker: its capacity, load policy and slow start.
 type Model struct {
 	Cores              float64
-	Memory             int64         // bytes
-	QueueLimit         int           // requests that may wait; more are rejected as overload
-	ReplicaIdleTimeout time.Duration // an idle replica stays so long
-	LoadOnMiss         bool
-	InitialShare       float64       // part of its cores that a worker has at its start
-	WarmUpTime         time.Duration // until it has all of them
-	CrashMultiple      float64       // a warming worker crashes when it gets more than this multiple of its capacity
-	CrashWindow        time.Duration // within so long; 0: never
-	MaxAttempts        int           // in flight on a connection
+	Memory             int64         // memory for replicas in bytes
+	QueueLimit         int           // number of requests that may wait; more are rejected as overload
+	ReplicaIdleTimeout time.Duration // time after which an idle replica is unloaded
+	LoadOnMiss         bool          // load a replica for a request that finds none; false: reject it
+	InitialShare       float64       // share of the cores that is available at the start of a worker
+	WarmUpTime         time.Duration // time after the start until all cores are available
+	CrashMultiple      float64       // load, as a multiple of its capacity, that makes a warming worker crash; 0: never
+	CrashWindow        time.Duration // time window of that load; 0: the worker never crashes
+	MaxAttempts        int           // maximum number of attempts in flight on a connection
 }
 
-// warmShare is the part of its cores that a worker has so long after its start.
-func (m Model) warmShare(uptime time.Duration) float64 {
+// capacityShare returns the share of its cores that a worker has available at the given uptime.
+func (m Model) capacityShare(uptime time.Duration) float64 {
 	if m.WarmUpTime <= 0 || uptime >= m.WarmUpTime {
 		return 1
 	}
--- a/internal/testbed/emulator/replicas.go
+++ b/internal/testbed/emulator/replicas.go
@@ -6,20 +6,20 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// replicaSet is the replicas of one function at a worker.
+// replicaSet is the set of a function's replicas at a worker, with the requests that run on them or wait for them.
 type replicaSet struct {
 	function  Function
 	replicas  int
 	loading   int
-	busy      int // requests that run
+	busy      int // number of running requests
 	idleSince time.Time
 	queue     []*job
 }
 
-// free is how many more requests the set can run.
+// free returns the number of additional requests that the set can run.
 func (s *replicaSet) free() int { return s.replicas*s.function.Concurrency - s.busy }
 
-// replicaSet gives the set of a function; the lock is held.
+// replicaSet returns the set of a function, and creates it if needed; w.mu must be held.
 func (w *Worker) replicaSet(function Function) *replicaSet {
 	set := w.replicas[function.Name]
 	if set == nil {
@@ -29,8 +29,9 @@
 	return set
 }
 
-// load begins a load; done, if given, hears how it ended. It returns false where there is no memory. The lock is held.
-func (w *Worker) load(set *replicaSet, done func(workerrpc.Code)) bool {
+// startLoad starts to load a replica, and returns false if there is not enough memory. done, unless nil, is called with
+// the result of the load. w.mu must be held.
+func (w *Worker) startLoad(set *replicaSet, done func(workerrpc.Code)) bool {
 	if !w.evictIdle(set.function.Memory) {
 		return false
 	}
@@ -50,7 +51,7 @@
 		code := workerrpc.CodeOK
 		if failed {
 			code = workerrpc.CodeFailed
-			w.loadFailed(set)
+			w.handleLoadFailure(set)
 		} else {
 			set.replicas++
 			set.idleSince = time.Now()
@@ -63,8 +64,9 @@
 	return true
 }
 
-// loadFailed gives up a load, and with the last one what waits for it; the lock is held.
-func (w *Worker) loadFailed(set *replicaSet) {
+// handleLoadFailure frees the memory of a failed load. If the set has no replica and no other load in progress, its
+// queued requests fail. w.mu must be held.
+func (w *Worker) handleLoadFailure(set *replicaSet) {
 	w.memory -= set.function.Memory
 	if set.replicas > 0 || set.loading > 0 {
 		return
@@ -77,15 +79,16 @@
 	set.queue = nil
 }
 
-// unload drops replicas; the lock is held.
+// unload removes replicas of a set; w.mu must be held.
 func (w *Worker) unload(set *replicaSet, count int) {
 	set.replicas -= count
 	w.memory -= int64(count) * set.function.Memory
 }
 
-// evictIdle drops the longest idle replicas until there is memory; false: there can't be. The lock is held.
-func (w *Worker) evictIdle(need int64) bool {
-	for w.memory+need > w.model.Memory {
+// evictIdle removes the replicas that have been idle the longest until the required memory is free. It returns false if
+// that isn't possible. w.mu must be held.
+func (w *Worker) evictIdle(required int64) bool {
+	for w.memory+required > w.model.Memory {
 		var oldest *replicaSet
 		for _, set := range w.replicas {
 			idle := set.free() >= set.function.Concurrency && len(set.queue) == 0
@@ -116,7 +119,7 @@
 	}
 	set := w.replicaSet(function)
 	pending, code := 0, workerrpc.CodeOK
-	loaded := func(loadCode workerrpc.Code) { // the lock is held
+	loaded := func(loadCode workerrpc.Code) { // called with w.mu held
 		pending--
 		if loadCode != workerrpc.CodeOK {
 			code = workerrpc.CodeFailed
@@ -125,7 +128,7 @@
 			reply(&workerrpc.LoadResult{Code: code, Replicas: set.replicas})
 		}
 	}
-	for set.replicas+set.loading < request.Replicas && w.load(set, loaded) {
+	for set.replicas+set.loading < request.Replicas && w.startLoad(set, loaded) {
 		pending++
 	}
 	switch {
--- a/internal/testbed/emulator/session.go
+++ b/internal/testbed/emulator/session.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// workSteps is into how many steps the exponential distribution of CPU times is divided.
-	workSteps = 10000
-	// maxWorkStep cuts its tail off: no request takes more than three times the mean.
-	maxWorkStep = 9500
+	// cpuTimeSteps is the number of quantiles into which the exponential distribution of CPU times is divided.
+	cpuTimeSteps = 10000
+	// maxCPUTimeStep truncates the tail of the distribution: no request takes more than three times the mean.
+	maxCPUTimeStep = 9500
 )
 
-// session is a worker between a start and the next stop, as its connections see it.
+// session handles the connections of one incarnation of a worker, from a start to the next stop.
 type session struct {
 	worker      *Worker
 	incarnation int
 }
 
-// job is one attempt at a worker.
+// job is an attempt that a worker runs or has queued.
 type job struct {
 	attempt            *workerrpc.Attempt
 	reply              func(*workerrpc.AttemptResult)
@@ -30,18 +30,18 @@
 	replicaState       workerrpc.ReplicaState
 	concurrentRequests int
 	cpuTime            time.Duration
-	timer              *time.Timer // of its end; nil: not started
+	timer              *time.Timer // ends the execution; nil: not started
 	finished           bool
 }
 
-// LoadReport tells the worker's load.
+// LoadReport returns the worker's load.
 func (s *session) LoadReport() *workerrpc.LoadReport {
 	s.worker.mu.Lock()
 	defer s.worker.mu.Unlock()
 	return s.worker.loadReport()
 }
 
-// HandleAttempt takes an attempt; the result cancels it.
+// HandleAttempt runs, queues or rejects an attempt, and returns a function that cancels it; nil: it can't be cancelled.
 func (s *session) HandleAttempt(_ string, attempt *workerrpc.Attempt, reply func(*workerrpc.AttemptResult)) func() {
 	w := s.worker
 	w.mu.Lock()
@@ -50,8 +50,8 @@
 		return nil
 	}
 	function, known := w.functions[attempt.Function]
-	cpuTime := w.drawCPUTime(function)
-	if w.crashIfOverloaded(cpuTime) { // what comes is work, whether it is admitted or not
+	cpuTime := w.randomCPUTime(function)
+	if w.crashIfOverloaded(cpuTime) { // rejected attempts count as load too
 		return nil
 	}
 	reject := func(code workerrpc.Code, reason string) {
@@ -88,14 +88,14 @@
 	return func() { w.cancelJob(set, j) }
 }
 
-// drawCPUTime draws what a request takes; the lock is held.
-func (w *Worker) drawCPUTime(function Function) time.Duration {
-	part := float64(w.random.IntN(maxWorkStep)) / workSteps
-	return time.Duration(float64(function.MeanCPUTime) * -math.Log(1-part))
+// randomCPUTime returns a random CPU time for a request of a function; w.mu must be held.
+func (w *Worker) randomCPUTime(function Function) time.Duration {
+	quantile := float64(w.random.IntN(maxCPUTimeStep)) / cpuTimeSteps
+	return time.Duration(float64(function.MeanCPUTime) * -math.Log(1-quantile))
 }
 
-// ensureLoading begins a load where a request finds no replica, none is being loaded, and the model says so. A code
-// other than OK says why the request is rejected. The lock is held.
+// ensureLoading starts a load if there is no replica, none is being loaded, and the model loads on a miss. A code other
+// than OK means that the request must be rejected, with the returned reason. w.mu must be held.
 func (w *Worker) ensureLoading(set *replicaSet) (state workerrpc.ReplicaState, code workerrpc.Code, reason string) {
 	switch {
 	case set.replicas > 0:
@@ -104,14 +104,14 @@
 		return workerrpc.ReplicaLoadAwaited, workerrpc.CodeOK, ""
 	case !w.model.LoadOnMiss:
 		return 0, workerrpc.CodeNotFound, "not loaded"
-	case !w.load(set, nil):
+	case !w.startLoad(set, nil):
 		return 0, workerrpc.CodeOverloaded, "no memory"
 	}
 	return workerrpc.ReplicaLoadStarted, workerrpc.CodeOK, ""
 }
 
-// dispatch starts what waits while replicas are free. What runs shares the cores as they stand at its start. The lock
-// is held.
+// dispatch runs queued requests while replicas have free capacity. Replicas that have been idle for longer than
+// ReplicaIdleTimeout are unloaded first. w.mu must be held.
 func (w *Worker) dispatch(set *replicaSet) {
 	unused := set.replicas > 0 && set.busy == 0 && len(set.queue) == 0
 	if unused && time.Since(set.idleSince) > w.model.ReplicaIdleTimeout {
@@ -129,12 +129,13 @@
 	}
 }
 
-// run runs a request; the lock is held.
+// run starts the execution of a request. Its duration depends on the cores available and the requests running at its
+// start. w.mu must be held.
 func (w *Worker) run(set *replicaSet, j *job) {
 	set.busy++
 	w.running++
 	w.executions.record(j.attempt)
-	cores := w.model.Cores * w.model.warmShare(time.Since(w.started))
+	cores := w.model.Cores * w.model.capacityShare(time.Since(w.started))
 	duration := time.Duration(float64(j.cpuTime) * max(1, float64(w.running)/cores))
 	if w.faults.SlowFactor > 0 {
 		duration = time.Duration(float64(duration) * w.faults.SlowFactor)
@@ -156,14 +157,14 @@
 	w.dispatch(set)
 }
 
-// complete sends the result of a job; the lock is held.
+// complete sends the result of a job; w.mu must be held.
 func (w *Worker) complete(j *job, result workerrpc.AttemptResult) {
 	j.finished = true
 	result.ReplicaState, result.ConcurrentRequests, result.Report = j.replicaState, j.concurrentRequests, w.loadReport()
 	j.reply(&result)
 }
 
-// cancelJob gives up a job that its gateway has cancelled.
+// cancelJob ends a job that its gateway has cancelled.
 func (w *Worker) cancelJob(set *replicaSet, cancelled *job) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testbed/emulator/slowstart.go
+++ b/internal/testbed/emulator/slowstart.go
@@ -5,20 +5,22 @@
 	"time"
 )
 
-// deviations is how many standard deviations of chance beyond its budget a warming worker bears.
-const deviations = 3
+// toleratedDeviations is the number of standard deviations by which the load of a warming worker may randomly exceed
+// its budget without a crash.
+const toleratedDeviations = 3
 
-// workSample is work that came to a worker while it was warming up.
+// workSample is the CPU time of a request that a worker received while it was warming up.
 type workSample struct {
 	at      time.Time
 	cpuTime time.Duration
 }
 
-// crashIfOverloaded counts work that comes to a worker while it warms up, and crashes the worker when it is too much.
-// The lock is held.
+// crashIfOverloaded adds the CPU time of a received request to the load of a warming worker, and crashes the worker if
+// the load of the last CrashWindow exceeds what it can handle: CrashMultiple times its current capacity, plus
+// toleratedDeviations. w.mu must be held.
 func (w *Worker) crashIfOverloaded(work time.Duration) (crashed bool) {
 	now := time.Now()
-	share := w.model.warmShare(now.Sub(w.started))
+	share := w.model.capacityShare(now.Sub(w.started))
 	if w.model.CrashMultiple <= 0 || share >= 1 {
 		return false
 	}
@@ -33,11 +35,11 @@
 	}
 	w.recentWork = recent
 	budget := w.model.CrashMultiple * share * w.model.Cores * float64(w.model.CrashWindow)
-	if float64(sum) <= budget+deviations*math.Sqrt(budget*float64(max(work, time.Millisecond))) {
+	if float64(sum) <= budget+toleratedDeviations*math.Sqrt(budget*float64(max(work, time.Millisecond))) {
 		return false
 	}
 	w.crashes++
-	w.incarnation++ // all that is in flight is lost; its connections break
+	w.incarnation++ // requests in flight are lost, and connections are closed
 	server := w.server
 	go server.CloseConnections()
 	return true
--- a/internal/testbed/emulator/store.go
+++ b/internal/testbed/emulator/store.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// maxFetchesPerCapacity is how many fetches at a time a store serves at all, for each that it serves at full speed.
+	// maxFetchesPerCapacity is the maximum number of concurrent fetches, as a multiple of the store's capacity.
 	maxFetchesPerCapacity = 8
-	// rejectionShare is the part of a fetch's time after which the store rejects it.
-	rejectionShare = 10
+	// rejectionDivisor is the divisor for the time after which the store rejects a fetch: base / rejectionDivisor.
+	rejectionDivisor = 10
 )
 
-// Store emulates the one store that all workers fetch from: under more load it slows, under still more it rejects
-// fetches.
+// Store emulates the store from which all workers fetch functions. Above its capacity, fetches become slower; above
+// maxFetchesPerCapacity times its capacity, it rejects them.
 type Store struct {
 	mu          sync.Mutex
 	capacity    int // concurrent fetches at full speed
@@ -22,34 +22,34 @@
 	unavailable bool
 }
 
-// NewStore makes a store of a capacity in concurrent fetches.
+// NewStore returns a store; capacity is the number of concurrent fetches at full speed.
 func NewStore(capacity int) *Store { return &Store{capacity: capacity, slowdown: 1} }
 
-// SetSlowdown has every fetch take so many times longer.
+// SetSlowdown sets the factor by which the duration of each fetch is multiplied.
 func (s *Store) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slowdown = factor
 }
 
-// SetUnavailable has every fetch rejected, or no more.
+// SetUnavailable sets whether the store rejects all fetches.
 func (s *Store) SetUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unavailable = unavailable
 }
 
-// BeginFetch begins a fetch that would take base alone, and says how long it takes and whether it is rejected then.
-// EndFetch ends it.
+// BeginFetch starts a fetch that takes base when the store isn't busy. It returns the duration of the fetch, and
+// whether the store rejects it at the end of that time. The caller must call EndFetch then.
 func (s *Store) BeginFetch(base time.Duration) (duration time.Duration, rejected bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active++
 	if s.unavailable || s.active > maxFetchesPerCapacity*s.capacity {
-		return base / rejectionShare, true
+		return base / rejectionDivisor, true
 	}
-	crowding := max(1, float64(s.active)/float64(s.capacity))
-	return time.Duration(float64(base) * s.slowdown * crowding), false
+	contention := max(1, float64(s.active)/float64(s.capacity))
+	return time.Duration(float64(base) * s.slowdown * contention), false
 }
 
 // EndFetch ends a fetch.
--- a/internal/testbed/emulator/worker.go
+++ b/internal/testbed/emulator/worker.go
@@ -1,6 +1,6 @@
-// Package emulator has emulated workers: they speak the worker protocol, take the time that a model of a worker would
-// take, and misbehave when told. They run nothing. What they claim to have run is kept in an execution log, so that a
-// scenario can count effects at the workers, apart from what any gateway says.
+// Package emulator provides emulated workers. They speak the worker protocol, respond after the time that a model of a
+// worker yields, and inject faults on request, but execute no functions. They record the emulated executions in an
+// execution log, so that a scenario can count side effects at the workers, independently of what gateways report.
 package emulator
 
 import (
@@ -15,7 +15,7 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// Worker is one emulated worker. Its methods may be called by any goroutine.
+// Worker is an emulated worker. Its methods are safe for concurrent use.
 type Worker struct {
 	name       string
 	model      Model
@@ -27,21 +27,21 @@
 	silencer   faultinject.Silencer
 
 	mu          sync.Mutex
-	incarnation int // counts starts: what belongs to an earlier one is void
+	incarnation int // incremented at each start, stop and crash; jobs of earlier incarnations are dropped
 	started     time.Time
 	replicas    map[string]*replicaSet
 	memory      int64
 	running     int
 	waiting     int
 	server      *workerrpc.Server
-	cancel      context.CancelFunc // of the incarnation; nil: stopped
-	stopped     chan struct{}
+	cancel      context.CancelFunc // ends the current incarnation; nil: stopped
+	stopped     chan struct{}      // closed when the server of the incarnation has ended
 	faults      faultinject.Faults
-	recentWork  []workSample // that came lately, while warming up
+	recentWork  []workSample // load received within the last CrashWindow while warming up
 	crashes     int
 }
 
-// NewWorker makes a worker that is not started; groups are those of keyed request types that it is in.
+// NewWorker returns a worker that hasn't been started. groups are its deduplication groups by keyed request type.
 func NewWorker(name string, model Model, functions []Function, store *Store, executions *ExecutionLog,
 	groups map[string]*DedupGroup, seed uint64) *Worker {
 	w := &Worker{
@@ -59,8 +59,8 @@
 	return w
 }
 
-// Start begins an incarnation, without a replica, at addr ("": any port of loopback). The worker says that it started
-// an uptime ago, and is as warm as that.
+// Start starts a new incarnation without replicas at addr (empty: a free port of loopback), and returns its address and
+// start time. The start time is uptime ago, and the worker's slow start has progressed accordingly.
 func (w *Worker) Start(addr string, uptime time.Duration) (string, time.Time, error) {
 	if addr == "" {
 		addr = "127.0.0.1:0"
@@ -85,19 +85,19 @@
 	silenced := w.silencer.Listener(listener)
 	go func() {
 		defer close(stopped)
-		_ = server.Serve(ctx, silenced) // its end is the end of this incarnation
+		_ = server.Serve(ctx, silenced) // it ends with this incarnation, whatever the error
 	}()
 	return listener.Addr().String(), w.started, nil
 }
 
-// Stop ends the incarnation at once; whatever ran is lost.
+// Stop ends the incarnation immediately; running and queued requests are lost.
 func (w *Worker) Stop() {
 	w.mu.Lock()
 	if w.cancel == nil {
 		w.mu.Unlock()
 		return
 	}
-	w.incarnation++ // no timer of this one answers any more
+	w.incarnation++ // timers of this incarnation no longer send answers
 	for _, set := range w.replicas {
 		for _, job := range set.queue {
 			job.finished = true
@@ -111,30 +111,30 @@
 	<-stopped
 }
 
-// Name is the worker's name.
+// Name returns the worker's name.
 func (w *Worker) Name() string { return w.name }
 
-// Crashes is how often it crashed under too much load while warming up.
+// Crashes returns the number of crashes by overload while warming up.
 func (w *Worker) Crashes() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.crashes
 }
 
-// InjectFault has the worker misbehave from now on.
+// InjectFault changes the faults of the worker from now on.
 func (w *Worker) InjectFault(change func(*faultinject.Faults)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change(&w.faults)
 }
 
-// SetUnresponsive has it neither read nor write, with its connections left open, or no more.
+// SetUnresponsive sets whether the worker neither reads from nor writes to its connections, which stay open.
 func (w *Worker) SetUnresponsive(unresponsive bool) { w.silencer.Set(unresponsive) }
 
-// Reset breaks its connections; the worker goes on.
+// Reset closes the worker's connections; the worker keeps running.
 func (w *Worker) Reset() { w.currentServer().CloseConnections() }
 
-// Drain says on its connections that nothing new is started there.
+// Drain notifies the gateways on all connections that the worker is draining.
 func (w *Worker) Drain() { w.currentServer().NotifyDraining("draining") }
 
 func (w *Worker) currentServer() *workerrpc.Server {
@@ -143,7 +143,8 @@
 	return w.server
 }
 
-// Redeploy has every replica of a function out of date: what runs ends, the next request finds none loaded.
+// Redeploy makes the replicas of a function outdated. Idle ones are unloaded, so that the next request must wait for a
+// load; running requests finish on theirs. If requests are queued and no replica is left, a new load starts.
 func (w *Worker) Redeploy(function string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -154,11 +155,11 @@
 	idle := set.replicas - (set.busy+set.function.Concurrency-1)/set.function.Concurrency
 	w.unload(set, idle)
 	if set.replicas == 0 && set.loading == 0 && len(set.queue) > 0 {
-		w.load(set, nil)
+		w.startLoad(set, nil)
 	}
 }
 
-// loadReport is the worker's load as it tells it; the lock is held.
+// loadReport returns the load report of the worker, with a false queue depth if that fault is set; w.mu must be held.
 func (w *Worker) loadReport() *workerrpc.LoadReport {
 	queueDepth := float64(w.waiting)
 	if w.faults.ReportFactor > 0 {
