--- a/internal/base/capture/file.go
+++ b/internal/base/capture/file.go
@@ -15,27 +15,27 @@
 	magic   = "lupinpond capture"
 	version = 1
 
-	// maxDecoderMemory bounds what the decompression of a capture may take, in bytes.
+	// maxDecoderMemory is the maximum memory for the decompression of a capture, in bytes.
 	maxDecoderMemory = 1 << 28
 )
 
-// Header is the first item of a capture file. NewWriter sets Magic and Version.
+// Header is the first CBOR item of a capture file. NewWriter sets Magic and Version.
 type Header struct {
 	Magic        string    `cbor:"1,keyasint"`
 	Version      int       `cbor:"2,keyasint"`
-	Incarnation  string    `cbor:"3,keyasint"` // name of the gateway's incarnation: a restart is another one
-	GatewayIndex int       `cbor:"4,keyasint"` // its number among the gateways
-	Base         time.Time `cbor:"5,keyasint"` // what the times count from
+	Incarnation  string    `cbor:"3,keyasint"` // name of the gateway's incarnation; a restarted gateway has a new one
+	GatewayIndex int       `cbor:"4,keyasint"` // index of the gateway in the fleet
+	Base         time.Time `cbor:"5,keyasint"` // time that the times of records are relative to
 }
 
-// Writer writes a capture file, compressed.
+// Writer writes a compressed capture file.
 type Writer struct {
 	compressor *zstd.Encoder
 	encoder    *cbor.Encoder
-	err        error // the first
+	err        error // first error of Add
 }
 
-// NewWriter begins a capture file on out. Close ends the file but does not close out.
+// NewWriter writes the header of a capture file to out. Close completes the file but does not close out.
 func NewWriter(out io.Writer, header Header) (*Writer, error) {
 	compressor, err := zstd.NewWriter(out, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
 	if err != nil {
@@ -43,7 +43,7 @@
 	}
 	header.Magic = magic
 	header.Version = version
-	mode, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode() // else times are cut to whole seconds
+	mode, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode() // the default truncates times to seconds
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
@@ -54,14 +54,14 @@
 	return w, nil
 }
 
-// Add writes a record. After an error, which Close returns, it does nothing.
+// Add writes a record. After a failed write it does nothing; Close returns the error.
 func (w *Writer) Add(r Record) {
 	if w.err == nil {
 		w.err = w.encoder.Encode(r)
 	}
 }
 
-// Close ends the file and returns the first error.
+// Close completes the file and returns the first error of the Writer.
 func (w *Writer) Close() error {
 	if err := w.compressor.Close(); w.err == nil {
 		w.err = err
@@ -72,7 +72,8 @@
 	return nil
 }
 
-// ReadAll reads a capture file. torn says that it ends inside a record, as after a crash; what came before is returned.
+// ReadAll reads a capture file. torn reports whether the file ends within a record, as after a crash of its writer; the
+// complete records before it are returned.
 func ReadAll(in io.Reader) (header Header, records []Record, torn bool, err error) {
 	decompressor, err := zstd.NewReader(bufio.NewReader(in), zstd.WithDecoderConcurrency(1),
 		zstd.WithDecoderMaxMemory(maxDecoderMemory))
--- a/internal/base/capture/tap.go
+++ b/internal/base/capture/tap.go
@@ -1,5 +1,5 @@
-// Package capture records what crosses sockets: the bytes of both directions with their times, and when connections
-// open and close. It changes nothing on the way. A capture can be kept in memory or in a file.
+// Package capture records the traffic of connections: the bytes in both directions with their times, and when
+// connections are opened and closed. It does not change the traffic. A capture is kept in memory or in a file.
 package capture
 
 import (
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// Side tells what is at the other end of a connection.
+// Side is the kind of peer of a gateway's connection.
 type Side uint8
 
-// The sides of a gateway's connections.
+// The kinds of peers. EndpointList is the source of the endpoint list.
 const (
 	Client Side = iota + 1
 	Worker
 	EndpointList
 )
 
-// Kind is what happened on a connection.
+// Kind is the kind of a Record.
 type Kind uint8
 
-// The kinds. Crashed is of the whole gateway, on no connection: it has ended without closing any.
+// The kinds of records. Crashed belongs to no connection: the gateway has ended without closing its connections.
 const (
 	Opened Kind = iota + 1
 	Read
@@ -32,19 +32,19 @@
 	Crashed
 )
 
-// Record is one thing that happened on a connection.
+// Record is an event on a connection.
 type Record struct {
 	Kind     Kind          `cbor:"1,keyasint"`
 	ConnID   uint64        `cbor:"2,keyasint"`
 	Side     Side          `cbor:"3,keyasint"`
-	Peer     string        `cbor:"4,keyasint,omitempty"` // of a worker's connection: its name
-	At       time.Duration `cbor:"5,keyasint"`           // since the capture's base: when a write began or another call ended
-	Duration time.Duration `cbor:"6,keyasint,omitempty"` // of a write
-	Data     []byte        `cbor:"7,keyasint,omitempty"` // what passed; less than was asked for if it failed
-	ByPeer   bool          `cbor:"8,keyasint,omitempty"` // of Closed: by the other end
+	Peer     string        `cbor:"4,keyasint,omitempty"` // name of the worker at the other end
+	At       time.Duration `cbor:"5,keyasint"`           // time since the base: start of a write, end of another call
+	Duration time.Duration `cbor:"6,keyasint,omitempty"` // Written: duration of the write
+	Data     []byte        `cbor:"7,keyasint,omitempty"` // bytes read or written; fewer than requested if the call failed
+	ByPeer   bool          `cbor:"8,keyasint,omitempty"` // Closed: the peer closed the connection
 }
 
-// Tap records for one gateway. Its methods may be called by any goroutine. A nil Tap records nothing.
+// Tap records the connections of one gateway. It is safe for concurrent use. A nil Tap records nothing.
 type Tap struct {
 	base       time.Time
 	mu         sync.Mutex
@@ -52,7 +52,7 @@
 	sink       func(Record)
 }
 
-// NewTap returns a Tap that records to sink, with times since base. sink is called by one goroutine at a time.
+// NewTap returns a Tap that passes records to sink, with times relative to base. Calls of sink are serialized.
 func NewTap(base time.Time, sink func(Record)) *Tap { return &Tap{base: base, sink: sink} }
 
 func (t *Tap) record(r Record) {
@@ -63,14 +63,14 @@
 
 func (t *Tap) elapsed() time.Duration { return time.Since(t.base) }
 
-// Crashed records that the gateway has ended without closing its connections.
+// Crashed records that the gateway ended without closing its connections.
 func (t *Tap) Crashed() {
 	if t != nil {
 		t.record(Record{Kind: Crashed, At: t.elapsed()})
 	}
 }
 
-// Conn wraps a connection; peer names the worker at its other end.
+// Conn returns a connection that records the traffic of conn. peer is the name of the worker at its other end.
 func (t *Tap) Conn(conn net.Conn, side Side, peer string) net.Conn {
 	if t == nil {
 		return conn
@@ -83,7 +83,7 @@
 	return tapped
 }
 
-// Listener wraps a listener for clients.
+// Listener returns a listener that records the client connections that it accepts.
 func (t *Tap) Listener(listener net.Listener) net.Listener {
 	if t == nil {
 		return listener
@@ -91,7 +91,7 @@
 	return &tappedListener{Listener: listener, tap: t}
 }
 
-// Dialer wraps a dialer for one peer.
+// Dialer returns a dial function that records the connections to one peer.
 func (t *Tap) Dialer(side Side, peer string, dial func(context.Context, string) (net.Conn, error),
 ) func(context.Context, string) (net.Conn, error) {
 	return func(ctx context.Context, addr string) (net.Conn, error) {
@@ -108,7 +108,7 @@
 	tap *Tap
 }
 
-// Accept returns the next connection, wrapped.
+// Accept returns the next connection, whose traffic is recorded.
 func (l *tappedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -126,7 +126,8 @@
 	closeOnce sync.Once
 }
 
-// Read records what was received once it is; the end of the stream counts as closed by the peer.
+// Read records the received data after reading it. An error other than a timeout or a local close, including the end of
+// the stream, is recorded as a close by the peer.
 func (c *tappedConn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	if n > 0 {
@@ -143,7 +144,7 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// Write records what was sent, when the call began and how long it took.
+// Write records the sent data, the start time and the duration of the write.
 func (c *tappedConn) Write(data []byte) (int, error) {
 	startedAt := c.tap.elapsed()
 	n, err := c.Conn.Write(data)
@@ -153,7 +154,7 @@
 	return n, err
 }
 
-// Close records that this side closes the connection, and closes it.
+// Close records that the gateway closes the connection, and closes it.
 func (c *tappedConn) Close() error {
 	c.recordClosed(false)
 	return c.Conn.Close()
@@ -164,7 +165,7 @@
 		Data: append([]byte(nil), data...)})
 }
 
-// recordClosed records the first closing, by whichever side.
+// recordClosed records that the connection was closed. Only the first call has an effect.
 func (c *tappedConn) recordClosed(byPeer bool) {
 	c.closeOnce.Do(func() {
 		c.tap.record(Record{Kind: Closed, ConnID: c.id, Side: c.side, Peer: c.peer, At: c.tap.elapsed(), ByPeer: byPeer})
--- a/internal/base/config/decode.go
+++ b/internal/base/config/decode.go
@@ -1,5 +1,5 @@
-// Package config decodes the YAML files that programs start with. Decoding is strict: an unknown key, or a value
-// without its unit, is an error with file, line and column.
+// Package config decodes the YAML configuration files of the programs. Decoding is strict: an unknown key or a value
+// without a unit is an error with file, line and column.
 package config
 
 import (
@@ -13,22 +13,22 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// maxFileBytes is the longest file that is decoded, 4 MiB.
+// maxFileBytes is the maximum size of a configuration file. An error message of DecodeStrict states it.
 const maxFileBytes = 4 << 20
 
-// Error is an invalid setting in a file, with its position.
+// Error describes an invalid setting in a file and its position.
 type Error struct {
 	File         string
 	Line, Column int
 	Reason       string
 }
 
-// Error returns file, line, column and reason.
+// Error returns the message in the form FILE:LINE:COLUMN: REASON.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Reason)
 }
 
-// DecodeStrict decodes one YAML document into v; its errors are of type *Error.
+// DecodeStrict decodes the YAML document b of the file name into v. Its errors are of type *Error.
 func DecodeStrict(name string, b []byte, v any) error {
 	if len(b) > maxFileBytes {
 		return &Error{File: name, Line: 1, Column: 1, Reason: "longer than 4 MiB"}
@@ -53,7 +53,8 @@
 	return &Error{File: name, Line: 1, Column: 1, Reason: reason}
 }
 
-// ErrorAt makes an Error for the position of a YAML path such as $.fleet.types[0].name, or of the nearest one above it.
+// ErrorAt returns an *Error at the position of a YAML path such as $.fleet.types[0].name. If the document b has no such
+// path, the position is that of its nearest parent.
 func ErrorAt(name string, b []byte, path, reason string) error {
 	located := &Error{File: name, Line: 1, Column: 1, Reason: strings.TrimPrefix(path, "$.") + ": " + reason}
 	file, err := parser.ParseBytes(b, 0)
@@ -69,7 +70,8 @@
 	return located
 }
 
-// find returns the node at a YAML path, or nil; of a mapping it is the first key.
+// find returns the node at a YAML path, or nil if there is none. For a mapping it returns the first key, which has the
+// position of the mapping.
 func find(file *ast.File, path string) ast.Node {
 	yamlPath, err := yaml.PathString(path)
 	if err != nil {
--- a/internal/base/config/units.go
+++ b/internal/base/config/units.go
@@ -10,10 +10,10 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// Duration is a duration that is written with its unit, such as 1.5s.
+// Duration is a duration that is written with a unit in YAML, such as 1.5s.
 type Duration time.Duration
 
-// UnmarshalYAML decodes a text such as 250ms; a number without a unit is an error.
+// UnmarshalYAML decodes a duration such as 250ms. A number without a unit and a negative duration are errors.
 func (d *Duration) UnmarshalYAML(node ast.Node) error {
 	text := scalarText(node)
 	parsed, err := time.ParseDuration(text)
@@ -27,16 +27,16 @@
 	return nil
 }
 
-// MarshalYAML encodes the duration with its unit.
+// MarshalYAML encodes the duration with a unit.
 func (d Duration) MarshalYAML() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Std is the duration as a time.Duration.
+// Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// ByteSize is a number of bytes that is written with its unit, such as 384MiB.
+// ByteSize is a number of bytes that is written with a unit in YAML, such as 384MiB.
 type ByteSize int64
 
-// UnmarshalYAML decodes a text such as 16KiB; a number without a unit is an error.
+// UnmarshalYAML decodes a size such as 16KiB. A number without a unit and a negative size are errors.
 func (s *ByteSize) UnmarshalYAML(node ast.Node) error {
 	text := scalarText(node)
 	for _, unit := range []struct {
@@ -60,10 +60,10 @@
 // MarshalYAML encodes the size in bytes.
 func (s ByteSize) MarshalYAML() ([]byte, error) { return fmt.Appendf(nil, "%dB", int64(s)), nil }
 
-// scalarText is the text of a scalar without quotes.
+// scalarText returns the text of a scalar node without quotes.
 func scalarText(node ast.Node) string { return strings.Trim(strings.TrimSpace(node.String()), `"'`) }
 
-// valueError is an Error for one value; DecodeStrict adds the file.
+// valueError returns an *Error at the position of a node. DecodeStrict adds the file name.
 func valueError(node ast.Node, format string, args ...any) error {
 	err := &Error{Line: 1, Column: 1, Reason: fmt.Sprintf(format, args...)}
 	if token := node.GetToken(); token != nil {
--- a/internal/base/durable/durable.go
+++ b/internal/base/durable/durable.go
@@ -1,5 +1,5 @@
-// Package durable opens the files in which registers and the artifact store keep what survives them, and encodes what
-// is in them.
+// Package durable opens the database files in which registers and the artifact store keep data across restarts, and
+// defines the encoding of the stored values.
 package durable
 
 import (
@@ -16,19 +16,19 @@
 )
 
 const (
-	// lockTimeout is how long a file that another process has open is waited for.
+	// lockTimeout is how long Open waits for a file that another process has open.
 	lockTimeout = time.Second
-	// initialPages is how many pages a new file is made with, in one write, before anything can be stored in it.
+	// initialPages is the number of pages of a new bbolt file. They are written at once, before any value is stored.
 	initialPages = 4
-	// formatKey is where MetaBucket has the file's format.
+	// formatKey is the key of the file's format in MetaBucket.
 	formatKey = "format"
 )
 
-// MetaBucket is the bucket in which a file has its format, and whatever else its owner puts there.
+// MetaBucket is the bucket for the file's format. The owner of the file may store other keys in it.
 var MetaBucket = []byte("meta")
 
-// Open opens or makes a file of a format, with MetaBucket and these buckets. A file of another format, and one that
-// another process has open, are errors.
+// Open opens or creates a file of the given format and creates MetaBucket and those of the given buckets that are
+// missing. It returns an error if the file has another format or another process has it open.
 func Open(path string, format byte, buckets ...[]byte) (*bolt.DB, error) {
 	db, err := openOrRecreate(path)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return db, nil
 }
 
-// openOrRecreate opens a file, and makes one anew that was never made in full.
+// openOrRecreate opens or creates a file. It replaces a file whose creation was never completed.
 func openOrRecreate(path string) (*bolt.DB, error) {
 	options := &bolt.Options{Timeout: lockTimeout}
 	db, err := bolt.Open(path, 0o644, options)
@@ -53,14 +53,14 @@
 	return bolt.Open(path, 0o644, options)
 }
 
-// incomplete reports whether a file was never made in full, as when the disk was full then: nothing was ever stored
-// in it.
+// incomplete reports whether the creation of a file was never completed, for example because the disk was full. Nothing
+// was ever stored in such a file.
 func incomplete(path string) bool {
 	info, err := os.Stat(path)
 	return err == nil && info.Size() < initialPages*int64(os.Getpagesize())
 }
 
-// prepare makes the buckets that are missing and checks the format.
+// prepare creates missing buckets and checks the format.
 func prepare(db *bolt.DB, format byte, buckets [][]byte) error {
 	return db.Update(func(tx *bolt.Tx) error {
 		for _, name := range append(buckets, MetaBucket) {
@@ -76,7 +76,7 @@
 	})
 }
 
-// SyncDir makes the names in a folder durable.
+// SyncDir flushes the entries of a folder to disk, so that created and renamed files survive a crash.
 func SyncDir(folder string) error {
 	directory, err := os.Open(folder)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return errors.Join(directory.Sync(), directory.Close())
 }
 
-// EncMode is how stored values are encoded: CBOR whose times have their nanoseconds.
+// EncMode returns the encoding of stored values: CBOR with times of nanosecond precision.
 var EncMode = sync.OnceValue(func() cbor.EncMode {
 	mode, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode()
 	if err != nil {
--- a/internal/base/durableclock/durableclock.go
+++ b/internal/base/durableclock/durableclock.go
@@ -1,5 +1,5 @@
-// Package durableclock has a clock for times that are stored over restarts: it goes on as it went, whatever happens
-// to the system's time, as long as the machine is not booted anew.
+// Package durableclock provides a clock for timestamps that are stored across restarts of a program. Until the machine
+// reboots, changes of the system time do not affect the clock.
 package durableclock
 
 import (
@@ -10,25 +10,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootIDFile has what tells one boot of the machine from another.
+// bootIDFile contains an identifier that the kernel generates at each boot.
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// Mark ties a moment of the clock to the machine's time since its boot. It is stored with the times that the clock
-// gave.
+// Mark relates a time of the clock to the time since the machine's boot. It is stored with the timestamps of the clock.
 type Mark struct {
 	BootID string        `cbor:"1,keyasint,omitempty"`
-	Uptime time.Duration `cbor:"2,keyasint"` // since that boot, sleep included
-	Time   time.Time     `cbor:"3,keyasint"` // what the clock said
+	Uptime time.Duration `cbor:"2,keyasint"` // time since the boot BootID, suspend included
+	Time   time.Time     `cbor:"3,keyasint"` // time of the clock at Uptime
 }
 
-// Continue returns a clock that goes on from last, which may be the zero value, and the mark to store. In another
-// boot it goes by the system's time, but never backwards: then a system clock that was set ahead can't be told from
-// time that has passed.
+// Continue returns a clock that continues from the mark last, which may be the zero value, and the new mark to store.
+// After a reboot the clock continues from the system time, but not from before last: a system clock that was set ahead
+// then can't be distinguished from elapsed time.
 func Continue(last Mark) (now func() time.Time, mark Mark) {
 	return continueFrom(last, bootMark(), time.Now())
 }
 
-// continueFrom is Continue at a moment given by the machine's boot and its system time.
+// continueFrom implements Continue for a given boot ID and uptime, which it takes from mark, and a given system time.
 func continueFrom(last, mark Mark, system time.Time) (func() time.Time, Mark) {
 	mark.Time = system.Round(0)
 	switch {
@@ -40,8 +39,8 @@
 	return func() time.Time { return mark.Time.Add(time.Since(system)) }, mark
 }
 
-// bootMark is the boot and the time since, without a time of the clock. Where the system does not say, every start
-// counts as a boot.
+// bootMark returns a Mark with the current boot ID and uptime and without Time. If the system does not provide them, it
+// returns the zero Mark, so that each start counts as a reboot.
 func bootMark() Mark {
 	var uptime unix.Timespec
 	id, err := os.ReadFile(bootIDFile)
--- a/internal/base/httpserver/loopback.go
+++ b/internal/base/httpserver/loopback.go
@@ -6,14 +6,14 @@
 	"net/http"
 )
 
-// LoopbackServer is a server on a loopback port inside this process.
+// LoopbackServer is an HTTP server on a loopback address that runs in a goroutine of this process.
 type LoopbackServer struct {
 	Addr   string // HOST:PORT
 	cancel context.CancelFunc
 	done   chan error
 }
 
-// StartLoopback serves a handler on a loopback address, such as 127.0.0.1:0, until Close.
+// StartLoopback starts a server for a handler on a loopback address such as 127.0.0.1:0. It runs until Close is called.
 func StartLoopback(addr string, handler http.Handler) (*LoopbackServer, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -27,10 +27,10 @@
 	return s, nil
 }
 
-// Close closes the server and its connections and waits until it has ended. It may be called again.
+// Close closes the server and its connections and waits until the server has stopped. It may be called more than once.
 func (s *LoopbackServer) Close() error {
 	s.cancel()
 	err := <-s.done
-	s.done <- err // for the next Close
+	s.done <- err // for the next call of Close
 	return err
 }
--- a/internal/base/httpserver/periodic.go
+++ b/internal/base/httpserver/periodic.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// RunPeriodically calls do at the end of every period until ctx is done, which is no error, or until do fails.
+// RunPeriodically calls do at the end of each period. It returns nil when ctx is done, or the error of do if do fails.
 func RunPeriodically(ctx context.Context, period time.Duration, do func() error) error {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -21,7 +21,7 @@
 	}
 }
 
-// Sleep waits for a duration, or until ctx is done, whose error it returns.
+// Sleep waits for a duration. If ctx is done earlier, it returns the error of ctx.
 func Sleep(ctx context.Context, duration time.Duration) error {
 	if duration <= 0 {
 		return ctx.Err()
--- a/internal/base/httpserver/serve.go
+++ b/internal/base/httpserver/serve.go
@@ -1,4 +1,4 @@
-// Package httpserver runs HTTP servers, and work that is repeated periodically, for as long as a context lasts.
+// Package httpserver runs HTTP servers and periodic tasks until a context is done.
 package httpserver
 
 import (
@@ -11,11 +11,11 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// CloseAtOnce is the grace period of a server that aborts requests in flight.
+// CloseAtOnce is the grace period with which a server aborts requests in flight at shutdown.
 const CloseAtOnce time.Duration = 0
 
-// Serve serves a listener until ctx is done. Requests in flight then have gracePeriod to complete. The error is that of
-// a server which could not go on; ctx is none.
+// Serve runs a server on a listener until ctx is done. Requests in flight then have gracePeriod to complete. Serve
+// returns an error if the server fails; that ctx is done is not an error.
 func Serve(ctx context.Context, server *http.Server, listener net.Listener, gracePeriod time.Duration) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
@@ -32,7 +32,7 @@
 		shutdown, cancel := context.WithTimeout(context.WithoutCancel(ctx), gracePeriod)
 		defer cancel()
 		if server.Shutdown(shutdown) != nil {
-			return server.Close() // a client reads slowly
+			return server.Close() // abort requests still in flight, such as one of a client that reads slowly
 		}
 		return nil
 	})
--- a/internal/base/httpserver/service.go
+++ b/internal/base/httpserver/service.go
@@ -14,36 +14,38 @@
 )
 
 const (
-	// headerTimeout is how long a client may take to send a request's headers.
+	// headerTimeout is the time limit for reading the headers of a request.
 	headerTimeout = 5 * time.Second
 
-	// maxHeaderBytes bounds a request's headers.
+	// maxHeaderBytes is the maximum size of the headers of a request.
 	maxHeaderBytes = 16 << 10
 )
 
-// TerminationContext returns a context that is done on SIGTERM or an interrupt. cancel restores what the signals do.
+// TerminationContext returns a context that is done on SIGTERM or an interrupt. cancel restores the default behaviour
+// of these signals.
 func TerminationContext() (ctx context.Context, cancel context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 }
 
-// NewServer returns a server whose requests have bounded headers.
+// NewServer returns an HTTP server that limits the size of request headers and the time to read them.
 func NewServer(handler http.Handler) *http.Server {
 	return &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes}
 }
 
-// Service is a program's HTTP server, with the tasks that run beside it.
+// Service is the HTTP server of a program together with its background tasks.
 type Service struct {
-	Name        string // in the log
-	Addr        string // HOST:PORT
+	Name        string // name of the service in the log
+	Addr        string // address to listen on, HOST:PORT
 	Server      *http.Server
-	GracePeriod time.Duration // that requests in flight have to complete; CloseAtOnce: none
+	GracePeriod time.Duration // time limit for requests in flight at shutdown; CloseAtOnce aborts them
 	Log         *slog.Logger
 
-	// Tasks run until their context is done. One that fails ends the service.
+	// Tasks run until their context is done. A task that returns an error ends the service.
 	Tasks []func(ctx context.Context) error
 }
 
-// Run listens and serves until ctx is done. It returns when the server and all tasks have ended, with the first error.
+// Run serves on Addr and runs the tasks until ctx is done or one of them fails. It returns the first error after the
+// server and all tasks have ended.
 func (s Service) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", s.Addr)
 	if err != nil {
--- a/internal/base/telemetry/log.go
+++ b/internal/base/telemetry/log.go
@@ -1,4 +1,4 @@
-// Package telemetry makes the programs' loggers: for a terminal, or as JSON for machines.
+// Package telemetry creates the loggers of the programs, which write either text for a terminal or JSON.
 package telemetry
 
 import (
@@ -10,18 +10,19 @@
 	"golang.org/x/term"
 )
 
-// Flags are the flags of logging that every program has.
+// Flags are the logging flags of all programs.
 type Flags struct {
-	LogFormat string     `enum:"terminal,json" default:"terminal" help:"How logs are written on standard error: ${enum}."`
-	LogLevel  slog.Level `default:"warn" help:"Least level that is logged: debug, info, warn or error."`
+	LogFormat string     `enum:"terminal,json" default:"terminal" help:"Format of the logs on standard error: ${enum}."`
+	LogLevel  slog.Level `default:"warn" help:"Minimum log level: debug, info, warn or error."`
 }
 
-// NewLogger returns a logger that writes to out, in colours only if that is a terminal.
+// NewLogger returns a logger that writes to out. The terminal format is coloured only if out is a terminal.
 func NewLogger(out *os.File, flags Flags) *slog.Logger {
 	return newLogger(out, term.IsTerminal(int(out.Fd())), flags)
 }
 
-// NewLossyLogger returns a logger that never blocks its callers. Closing the LossyWriter ends it.
+// NewLossyLogger returns a logger that never blocks its callers and drops lines instead, and the LossyWriter that it
+// writes to. The caller must close the LossyWriter.
 func NewLossyLogger(out *os.File, flags Flags) (*slog.Logger, *LossyWriter) {
 	lossy := NewLossyWriter(out)
 	return newLogger(lossy, term.IsTerminal(int(out.Fd())), flags), lossy
--- a/internal/base/telemetry/lossy_writer.go
+++ b/internal/base/telemetry/lossy_writer.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// maxQueuedLines is how many lines of a log wait for their reader.
+// maxQueuedLines is the maximum number of log lines in the queue of a LossyWriter.
 const maxQueuedLines = 1024
 
-// LossyWriter writes lines to something that may block or fail, such as a pipe whose reader has stopped or ended, and
-// never blocks who writes them: lines that the queue has no space for are dropped and counted.
+// LossyWriter is an io.Writer that never blocks, in front of a writer that may block or fail, such as a pipe whose
+// reader is stopped or has exited. Lines are queued; those that do not fit in the queue are dropped and counted.
 type LossyWriter struct {
 	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 	stop    chan struct{} // closed by Close
-	done    chan struct{} // closed when no more lines are written to out
+	done    chan struct{} // closed after the last write to out
 }
 
-// NewLossyWriter returns a LossyWriter to out; Close ends it.
+// NewLossyWriter returns a LossyWriter that writes to out. The caller must close it.
 func NewLossyWriter(out io.Writer) *LossyWriter {
 	w := &LossyWriter{
 		out:   out,
@@ -43,10 +43,10 @@
 	return len(line), nil
 }
 
-// Dropped is the number of lines that the queue had no space for, or that could not be written.
+// Dropped returns the number of lines that were lost because the queue was full or writing them failed.
 func (w *LossyWriter) Dropped() int64 { return w.dropped.Load() }
 
-// run writes lines until Close, and then those that are queued.
+// run writes queued lines until Close is called, and then the lines that are left in the queue.
 func (w *LossyWriter) run() {
 	defer close(w.done)
 	reported := int64(0)
@@ -63,8 +63,8 @@
 	}
 }
 
-// write writes a line, and a report of lines that were dropped if there are more than were reported. It returns how
-// many are reported now.
+// write writes a line. If lines were dropped since the last report, it then reports their number in the log. reported
+// is the number of dropped lines that are already reported; the new number is returned.
 func (w *LossyWriter) write(line []byte, reported int64) int64 {
 	if _, err := w.out.Write(line); err != nil {
 		w.dropped.Add(1)
@@ -81,7 +81,8 @@
 	return dropped
 }
 
-// Close writes what is queued, for at most a duration. Lines written after it are dropped.
+// Close writes the queued lines and returns when this is done or the timeout has elapsed. Lines that are passed to
+// Write after Close are dropped.
 func (w *LossyWriter) Close(timeout time.Duration) {
 	close(w.stop)
 	select {
--- a/internal/registry/handler.go
+++ b/internal/registry/handler.go
@@ -8,15 +8,17 @@
 	"time"
 )
 
-// heartbeatInterval is the time between empty lines of a watch while nothing changes.
+// heartbeatInterval is the interval at which a watch without changes is sent an empty line.
 const heartbeatInterval = time.Second
 
-// maxEntryBytes bounds the body of a registration.
+// maxEntryBytes is the maximum size of the body of a registration.
 const maxEntryBytes = 64 << 10
 
-// Handler serves GET /v1/list (a watch, with ?front=NAME), GET /v1/workers (the present list), PUT
-// /v1/workers/{name} (an entry, with ?lease=DURATION renewed by each PUT) and POST /v1/workers/{name}/drain and
-// /gone.
+// Handler returns the HTTP API of the registry:
+//   - GET /v1/list?front=NAME is a watch of the gateway NAME;
+//   - GET /v1/workers returns the current endpoint list;
+//   - PUT /v1/workers/{name}?lease=DURATION registers a worker, and renews its lease if one is given;
+//   - POST /v1/workers/{name}/drain and /v1/workers/{name}/gone set a worker's state.
 func (r *Registry) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/list", r.serveWatch)
@@ -29,7 +31,7 @@
 
 func (r *Registry) serveList(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(r.List()) // it fails only where the client has disconnected
+	_ = json.NewEncoder(w).Encode(r.List()) // it fails only if the client has disconnected
 }
 
 func (r *Registry) serveRegister(w http.ResponseWriter, req *http.Request) {
@@ -50,7 +52,7 @@
 			http.Error(w, "lease: a duration such as 3s", http.StatusBadRequest)
 			return
 		}
-		r.renew(entry.Name, lease)
+		r.renewLease(entry.Name, lease)
 	}
 	if !slices.Contains(r.List(), entry) {
 		r.Set(entry)
@@ -68,7 +70,7 @@
 	}
 }
 
-// serveWatch sends the complete list and then every change, until the gateway disconnects.
+// serveWatch sends the complete endpoint list and then each change, until the gateway disconnects.
 func (r *Registry) serveWatch(w http.ResponseWriter, req *http.Request) {
 	gateway := req.URL.Query().Get("front")
 	out := http.NewResponseController(w)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,6 +1,6 @@
-// Package registry is the worker registry and its clients. Workers register under a lease; gateways watch the
-// endpoint list over HTTP, one JSON value a line. The registry decides nothing about requests: it states which
-// workers are in service, draining or removed. docs/operate/gate.md specifies the protocol.
+// Package registry implements the worker registry and its clients. Workers register with a lease; gateways watch the
+// endpoint list over HTTP as a stream of JSON lines. The registry makes no decisions about requests: it only publishes
+// which workers are in service, draining or removed. docs/operate/gate.md specifies the protocol.
 package registry
 
 import (
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// leaseCheckInterval is how often expired leases are looked for.
+// leaseCheckInterval is the interval between checks for expired leases.
 const leaseCheckInterval = 100 * time.Millisecond
 
 // State is a worker's state in the endpoint list.
 type State string
 
-// The states.
+// The states of a worker.
 const (
 	InService State = "in"
 	Draining  State = "draining"
@@ -28,7 +28,7 @@
 
 func (s State) valid() bool { return s == InService || s == Draining || s == Removed }
 
-// Entry is one worker.
+// Entry is a worker's entry in the endpoint list.
 type Entry struct {
 	Name      string    `json:"name"`
 	Addr      string    `json:"addr"`
@@ -37,18 +37,19 @@
 	Kind      string    `json:"kind,omitempty"`
 	Cores     float64   `json:"cores"`
 	State     State     `json:"state"`
-	ChunkAddr string    `json:"chunks,omitempty"` // where other workers fetch chunks from it
+	ChunkAddr string    `json:"chunks,omitempty"` // address at which other workers fetch chunks
 	Started   time.Time `json:"started"`
 }
 
-// WatchEvent is one message to a gateway: the complete endpoint list, or what has changed since the event before.
+// WatchEvent is a message to a watching gateway: the complete endpoint list, or the entries that have changed since the
+// previous event.
 type WatchEvent struct {
 	Version  uint64  `json:"version"`
 	Complete bool    `json:"whole"`
 	Entries  []Entry `json:"entries"`
 }
 
-// Validate returns an error for an event with an entry without a name or with an unknown state.
+// Validate returns an error if an entry of the event has no name or an unknown state.
 func (e WatchEvent) Validate() error {
 	for i, entry := range e.Entries {
 		if entry.Name == "" || !entry.State.valid() {
@@ -58,26 +59,26 @@
 	return nil
 }
 
-// change is one change of the endpoint list.
+// change is a change of one entry of the endpoint list.
 type change struct {
 	version   uint64
-	visibleAt time.Time // gateways are sent it from then on
+	visibleAt time.Time // time from which the change is sent to gateways
 	entry     Entry
 }
 
-// SendHook is called with every event just before it is written to a gateway.
+// SendHook is called with each event immediately before the event is written to a gateway.
 type SendHook func(gateway string, at time.Time, event WatchEvent)
 
-// Registry holds the endpoint list. Create it with New. It is safe for concurrent use.
+// Registry stores the endpoint list. Create it with New. It is safe for concurrent use.
 type Registry struct {
 	onSend SendHook
 
 	mu      sync.Mutex
 	version uint64
-	changes []change // newest last; of each worker the last that is visible and the last that is not
+	changes []change // oldest first; per worker at most its last visible change and its last delayed one
 	leases  map[string]time.Time
 	delay   time.Duration
-	changed chan struct{} // closed and replaced at every change
+	changed chan struct{} // closed and replaced at each change
 }
 
 // New creates a Registry without workers; onSend may be nil.
@@ -85,8 +86,8 @@
 	return &Registry{leases: map[string]time.Time{}, changed: make(chan struct{}), onSend: onSend}
 }
 
-// SetDelay has every change from now on sent to gateways a time later than it is made; one that waits already no
-// later than that.
+// SetDelay delays the sending of later changes to gateways by delay. Changes that are already waiting are sent after
+// delay from now at the latest.
 func (r *Registry) SetDelay(delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,7 +101,7 @@
 	r.broadcast()
 }
 
-// Set replaces a worker's entry. Removed workers stay in the list as removed until they are set again.
+// Set adds or replaces a worker's entry. A removed worker is kept, with state Removed, until it is set again.
 func (r *Registry) Set(entry Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,7 +112,7 @@
 	r.version++
 	now := time.Now()
 	visibleAt := now.Add(r.delay)
-	// What is visible now is still sent to new watchers until this change is visible too.
+	// Keep the worker's visible change while the new one is delayed: watches that start in between are sent it.
 	r.changes = slices.DeleteFunc(r.changes, func(c change) bool {
 		return c.entry.Name == entry.Name && (c.visibleAt.After(now) || !visibleAt.After(now))
 	})
@@ -119,13 +120,13 @@
 	r.broadcast()
 }
 
-// broadcast wakes all watches; the mutex is held.
+// broadcast wakes all watches. The caller holds the mutex.
 func (r *Registry) broadcast() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// SetState sets the state of a worker; false if there is none of that name.
+// SetState sets the state of a worker. It returns false if the registry has no worker of that name.
 func (r *Registry) SetState(name string, state State) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -146,7 +147,8 @@
 	}
 }
 
-// List returns the workers by name, removed ones left out.
+// List returns the entries of all workers that are not removed, sorted by name. It includes changes that are still
+// delayed.
 func (r *Registry) List() []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -158,8 +160,8 @@
 	return slices.SortedFunc(maps.Values(entries), func(a, b Entry) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// changesSince returns the visible changes after a version, when the next becomes visible (zero: none is due), and
-// a channel that is closed at the next change.
+// changesSince returns the visible changes after a version, the time when the next delayed change becomes visible (zero
+// if there is none), and a channel that is closed at the next change.
 func (r *Registry) changesSince(version uint64) (event WatchEvent, next time.Time, changed <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -180,14 +182,14 @@
 	return event, next, r.changed
 }
 
-// renew renews a worker's lease.
-func (r *Registry) renew(name string, lease time.Duration) {
+// renewLease sets a worker's lease to expire after the given duration.
+func (r *Registry) renewLease(name string, lease time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leases[name] = time.Now().Add(lease)
 }
 
-// Run removes workers that have not renewed their leases, until ctx ends.
+// Run removes workers whose leases have expired, until ctx is done.
 func (r *Registry) Run(ctx context.Context) error {
 	ticker := time.NewTicker(leaseCheckInterval)
 	defer ticker.Stop()
@@ -196,15 +198,15 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-ticker.C:
-			for _, name := range r.takeExpired(now) {
+			for _, name := range r.removeExpiredLeases(now) {
 				r.SetState(name, Removed)
 			}
 		}
 	}
 }
 
-// takeExpired forgets the leases that have expired and returns their workers.
-func (r *Registry) takeExpired(now time.Time) (names []string) {
+// removeExpiredLeases removes expired leases and returns the names of their workers.
+func (r *Registry) removeExpiredLeases(now time.Time) (names []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, expires := range r.leases {
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// watchTimeout is how long a watch may be silent before it is ended.
+// watchTimeout is the time without an event or heartbeat after which a watch is ended.
 const watchTimeout = 5 * heartbeatInterval
 
-// maxEventBytes bounds one event of a watch.
+// maxEventBytes is the maximum size of an event of a watch.
 const maxEventBytes = 8 << 20
 
-// ErrWatchSilent reports that a watch received nothing, not even a heartbeat, for several heartbeat intervals.
+// ErrWatchSilent is returned by Watch if it received neither an event nor a heartbeat for several heartbeat intervals.
 var ErrWatchSilent = errors.New("no heartbeat from the registry")
 
-// Watch watches the endpoint list of the registry at base for a gateway and calls handle with every event, until
-// the stream is disconnected or ctx ends. It always returns an error.
+// Watch watches the endpoint list of the registry at the URL base on behalf of a gateway. It calls handle with each
+// event until the stream ends or ctx is done. The returned error is never nil.
 func Watch(ctx context.Context, client *http.Client, base, gateway string, handle func(WatchEvent)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -34,8 +34,8 @@
 	return fmt.Errorf("watch the list: %w", err)
 }
 
-// watch calls alive for every line that it receives, heartbeats included, and handle for every event.
-func watch(ctx context.Context, client *http.Client, base, gateway string, alive func(),
+// watch calls onLine for each received line, including heartbeats, and handle for each event.
+func watch(ctx context.Context, client *http.Client, base, gateway string, onLine func(),
 	handle func(WatchEvent)) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+"/v1/list", nil)
 	if err != nil {
@@ -55,7 +55,7 @@
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(nil, maxEventBytes)
 	for lines.Scan() {
-		alive()
+		onLine()
 		if len(lines.Bytes()) == 0 {
 			continue
 		}
