--- a/internal/testbed/costmodel/costmodel_test.go
+++ b/internal/testbed/costmodel/costmodel_test.go
@@ -8,8 +8,9 @@
 	"lupinpond/internal/testbed/costmodel"
 )
 
-// Points on a power law give its exponent, points on a line its slope, and the closer curve is told.
-func TestFitFindsTheCurve(t *testing.T) {
+// TestFitPoints checks that points on a power law yield its exponent and scale, and points on a line its slope
+// and offset, each with a residual of almost 0.
+func TestFitPoints(t *testing.T) {
 	var power, line []costmodel.Point
 	for _, size := range []float64{100, 400, 1600, 6400, 25600} {
 		power = append(power, costmodel.Point{Size: size, Value: 3 * math.Pow(size, 0.75)})
@@ -18,7 +19,7 @@
 	fit, err := costmodel.FitPoints(power)
 	if err != nil || math.Abs(fit.Power.Slope-0.75) > 1e-9 || math.Abs(fit.Power.Scale-3) > 1e-6 ||
 		fit.Power.Residual > 1e-9 {
-		t.Errorf("%+v %v", fit, err)
+		t.Errorf("power law: got %+v, error %v", fit, err)
 	}
 	if fit.From != 100 || fit.To != 25600 || fit.Points != 5 || fit.Linear.Residual < 0.1 {
 		t.Errorf("%+v", fit)
@@ -26,22 +27,23 @@
 	fit, err = costmodel.FitPoints(line)
 	if err != nil || math.Abs(fit.Linear.Slope-0.2) > 1e-9 || math.Abs(fit.Linear.Scale-50) > 1e-6 ||
 		fit.Linear.Residual > 1e-9 {
-		t.Errorf("%+v %v", fit, err)
+		t.Errorf("line: got %+v, error %v", fit, err)
 	}
 }
 
-// A slope from fewer than four sizes, or through figures that are no sizes, is rejected.
-func TestFitRejects(t *testing.T) {
+// TestFitPointsRejectsInvalidPoints checks that FitPoints returns an error for fewer than four points and for sizes or
+// values of 0.
+func TestFitPointsRejectsInvalidPoints(t *testing.T) {
 	var few costmodel.TooFewPointsError
 	if _, err := costmodel.FitPoints(make([]costmodel.Point, 3)); !errors.As(err, &few) || few.Points != 3 {
 		t.Error(err)
 	}
 	if _, err := costmodel.FitPoints(make([]costmodel.Point, 4)); err == nil {
-		t.Error("sizes of 0 were fitted")
+		t.Error("FitPoints accepted sizes of 0")
 	}
 }
 
-// A measured core serves its traffic, and the same seed has it do the same.
+// TestCoreServesTheTraffic checks that a measured core serves its traffic, and that equal seeds yield equal counts.
 func TestCoreServesTheTraffic(t *testing.T) {
 	load := costmodel.Load{Workers: 60, Functions: 200, Gateways: 10, Rate: 50, Skew: 1.7, Requests: 400, Seed: 3}
 	first, err := costmodel.MeasureCore(load)
@@ -50,7 +52,7 @@
 	}
 	again, err := costmodel.MeasureCore(load)
 	if err != nil || first.Counts != again.Counts {
-		t.Errorf("%+v, then %+v %v", first.Counts, again.Counts, err)
+		t.Errorf("counts of two runs with the same seed: %+v and %+v, error %v", first.Counts, again.Counts, err)
 	}
 	counts := first.Counts
 	if counts.Requests != 400 || counts.Served < 300 || counts.LoadRequests == 0 || counts.Attempts < counts.Served/2 {
@@ -60,6 +62,6 @@
 		t.Errorf("%+v", first)
 	}
 	if _, err := costmodel.MeasureCore(costmodel.Load{}); err == nil {
-		t.Error("an empty load was measured")
+		t.Error("MeasureCore accepted an empty load")
 	}
 }
--- a/internal/testbed/costmodel/fit.go
+++ b/internal/testbed/costmodel/fit.go
@@ -8,43 +8,44 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is one measured figure at one size.
+// Point is a value measured at one size.
 type Point struct {
 	Size  float64 `json:"size"`
 	Value float64 `json:"value"`
 }
 
-// Fit is a curve through measured points, and how far the points lie from it.
+// Fit contains a power law and a line that are fitted to measured points.
 type Fit struct {
 	Power  Curve   `json:"power"`  // Scale * size^Slope
 	Linear Curve   `json:"linear"` // Scale + Slope * size
-	From   float64 `json:"from"`   // the range that was measured; all beyond it is extrapolated
-	To     float64 `json:"to"`
+	From   float64 `json:"from"`   // smallest measured size; the curves extrapolate outside From to To
+	To     float64 `json:"to"`     // largest measured size
 	Points int     `json:"points"`
 }
 
-// Curve is one form of a fit.
+// Curve contains the parameters of a fitted curve.
 type Curve struct {
 	Scale    float64 `json:"scale"`
 	Slope    float64 `json:"slope"`
-	Residual float64 `json:"residual"` // largest distance of a point from the curve, as a part of the point
+	Residual float64 `json:"residual"` // largest relative deviation of the curve from a point
 }
 
-// minPoints is the number of sizes below which no curve is fitted.
+// minPoints is the minimum number of points to fit a curve.
 const minPoints = 4
 
-// TooFewPointsError says that a curve was asked for with too few sizes.
+// TooFewPointsError is returned by FitPoints for fewer than minPoints points.
 type TooFewPointsError struct{ Points int }
 
-// Error says how many there are and how many are needed.
+// Error returns the number of points and the required number.
 func (e TooFewPointsError) Error() string {
-	return fmt.Sprintf("a slope needs figures at %d sizes, there are %d", minPoints, e.Points)
+	return fmt.Sprintf("a curve needs points at %d sizes, got %d", minPoints, e.Points)
 }
 
-// ErrNotPositive says that a size or a figure is not above 0.
-var ErrNotPositive = errors.New("a slope needs sizes and figures above 0")
+// ErrNotPositive is returned by FitPoints if a size or a value is not greater than 0.
+var ErrNotPositive = errors.New("a curve needs sizes and values greater than 0")
 
-// FitPoints fits a power law (least squares on logarithms) and a line through points of positive sizes.
+// FitPoints fits a power law (by least squares on the logarithms) and a line (by least squares) to points with positive
+// sizes and values.
 func FitPoints(points []Point) (Fit, error) {
 	if len(points) < minPoints {
 		return Fit{}, TooFewPointsError{len(points)}
@@ -73,7 +74,7 @@
 	return fit, nil
 }
 
-// String spells the curve that lies closer to the points.
+// String returns the curve with the smaller residual as a formula, with its residual and the measured range.
 func (f Fit) String() string {
 	if f.Power.Residual <= f.Linear.Residual {
 		return fmt.Sprintf("%.4g * size^%.3f, residual %.0f %%, measured %g to %g",
--- a/internal/testbed/costmodel/fleet.go
+++ b/internal/testbed/costmodel/fleet.go
@@ -11,33 +11,33 @@
 	"lupinpond/scheduler"
 )
 
-// replicaKey names one function at one worker.
+// replicaKey identifies the replica of a function at a worker.
 type replicaKey struct {
 	worker   string
 	function uint64
 }
 
-// fleet stands for the workers of one core under simulated time. It is the core's Actor.
+// fleet simulates the workers of one core in simulated time. It implements core.Actor.
 type fleet struct {
 	core        *core.Core
 	now         time.Duration
 	events      eventQueue
 	lastEvent   uint64
 	random      *rand.Rand
-	loadedUntil map[replicaKey]time.Duration // until when a replica stays
-	spent       time.Duration                // in calls to the core
+	loadedUntil map[replicaKey]time.Duration // time at which an idle replica is removed
+	coreTime    time.Duration                // processor time of calls to the core
 	counts      Counts
 }
 
-// Counts are what a core did during a measurement.
+// Counts are the operations of a core during a measurement.
 type Counts struct {
 	Requests     int `json:"requests"`
 	Attempts     int `json:"attempts"`
 	LoadRequests int `json:"orders"`
-	Loads        int `json:"loads"` // that found no replica
+	Loads        int `json:"loads"` // load requests for replicas that were not loaded
 	Probes       int `json:"probes"`
 	Served       int `json:"served"`
-	ColdStarts   int `json:"cold"` // attempts that found no replica
+	ColdStarts   int `json:"cold"` // attempts at workers without a loaded replica
 	Rejected     int `json:"refused"`
 }
 
@@ -51,30 +51,31 @@
 	return f
 }
 
-// schedule has something happen after a time.
+// schedule adds an event that calls run after a simulated time.
 func (f *fleet) schedule(after time.Duration, run func(now time.Duration)) {
 	f.lastEvent++
 	heap.Push(&f.events, event{f.now + after, f.lastEvent, run})
 }
 
-// timed calls the core and counts the processor time that it takes, the garbage collector's meanwhile included.
+// timed runs call, which calls the core, and adds its processor time to f.coreTime. This includes the processor time of
+// the garbage collector during the call.
 func (f *fleet) timed(call func()) {
 	start := processorTime()
 	call()
-	f.spent += processorTime() - start
+	f.coreTime += processorTime() - start
 }
 
-// processorTime is what this process has used. Other processes on the machine do not lengthen it, but for their use of
-// caches.
+// processorTime returns the processor time of this process. Other processes on the machine affect it only by their use
+// of processor caches.
 func processorTime() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_PROCESS_CPUTIME_ID, &now); err != nil {
-		panic(err) // the clock is one of Linux since 2.6.12
+		panic(err) // Linux has this clock since 2.6.12
 	}
 	return time.Duration(now.Nano())
 }
 
-// step runs the next event, and has the core process what it made due.
+// step runs the next event and lets the core process everything that is due at that time.
 func (f *fleet) step() {
 	next := heap.Pop(&f.events).(event)
 	f.now = next.at
@@ -84,7 +85,7 @@
 	})
 }
 
-// advanceTo runs all events before a time.
+// advanceTo runs all events before the time end and sets the simulated time to end.
 func (f *fleet) advanceTo(end time.Duration) {
 	for len(f.events) > 0 && f.events[0].at < end {
 		f.step()
@@ -92,7 +93,7 @@
 	f.now = end
 }
 
-// Send has a worker answer an attempt: after the load where it has no replica.
+// Send simulates an attempt at a worker, which takes longer by a load if the worker has no replica.
 func (f *fleet) Send(request *scheduler.Request, attempt int, worker string) {
 	f.counts.Attempts++
 	key := replicaKey{worker, request.Function}
@@ -114,7 +115,7 @@
 	})
 }
 
-// RequestLoad has a worker load a replica.
+// RequestLoad simulates the load of a replica at a worker.
 func (f *fleet) RequestLoad(load scheduler.LoadRequest) {
 	f.counts.LoadRequests++
 	key, duration := replicaKey{load.Worker, load.Function}, roundTrip
@@ -126,7 +127,7 @@
 	f.schedule(duration, func(now time.Duration) { f.core.LoadCompleted(now, load, scheduler.Completed, duration) })
 }
 
-// Probe has a worker answer a probe.
+// Probe simulates a worker's answer to a probe.
 func (f *fleet) Probe(worker string) {
 	f.counts.Probes++
 	f.schedule(roundTrip, func(now time.Duration) {
@@ -134,7 +135,7 @@
 	})
 }
 
-// SetTimer has a timer fire.
+// SetTimer schedules the core's timer.
 func (f *fleet) SetTimer(after time.Duration) { f.schedule(after, f.core.TimerFired) }
 
 // Complete counts a response.
@@ -146,10 +147,10 @@
 // Fail counts a failure.
 func (f *fleet) Fail(*scheduler.Request, int, bool) { f.counts.Rejected++ }
 
-// Cancel does nothing: the result comes and is dropped.
+// Cancel does nothing: the attempt runs to its end and the core ignores its result.
 func (f *fleet) Cancel(*scheduler.Request, int, string) {}
 
-// Subscribe does nothing: the endpoint list comes by itself.
+// Subscribe does nothing: the measurement passes the endpoint list to the core directly.
 func (f *fleet) Subscribe() {}
 
 // Closed does nothing.
--- a/internal/testbed/costmodel/load.go
+++ b/internal/testbed/costmodel/load.go
@@ -8,14 +8,14 @@
 	"lupinpond/scheduler"
 )
 
-// Load describes the fleet and the traffic that one gateway is measured under.
+// Load describes the fleet and the traffic of a measurement of one gateway's core.
 type Load struct {
 	Workers   int
 	Functions int
 	Gateways  int     `json:"FrontEnds"`
-	Rate      float64 // requests a second at this gateway
-	Skew      float64 // exponent of the Zipf law by which functions are called
-	Requests  int     // that are counted, after half as many that are not
+	Rate      float64 // requests per second at the measured gateway
+	Skew      float64 // exponent of the Zipf distribution of calls over functions
+	Requests  int     // number of measured requests, after Requests/2 unmeasured ones that warm the fleet up
 	Seed      uint64
 }
 
@@ -24,7 +24,7 @@
 	return l.Workers >= 1 && l.Functions >= 1 && l.Gateways >= 1 && l.Rate > 0 && l.Skew >= 0 && l.Requests >= 1
 }
 
-// The model's workers and functions. They are those of a fleet that answers well.
+// Parameters of the simulated workers and functions. They model a fleet that is not overloaded.
 const (
 	meanRunTime        = 300 * time.Millisecond
 	loadTime           = 900 * time.Millisecond
@@ -38,7 +38,7 @@
 	workersPerCell     = 8
 )
 
-// settings is what the measured gateway is started with.
+// settings returns the settings of the measured core.
 func (l Load) settings() core.Settings {
 	return core.Settings{
 		Seed:             l.Seed,
@@ -66,7 +66,7 @@
 	}
 }
 
-// member is a worker's entry of the endpoint list.
+// member returns the endpoint list entry of the worker with the given number.
 func member(number int) scheduler.Member {
 	return scheduler.Member{
 		Worker: fmt.Sprintf("s-%08x", number*2654435761),
--- a/internal/testbed/costmodel/measure.go
+++ b/internal/testbed/costmodel/measure.go
@@ -1,6 +1,6 @@
-// Package costmodel measures what a gateway's decision core costs as a fleet grows, and fits curves through the
-// figures. A core is driven in simulated time by workers that answer well; only the time spent in calls to the core is
-// counted.
+// Package costmodel measures how the processor time and memory of a gateway's decision core grow with the fleet, and
+// fits curves to the results. The core runs in simulated time against simulated workers that are not overloaded. Only
+// the processor time of calls to the core is measured.
 package costmodel
 
 import (
@@ -13,21 +13,21 @@
 	"lupinpond/scheduler"
 )
 
-// Measurement is what one core costs under one Load.
+// Measurement contains the measured costs of one core under one Load. Times are processor times.
 type Measurement struct {
 	Load               Load    `json:"load"`
-	RequestMicros      float64 `json:"request_us"`    // processor time a request, all calls to the core together
-	IdleTickMicros     float64 `json:"tick_us"`       // of a tick in which nothing is due and nothing in flight
-	ChangeMicros       float64 `json:"change_us"`     // of one changed endpoint
-	CompleteListMillis float64 `json:"whole_list_ms"` // of a complete endpoint list that changes nothing
-	WorkerBytes        float64 `json:"worker_bytes"`  // heap a worker on the endpoint list, never used
-	UsedBytes          float64 `json:"used_bytes"`    // heap after the traffic, a worker
-	HeapMiB            float64 `json:"heap_mib"`      // of the core with its model's traffic
-	CoreShare          float64 `json:"core_share"`    // of one processor core at the Load's rate
-	Counts             Counts  `json:"counts"`        // of the counted requests
+	RequestMicros      float64 `json:"request_us"`    // mean time per request, over all calls to the core
+	IdleTickMicros     float64 `json:"tick_us"`       // mean time of a tick with nothing due and nothing in flight
+	ChangeMicros       float64 `json:"change_us"`     // mean time to apply a change of one endpoint
+	CompleteListMillis float64 `json:"whole_list_ms"` // mean time to apply an unchanged complete endpoint list
+	WorkerBytes        float64 `json:"worker_bytes"`  // heap per worker in the endpoint list, before any traffic
+	UsedBytes          float64 `json:"used_bytes"`    // heap per worker after the traffic
+	HeapMiB            float64 `json:"heap_mib"`      // heap of the process after the traffic
+	CoreShare          float64 `json:"core_share"`    // used share of one processor core: RequestMicros * Load.Rate / 1e6
+	Counts             Counts  `json:"counts"`        // operations during the measured requests
 }
 
-// How often the short calls are repeated for a mean, and how far apart.
+// Numbers of repetitions of the short calls, of which the mean is measured, and the simulated time between them.
 const (
 	idleTicks     = 200
 	changes       = 40
@@ -35,10 +35,10 @@
 	tickInterval  = 10 * time.Millisecond
 )
 
-// ErrInvalidLoad says that a core can't be measured under a load.
-var ErrInvalidLoad = errors.New("a load needs workers, functions, gateways, a rate and requests above 0")
+// ErrInvalidLoad is returned by MeasureCore for a load whose fields are not in range.
+var ErrInvalidLoad = errors.New("a load needs workers, functions, gateways, a rate and requests greater than 0")
 
-// MeasureCore measures one core under a load.
+// MeasureCore measures the costs of a core under a load.
 func MeasureCore(load Load) (Measurement, error) {
 	if !load.valid() {
 		return Measurement{}, fmt.Errorf("%w: %+v", ErrInvalidLoad, load)
@@ -54,10 +54,10 @@
 	measured.CompleteListMillis = f.measureCompleteList(list)
 
 	f.runTraffic(load, load.Requests/2)
-	f.spent, f.counts = 0, Counts{}
+	f.coreTime, f.counts = 0, Counts{}
 	f.runTraffic(load, load.Requests)
 	measured.Counts = f.counts
-	measured.RequestMicros = micros(f.spent) / float64(load.Requests)
+	measured.RequestMicros = micros(f.coreTime) / float64(load.Requests)
 	measured.CoreShare = measured.RequestMicros * load.Rate / 1e6
 	after := heapBytes()
 	measured.HeapMiB = after / (1 << 20)
@@ -75,19 +75,20 @@
 	return float64(m.HeapAlloc)
 }
 
-// measureIdleTick is the mean time of a tick with nothing in flight.
+// measureIdleTick returns the mean time of a tick with nothing in flight, in microseconds.
 func (f *fleet) measureIdleTick() float64 {
-	f.spent = 0
+	f.coreTime = 0
 	for range idleTicks {
 		f.now += tickInterval
 		f.timed(func() { f.core.ProcessDue(f.now) })
 	}
-	return micros(f.spent) / idleTicks
+	return micros(f.coreTime) / idleTicks
 }
 
-// measureChange is the mean time of one changed endpoint: a worker drains and comes back.
+// measureChange returns the mean time to apply a change of one endpoint, in microseconds. The changes are the start and
+// the end of a drain.
 func (f *fleet) measureChange(list []scheduler.Member) float64 {
-	f.spent = 0
+	f.coreTime = 0
 	for i := range changes {
 		changed := list[i%len(list)]
 		f.now += tickInterval
@@ -96,19 +97,19 @@
 			f.timed(func() { f.core.UpdateMembership(f.now, []scheduler.Member{changed}) })
 		}
 	}
-	return micros(f.spent) / (2 * changes)
+	return micros(f.coreTime) / (2 * changes)
 }
 
-// measureCompleteList is the mean time, in milliseconds, of a complete list that is the one known.
+// measureCompleteList returns the mean time to apply a complete list that equals the current one, in milliseconds.
 func (f *fleet) measureCompleteList(list []scheduler.Member) float64 {
-	f.spent = 0
+	f.coreTime = 0
 	for range completeLists {
 		f.timed(func() { f.core.ReplaceMembership(f.now, list) })
 	}
-	return micros(f.spent) / completeLists / 1000
+	return micros(f.coreTime) / completeLists / 1000
 }
 
-// runTraffic submits so many requests, at random times of the load's rate.
+// runTraffic submits the given number of requests, as a Poisson process with the load's rate.
 func (f *fleet) runTraffic(load Load, requests int) {
 	functions := workload.New(load.Functions, load.Skew)
 	at := f.now
@@ -120,7 +121,7 @@
 			ID:          fmt.Sprint(f.now, f.counts.Requests),
 			Type:        "call",
 			Tenant:      "tenant",
-			Function:    functions.Draw(f.random),
+			Function:    functions.RandomFunction(f.random),
 			TimeLeft:    maxAge,
 			Concurrency: concurrency,
 			Memory:      replicaMemory,
--- a/internal/testbed/scale/actions.go
+++ b/internal/testbed/scale/actions.go
@@ -10,7 +10,7 @@
 	"lupinpond/internal/gateway/discovery"
 )
 
-// runAction carries out one row of the timeline and returns when it is over.
+// runAction executes the action of a timeline row and returns when the action has ended.
 func (r *run) runAction(ctx context.Context, row TimelineRow) error {
 	duration := row.Duration.Std()
 	switch row.Action {
@@ -19,7 +19,7 @@
 	case Replace:
 		return r.spread(ctx, row, func(worker int) error { return r.replace([]int{worker}) })
 	case StopWorkers:
-		first := r.draw(r.plan.Workers.Count - row.Count + 1)
+		first := r.randomIndex(r.plan.Workers.Count - row.Count + 1)
 		return r.stopWorkers(ctx, duration, sequence(first, row.Count, 1))
 	case SilenceZone:
 		zones := r.plan.Workers.Zones
@@ -36,7 +36,7 @@
 	}
 }
 
-// sequence is count numbers from first on, each step apart.
+// sequence returns count numbers, starting at first, with a distance of step.
 func sequence(first, count, step int) []int {
 	numbers := make([]int, count)
 	for i := range numbers {
@@ -45,13 +45,14 @@
 	return numbers
 }
 
-func (r *run) draw(below int) int {
+// randomIndex returns a random number from 0 to below-1.
+func (r *run) randomIndex(below int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.random.IntN(below)
 }
 
-// spread does something to Count workers, drawn without one twice, over the row's time.
+// spread calls do for row.Count different random workers. The calls start at regular intervals over row.SpreadOver.
 func (r *run) spread(ctx context.Context, row TimelineRow, do func(worker int) error) error {
 	r.mu.Lock()
 	workers := r.random.Perm(r.plan.Workers.Count)[:row.Count]
@@ -76,18 +77,18 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.published[reply.Position] = published{time.Unix(0, reply.At), r.span}
+	r.published[reply.Position] = publication{time.Unix(0, reply.At), r.span}
 	return nil
 }
 
-// endpoint is what was published of a worker last.
+// endpoint returns the last published endpoint of a worker.
 func (r *run) endpoint(worker int) discovery.Endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.endpoints[worker]
 }
 
-// setEndpoints notes the endpoints of workers that started; processes answer in the order of their first worker.
+// setEndpoints records the endpoints of started workers, which may be in another order than workers.
 func (r *run) setEndpoints(workers []int, started []discovery.Endpoint) {
 	byWorker := map[int]discovery.Endpoint{}
 	for _, endpoint := range started {
@@ -100,7 +101,7 @@
 	}
 }
 
-// removals are the changes that take workers off the endpoint list.
+// removals returns endpoints with state Removed for workers, to publish their removal from the endpoint list.
 func (r *run) removals(workers []int) (endpoints []discovery.Endpoint) {
 	for _, worker := range workers {
 		endpoint := r.endpoint(worker)
@@ -110,7 +111,8 @@
 	return endpoints
 }
 
-// commandWorkers has the processes of some workers carry out a command, and gives the endpoints of those that started.
+// commandWorkers sends the command of commandFor to each process that runs some of the workers, one after the other. It
+// returns the endpoints of the workers that were started.
 func (r *run) commandWorkers(workers []int, commandFor func([]int) command) (started []discovery.Endpoint, err error) {
 	perProcess := map[*process][]int{}
 	var order []*process
@@ -131,7 +133,7 @@
 	return started, nil
 }
 
-// processOf finds the process of a worker, as shareOf has shared them.
+// processOf returns the process of a worker, according to the distribution by shareOf.
 func (r *run) processOf(worker int) *process {
 	each, more := r.plan.Workers.Count/len(r.workers), r.plan.Workers.Count%len(r.workers)
 	if worker < more*(each+1) {
@@ -146,7 +148,7 @@
 
 func silenceCommand(workers []int) command { return command{Silence: workers} }
 
-// drain has a worker drain, and come back after a time.
+// drain publishes that a worker is draining, and after duration that it is in service again.
 func (r *run) drain(ctx context.Context, duration time.Duration, worker int) error {
 	endpoint := r.endpoint(worker)
 	endpoint.State = discovery.Draining
@@ -156,14 +158,14 @@
 	if err := httpserver.Sleep(ctx, duration); err != nil {
 		return err
 	}
-	if r.endpoint(worker).Name != endpoint.Name { // another one has taken its place meanwhile
+	if r.endpoint(worker).Name != endpoint.Name { // the worker was replaced in the meantime
 		return nil
 	}
 	endpoint.State = discovery.Up
 	return r.publish([]discovery.Endpoint{endpoint})
 }
 
-// replace has other workers, empty and cold, take the places of some, in one change.
+// replace replaces workers by new incarnations without replicas, and publishes this as one change.
 func (r *run) replace(workers []int) error {
 	started, err := r.commandWorkers(workers, startCommand)
 	if err != nil {
@@ -174,7 +176,8 @@
 	return r.publish(change)
 }
 
-// stopWorkers stops workers next to each other; it is published at once, and again when they are back.
+// stopWorkers stops workers and starts them again after duration. It publishes their removal after the stop, and their
+// new endpoints after the start.
 func (r *run) stopWorkers(ctx context.Context, duration time.Duration, workers []int) error {
 	if _, err := r.commandWorkers(workers, stopCommand); err != nil {
 		return err
@@ -193,7 +196,7 @@
 	return r.publish(started)
 }
 
-// silence has workers answer nothing; nothing is published until they are back, empty and cold.
+// silence makes workers unresponsive for duration and then replaces them. Until then nothing is published.
 func (r *run) silence(ctx context.Context, duration time.Duration, workers []int) error {
 	if _, err := r.commandWorkers(workers, silenceCommand); err != nil {
 		return err
@@ -219,7 +222,7 @@
 	return err
 }
 
-// restartGateways restarts hollow gateways, in all processes alike, as a command says.
+// restartGateways restarts count hollow gateways, distributed evenly over the processes, with the options of a command.
 func (r *run) restartGateways(count int, restart command) error {
 	var group errgroup.Group
 	for i, p := range r.hollowGateways {
--- a/internal/testbed/scale/child.go
+++ b/internal/testbed/scale/child.go
@@ -12,8 +12,8 @@
 	"lupinpond/internal/testbed/discoverytest"
 )
 
-// Child plays a role for the process that started this one, until in ends: what the parent says comes by in, and what
-// it is answered goes to out.
+// Child runs a role in a child process. It reads commands of the parent process from in and writes replies to out, and
+// returns when in ends.
 func Child(ctx context.Context, role Role, in io.Reader, out io.Writer) error {
 	p := newPipe(in, out)
 	switch role {
@@ -24,15 +24,15 @@
 	case RoleGateways:
 		return runGateways(ctx, p)
 	}
-	return fmt.Errorf("there is no role %q", role)
+	return fmt.Errorf("unknown role %q", role)
 }
 
-// runDiscovery plays the role of the discovery service.
+// runDiscovery runs the emulated discovery service and executes the parent's commands.
 func runDiscovery(p *pipe) error {
 	var server *discoverytest.Server
 	defer func() {
 		if server != nil {
-			_ = server.Close() // the process ends
+			_ = server.Close() // ignored: the process ends anyway
 		}
 	}()
 	return p.serve(func(c command) (r reply, err error) {
@@ -57,7 +57,7 @@
 	})
 }
 
-// ownReport tells what this process takes.
+// ownReport returns a report with the resource usage of this process.
 func ownReport() (*childReport, error) {
 	var spent unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_PROCESS_CPUTIME_ID, &spent); err != nil {
@@ -67,7 +67,7 @@
 	return &childReport{ProcessorNanos: spent.Nano(), ResidentBytes: residentBytes, Descriptors: descriptors}, err
 }
 
-// processState tells the memory and the descriptors of a process.
+// processState returns the resident memory and the number of open file descriptors of a process.
 func processState(pid int) (residentBytes int64, descriptors int, err error) {
 	p, err := procfs.NewProc(pid)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return int64(stat.ResidentMemory()), descriptors, err
 }
 
-// processorTime tells the processor time that another process has used, to the tick of the system's clock.
+// processorTime returns the processor time that another process has used, with the resolution of a clock tick.
 func processorTime(pid int) (nanos int64, err error) {
 	p, err := procfs.NewProc(pid)
 	if err != nil {
--- a/internal/testbed/scale/clients.go
+++ b/internal/testbed/scale/clients.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	// maxOpenRequests is how many requests the protocol allows on a connection.
+	// maxOpenRequests is the maximum number of concurrent requests that the protocol allows on a connection.
 	maxOpenRequests = 32
-	// maxResponseBytes bounds a response.
+	// maxResponseBytes is the maximum size of a response.
 	maxResponseBytes = 64 << 10
-	// clientsStream is the first of the streams of random numbers of clients.
+	// clientsStream is the PCG stream number of the clients of the first real gateway, followed by those of the others.
 	clientsStream = 2 << 32
 )
 
-// clients send drawn requests to a real gateway over one connection.
+// clients sends generated requests of many clients to a real gateway over one connection.
 type clients struct {
 	plan      Plan
 	functions *workload.Catalog
@@ -36,7 +36,7 @@
 	rate      *requestRate
 
 	mu   sync.Mutex
-	sent map[int32]time.Time // by the requests' sequence numbers
+	sent map[int32]time.Time // send times of open requests by sequence number
 	seq  int32
 	warm *hdrhistogram.Histogram
 	cold *hdrhistogram.Histogram
@@ -61,7 +61,7 @@
 	}
 }
 
-// run sends and reads until ctx ends.
+// run sends requests and reads responses until ctx is done.
 func (c *clients) run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { c.conn.Close() })
 	defer stop()
@@ -69,11 +69,11 @@
 	go func() { read <- c.read() }()
 	err := c.send(ctx)
 	c.conn.Close()
-	return errors.Join(err, unlessDone(ctx, <-read))
+	return errors.Join(err, ignoreIfDone(ctx, <-read))
 }
 
-// unlessDone is the error, or nil where ctx has ended and may have brought it about.
-func unlessDone(ctx context.Context, err error) error {
+// ignoreIfDone returns err, or nil if ctx is done: err may then be its consequence.
+func ignoreIfDone(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -88,13 +88,13 @@
 			continue
 		}
 		if _, err := c.conn.Write(frame); err != nil {
-			return unlessDone(ctx, err)
+			return ignoreIfDone(ctx, err)
 		}
 	}
 	return nil
 }
 
-// nextRequest is the call of the next request; nil where as many are open as may be.
+// nextRequest returns the frame of the next request, or nil if maxOpenRequests requests are open.
 func (c *clients) nextRequest() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +104,7 @@
 	c.seq++
 	c.sent[c.seq] = time.Now()
 	c.submitted.Add(1)
-	facts := fmt.Sprintf("memory_mb:%d;lanes:%d;load_ms:%d", replicaMB, c.plan.Functions.Concurrency,
+	attributes := fmt.Sprintf("memory_mb:%d;lanes:%d;load_ms:%d", replicaMB, c.plan.Functions.Concurrency,
 		c.plan.Workers.MeanLoadTime.Std().Milliseconds())
 	w := thrift.NewWriter("dispatch", thrift.Call, c.seq)
 	w.StringMap(1,
@@ -112,13 +112,13 @@
 		"id", fmt.Sprintf("%016x", c.random.Uint64()),
 		"wait", strconv.FormatInt(c.plan.Gateways.Wait.Std().Milliseconds(), 10),
 		"tenant", tenantName,
-		"key", fmt.Sprintf("%016x", c.functions.Draw(c.random)),
-		"facts", facts)
+		"key", fmt.Sprintf("%016x", c.functions.RandomFunction(c.random)),
+		"facts", attributes)
 	w.Binary(2, nil)
 	return w.Frame()
 }
 
-// read takes responses until the connection ends.
+// read reads responses until the connection ends.
 func (c *clients) read() error {
 	in := bufio.NewReader(c.conn)
 	for {
@@ -130,7 +130,7 @@
 	}
 }
 
-// recordResponse counts a final response.
+// recordResponse counts the response to a request and records its latency.
 func (c *clients) recordResponse(message thrift.Message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -160,7 +160,7 @@
 	}
 }
 
-// counts is what was counted, without the mutex: each number by itself.
+// counts returns the counters. They are read one by one without the mutex, so they may be inconsistent with each other.
 func (c *clients) counts() gatewayCounts {
 	return gatewayCounts{
 		Submitted: c.submitted.Load(),
--- a/internal/testbed/scale/collect.go
+++ b/internal/testbed/scale/collect.go
@@ -10,10 +10,10 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// convergeTimeout is how long gateways have, at the end, to apply the last change.
+// convergeTimeout is the time limit for gateways to apply the last change at the end of a run.
 const convergeTimeout = 20 * time.Second
 
-// totals asks every process what it has counted.
+// totals collects the reports of all processes and returns their sums.
 func (r *run) totals() (totals, error) {
 	reports, err := r.reports(command{Report: true})
 	if err != nil {
@@ -22,7 +22,7 @@
 	return r.sum(reports)
 }
 
-// finalTotals asks for the endpoint lists too: gateways are counted by those that they have.
+// finalTotals is like totals and also returns the number of hollow gateways by digest of their endpoint list.
 func (r *run) finalTotals() (t totals, lists map[string]int, err error) {
 	reports, err := r.reports(command{Report: true, Final: true})
 	if err != nil {
@@ -38,7 +38,7 @@
 	return t, lists, err
 }
 
-// reports asks every child for its report.
+// reports sends the command request to all children and returns their reports.
 func (r *run) reports(request command) ([]*childReport, error) {
 	children := r.children()
 	reports := make([]*childReport, len(children))
@@ -53,7 +53,7 @@
 	return reports, group.Wait()
 }
 
-// sum adds up reports, the real gateways, and this process.
+// sum returns the sums of reports, the real gateways and this process.
 func (r *run) sum(reports []*childReport) (t totals, err error) {
 	t.at = time.Now()
 	for _, report := range reports {
@@ -71,7 +71,7 @@
 	return t, t.addMachine()
 }
 
-// addRealGateways adds what the real gateways and their clients have counted.
+// addRealGateways adds the resource usage of the real gateways and the counters of their clients.
 func (r *run) addRealGateways(t *totals) error {
 	for i, gateway := range r.realGateways {
 		pid := gateway.cmd.Process.Pid
@@ -92,37 +92,39 @@
 	return nil
 }
 
-// mergeReport takes from a report when changes were applied.
+// mergeReport records the times at which the gateways of a report applied changes.
 func (r *run) mergeReport(report *childReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for change, times := range report.Applied {
-		r.early[change] = append(r.early[change], times...)
+		r.unmatchedApplied[change] = append(r.unmatchedApplied[change], times...)
 	}
-	for change, times := range r.early {
-		if published, known := r.published[change]; known { // else the reply to its publication is on its way
+	for change, times := range r.unmatchedApplied {
+		if published, known := r.published[change]; known { // else the reply to its publication is still pending
 			r.recordApplied(change, published, times)
-			delete(r.early, change)
+			delete(r.unmatchedApplied, change)
 		}
 	}
 }
 
-// recordApplied counts how long a change took to be applied at some gateways; r.mu is held.
-func (r *run) recordApplied(change int64, published published, times []application) {
+// recordApplied records the time from the publication of a change until some gateways applied it. The caller holds
+// r.mu.
+func (r *run) recordApplied(change int64, published publication, times []applyTime) {
 	if r.applied[published.span] == nil {
 		r.applied[published.span] = newHistogram()
 	}
-	for _, application := range times {
-		if time.Unix(0, application.StartedAt).After(published.at) { // it started later and catches up
+	for _, applied := range times {
+		if time.Unix(0, applied.StartedAt).After(published.at) { // not measured: the gateway started after the publication
 			continue
 		}
-		delay := max(0, time.Unix(0, application.At).Sub(published.at))
+		delay := max(0, time.Unix(0, applied.At).Sub(published.at))
 		r.longestDelay[change] = max(r.longestDelay[change], delay)
 		recordLatency(r.applied[published.span], delay)
 	}
 }
 
-// finish waits until every gateway has applied the last change, and compares the endpoint lists.
+// finish waits until all hollow gateways have applied the last change, at most convergeTimeout, and completes the
+// result. It returns ErrListMismatch if the endpoint lists still differ.
 func (r *run) finish(ctx context.Context, result *Result) error {
 	deadline := time.Now().Add(convergeTimeout)
 	for {
@@ -147,13 +149,13 @@
 		return err
 	}
 	if !result.AllAgree(r.plan.Gateways.Hollow) {
-		return fmt.Errorf("%w: %d changes out of order, lists %v, the service's %s", ErrListMismatch, result.OutOfOrder,
-			result.Lists, result.ExpectedList)
+		return fmt.Errorf("%w: %d changes out of order, gateways by list %v, list of the service %s",
+			ErrListMismatch, result.OutOfOrder, result.Lists, result.ExpectedList)
 	}
 	return nil
 }
 
-// addLatencies adds to the result what the gateways have measured.
+// addLatencies adds the measured latencies of requests and changes to the result.
 func (r *run) addLatencies(result *Result) error {
 	for _, child := range r.hollowGateways {
 		reply, err := child.pipe.call(command{Report: true})
@@ -185,7 +187,8 @@
 	return nil
 }
 
-// appliedEverywhere is how long changes took to the last gateway, by span; r.mu is held.
+// appliedEverywhere returns, by span, the times from the publication of each change until all gateways had applied it.
+// The caller holds r.mu.
 func (r *run) appliedEverywhere() map[string]*hdrhistogram.Histogram {
 	histograms := map[string]*hdrhistogram.Histogram{}
 	for span := range r.applied {
--- a/internal/testbed/scale/config.go
+++ b/internal/testbed/scale/config.go
@@ -5,17 +5,17 @@
 	"strconv"
 )
 
-// The one request class and tenant of a run.
+// A run has one request class and one tenant.
 const (
 	className  = "call"
 	tenantName = "tenant"
-	replicaMB  = 256 // memory of a replica
+	replicaMB  = 256 // memory of a replica in MB
 )
 
-// object is a JSON object of the platform's configuration file.
+// object is a JSON object in the gateway's configuration file, see internal/gateway/platform.
 type object map[string]any
 
-// platformConfig is the file that a gateway of the run is started with.
+// platformConfig returns the configuration file of a gateway of the run.
 func (p Plan) platformConfig(name, listen, discoveryAddr string, index int, known json.RawMessage) ([]byte, error) {
 	return json.Marshal(object{
 		"name":     name,
--- a/internal/testbed/scale/estimate.go
+++ b/internal/testbed/scale/estimate.go
@@ -7,37 +7,37 @@
 	"github.com/prometheus/procfs"
 )
 
-// What a process or a part of one takes at the most, from measured runs, rounded up. A plan is rejected by these
-// before it starts, and stopped by what is measured while it runs.
+// Upper bounds of the memory of each part, measured in runs and rounded up. A plan is checked against them before it
+// starts; while it runs, the measured memory is checked.
 const (
-	processBytes    = 48 << 20 // a process of its own
-	gatewayBytes    = 1 << 20  // a hollow gateway
-	endpointBytes   = 1700     // a worker on the endpoint list of one gateway
-	workerBytes     = 24 << 10 // an emulated worker with its listener
-	connectionBytes = 40 << 10 // both ends of a connection
-	workerPart      = 2        // a gateway has connections in at most one of so many of its descriptors
-	ownProcesses    = 2        // this process and the discovery service
+	processBytes         = 48 << 20 // memory of a process without its gateways or workers
+	gatewayBytes         = 1 << 20  // memory of a gateway without its endpoint list
+	endpointBytes        = 1700     // memory of one worker's entry in the endpoint list of one gateway
+	workerBytes          = 24 << 10 // memory of an emulated worker with its listener
+	connectionBytes      = 40 << 10 // memory of both ends of a connection
+	socketsPerWorkerConn = 2        // a gateway has at most Sockets/socketsPerWorkerConn connections to workers
+	fixedProcesses       = 2        // the parent process and the discovery service
 )
 
-// ErrTooLarge says that a plan does not fit, with the arithmetic.
+// ErrTooLarge is returned for a plan that exceeds a limit. The error text contains the calculation.
 var ErrTooLarge = errors.New("the plan does not fit this machine")
 
-// errNoMemoryInfo says that the kernel does not tell the machine's memory.
+// errNoMemoryInfo reports that /proc/meminfo has no MemTotal.
 var errNoMemoryInfo = errors.New("read memory of the machine: no MemTotal")
 
-// Estimate is what a plan takes, before it is run.
+// Estimate is the estimated resource usage of a plan.
 type Estimate struct {
 	Processes int
 	Bytes     int64
-	Sum       string // how Bytes comes about
+	Sum       string // calculation of Bytes, for messages
 }
 
-// Estimate works out what the plan takes at the most.
+// Estimate calculates an upper bound of the plan's resource usage.
 func (p Plan) Estimate() Estimate {
 	gateways := int64(p.Gateways.Hollow + p.Gateways.Real)
 	workers := int64(p.Workers.Count)
-	connections := gateways * int64(p.Gateways.Sockets/workerPart)
-	processes := p.Gateways.Processes + p.Gateways.Real + p.Workers.Processes + ownProcesses
+	connections := gateways * int64(p.Gateways.Sockets/socketsPerWorkerConn)
+	processes := p.Gateways.Processes + p.Gateways.Real + p.Workers.Processes + fixedProcesses
 	bytes := int64(processes)*processBytes + gateways*(gatewayBytes+workers*endpointBytes) +
 		workers*workerBytes + connections*connectionBytes
 	return Estimate{
@@ -49,19 +49,20 @@
 	}
 }
 
-// Check rejects a plan that takes more processes than are allowed, or more than the bytes that it may have.
+// Check returns an error if the estimated number of processes exceeds maxProcesses or the estimated memory exceeds
+// maxBytes.
 func (p Plan) Check(maxBytes int64) error {
 	estimate := p.Estimate()
 	if estimate.Processes > maxProcesses {
-		return fmt.Errorf("%w: %d processes, at most %d are allowed", ErrTooLarge, estimate.Processes, maxProcesses)
+		return fmt.Errorf("%w: it needs %d processes, the limit is %d", ErrTooLarge, estimate.Processes, maxProcesses)
 	}
 	if estimate.Bytes > maxBytes {
-		return fmt.Errorf("%w: %s, at most %d MiB are allowed", ErrTooLarge, estimate.Sum, maxBytes>>20)
+		return fmt.Errorf("%w: it needs %s, the limit is %d MiB", ErrTooLarge, estimate.Sum, maxBytes>>20)
 	}
 	return nil
 }
 
-// HalfOfMemory is half of what the machine has.
+// HalfOfMemory returns half of the machine's memory in bytes.
 func HalfOfMemory() (int64, error) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
--- a/internal/testbed/scale/gatewaypool.go
+++ b/internal/testbed/scale/gatewaypool.go
@@ -20,17 +20,17 @@
 	"lupinpond/scheduler"
 )
 
-// gatewayStream is the first of the streams of random numbers of hollow gateways.
+// gatewayStream is the PCG stream number of hollow gateway 0; gateway n uses gatewayStream + n.
 const gatewayStream = 1 << 32
 
-// gatewayPool is the hollow gateways of one process.
+// gatewayPool contains the hollow gateways of one process and their counters.
 type gatewayPool struct {
 	plan      Plan
 	config    platform.Config
 	functions *workload.Catalog
-	ctx       context.Context // of the process
+	ctx       context.Context // context of the process
 	gateways  []*hollowGateway
-	rate      requestRate // at each
+	rate      requestRate // request rate at each gateway
 
 	submitted  atomic.Int64
 	served     atomic.Int64
@@ -42,18 +42,18 @@
 	restarted  atomic.Int64
 
 	mu      sync.Mutex
-	applied map[int64][]application // by change
+	applied map[int64][]applyTime // by change
 	warm    *hdrhistogram.Histogram
 	cold    *hdrhistogram.Histogram
 }
 
-// hollowGateway is one of them.
+// hollowGateway is a gateway without a listener for clients; it submits generated requests to itself.
 type hollowGateway struct {
 	pool          *gatewayPool
 	number        int
 	random        *rand.Rand
-	appliedChange int64 // the change in force; the owner's goroutine only
-	startedAt     int64 // in Unix nanoseconds
+	appliedChange int64 // last applied change; only accessed by the goroutine of the gateway's owner
+	startedAt     int64 // start time in Unix nanoseconds
 	gateway       *platform.Headless
 	stop          context.CancelFunc
 	stopped       sync.WaitGroup
@@ -69,7 +69,7 @@
 		config:    config,
 		functions: s.Plan.Functions.catalog(),
 		ctx:       ctx,
-		applied:   map[int64][]application{},
+		applied:   map[int64][]applyTime{},
 		warm:      newHistogram(),
 		cold:      newHistogram(),
 	}
@@ -93,7 +93,7 @@
 	}
 }
 
-// restart restarts some gateways, with the endpoints that they were started with or with none.
+// restart restarts the first count gateways, with their initial endpoint list or with an empty one.
 func (p *gatewayPool) restart(count int, withoutList bool) {
 	endpoints := p.config.KnownEndpoints
 	if withoutList {
@@ -125,7 +125,7 @@
 	g.stopped.Go(func() { g.generateRequests(ctx, gateway) })
 }
 
-// restart stops the gateway and starts it anew.
+// restart stops the gateway and starts it again with an endpoint list.
 func (g *hollowGateway) restart(endpoints discovery.Batch) {
 	g.stop()
 	g.stopped.Wait()
@@ -133,8 +133,8 @@
 	g.start(endpoints)
 }
 
-// recordApplied notes that a change is in force. Each has to come once and in order; a complete list needs none before
-// it.
+// recordApplied records that a change was applied. Changes must be applied once and in order; only a complete list may
+// follow a gap.
 func (g *hollowGateway) recordApplied(change int64, complete bool) {
 	now := time.Now().UnixNano()
 	if change <= g.appliedChange || change != g.appliedChange+1 && !complete {
@@ -143,10 +143,10 @@
 	g.appliedChange = change
 	g.pool.mu.Lock()
 	defer g.pool.mu.Unlock()
-	g.pool.applied[change] = append(g.pool.applied[change], application{At: now, StartedAt: g.startedAt})
+	g.pool.applied[change] = append(g.pool.applied[change], applyTime{At: now, StartedAt: g.startedAt})
 }
 
-// generateRequests submits requests at random times until ctx ends.
+// generateRequests submits requests at random times until ctx is done.
 func (g *hollowGateway) generateRequests(ctx context.Context, gateway *platform.Headless) {
 	pace := pacer{rate: &g.pool.rate, random: g.random, next: time.Now()}
 	for pace.wait(ctx) {
@@ -162,7 +162,7 @@
 		ID:          fmt.Sprintf("%016x", g.random.Uint64()),
 		Class:       className,
 		Tenant:      tenantName,
-		Function:    p.functions.Draw(g.random),
+		Function:    p.functions.RandomFunction(g.random),
 		Concurrency: p.plan.Functions.Concurrency,
 		Memory:      replicaMB,
 		LoadTime:    p.plan.Workers.MeanLoadTime.Std(),
@@ -170,7 +170,7 @@
 	}, func(response invoke.Response) { p.recordResponse(submittedAt, response) })
 }
 
-// recordResponse counts a final response.
+// recordResponse counts the final response to a request and records its latency.
 func (p *gatewayPool) recordResponse(submittedAt time.Time, response invoke.Response) {
 	switch response.Outcome {
 	case invoke.Completed:
@@ -196,14 +196,14 @@
 	}
 }
 
-// wasCold reports whether the replica that served a request was not loaded when it was submitted: the body of a
-// worker's response tells when it was.
+// wasCold reports whether the replica that served a request was not yet loaded when the request was submitted. The body
+// of the worker's response is the time when the replica's load ended, in Unix nanoseconds.
 func wasCold(body []byte, submittedAt time.Time) bool {
 	readyAt, err := strconv.ParseInt(string(body), 10, 64)
 	return err == nil && readyAt > submittedAt.UnixNano()
 }
 
-// report tells what was counted since the start, and the changes that were applied since the last report.
+// report returns the counters since the start and the changes that were applied since the last report.
 func (p *gatewayPool) report() (*childReport, error) {
 	report, err := ownReport()
 	if err != nil {
@@ -221,7 +221,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	report.Applied, p.applied = p.applied, map[int64][]application{}
+	report.Applied, p.applied = p.applied, map[int64][]applyTime{}
 	if report.Warm, err = encodeHistogram(p.warm); err != nil {
 		return nil, err
 	}
@@ -229,7 +229,7 @@
 	return report, err
 }
 
-// digests counts the gateways by the endpoint lists that they have.
+// digests returns the number of gateways by digest of their endpoint list.
 func (p *gatewayPool) digests() map[string]int {
 	digests := map[string]int{}
 	for _, gateway := range p.gateways {
@@ -238,7 +238,7 @@
 	return digests
 }
 
-// digest names the endpoint list that the gateway's core decides by.
+// digest returns the digest of the endpoint list that the gateway's core uses.
 func (g *hollowGateway) digest(ctx context.Context) string {
 	members, running := g.gateway.Members(ctx)
 	if !running {
@@ -254,7 +254,7 @@
 	return discoverytest.Digest(states)
 }
 
-// runGateways plays the role of hollow gateways.
+// runGateways runs the hollow gateways of this process and executes the parent's commands.
 func runGateways(ctx context.Context, p *pipe) error {
 	var pool *gatewayPool
 	defer func() {
--- a/internal/testbed/scale/histogram.go
+++ b/internal/testbed/scale/histogram.go
@@ -7,7 +7,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Latencies are recorded from a microsecond to two minutes, to three digits.
+// Latencies are recorded from one microsecond to two minutes, with three significant digits.
 const (
 	minLatencyMicros = 1
 	maxLatencyMicros = 120_000_000
@@ -18,16 +18,17 @@
 	return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencyDigits)
 }
 
-// recordLatency records a latency; one beyond the range counts as its bound.
+// recordLatency records a latency. A latency outside the range is recorded as the nearest limit.
 func recordLatency(histogram *hdrhistogram.Histogram, latency time.Duration) {
-	_ = histogram.RecordValue(min(max(latency.Microseconds(), minLatencyMicros), maxLatencyMicros)) // it is in the range
+	// RecordValue fails only for a value out of range.
+	_ = histogram.RecordValue(min(max(latency.Microseconds(), minLatencyMicros), maxLatencyMicros))
 }
 
 func encodeHistogram(histogram *hdrhistogram.Histogram) ([]byte, error) {
 	return histogram.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 }
 
-// mergeEncoded adds a histogram that a child has sent to another.
+// mergeEncoded adds an encoded histogram, as sent by a child, to the histogram into.
 func mergeEncoded(into *hdrhistogram.Histogram, encoded []byte) error {
 	if len(encoded) == 0 {
 		return nil
@@ -40,7 +41,7 @@
 	return nil
 }
 
-// Delay is how long something took, over many times.
+// Delay summarizes the distribution of a duration, in milliseconds.
 type Delay struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
--- a/internal/testbed/scale/pipe.go
+++ b/internal/testbed/scale/pipe.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// pipe carries JSON lines both ways.
+// pipe exchanges commands and replies as JSON lines.
 type pipe struct {
 	mu  sync.Mutex
 	in  *json.Decoder
@@ -35,7 +35,7 @@
 	return r, nil
 }
 
-// serve has handle answer every command until the parent has ended.
+// serve replies to each command with the result of handle. It returns nil when the parent closes the pipe.
 func (p *pipe) serve(handle func(command) (reply, error)) error {
 	for {
 		var c command
--- a/internal/testbed/scale/process.go
+++ b/internal/testbed/scale/process.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// stopTimeout is how long a process has to end by itself before it is killed.
+	// stopTimeout is the time limit for a process to exit after a stop; then it is killed.
 	stopTimeout = 5 * time.Second
-	// tailBytes is how much of the end of a process's messages is kept.
+	// tailBytes is the number of bytes that are kept of the end of a process's standard error.
 	tailBytes = 2000
 )
 
-// ErrChildExited says that a process of the run ended before it was told to.
-var ErrChildExited = errors.New("a process of the run ended by itself")
+// ErrChildExited reports that a process of the run exited before it was stopped.
+var ErrChildExited = errors.New("a process of the run exited unexpectedly")
 
-// process is a child. It ends with its parent, however that ends: by the end of its standard input, and by the signal
-// that the kernel sends it when the thread that started it has ended.
+// process is a child process. It ends when its parent ends for any reason: its standard input then ends, and the kernel
+// sends it a signal when the thread that started it has ended.
 type process struct {
 	name  string
 	cmd   *exec.Cmd
-	pipe  *pipe     // nil: it takes no commands
-	stdin io.Closer // of the pipe
+	pipe  *pipe     // nil if the process accepts no commands
+	stdin io.Closer // standard input, for the pipe
 	tail  *tail
 	ended chan struct{}
 
@@ -38,10 +38,10 @@
 	stopping bool
 }
 
-// starter starts the children of a run.
+// starter starts the child processes of a run.
 type starter struct{ *subprocess.Starter }
 
-// startChild starts a child that takes commands; crashed is called when it ends without having been stopped.
+// startChild starts a process that accepts commands. crashed is called if the process ends before it is stopped.
 func (s *starter) startChild(name string, cmd *exec.Cmd, crashed func(error)) (*process, error) {
 	stdin, err := cmd.StdinPipe()
 	if err != nil {
@@ -59,7 +59,7 @@
 	return p, nil
 }
 
-// start starts a process; crashed is called when it ends without having been stopped.
+// start starts a process. crashed is called if the process ends before it is stopped.
 func (s *starter) start(name string, cmd *exec.Cmd, crashed func(error)) (*process, error) {
 	p := &process{name: name, cmd: cmd, tail: &tail{}, ended: make(chan struct{})}
 	cmd.Stderr = p.tail
@@ -80,14 +80,15 @@
 	if p.stopping {
 		return
 	}
-	how := "its end can't be told"
+	status := "exit status unknown"
 	if err == nil {
-		how = state.String()
+		status = state.String()
 	}
-	crashed(fmt.Errorf("%w: %s: %s: %s", ErrChildExited, p.name, how, p.tail))
+	crashed(fmt.Errorf("%w: %s: %s: %s", ErrChildExited, p.name, status, p.tail))
 }
 
-// stop ends the process: at the end of its input or by SIGTERM, or killed after a while.
+// stop ends the process by closing its standard input or, if that isn't a pipe, by SIGTERM. It kills the process if it
+// has not exited after stopTimeout or when ctx is done.
 func (p *process) stop(ctx context.Context) {
 	p.mu.Lock()
 	p.stopping = true
@@ -107,13 +108,13 @@
 	<-p.ended
 }
 
-// tail keeps the last bytes of what is written to it.
+// tail is an io.Writer that keeps the last tailBytes bytes.
 type tail struct {
 	mu     sync.Mutex
 	buffer []byte
 }
 
-// Write keeps the end of what came.
+// Write appends part and drops the oldest bytes. It never fails.
 func (t *tail) Write(part []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -122,7 +123,7 @@
 	return len(part), nil
 }
 
-// String is what is kept.
+// String returns the kept bytes without surrounding white space.
 func (t *tail) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/testbed/scale/rate.go
+++ b/internal/testbed/scale/rate.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// idlePollInterval is how often a sender without requests looks whether it has some again.
+// idlePollInterval is the interval at which a pacer with rate 0 checks whether the rate has changed.
 const idlePollInterval = 100 * time.Millisecond
 
-// requestRate is a number of requests a second that may change at any time.
+// requestRate is a number of requests per second that may change concurrently.
 type requestRate struct{ bits atomic.Uint64 }
 
 func (r *requestRate) set(rate float64) { r.bits.Store(math.Float64bits(rate)) }
 
 func (r *requestRate) get() float64 { return math.Float64frombits(r.bits.Load()) }
 
-// pacer spaces requests at random times around a rate.
+// pacer generates the times of requests as a Poisson process with a variable rate.
 type pacer struct {
 	rate   *requestRate
 	random *rand.Rand
 	next   time.Time
 }
 
-// wait waits for the time of the next request; false: ctx has ended.
+// wait waits until the time of the next request. It returns false if ctx is done earlier.
 func (p *pacer) wait(ctx context.Context) bool {
 	for {
 		rate := p.rate.get()
--- a/internal/testbed/scale/realgateway.go
+++ b/internal/testbed/scale/realgateway.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// dialPause is how long a client waits before it dials a starting gateway again.
+	// dialPause is the pause between attempts to connect to a starting gateway.
 	dialPause = 50 * time.Millisecond
-	// readyTimeout is how long a gateway may take to listen.
+	// readyTimeout is the time limit for a starting gateway to listen.
 	readyTimeout = 30 * time.Second
 )
 
-// ErrNoGatewayProgram says that a plan has real gateways and no program was named for them.
-var ErrNoGatewayProgram = errors.New("the plan has real gateways: name their program")
+// ErrNoGatewayProgram reports that a plan has real gateways but their program was not given or does not exist.
+var ErrNoGatewayProgram = errors.New("the plan has real gateways and needs the path of their program")
 
-// CheckGatewayProgram checks that the program of the real gateways is there, if the plan has some.
+// CheckGatewayProgram returns an error if the plan has real gateways and their program does not exist.
 func (p Plan) CheckGatewayProgram(program string) error {
 	if p.Gateways.Real == 0 {
 		return nil
@@ -36,24 +36,24 @@
 	return nil
 }
 
-// realGateway is a real gateway's process.
+// realGateway is the process of a real gateway.
 type realGateway struct {
 	*process
 	addr string
 }
 
-// realGatewaySetup is what a real gateway is started with.
+// realGatewaySetup contains the parameters for starting a real gateway.
 type realGatewaySetup struct {
 	plan          Plan
 	program       string
-	dir           string // of its configuration
+	dir           string // directory of its configuration file
 	index         int
 	discoveryAddr string
-	known         json.RawMessage // the endpoints that it begins with
+	known         json.RawMessage // initial endpoint list
 }
 
-// startRealGateway starts the program as the deploy file does; crashed is called when it ends without having been
-// stopped.
+// startRealGateway starts the gateway program in the same way as the deploy file. crashed is called if the process ends
+// before it is stopped.
 func (s *starter) startRealGateway(setup realGatewaySetup, crashed func(error)) (*realGateway, error) {
 	addr, err := freeAddress(loopback(gatewaysNet, setup.index))
 	if err != nil {
@@ -77,7 +77,7 @@
 	return &realGateway{process: child, addr: addr}, nil
 }
 
-// freeAddress finds a port at a host of loopback that nothing else has an address at.
+// freeAddress returns an address on a loopback host with a port that is not in use.
 func freeAddress(host string) (string, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -86,7 +86,7 @@
 	return listener.Addr().String(), listener.Close()
 }
 
-// dialGateway waits until a gateway listens.
+// dialGateway connects to a gateway. It retries for readyTimeout, until the gateway listens.
 func dialGateway(ctx context.Context, addr string) (net.Conn, error) {
 	end := time.Now().Add(readyTimeout)
 	for {
--- a/internal/testbed/scale/run.go
+++ b/internal/testbed/scale/run.go
@@ -19,20 +19,20 @@
 	"lupinpond/internal/testbed/subprocess"
 )
 
-// Options are what a run needs beside its plan.
+// Options are the parameters of a run that are not part of its plan.
 type Options struct {
-	Command        func(Role) *exec.Cmd // starts a child that calls Child
-	GatewayProgram string               // of the real gateways; needed where the plan has some
-	MaxBytes       int64                // resident, of all processes together
-	Log            *slog.Logger         // a line a sample
+	Command        func(Role) *exec.Cmd // returns the command for a child process, which must call Child
+	GatewayProgram string               // path of the real gateways' program; required if the plan has real gateways
+	MaxBytes       int64                // limit of the resident memory of all processes together
+	Log            *slog.Logger         // receives one message per sample
 }
 
-// run is a run under way.
+// run is the state of a run in progress.
 type run struct {
 	plan      Plan
 	options   Options
 	starter   *starter
-	dir       string // of the real gateways' configurations
+	dir       string // directory of the real gateways' configuration files
 	startedAt time.Time
 	cancel    context.CancelCauseFunc
 
@@ -40,51 +40,51 @@
 	workers        []*process
 	hollowGateways []*process
 	realGateways   []*realGateway
-	clients        []*clients // of the real gateways
-	rate           requestRate
-	sending        sync.WaitGroup
-	acting         sync.WaitGroup
+	clients        []*clients     // by index of the real gateway
+	rate           requestRate    // request rate at each real gateway
+	clientTasks    sync.WaitGroup // goroutines of clients
+	actionTasks    sync.WaitGroup // goroutines of actions
 
-	mu           sync.Mutex
-	random       *rand.Rand
-	endpoints    []discovery.Endpoint // of each worker, as published last
-	published    map[int64]published  // by change
-	span         string
-	applied      map[string]*hdrhistogram.Histogram // by span
-	early        map[int64][]application            // of changes whose publication is not known yet
-	longestDelay map[int64]time.Duration            // by change, so far
-	warm         *hdrhistogram.Histogram
-	cold         *hdrhistogram.Histogram
-	peakBytes    int64
-	minIdle      float64
+	mu               sync.Mutex
+	random           *rand.Rand
+	endpoints        []discovery.Endpoint               // by worker number: the last published endpoint
+	published        map[int64]publication              // by change
+	span             string                             // name of the current span
+	applied          map[string]*hdrhistogram.Histogram // by span: time from publication until a gateway applied a change
+	unmatchedApplied map[int64][]applyTime              // by change, if the reply to its publication is still pending
+	longestDelay     map[int64]time.Duration            // by change: longest time until a gateway applied it
+	warm             *hdrhistogram.Histogram
+	cold             *hdrhistogram.Histogram
+	peakBytes        int64
+	minIdle          float64
 }
 
-// published is a published change of the endpoint list.
-type published struct {
+// publication records when and in which span a change of the endpoint list was published.
+type publication struct {
 	at   time.Time
 	span string
 }
 
 func newRun(plan Plan, options Options, dir string, cancel context.CancelCauseFunc) *run {
 	return &run{
-		plan:         plan,
-		options:      options,
-		starter:      &starter{subprocess.NewStarter()},
-		dir:          dir,
-		startedAt:    time.Now(),
-		cancel:       cancel,
-		random:       rand.New(rand.NewPCG(plan.Seed, 0)),
-		published:    map[int64]published{},
-		applied:      map[string]*hdrhistogram.Histogram{},
-		early:        map[int64][]application{},
-		longestDelay: map[int64]time.Duration{},
-		warm:         newHistogram(),
-		cold:         newHistogram(),
-		minIdle:      1,
+		plan:             plan,
+		options:          options,
+		starter:          &starter{subprocess.NewStarter()},
+		dir:              dir,
+		startedAt:        time.Now(),
+		cancel:           cancel,
+		random:           rand.New(rand.NewPCG(plan.Seed, 0)),
+		published:        map[int64]publication{},
+		applied:          map[string]*hdrhistogram.Histogram{},
+		unmatchedApplied: map[int64][]applyTime{},
+		longestDelay:     map[int64]time.Duration{},
+		warm:             newHistogram(),
+		cold:             newHistogram(),
+		minIdle:          1,
 	}
 }
 
-// Run plays a plan. It returns when every process that it started has ended, whatever happens.
+// Run runs a plan. It always ends all processes that it has started before it returns.
 func Run(ctx context.Context, plan Plan, options Options) (result Result, err error) {
 	if err := plan.Check(options.MaxBytes); err != nil {
 		return Result{}, err
@@ -99,15 +99,15 @@
 	r := newRun(plan, options, dir, cancel)
 	defer r.starter.Close()
 	defer r.stop()
-	result, err = r.play(ctx)
+	result, err = r.execute(ctx)
 	result.Seconds = time.Since(r.startedAt).Seconds()
 	if cause := context.Cause(ctx); err != nil && cause != nil {
-		err = cause // what ended the run, rather than what that brought about
+		err = cause // the cause of the cancellation; err is only its consequence
 	}
 	return result, err
 }
 
-func (r *run) play(ctx context.Context) (Result, error) {
+func (r *run) execute(ctx context.Context) (Result, error) {
 	if err := r.start(ctx); err != nil {
 		return Result{}, err
 	}
@@ -115,9 +115,9 @@
 		Plan:         r.plan.Name,
 		Estimate:     r.plan.Estimate(),
 		StartSeconds: time.Since(r.startedAt).Seconds(),
-		Processes:    ownProcesses + len(r.workers) + len(r.hollowGateways) + len(r.realGateways),
+		Processes:    fixedProcesses + len(r.workers) + len(r.hollowGateways) + len(r.realGateways),
 	}
-	spans, err := r.playTimeline(ctx)
+	spans, err := r.runTimeline(ctx)
 	if err != nil {
 		return result, err
 	}
@@ -125,7 +125,7 @@
 	return result, r.finish(ctx, &result)
 }
 
-// start starts every process, workers first: the endpoint list needs their addresses.
+// start starts all processes. Workers are started first because the endpoint list contains their addresses.
 func (r *run) start(ctx context.Context) error {
 	workers, err := r.startRole(ctx, RoleWorkers, r.plan.Workers.Processes, r.plan.Workers.Count, setup{})
 	r.workers = workers.processes
@@ -162,14 +162,14 @@
 	return nil
 }
 
-// started are the processes of one role.
+// started are the processes of a role after their start.
 type started struct {
 	processes []*process
-	endpoints []discovery.Endpoint // of workers
-	addr      string               // of the discovery service
+	endpoints []discovery.Endpoint // endpoints of the workers, if the role is RoleWorkers
+	addr      string               // address of the discovery service, if the role is RoleDiscovery
 }
 
-// startRole starts the processes of a role, which share count among them.
+// startRole starts the processes of a role and distributes count gateways or workers over them.
 func (r *run) startRole(ctx context.Context, role Role, processes, count int, s setup) (all started, err error) {
 	replies := make([]reply, processes)
 	var group errgroup.Group
@@ -201,8 +201,8 @@
 	return all, err
 }
 
-// shareOf is the part of count that one of some processes has; the first ones have one more where they can't share
-// evenly.
+// shareOf returns how many of count items belong to the process with the given index. If count is not a multiple of
+// processes, the first processes have one more than the others.
 func shareOf(count, processes, index int) int {
 	share := count / processes
 	if index < count%processes {
@@ -230,7 +230,7 @@
 	}
 	c := newClients(r.plan, index, conn, &r.rate)
 	r.clients = append(r.clients, c)
-	r.sending.Go(func() {
+	r.clientTasks.Go(func() {
 		if err := c.run(ctx); err != nil {
 			r.cancel(fmt.Errorf("clients of %s: %w", gateway.name, err))
 		}
@@ -238,7 +238,7 @@
 	return nil
 }
 
-// children are all processes that take commands.
+// children returns all processes that accept commands.
 func (r *run) children() []*process {
 	all := append([]*process{}, r.workers...)
 	all = append(all, r.hollowGateways...)
@@ -248,11 +248,11 @@
 	return all
 }
 
-// stop ends every process.
+// stop ends all processes, clients and actions, and waits for them.
 func (r *run) stop() {
 	r.cancel(nil)
-	r.acting.Wait()
-	r.sending.Wait()
+	r.actionTasks.Wait()
+	r.clientTasks.Wait()
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	var stopping sync.WaitGroup
--- a/internal/testbed/scale/scale_test.go
+++ b/internal/testbed/scale/scale_test.go
@@ -22,7 +22,7 @@
 	"lupinpond/internal/testbed/scale"
 )
 
-// The test binary plays the children of its runs, and a parent that is killed.
+// Environment variables that make the test binary run as a child of a run, or as the parent process of a run.
 const (
 	roleVariable   = "LUPINPOND_SCALE_ROLE"
 	parentVariable = "LUPINPOND_SCALE_PARENT"
@@ -46,7 +46,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-const sizes = `
+const fleetSection = `
 sample: 200ms
 front-ends: {hollow: 24, processes: 2, real: 0, rate: 4, wait: 4s, memory: 64MiB, sockets: 128}
 workers: {count: 30, processes: 2, zones: 3, slots: 8, queue: 16, answer: 10ms, load: 50ms, keep: 5s}
@@ -55,7 +55,7 @@
 
 const smallPlan = `name: small
 seed: 5
-lasts: 4s` + sizes + `timeline:
+lasts: 4s` + fleetSection + `timeline:
   - {at: 200ms, what: drain, count: 3, over: 300ms, for: 200ms}
   - {at: 900ms, what: replace, count: 5}
   - {at: 1100ms, what: stop-workers, count: 2, for: 300ms}
@@ -68,13 +68,13 @@
   - {at: 3500ms, what: change-rate, rate: 0}
 `
 
-// smallChanges are the changes that smallPlan publishes: a drain and its end are two, what stops and comes back is two,
-// a zone that comes back is one.
+// smallChanges is the number of changes that smallPlan publishes: two per drain (start and end), two for stopped
+// workers (stop and start), one for a silent zone (its replacement) and one per replaced worker.
 const smallChanges = 3*2 + 5 + 2 + 1 + 4 + 3
 
 const longPlan = `name: long
 seed: 5
-lasts: 10m` + sizes + `timeline: []
+lasts: 10m` + fleetSection + `timeline: []
 `
 
 func parse(text string) scale.Plan {
@@ -85,7 +85,7 @@
 	return p
 }
 
-// children notes the processes that a run starts.
+// children records the processes that a run starts.
 type children struct {
 	mu   sync.Mutex
 	cmds []*exec.Cmd
@@ -102,7 +102,7 @@
 	return cmd
 }
 
-// started are the processes that run by now.
+// started returns the process IDs of the processes that were started so far.
 func (c *children) started() []int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,7 +119,7 @@
 	return scale.Options{Command: c.command, MaxBytes: 4 << 30, Log: slog.New(slog.DiscardHandler)}
 }
 
-// hasExited reports whether a process has ended; one that waits to be collected has.
+// hasExited reports whether a process has exited. A zombie process counts as exited.
 func hasExited(pid int) bool {
 	p, err := procfs.NewProc(pid)
 	if err != nil {
@@ -129,22 +129,23 @@
 	return err != nil || stat.State == "Z"
 }
 
-// requireExited waits until processes have ended.
+// requireExited waits until the processes have exited and fails the test if one is still running after a minute.
 func requireExited(t *testing.T, pids []int) {
 	t.Helper()
 	end := time.Now().Add(time.Minute)
 	for _, pid := range pids {
 		for !hasExited(pid) {
 			if time.Now().After(end) {
-				t.Fatalf("process %d is left behind", pid)
+				t.Fatalf("process %d is still running", pid)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
 }
 
-// Whatever the clock does: every gateway ends with the endpoint list of the service, receives each change once and in
-// order, also over a service that was unavailable and restarts, and no process is left over.
+// TestGatewaysConvergeOnOneList guards against lost, repeated or reordered list changes: all gateways end with the
+// endpoint list of the discovery service and receive each change once and in order, independent of timing, while the
+// service is unavailable and while gateways restart. It also checks that no process is still running after the run.
 func TestGatewaysConvergeOnOneList(t *testing.T) {
 	c := &children{}
 	result, err := scale.Run(t.Context(), parse(smallPlan), options(c))
@@ -152,22 +153,25 @@
 		t.Fatal(err)
 	}
 	if !result.AllAgree(24) {
-		t.Errorf("%d out of order, lists %v, the service's %s", result.OutOfOrder, result.Lists, result.ExpectedList)
+		t.Errorf("%d changes out of order, gateways by list %v, want only the service's list %s", result.OutOfOrder,
+			result.Lists, result.ExpectedList)
 	}
 	if result.Changes != smallChanges {
-		t.Errorf("%d changes, want %d", result.Changes, smallChanges)
+		t.Errorf("%d published changes, want %d", result.Changes, smallChanges)
 	}
 	var served, submitted int64
 	for _, span := range result.Spans {
 		served, submitted = served+span.Served, submitted+span.Submitted
 	}
 	if served == 0 || submitted < served || len(result.Spans) != 11 {
-		t.Errorf("%d of %d requests served in %d spans", served, submitted, len(result.Spans))
+		t.Errorf("%d of %d requests served in %d spans, want some served in 11 spans", served, submitted,
+			len(result.Spans))
 	}
 	requireExited(t, c.started())
 }
 
-// A child that crashes ends the run, which says so and leaves nothing behind.
+// TestCrashedChildIsReported checks that a run fails with ErrChildExited when a child process crashes, and that no
+// process is still running afterwards.
 func TestCrashedChildIsReported(t *testing.T) {
 	c := &children{}
 	killed := make(chan struct{})
@@ -189,7 +193,7 @@
 	requireExited(t, c.started())
 }
 
-// firstWrite calls a function at the first write.
+// firstWrite returns an io.Writer that calls do on the first write and discards the data.
 func firstWrite(do func()) io.Writer {
 	var once sync.Once
 	return writer(func(b []byte) (int, error) {
@@ -202,8 +206,8 @@
 
 func (w writer) Write(b []byte) (int, error) { return w(b) }
 
-// When the process that plays a run is killed, its children end too.
-func TestKilledRunLeavesNothing(t *testing.T) {
+// TestKilledRunLeavesNoProcess checks that the child processes of a run exit when its parent process is killed.
+func TestKilledRunLeavesNoProcess(t *testing.T) {
 	parent := exec.Command(os.Args[0])
 	parent.Env = append(os.Environ(), parentVariable+"=1")
 	var stderr bytes.Buffer
@@ -214,7 +218,7 @@
 	var pids []int
 	for end := time.Now().Add(time.Minute); len(pids) < 5; pids = childrenOf(t, parent.Process.Pid) {
 		if time.Now().After(end) {
-			t.Fatal("it started only", pids)
+			t.Fatal("the parent started too few processes:", pids)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -222,7 +226,7 @@
 		t.Fatal(err)
 	}
 	if err := parent.Wait(); err == nil {
-		t.Error("it ended by itself: ", stderr.String())
+		t.Error("the parent exited before it was killed: ", stderr.String())
 	}
 	requireExited(t, pids)
 }
@@ -241,7 +245,8 @@
 	return pids
 }
 
-// A plan that can't fit is rejected with its arithmetic, before anything starts.
+// TestTooLargePlanIsRejected checks that a plan that exceeds the memory or process limit is rejected before any process
+// starts, with an error that contains the calculation.
 func TestTooLargePlanIsRejected(t *testing.T) {
 	c := &children{}
 	o := options(c)
@@ -256,12 +261,13 @@
 		t.Error(err)
 	}
 	if len(c.started()) > 0 {
-		t.Error("something was started")
+		t.Error("a process was started")
 	}
 }
 
-// A run that is cancelled ends, and leaves nothing behind.
-func TestCancelledRunLeavesNothing(t *testing.T) {
+// TestCancelledRunLeavesNoProcess checks that Run returns when its context is cancelled, and that no process is still
+// running afterwards.
+func TestCancelledRunLeavesNoProcess(t *testing.T) {
 	c := &children{}
 	ctx, cancel := context.WithCancel(t.Context())
 	o := options(c)
@@ -272,26 +278,26 @@
 	requireExited(t, c.started())
 }
 
-// A validation error of a plan is one message with file, line and column.
+// TestPlanValidationErrors checks that a validation error of a plan has the file, line and column of the invalid value.
 func TestPlanValidationErrors(t *testing.T) {
 	for change, want := range map[[2]string]string{
 		{"lasts: 4s", "lasts: 4"}:                      "plan.yaml:3:8: ",
-		{"lasts: 4s", "lasts: 9h"}:                     "plan.yaml:3:8: lasts: more than 0s, at most 30m0s",
+		{"lasts: 4s", "lasts: 9h"}:                     "plan.yaml:3:8: lasts: must be more than 0s and at most 30m0s",
 		{"seed: 5", "sed: 5"}:                          "plan.yaml:2:1: ",
-		{"hollow: 24", "hollow: 0"}:                    "plan.yaml:5:22: front-ends.hollow: from 1 to 5000",
-		{"zones: 3", "zones: 31"}:                      "plan.yaml:6:43: workers.zones: at least 1",
+		{"hollow: 24", "hollow: 0"}:                    "plan.yaml:5:22: front-ends.hollow: must be from 1 to 5000",
+		{"zones: 3", "zones: 31"}:                      "plan.yaml:6:43: workers.zones: must be at least 1",
 		{"what: drain", "what: drown"}:                 "plan.yaml:9:23: timeline[0].what: unknown action \"drown\"",
-		{"what: replace, count: 5", "what: replace"}:   "plan.yaml:10:6: timeline[1].count: from 1 to 30",
-		{"at: 900ms", "at: 100ms"}:                     "plan.yaml:10:10: timeline[1].at: earlier than the row before",
-		{"zone: 1, for: 300ms", "zone: 1"}:             "timeline[3].for: more than 0s",
-		{"zone: 1, for: 300ms", "zone: 3, for: 300ms"}: "timeline[3].zone: from 0 to 2",
-		{"at: 3500ms", "at: 4s"}:                       "timeline[9].at: it has to be over before the run ends",
-		{"skew: 1.7", "skew: -1"}:                      "functions.skew: from 0 to 4",
+		{"what: replace, count: 5", "what: replace"}:   "plan.yaml:10:6: timeline[1].count: must be from 1 to 30",
+		{"at: 900ms", "at: 100ms"}:                     "plan.yaml:10:10: timeline[1].at: is earlier than the previous row",
+		{"zone: 1, for: 300ms", "zone: 1"}:             "timeline[3].for: must be more than 0s",
+		{"zone: 1, for: 300ms", "zone: 3, for: 300ms"}: "timeline[3].zone: must be from 0 to 2",
+		{"at: 3500ms", "at: 4s"}:                       "timeline[9].at: the action must end before the run ends",
+		{"skew: 1.7", "skew: -1"}:                      "functions.skew: must be from 0 to 4",
 	} {
 		text := strings.Replace(smallPlan, change[0], change[1], 1)
 		_, err := scale.ReadPlan("plan.yaml", []byte(text))
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want %s", change[1], err, want)
+			t.Errorf("%s: got error %v, want %s", change[1], err, want)
 		}
 	}
 	if _, err := scale.ReadPlan("plan.yaml", nil); err == nil {
@@ -299,7 +305,7 @@
 	}
 }
 
-// The plans that come with the project can be read, and fit a machine of 24 GiB.
+// TestPlansOfTheProject checks that the plans in deploy/scale are valid and need at most half of a machine with 24 GiB.
 func TestPlansOfTheProject(t *testing.T) {
 	files, err := filepath.Glob("../../../deploy/scale/*.yaml")
 	if err != nil || len(files) == 0 {
--- a/internal/testbed/scale/timeline.go
+++ b/internal/testbed/scale/timeline.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// firstSpan is the span before the first row of the timeline.
+// firstSpan is the name of the span before the first row of the timeline.
 const firstSpan = "steady"
 
-// playTimeline plays the rows and samples until the run is over.
-func (r *run) playTimeline(ctx context.Context) (spans []Span, err error) {
+// runTimeline executes the rows of the timeline and takes samples until the duration of the run has elapsed. It returns
+// a span for the time before the first row and one for each row.
+func (r *run) runTimeline(ctx context.Context) (spans []Span, err error) {
 	start := time.Now()
 	r.enterSpan(firstSpan)
 	spanStart, err := r.totals()
@@ -30,7 +31,7 @@
 		over := false
 		select {
 		case <-ctx.Done():
-			r.acting.Wait()
+			r.actionTasks.Wait()
 			return spans, ctx.Err()
 		case <-ticker.C:
 		case <-rowDue:
@@ -49,7 +50,7 @@
 			spans = append(spans, r.plan.span(r.span, spanStart, now))
 			spanStart = now
 			if over {
-				r.acting.Wait()
+				r.actionTasks.Wait()
 				return spans, nil
 			}
 			r.startRow(ctx, rows[0])
@@ -58,10 +59,10 @@
 	}
 }
 
-// startRow begins a row of the timeline, and its span.
+// startRow starts the action of a timeline row and the span of the row.
 func (r *run) startRow(ctx context.Context, row TimelineRow) {
 	r.enterSpan(fmt.Sprintf("%v %s", row.At.Std(), row.Action))
-	r.acting.Go(func() {
+	r.actionTasks.Go(func() {
 		if err := r.runAction(ctx, row); err != nil && ctx.Err() == nil {
 			r.cancel(fmt.Errorf("%s: %w", row.Action, err))
 		}
@@ -74,7 +75,7 @@
 	r.span = span
 }
 
-// sample logs what happened since the last one, and ends a run that takes too much.
+// sample logs the measurements since the previous sample. It returns ErrTooLarge if the processes use too much memory.
 func (r *run) sample(from, to totals) error {
 	span := r.plan.span(r.span, from, to)
 	if span.Seconds <= 0 {
@@ -83,7 +84,7 @@
 	r.peakBytes, r.minIdle = max(r.peakBytes, to.allBytes), min(r.minIdle, span.MachineIdle)
 	r.options.Log.Info("sample", "at", time.Since(r.startedAt).Seconds(), "span", span)
 	if to.allBytes > r.options.MaxBytes {
-		return fmt.Errorf("%w: the processes hold %d MiB, at most %d MiB are allowed", ErrTooLarge, to.allBytes>>20,
+		return fmt.Errorf("%w: the processes use %d MiB, the limit is %d MiB", ErrTooLarge, to.allBytes>>20,
 			r.options.MaxBytes>>20)
 	}
 	return nil
--- a/internal/testbed/scale/timeline_test.go
+++ b/internal/testbed/scale/timeline_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// A run whose processes hold more than they may, whatever the arithmetic said, is ended.
-func TestSampleOverTheBoundEndsTheRun(t *testing.T) {
+// TestSampleOverMemoryLimitEndsRun guards against a wrong estimate of a plan's memory: the run ends if its processes
+// actually use more than the limit.
+func TestSampleOverMemoryLimitEndsRun(t *testing.T) {
 	r := &run{options: Options{MaxBytes: 100 << 20, Log: slog.New(slog.DiscardHandler)}}
 	r.plan.Workers.Count, r.plan.Gateways.Hollow = 1, 1
 	from := totals{at: time.Unix(0, 0)}
--- a/internal/testbed/scale/totals.go
+++ b/internal/testbed/scale/totals.go
@@ -8,19 +8,21 @@
 	"lupinpond/internal/testbed/discoverytest"
 )
 
-// totals are the sums of what all processes have counted up to a moment.
+// totals are the sums of the counters and the resource usage of all processes at one time. Fields whose names end in
+// Nanos are processor time and those that end in Bytes are resident memory. The fields gatewayNanos to gateways are of
+// the hollow gateways.
 type totals struct {
 	at time.Time
 
 	discoveryNanos int64
-	discoveryBytes int64 // resident
+	discoveryBytes int64
 	discovery      discoverytest.Counts
 
 	workerNanos int64
 	workerBytes int64
 	workers     workerCounts
 
-	gatewayNanos int64 // of the hollow ones
+	gatewayNanos int64
 	gatewayBytes int64
 	gatewayFDs   int
 	gateways     gatewayCounts
@@ -30,9 +32,9 @@
 	realGatewayFDs   int
 	realGateways     gatewayCounts
 
-	allBytes    int64   // resident, of all processes of the run
-	machineBusy float64 // processor seconds since the machine's start
-	machineIdle float64
+	allBytes    int64   // resident memory of all processes of the run
+	machineBusy float64 // busy processor seconds of the machine since its boot
+	machineIdle float64 // idle processor seconds of the machine since its boot
 }
 
 func (t *totals) add(report *childReport) {
@@ -77,7 +79,7 @@
 	c.Restarted += other.Restarted
 }
 
-// addMachine adds what the whole machine has spent.
+// addMachine sets the busy and idle processor time of the machine.
 func (t *totals) addMachine() error {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
--- a/internal/testbed/scale/worker.go
+++ b/internal/testbed/scale/worker.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// maxArgBytes bounds an argument of a command.
+	// maxArgBytes is the maximum size of an argument of a command.
 	maxArgBytes = 64 << 10
-	// writeTimeout bounds a write.
+	// writeTimeout is the time limit for writing an answer.
 	writeTimeout = 5 * time.Second
-	// workersPerCell is how many workers stand in a cell.
+	// workersPerCell is the number of workers in a cell.
 	workersPerCell = 8
 )
 
-// emulatedWorker answers commands from a small model of slots, a queue, loads and cold starts.
+// emulatedWorker answers the commands of the worker protocol from a model of slots, a queue, loads and cold starts.
 type emulatedWorker struct {
 	pool   *workerPool
 	number int
@@ -31,34 +31,35 @@
 	random      *rand.Rand
 	incarnation int
 	endpoint    discovery.Endpoint
-	listener    net.Listener // nil: stopped
+	listener    net.Listener // nil if the worker is stopped
 	conns       map[net.Conn]bool
 	replicas    map[string]*replica // by function
 	running     int
 	queue       []*job
-	jobs        map[string]*job // by connection and id
-	silent      bool
+	jobs        map[string]*job // by jobKey
+	silent      bool            // the worker ignores commands and sends no answers
 }
 
-// replica is a function loaded, or being loaded, at a worker.
+// replica is a function that a worker has loaded or is loading.
 type replica struct {
-	readyAt   time.Time // when the load ends or ended
-	expiresAt time.Time // idle so long, it is removed
+	readyAt   time.Time // end of the load
+	expiresAt time.Time // time at which the replica is removed if it stays idle
 }
 
-// job is one attempt at a worker.
+// job is an attempt at a worker.
 type job struct {
 	conn         net.Conn
 	id           string
-	name         string // in emulatedWorker.jobs
+	key          string // key in emulatedWorker.jobs
 	replicaState string
 	replica      *replica
-	finished     bool
+	finished     bool // no answer is sent: the attempt was cancelled or its connection has ended
 }
 
-func jobName(conn net.Conn, id string) string { return conn.RemoteAddr().String() + " " + id }
+func jobKey(conn net.Conn, id string) string { return conn.RemoteAddr().String() + " " + id }
 
-// start has the worker listen, empty, under a new name. The start is in Unix milliseconds; 0: long ago.
+// start starts a new incarnation of the worker, with a new name and without replicas. startedUnixMilli is the start
+// time that its endpoint states; 0 means that it started long ago.
 func (w *emulatedWorker) start(startedUnixMilli int64) error {
 	host := loopback(workersNet+w.number>>16, w.number&0xffff)
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
@@ -85,7 +86,7 @@
 	return nil
 }
 
-// stop ends the worker as the end of its process does: its connections are reset, new ones refused.
+// stop simulates the end of the worker's process: its connections are reset and new ones are refused.
 func (w *emulatedWorker) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -102,7 +103,7 @@
 	}
 }
 
-// silence has the worker swallow what comes and answer nothing, as a machine that is cut off.
+// silence makes the worker ignore all commands and send no answers, like a machine that is cut off from the network.
 func (w *emulatedWorker) silence() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -129,10 +130,10 @@
 	}
 }
 
-// serve reads commands until the connection ends, which cancels all that is open on it.
+// serve handles the commands of a connection until it ends, and then cancels the connection's attempts.
 func (w *emulatedWorker) serve(conn net.Conn) {
 	defer w.pool.open.Add(-1)
-	// whatever ends the reading, the connection is over
+	// The error is not needed: each one ends the connection.
 	_ = resp.ReadCommands(conn, maxArgBytes, func(words []string, size int) error {
 		w.handleCommand(conn, words, int64(size))
 		return nil
@@ -161,7 +162,7 @@
 	case words[0] == "KILL" && len(words) == 2:
 		w.pool.cancels.Add(1)
 		w.pool.requestBytes.Add(size)
-		if j := w.jobs[jobName(conn, words[1])]; j != nil {
+		if j := w.jobs[jobKey(conn, words[1])]; j != nil {
 			j.finished = true
 		}
 	case words[0] == "SPAWN" && len(words) == 3:
@@ -180,13 +181,15 @@
 	}
 }
 
-// stats is the worker's load as it tells it; w.mu is held, here and in what follows.
+// stats returns the worker's load report. The caller holds w.mu, as for all methods below that access the worker's
+// state.
 func (w *emulatedWorker) stats() string {
 	return fmt.Sprintf("inflight:%d;pending:%d", w.running, len(w.queue))
 }
 
-// replica finds the replica of a function, or begins to load one.
-func (w *emulatedWorker) replica(function string) (r *replica, state string) {
+// findOrLoadReplica returns the replica of a function and its state in the terms of the worker protocol. If the worker
+// has no replica, its load starts.
+func (w *emulatedWorker) findOrLoadReplica(function string) (r *replica, state string) {
 	now := time.Now()
 	r = w.replicas[function]
 	switch {
@@ -196,7 +199,7 @@
 		state = "ready"
 	default:
 		w.pool.loads.Add(1)
-		r = &replica{readyAt: now.Add(w.drawAround(w.pool.plan.Workers.MeanLoadTime.Std()))}
+		r = &replica{readyAt: now.Add(w.randomDuration(w.pool.plan.Workers.MeanLoadTime.Std()))}
 		w.replicas[function] = r
 		w.removeExpired(now)
 		state = "loaded"
@@ -205,7 +208,7 @@
 	return r, state
 }
 
-// removeExpired forgets replicas that have expired, so that a worker does not grow for good.
+// removeExpired removes expired replicas, which would otherwise accumulate.
 func (w *emulatedWorker) removeExpired(now time.Time) {
 	for function, r := range w.replicas {
 		if now.After(r.expiresAt) && !r.expiresAt.IsZero() {
@@ -221,34 +224,35 @@
 	return b
 }
 
-// drawAround draws a duration around a mean: half of it at the least.
-func (w *emulatedWorker) drawAround(mean time.Duration) time.Duration {
+// randomDuration returns mean/2 plus an exponentially distributed duration with mean mean/2.
+func (w *emulatedWorker) randomDuration(mean time.Duration) time.Duration {
 	return mean/2 + time.Duration(w.random.ExpFloat64()*float64(mean/2))
 }
 
-// handleLoadRequest loads a replica and answers when it is ready.
+// handleLoadRequest loads a replica and answers when the load has ended.
 func (w *emulatedWorker) handleLoadRequest(conn net.Conn, tag, function, replicas string) {
-	r, _ := w.replica(function)
+	r, _ := w.findOrLoadReplica(function)
 	if replicas == "" {
 		replicas = "1"
 	}
 	w.after(time.Until(r.readyAt), conn, func() { w.answerControl(conn, tag, "ok", "n="+replicas, "") })
 }
 
-// handleAttempt runs a request once its replica is ready and a slot is free.
+// handleAttempt runs a request when its replica is ready and a slot is free. It rejects the request if the queue is
+// full.
 func (w *emulatedWorker) handleAttempt(conn net.Conn, id, function string) {
 	if len(w.queue) >= w.pool.plan.Workers.QueueLimit+1 {
 		w.pool.rejected.Add(1)
 		w.answer(conn, id, "refused", "stats="+w.stats(), "")
 		return
 	}
-	r, state := w.replica(function)
-	j := &job{conn: conn, id: id, name: jobName(conn, id), replicaState: state, replica: r}
-	w.jobs[j.name] = j
+	r, state := w.findOrLoadReplica(function)
+	j := &job{conn: conn, id: id, key: jobKey(conn, id), replicaState: state, replica: r}
+	w.jobs[j.key] = j
 	w.after(time.Until(r.readyAt), conn, func() { w.dispatch(j) })
 }
 
-// after has something done with w.mu held after a time, unless its connection has ended by then.
+// after calls do after a time, with w.mu held, unless the connection has ended or the worker is silent at that time.
 func (w *emulatedWorker) after(wait time.Duration, conn net.Conn, do func()) {
 	if wait <= 0 {
 		do()
@@ -263,7 +267,7 @@
 	})
 }
 
-// dispatch has a job run, or wait for a slot.
+// dispatch runs a job, or queues it if no slot is free.
 func (w *emulatedWorker) dispatch(j *job) {
 	if w.running >= w.pool.plan.Workers.Slots {
 		w.queue = append(w.queue, j)
@@ -275,7 +279,7 @@
 func (w *emulatedWorker) run(j *job) {
 	w.running++
 	incarnation := w.incarnation
-	time.AfterFunc(w.drawAround(w.pool.plan.Workers.MeanRunTime.Std()), func() {
+	time.AfterFunc(w.randomDuration(w.pool.plan.Workers.MeanRunTime.Std()), func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if w.incarnation == incarnation {
@@ -284,11 +288,11 @@
 	})
 }
 
-// finish answers a job and runs the next one. The body tells when the replica was ready, so that the sender knows a
-// cold start.
+// finish answers a job and runs queued ones. The body of the answer is the time when the replica was ready, by which
+// the sender recognizes a cold start.
 func (w *emulatedWorker) finish(j *job) {
 	w.running--
-	delete(w.jobs, j.name)
+	delete(w.jobs, j.key)
 	if !j.finished && !w.silent {
 		readyAt := strconv.FormatInt(j.replica.readyAt.UnixNano(), 10)
 		w.answer(j.conn, j.id, "ok", "how="+j.replicaState+",stats="+w.stats(), readyAt)
@@ -297,7 +301,7 @@
 		next := w.queue[0]
 		w.queue = w.queue[1:]
 		if next.finished {
-			delete(w.jobs, next.name)
+			delete(w.jobs, next.key)
 			continue
 		}
 		w.run(next)
@@ -314,7 +318,7 @@
 	w.pool.controlBytes.Add(writeAnswer(conn, words))
 }
 
-// writeAnswer writes an answer; one that can't be written ends its connection.
+// writeAnswer writes an answer and returns its size. If the write fails, it closes the connection.
 func writeAnswer(conn net.Conn, words []string) (size int64) {
 	frame := resp.AppendArray(nil, words...)
 	if err := conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
--- a/internal/testbed/scale/worker_test.go
+++ b/internal/testbed/scale/worker_test.go
@@ -10,8 +10,8 @@
 	"lupinpond/internal/gateway/resp"
 )
 
-// An emulated worker loads on a miss, finds its replica again, counts what came, and comes back empty under another
-// name.
+// TestEmulatedWorker checks that an emulated worker loads a replica on a miss, reuses a loaded one, counts the
+// commands, and has a new name and no replicas after a restart.
 func TestEmulatedWorker(t *testing.T) {
 	plan := Plan{Seed: 1}
 	plan.Workers = WorkerPlan{Count: 1, Processes: 1, Zones: 1, Slots: 1, QueueLimit: 1}
@@ -24,13 +24,13 @@
 	first := pool.endpoints()[0]
 	c := dialWorker(t, first.Addr)
 	c.send("SPAWN", "t1", "key=00000000000000aa,n=1")
-	c.wants("t1", "ok", "n=1")
+	c.requireAnswer("t1", "ok", "n=1")
 	c.send("FN", "1", "class=call,key=00000000000000aa,wait=1000", "body")
-	c.wants("1", "ok", "how=ready")
+	c.requireAnswer("1", "ok", "how=ready")
 	c.send("FN", "2", "class=call,key=00000000000000bb,wait=1000", "body")
-	c.wants("2", "ok", "how=loaded")
+	c.requireAnswer("2", "ok", "how=loaded")
 	c.send("TOP", "t2")
-	c.wants("t2", "yes", "stats=inflight:0;pending:0")
+	c.requireAnswer("t2", "yes", "stats=inflight:0;pending:0")
 	counts := pool.counts()
 	if counts.Requests != 2 || counts.LoadRequests != 1 || counts.Probes != 1 || counts.Loads != 2 ||
 		counts.Accepted != 1 || counts.OpenConnections != 1 {
@@ -40,25 +40,26 @@
 		t.Fatal(err)
 	}
 	if _, err := io.ReadAll(c.conn); err == nil {
-		t.Error("the connection ended without a reset")
+		t.Error("stopping the worker closed the connection without a reset")
 	}
 	started, err := pool.handle(command{Start: []int{0}})
 	if err != nil || len(started.Workers) != 1 {
-		t.Fatalf("%+v %v", started, err)
+		t.Fatalf("reply to start: got %+v, error %v, want one worker", started, err)
 	}
 	second := started.Workers[0]
 	if second.Name == first.Name || second.StartedUnixMilli == 0 || workerNumber(second) != 0 {
 		t.Fatalf("%+v", second)
 	}
-	again := dialWorker(t, second.Addr)
-	again.send("FN", "3", "class=call,key=00000000000000aa,wait=1000", "body")
-	again.wants("3", "ok", "how=loaded")
+	reconnected := dialWorker(t, second.Addr)
+	reconnected.send("FN", "3", "class=call,key=00000000000000aa,wait=1000", "body")
+	reconnected.requireAnswer("3", "ok", "how=loaded")
 }
 
+// workerClient is a connection to an emulated worker.
 type workerClient struct {
 	t    *testing.T
 	conn net.Conn
-	rest []byte // read and not parsed yet
+	rest []byte // received bytes that are not parsed yet
 }
 
 func dialWorker(t *testing.T, addr string) *workerClient {
@@ -81,7 +82,8 @@
 	}
 }
 
-func (c *workerClient) wants(id, outcome, fields string) {
+// requireAnswer reads one answer and checks its id, its outcome and the start of its fields.
+func (c *workerClient) requireAnswer(id, outcome, fields string) {
 	c.t.Helper()
 	part := make([]byte, 1024)
 	for {
--- a/internal/testbed/scale/workerpool.go
+++ b/internal/testbed/scale/workerpool.go
@@ -11,21 +11,22 @@
 	"lupinpond/internal/gateway/discovery"
 )
 
-// Loopback networks of the roles: every worker has an address of its own, so that ports never run out.
+// Second byte of the loopback addresses of the roles. Each worker and gateway has its own IP address, so that the
+// available ports are not exhausted.
 const (
-	workersNet  = 64 // and the ones after it
+	workersNet  = 64 // worker n has 64 + n>>16
 	gatewaysNet = 32
 )
 
-// loopback is an address of 127/8 by a number; each has its own ports.
+// loopback returns the loopback address 127.net8.x.y, where x and y are the bytes of number.
 func loopback(net8, number int) string {
 	return net.IPv4(127, byte(net8), byte(number>>8), byte(number)).String()
 }
 
-// workerPool is the emulated workers of one process.
+// workerPool contains the emulated workers of one process and their counters.
 type workerPool struct {
 	plan    Plan
-	first   int // number of the first one
+	first   int // number of the first worker
 	workers []*emulatedWorker
 	done    sync.WaitGroup
 
@@ -64,7 +65,7 @@
 	p.done.Wait()
 }
 
-// endpoints are the workers' entries of the endpoint list.
+// endpoints returns the workers' entries for the endpoint list.
 func (p *workerPool) endpoints() []discovery.Endpoint {
 	endpoints := make([]discovery.Endpoint, len(p.workers))
 	for i, w := range p.workers {
@@ -73,7 +74,7 @@
 	return endpoints
 }
 
-// handle carries out a command for some of the workers, and gives the endpoints of those that started.
+// handle executes a command on some of the workers and returns the endpoints of the workers that it started.
 func (p *workerPool) handle(c command) (r reply, err error) {
 	for _, number := range c.Stop {
 		p.workers[number-p.first].stop()
@@ -107,7 +108,7 @@
 	}
 }
 
-// report tells what was counted since the start.
+// report returns the resource usage of the process and the counters since its start.
 func (p *workerPool) report() (*childReport, error) {
 	report, err := ownReport()
 	if err != nil {
@@ -117,7 +118,7 @@
 	return report, nil
 }
 
-// runWorkers plays the role of workers.
+// runWorkers runs the emulated workers of this process and executes the parent's commands.
 func runWorkers(p *pipe) error {
 	var pool *workerPool
 	defer func() {
@@ -140,10 +141,11 @@
 	})
 }
 
-// workerName is the name of a worker's incarnation.
+// workerName returns the name of an incarnation of a worker.
 func workerName(number, incarnation int) string { return fmt.Sprintf("s-%05d-%d", number, incarnation) }
 
-// workerNumber is the number of the worker that an endpoint is of; its name holds it. -1: it is none of the run's.
+// workerNumber returns the number of an endpoint's worker, which is part of the name, or -1 if the name is not one of
+// workerName.
 func workerNumber(endpoint discovery.Endpoint) int {
 	var number, incarnation int
 	if _, err := fmt.Sscanf(endpoint.Name, "s-%d-%d", &number, &incarnation); err != nil {
--- a/internal/testbed/workload/workload_test.go
+++ b/internal/testbed/workload/workload_test.go
@@ -7,14 +7,14 @@
 	"lupinpond/internal/testbed/workload"
 )
 
-// Every number drawn is one of the catalogue; with a skew the first functions have most of the calls, without one they
-// do not.
-func TestDraw(t *testing.T) {
+// TestRandomFunction checks that all selected functions are in the catalog, and that the first functions have most of
+// the calls if and only if the distribution is skewed.
+func TestRandomFunction(t *testing.T) {
 	for _, skew := range []float64{0, 1.7} {
 		random, first := rand.New(rand.NewPCG(1, 1)), 0
 		functions := workload.New(1000, skew)
 		for range 10000 {
-			n := functions.Draw(random)
+			n := functions.RandomFunction(random)
 			if n < 1 || n > 1000 {
 				t.Fatal(n)
 			}
