--- a/internal/testbed/scale/scale_test.go
+++ b/internal/testbed/scale/scale_test.go
@@ -46,7 +46,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-const fleetSection = `
+const planSections = `
 sample: 200ms
 front-ends: {hollow: 24, processes: 2, real: 0, rate: 4, wait: 4s, memory: 64MiB, sockets: 128}
 workers: {count: 30, processes: 2, zones: 3, slots: 8, queue: 16, answer: 10ms, load: 50ms, keep: 5s}
@@ -55,7 +55,7 @@
 
 const smallPlan = `name: small
 seed: 5
-lasts: 4s` + fleetSection + `timeline:
+lasts: 4s` + planSections + `timeline:
   - {at: 200ms, what: drain, count: 3, over: 300ms, for: 200ms}
   - {at: 900ms, what: replace, count: 5}
   - {at: 1100ms, what: stop-workers, count: 2, for: 300ms}
@@ -74,7 +74,7 @@
 
 const longPlan = `name: long
 seed: 5
-lasts: 10m` + fleetSection + `timeline: []
+lasts: 10m` + planSections + `timeline: []
 `
 
 func parse(text string) scale.Plan {
