--- a/internal/testbed/scale/plan.go
+++ b/internal/testbed/scale/plan.go
@@ -77,7 +77,7 @@
 const (
 	Drain           Action = "drain"          // Count workers drain for Duration; one change per worker at start and end
 	Replace         Action = "replace"        // Count workers are replaced by new cold ones; one change per worker
-	StopWorkers     Action = "stop-workers"   // Count adjacent workers stop for Duration and start again cold, as a rack does
+	StopWorkers     Action = "stop-workers"   // Count adjacent workers (a rack) stop for Duration and start again cold
 	SilenceZone     Action = "silence-zone"   // workers of Zone do not respond for Duration and are then replaced
 	StopList        Action = "stop-list"      // the discovery service is unavailable for Duration
 	RestartGateways Action = "restart-fronts" // Count hollow gateways restart with their initial endpoint list
