--- a/internal/artifact/layer/build.go
+++ b/internal/artifact/layer/build.go
@@ -10,8 +10,8 @@
 	"lupinpond/internal/artifact/manifest"
 )
 
-// Build writes a release's files into a folder that does not exist yet; content returns the chunks. If it fails, the
-// folder is removed.
+// Build writes the files of a release into folder, which must not exist yet. It calls content for the uncompressed
+// bytes of each chunk. If it fails, it removes the folder.
 func Build(r Release, folder string, content func(ChunkRef) ([]byte, error)) (manifest.Package, error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return manifest.Package{}, err
@@ -63,7 +63,8 @@
 		return err
 	}
 	if len(b) != chunk.Size {
-		return fmt.Errorf("chunk %.12s has %d bytes, the release says %d: %w", chunk.Digest, len(b), chunk.Size, ErrCorrupt)
+		return fmt.Errorf("chunk %.12s has %d bytes, want %d as in the release: %w",
+			chunk.Digest, len(b), chunk.Size, ErrCorrupt)
 	}
 	_, err = out.Write(b)
 	return err
--- a/internal/artifact/layer/chunk.go
+++ b/internal/artifact/layer/chunk.go
@@ -8,36 +8,38 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Sizes of chunks, in bytes.
+// Chunk sizes, in bytes.
 const (
-	// averageChunkBits is the logarithm of a chunk's average size: 64 KiB.
+	// averageChunkBits is the binary logarithm of the average chunk size, 64 KiB.
 	averageChunkBits = 16
 
-	// MinChunkSize is the smallest chunk, a quarter of the average; only a file's last one may be smaller.
+	// MinChunkSize is the minimum chunk size, a quarter of the average. Only the last chunk of a file may be smaller.
 	MinChunkSize = 1 << (averageChunkBits - 2)
 
-	// MaxChunkSize is the largest chunk, four times the average.
+	// MaxChunkSize is the maximum chunk size, four times the average.
 	MaxChunkSize = 1 << (averageChunkBits + 2)
 
-	// MaxCompressedSize is the largest compressed chunk: zstd may add to content that it can't compress.
+	// MaxCompressedSize is the maximum size of a compressed chunk. It exceeds MaxChunkSize because the zstd encoding of
+	// incompressible content is larger than the content.
 	MaxCompressedSize = MaxChunkSize + 1024
 )
 
-// ErrCorrupt is returned for bytes that are not what their digest names.
+// ErrCorrupt is returned for content that does not match its digest. Its text is part of the store's HTTP API.
 var ErrCorrupt = errors.New("not the content that the digest names")
 
-// ChunkRef is a chunk as a release names it.
+// ChunkRef is a release's reference to a chunk.
 type ChunkRef struct {
 	_      struct{} `cbor:",toarray"`
 	Digest Digest
-	Size   int // bytes of its content
+	Size   int // size of the uncompressed content in bytes
 }
 
-// zstdCodecs are made once: they are large, and safe for concurrent use.
+// zstdCodecs returns the encoder and decoder that all callers share. They are created once because they take much
+// memory, and are safe for concurrent use.
 var zstdCodecs = sync.OnceValues(func() (*zstd.Encoder, *zstd.Decoder) {
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedDefault))
 	if err != nil {
-		panic(err) // only for a wrong option, and all are constant
+		panic(err) // fails only for an invalid option, and all options are constants
 	}
 	decoder, err := zstd.NewReader(nil, zstd.WithDecoderMaxMemory(MaxChunkSize), zstd.WithDecoderConcurrency(0))
 	if err != nil {
@@ -46,13 +48,13 @@
 	return encoder, decoder
 })
 
-// Compress compresses a chunk's content.
+// Compress returns the zstd-compressed form of a chunk's content.
 func Compress(content []byte) []byte {
 	encoder, _ := zstdCodecs()
 	return encoder.EncodeAll(content, nil)
 }
 
-// Decompress returns a chunk's content if it is what the digest names; otherwise the error is ErrCorrupt.
+// Decompress returns a chunk's content. If the content does not match the digest, the error is ErrCorrupt.
 func Decompress(digest Digest, compressed []byte) ([]byte, error) {
 	if len(compressed) > MaxCompressedSize {
 		return nil, fmt.Errorf("chunk %.12s: %d bytes: %w", digest, len(compressed), ErrCorrupt)
--- a/internal/artifact/layer/digest.go
+++ b/internal/artifact/layer/digest.go
@@ -10,7 +10,7 @@
 
 const digestSize = 32 // bytes
 
-// Digest names a chunk or a release: the BLAKE3 digest of its content, before compression.
+// Digest identifies a chunk or a release. It is the BLAKE3 digest of the uncompressed content.
 type Digest [digestSize]byte
 
 // Sum returns the digest of content.
@@ -19,7 +19,7 @@
 // String returns the digest in hex.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// ParseDigest parses a digest in lower-case hex. The text of an error is part of the store's HTTP API.
+// ParseDigest parses a digest in lower-case hex. The texts of its errors are part of the store's HTTP API.
 func ParseDigest(text string) (digest Digest, err error) {
 	if len(text) != 2*digestSize {
 		return digest, fmt.Errorf("digest of %d letters, %d are needed", len(text), 2*digestSize)
--- a/internal/artifact/layer/layer_test.go
+++ b/internal/artifact/layer/layer_test.go
@@ -15,7 +15,7 @@
 	"lupinpond/internal/base/config"
 )
 
-// writePackage makes a package with the given files.
+// writePackage creates a package with the given files in a temporary folder.
 func writePackage(t testing.TB, files map[string][]byte) (folder string) {
 	t.Helper()
 	folder = t.TempDir()
@@ -43,7 +43,7 @@
 
 func discardChunk(layer.ChunkRef, []byte) error { return nil }
 
-// chunkMap has compressed chunks by their digest.
+// chunkMap stores compressed chunks by digest.
 type chunkMap map[layer.Digest][]byte
 
 func (m chunkMap) put(chunk layer.ChunkRef, content []byte) error {
@@ -55,7 +55,9 @@
 	return layer.Decompress(chunk.Digest, m[chunk.Digest])
 }
 
-// A release comes back as it was, layer by layer; bytes inserted at the front of a large file change a few chunks only.
+// Splitting a package, encoding and decoding its release and building it must restore every file. Bytes inserted at the
+// front of a large file must change only a few chunks: with fixed chunk boundaries, each would change. A modified
+// compressed chunk must be reported as corrupt.
 func TestSplitAndBuild(t *testing.T) {
 	files := map[string][]byte{"entry": randomBytes(1, 1<<20), "weights/a": randomBytes(2, 3<<20), "weights/b/c": nil}
 	chunks := chunkMap{}
@@ -64,7 +66,7 @@
 		t.Fatal(err)
 	}
 	if len(release.Layers) != 2 || release.Size() != 4<<20 {
-		t.Errorf("%d layers, %d bytes", len(release.Layers), release.Size())
+		t.Errorf("release has %d layers and %d bytes, want 2 layers and 4 MiB", len(release.Layers), release.Size())
 	}
 	encoded, err := layer.Encode(release)
 	if err != nil {
@@ -79,7 +81,7 @@
 	}
 	for name, want := range files {
 		if got, err := os.ReadFile(filepath.Join(built.Folder, name)); err != nil || string(got) != string(want) {
-			t.Errorf("%s: %d bytes, %v", name, len(got), err)
+			t.Errorf("built file %s: got %d bytes, error %v, want the original content", name, len(got), err)
 		}
 	}
 	files["weights/a"] = append([]byte("a few bytes at the front"), files["weights/a"]...)
@@ -88,7 +90,7 @@
 		t.Fatal(err)
 	}
 	if count, bytes, total := layer.Diff(release, next); count > 2 || bytes > total/10 {
-		t.Errorf("%d chunks, %d of %d bytes for a few bytes", count, bytes, total)
+		t.Errorf("inserting a few bytes changed %d chunks with %d of %d bytes", count, bytes, total)
 	}
 	for digest := range chunks {
 		chunks[digest][len(chunks[digest])-1] ^= 1
@@ -101,11 +103,12 @@
 		}
 	}
 	if corrupt != 1 {
-		t.Errorf("%d corrupt chunks seen, one is", corrupt)
+		t.Errorf("detected %d corrupt chunks, want 1", corrupt)
 	}
 }
 
-// A release that could write outside the folder or is of another version is rejected with its place.
+// Decode must reject releases that could write outside the package's folder, have another format version or exceed a
+// limit. The error must say which layer and file is invalid.
 func TestBadReleases(t *testing.T) {
 	good, err := layer.Split(writePackage(t, map[string][]byte{"entry": []byte("x")}), discardChunk)
 	if err != nil {
@@ -131,7 +134,7 @@
 			t.Fatal(err)
 		}
 		if _, err := layer.Decode(encoded); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("want an error that contains %q, got %v", want, err)
 		}
 	}
 }
@@ -158,7 +161,7 @@
 			t.Fatal(err)
 		}
 		if _, err := layer.Decode(again); err != nil {
-			t.Errorf("what was read can't be read again: %v", err)
+			t.Errorf("a decoded release can't be decoded after it is encoded again: %v", err)
 		}
 	})
 }
@@ -175,10 +178,10 @@
 	})
 }
 
-// BenchmarkSteps is what a chunk costs: splitting, hashing, compressing, verified decompressing, beside reading the
-// file alone.
+// BenchmarkSteps measures each step of processing chunks (split, hash, compress, decompress with verification), and
+// reading the file as a baseline.
 func BenchmarkSteps(b *testing.B) {
-	content := strings.Repeat(fmt.Sprintf("%x", randomBytes(1, 1<<10)), 1<<13) // 16 MiB, some order in it
+	content := strings.Repeat(fmt.Sprintf("%x", randomBytes(1, 1<<10)), 1<<13) // 16 MiB, partly compressible
 	folder := writePackage(b, map[string][]byte{"entry": []byte(content)})
 	var chunks [][]byte
 	if _, err := layer.Split(folder, func(_ layer.ChunkRef, content []byte) error {
--- a/internal/artifact/layer/release.go
+++ b/internal/artifact/layer/release.go
@@ -1,7 +1,7 @@
-// Package layer is the format in which packages are stored and fetched: a release names layers, a layer files, a file
-// chunks. Files are split into chunks by their content, so that a new release shares most chunks with the one before. A
-// chunk is named by the BLAKE3 digest of its content and compressed with zstd. docs/operate/store.md has the format for
-// operators.
+// Package layer implements the format in which packages are stored and fetched: a release lists layers, a layer lists
+// files, and a file lists chunks. Chunk boundaries depend on the content (content-defined chunking), so that a new
+// release shares most chunks with the previous one. A chunk is identified by the BLAKE3 digest of its content and
+// compressed with zstd. docs/operate/store.md describes the format for operators.
 package layer
 
 import (
@@ -15,25 +15,25 @@
 	"lupinpond/internal/artifact/manifest"
 )
 
-// Format is the version of releases and chunks that this program writes and reads.
+// Format is the format version of the releases and chunks that this program writes and reads.
 const Format = 1
 
 const (
-	// MaxReleaseSize bounds an encoded release, in bytes.
+	// MaxReleaseSize is the maximum size of an encoded release in bytes.
 	MaxReleaseSize = 16 << 20
 
-	// maxFiles bounds the files of a release.
+	// maxFiles is the maximum number of files in a release.
 	maxFiles = 100_000
 )
 
-// File is one file of a layer.
+// File is a file of a layer.
 type File struct {
-	Path       string     `cbor:"1,keyasint"` // in the package's folder, with /
+	Path       string     `cbor:"1,keyasint"` // relative to the package's folder, with slashes
 	Executable bool       `cbor:"2,keyasint,omitempty"`
 	Chunks     []ChunkRef `cbor:"3,keyasint"`
 }
 
-// Size is the file's bytes.
+// Size returns the size of the file in bytes.
 func (f File) Size() (size int64) {
 	for _, chunk := range f.Chunks {
 		size += int64(chunk.Size)
@@ -41,20 +41,21 @@
 	return size
 }
 
-// Layer is the files of one entry of the package's folder: a file, or a directory with all in it.
+// Layer holds the files of one top-level entry of the package's folder, which is a file or a directory with its whole
+// content.
 type Layer struct {
 	Name  string `cbor:"1,keyasint"`
 	Files []File `cbor:"2,keyasint"`
 }
 
-// Release is a package with all that has to be fetched for it.
+// Release describes the content of a package: its manifest and every chunk that has to be fetched to build it.
 type Release struct {
 	Format   int     `cbor:"1,keyasint"`
-	Manifest []byte  `cbor:"2,keyasint"` // the package's manifest.yaml
+	Manifest []byte  `cbor:"2,keyasint"` // content of the package's manifest.yaml
 	Layers   []Layer `cbor:"3,keyasint"`
 }
 
-// Chunks returns the chunks of a release, each once, in the order of their first use.
+// Chunks returns the distinct chunks of a release in the order of their first use.
 func (r Release) Chunks() []ChunkRef {
 	var chunks []ChunkRef
 	seen := map[Digest]bool{}
@@ -80,7 +81,7 @@
 	return set
 }
 
-// Size is the bytes of all files.
+// Size returns the total size of all files in bytes.
 func (r Release) Size() (size int64) {
 	for _, l := range r.Layers {
 		for _, file := range l.Files {
@@ -95,7 +96,8 @@
 	return manifest.Parse("manifest.yaml", r.Manifest)
 }
 
-// Encode encodes a release. The release's digest is that of the encoded bytes.
+// Encode encodes a release. The digest of a release is computed over the encoded bytes, so the encoding is
+// deterministic.
 func Encode(r Release) ([]byte, error) {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
@@ -103,13 +105,14 @@
 	}
 	encoded, err := mode.Marshal(r)
 	if err == nil && len(encoded) > MaxReleaseSize {
-		err = fmt.Errorf("a release of %d bytes, at most %d are taken: fewer or larger files", len(encoded), MaxReleaseSize)
+		err = fmt.Errorf("encoded release has %d bytes, at most %d are allowed: use fewer or larger files",
+			len(encoded), MaxReleaseSize)
 	}
 	return encoded, err
 }
 
-// Decode decodes a release. It rejects one that could write outside a package's folder or take memory without bound.
-// The text of an error is part of the store's HTTP API.
+// Decode decodes a release. It rejects a release that could write outside the package's folder or use unbounded memory.
+// The texts of its errors are part of the store's HTTP API.
 func Decode(encoded []byte) (Release, error) {
 	r, err := decode(encoded)
 	if err != nil {
@@ -145,7 +148,7 @@
 	return r, r.validate()
 }
 
-// validate checks the paths and sizes that a release names.
+// validate checks the file paths and chunk sizes of a release.
 func (r Release) validate() error {
 	seen := map[string]bool{manifest.FileName: true}
 	for i, l := range r.Layers {
@@ -158,7 +161,8 @@
 	return nil
 }
 
-// validate checks a file of a layer; seen has the paths of those before it, and gets this one's.
+// validate checks a file of the named layer. seen holds the paths of the preceding files; validate adds the path of
+// this one.
 func (f File) validate(layer string, seen map[string]bool) error {
 	switch {
 	case !fs.ValidPath(f.Path) || f.Path == "." || strings.ContainsAny(f.Path, "\\\x00"):
@@ -179,8 +183,8 @@
 	return nil
 }
 
-// Diff compares two releases: how many chunks, and bytes of them, a worker that has old would fetch for next, and how
-// many bytes next has in all.
+// Diff returns how many chunks, and how many uncompressed bytes in them, a worker that has release old must fetch for
+// release next. total is the size of all distinct chunks of next in bytes.
 func Diff(old, next Release) (chunks int, bytes, total int64) {
 	have := old.ChunkSet()
 	for _, chunk := range next.Chunks() {
--- a/internal/artifact/layer/split.go
+++ b/internal/artifact/layer/split.go
@@ -16,11 +16,13 @@
 	"lupinpond/internal/artifact/manifest"
 )
 
-// polynomial decides where files are split. It is part of the format: with another one, no chunk would be shared.
+// polynomial is the Rabin polynomial that determines the chunk boundaries. It is part of the format: a release split
+// with another polynomial would share no chunks with existing releases.
 const polynomial = chunker.Pol(0x3DA3358B4DC173)
 
-// Split makes a release of a package's folder and passes each chunk's content to visit, in order. The same chunk may
-// come again; the content is valid only until visit returns.
+// Split splits the files of a package's folder into chunks and returns the release that describes them. It calls visit
+// with the content of each chunk, in order, also for a chunk that occurred before. The content is valid only until
+// visit returns.
 func Split(folder string, visit func(ChunkRef, []byte) error) (r Release, err error) {
 	p, err := manifest.Open(folder)
 	if err != nil {
@@ -54,7 +56,7 @@
 	return r, err
 }
 
-// add appends a file to the layer that its path begins with.
+// add appends a file to the layer named by the first element of its path.
 func (r *Release) add(file File) {
 	name, _, _ := strings.Cut(file.Path, "/")
 	i := slices.IndexFunc(r.Layers, func(l Layer) bool { return l.Name == name })
