--- a/internal/artifact/artifactstore/admission.go
+++ b/internal/artifact/artifactstore/admission.go
@@ -2,47 +2,49 @@
 
 import "time"
 
-// Capacity is what a store serves at most, and what stops it.
+// Capacity limits the load that a store serves. It also configures when an overloaded store stops: while MaxConcurrent
+// fetches are in flight, the store rejects all fetches for StopDuration once more than StopFactor * MaxConcurrent
+// fetches arrive within StopWindow.
 type Capacity struct {
-	BytesPerSecond float64       // of all chunks served; 0: no limit
-	MaxConcurrent  int           // fetches at a time; more are rejected
-	StopFactor     float64       // a full store stops once this many times MaxConcurrent come in StopWindow; 0: never
-	StopWindow     time.Duration // over which fetches are counted
-	StopDuration   time.Duration // how long a stopped store rejects everything
+	BytesPerSecond float64       // maximum rate of chunk bytes served; 0: no limit
+	MaxConcurrent  int           // maximum number of fetches in flight; more are rejected
+	StopFactor     float64       // multiple of MaxConcurrent; 0: the store never stops because of overload
+	StopWindow     time.Duration // length of the window in which arriving fetches are counted
+	StopDuration   time.Duration // time for which a stopped store rejects all fetches
 }
 
-// maxRetryAfterSeconds bounds what a rejected client is told to wait.
+// maxRetryAfterSeconds is the longest Retry-After, in seconds, of a fetch that is rejected at capacity.
 const maxRetryAfterSeconds = 8
 
-// Decision is what an AdmissionController decides about a fetch.
+// Decision is an AdmissionController's decision about a fetch.
 type Decision int
 
-// The decisions.
+// The decisions about a fetch.
 const (
 	Admitted Decision = iota
 	Rejected          // the store is at capacity
 	Stopped           // the store is stopped
 )
 
-// AdmissionController decides which fetches a store serves. It does no I/O, reads no clock and is not safe for
-// concurrent use.
+// AdmissionController decides which fetches a store serves. It does no I/O and reads no clock: callers pass the time.
+// It is not safe for concurrent use.
 type AdmissionController struct {
 	capacity              Capacity
 	inFlight              int
 	stoppedUntil          time.Duration
 	windowStart           time.Duration
-	windowRequests        int // in the window that began at windowStart
+	windowRequests        int // fetches that arrived since windowStart
 	stopCount             int
-	consecutiveRejections int // since a fetch was last admitted
+	consecutiveRejections int // fetches rejected at capacity since the last admitted one
 }
 
-// NewAdmissionController returns a controller with nothing in flight.
+// NewAdmissionController returns a controller with no fetches in flight.
 func NewAdmissionController(capacity Capacity) *AdmissionController {
 	return &AdmissionController{capacity: capacity}
 }
 
-// Admit decides about a fetch that arrives now. A fetch that is not admitted may be tried again after retryAfter; for
-// one that is, Done has to be called.
+// Admit decides whether to serve a fetch that arrives at time now. For an admitted fetch, the caller must call Done
+// when it has completed. A fetch that is not admitted may be retried after retryAfter.
 func (c *AdmissionController) Admit(now time.Duration) (decision Decision, retryAfter time.Duration) {
 	if now < c.stoppedUntil {
 		return Stopped, c.stoppedUntil - now
@@ -59,7 +61,7 @@
 	}
 	if c.inFlight >= c.capacity.MaxConcurrent {
 		c.consecutiveRejections++
-		// the more are waiting, the later each returns, so that they do not all come at once
+		// Retry-After grows with the number of rejected clients, so that they do not all retry at the same time.
 		seconds := min(maxRetryAfterSeconds, 1+c.consecutiveRejections/max(1, c.capacity.MaxConcurrent))
 		return Rejected, time.Second * time.Duration(seconds)
 	}
@@ -68,21 +70,22 @@
 	return Admitted, 0
 }
 
-// overloaded tells whether a full store was asked so often within the window that it stops.
+// overloaded reports whether the store is at capacity and so many fetches arrived within the window that it must stop.
 func (c *AdmissionController) overloaded() bool {
 	stops := c.capacity.StopFactor > 0 && c.capacity.StopDuration > 0
 	return stops && c.inFlight >= c.capacity.MaxConcurrent &&
 		float64(c.windowRequests) > c.capacity.StopFactor*float64(c.capacity.MaxConcurrent)
 }
 
-// Done notes that an admitted fetch has completed.
+// Done records that an admitted fetch has completed.
 func (c *AdmissionController) Done() { c.inFlight = max(0, c.inFlight-1) }
 
-// Stop rejects every fetch for a duration from now, as an operator's command does.
+// Stop makes the controller reject all fetches for a duration from now. An overloaded store and
+// operators (POST /v1/stop) use it.
 func (c *AdmissionController) Stop(now, duration time.Duration) {
 	c.stoppedUntil = now + duration
 	c.stopCount++
 }
 
-// Stops returns how often the store was stopped.
+// Stops returns the number of times that the store was stopped.
 func (c *AdmissionController) Stops() int { return c.stopCount }
--- a/internal/artifact/artifactstore/admission_test.go
+++ b/internal/artifact/artifactstore/admission_test.go
@@ -8,7 +8,8 @@
 	"lupinpond/internal/artifact/artifactstore"
 )
 
-// At capacity a fetch is rejected with a time to come back; pushed far past capacity, the store stops for a while.
+// A store at capacity must reject fetches with a Retry-After. When far more fetches than its capacity arrive, it must
+// stop for StopDuration and then admit fetches again.
 func TestAdmissionController(t *testing.T) {
 	now := time.Second
 	controller := artifactstore.NewAdmissionController(artifactstore.Capacity{MaxConcurrent: 2, StopFactor: 3,
@@ -17,7 +18,7 @@
 	for range 8 {
 		decision, retryAfter := controller.Admit(now)
 		if decision != artifactstore.Admitted && retryAfter <= 0 {
-			t.Error("no time to come back")
+			t.Error("a rejected fetch has no Retry-After")
 		}
 		decisions = append(decisions, decision)
 	}
@@ -27,6 +28,6 @@
 	controller.Done()
 	controller.Done()
 	if decision, _ := controller.Admit(now + 5*time.Second); decision != artifactstore.Admitted {
-		t.Error("still stopped: ", decision)
+		t.Error("a fetch was rejected after the stop had ended: ", decision)
 	}
 }
--- a/internal/artifact/artifactstore/chunks.go
+++ b/internal/artifact/artifactstore/chunks.go
@@ -15,12 +15,12 @@
 	return filepath.Join(s.options.Folder, "chunks", digest.String()[:2], digest.String())
 }
 
-// touchChunk renews a stored chunk's grace period; it fails if the chunk is not stored.
+// touchChunk restarts the grace period of a stored chunk. It returns an error if the chunk is not stored.
 func (s *Store) touchChunk(digest layer.Digest) error {
 	return os.Chtimes(s.chunkPath(digest), time.Time{}, time.Now())
 }
 
-// PutChunk verifies a compressed chunk and stores it; the chunk is durable when PutChunk returns.
+// PutChunk verifies a compressed chunk and stores it durably.
 func (s *Store) PutChunk(digest layer.Digest, compressed []byte) error {
 	if _, err := layer.Decompress(digest, compressed); err != nil {
 		return err
@@ -28,7 +28,7 @@
 	s.collectMu.RLock()
 	defer s.collectMu.RUnlock()
 	if s.touchChunk(digest) == nil {
-		return nil // it is stored already
+		return nil // the chunk is already stored
 	}
 	path := s.chunkPath(digest)
 	folder := filepath.Dir(path)
@@ -54,8 +54,8 @@
 	return durable.SyncDir(folder)
 }
 
-// MissingChunks returns those of the chunks that the store does not have. The grace period of the others begins anew,
-// so that they last until the release that names them is published.
+// MissingChunks returns the digests of the given chunks that the store does not have. It restarts the grace period of
+// the other chunks, so that they are not collected before the release that references them is published.
 func (s *Store) MissingChunks(digests []layer.Digest) (missing []layer.Digest) {
 	s.collectMu.RLock()
 	defer s.collectMu.RUnlock()
--- a/internal/artifact/artifactstore/client.go
+++ b/internal/artifact/artifactstore/client.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	maxStatsBytes  = 64 << 10 // of an answer with counters
-	maxInfoBytes   = 64 << 10 // of an answer that names a release
-	maxStatusBytes = 4096     // of an answer without content
+	maxStatsBytes  = 64 << 10 // maximum size of a response with counters
+	maxInfoBytes   = 64 << 10 // maximum size of a response with a PackageInfo
+	maxStatusBytes = 4096     // maximum size of a response without content
 )
 
-// Client calls a store's HTTP API at BaseURL, such as http://127.0.0.1:8730. An answer that is an error is an
-// *httpclient.StatusError.
+// Client calls the HTTP API of the store at BaseURL, for example http://127.0.0.1:8730. An error response is returned
+// as an *httpclient.StatusError.
 type Client struct {
 	BaseURL    string
 	HTTPClient *http.Client
 }
 
-// Chunk fetches a compressed chunk; the caller verifies it.
+// Chunk fetches a compressed chunk. The caller must verify it.
 func (c Client) Chunk(ctx context.Context, digest layer.Digest) ([]byte, error) {
 	return c.do(ctx, http.MethodGet, "/v1/chunks/"+digest.String(), nil, layer.MaxCompressedSize)
 }
 
-// Packages fetches the newest release of each package.
+// Packages fetches the name, version and digest of the newest release of each package.
 func (c Client) Packages(ctx context.Context) (packages []PackageInfo, err error) {
 	err = c.doJSON(ctx, http.MethodGet, "/v1/packages", nil, layer.MaxReleaseSize, &packages)
 	return packages, err
 }
 
-// Release fetches an encoded release; version "" is the newest.
+// Release fetches an encoded release. An empty version means the newest.
 func (c Client) Release(ctx context.Context, name, version string) ([]byte, error) {
 	path := "/v1/packages/" + url.PathEscape(name)
 	if version != "" {
@@ -50,7 +50,7 @@
 	return stats, err
 }
 
-// doJSON sends a request and decodes the answer into result.
+// doJSON sends a request and decodes the JSON response into result.
 func (c Client) doJSON(ctx context.Context, method, path string, body []byte, maxBytes int64, result any) error {
 	answer, err := c.do(ctx, method, path, body, maxBytes)
 	if err != nil {
--- a/internal/artifact/artifactstore/collect.go
+++ b/internal/artifact/artifactstore/collect.go
@@ -14,19 +14,20 @@
 	"lupinpond/internal/base/httpserver"
 )
 
-// CollectGarbage removes chunks that no release names and that nobody has written or asked about within the grace
-// period, and temporary files that a killed process has left. It returns how many files it removed.
+// CollectGarbage removes unreferenced chunks whose grace period has passed: no release references them, and within the
+// grace period no publisher uploaded them or asked whether they are missing. It also removes old temporary files of
+// killed processes. It returns the number of files removed.
 func (s *Store) CollectGarbage() (removed int, err error) {
 	s.collectMu.Lock()
 	defer s.collectMu.Unlock()
-	named, err := s.namedChunks()
+	referenced, err := s.referencedChunks()
 	if err != nil {
 		return 0, fmt.Errorf("collect garbage: %w", err)
 	}
 	cutoff := time.Now().Add(-s.options.GracePeriod)
 	chunks := filepath.Join(s.options.Folder, "chunks")
 	err = filepath.WalkDir(chunks, func(path string, entry fs.DirEntry, err error) error {
-		if err != nil || entry.IsDir() || named[entry.Name()] {
+		if err != nil || entry.IsDir() || referenced[entry.Name()] {
 			return err
 		}
 		info, err := entry.Info()
@@ -39,10 +40,10 @@
 	return removed, err
 }
 
-// namedChunks returns the file names of the chunks that a release names. A release that cannot be read is an error:
-// nothing may be collected then.
-func (s *Store) namedChunks() (map[string]bool, error) {
-	named := map[string]bool{}
+// referencedChunks returns the file names of all chunks that releases reference. It fails if a release cannot be
+// decoded: without that release's references, no chunk may be collected.
+func (s *Store) referencedChunks() (map[string]bool, error) {
+	referenced := map[string]bool{}
 	err := s.db.View(func(tx *bolt.Tx) error {
 		return tx.Bucket(releasesBucket).ForEach(func(key, encoded []byte) error {
 			release, err := layer.Decode(encoded)
@@ -50,15 +51,16 @@
 				return fmt.Errorf("%q: %w", key, err)
 			}
 			for _, chunk := range release.Chunks() {
-				named[chunk.Digest.String()] = true
+				referenced[chunk.Digest.String()] = true
 			}
 			return nil
 		})
 	})
-	return named, err
+	return referenced, err
 }
 
-// RunGarbageCollector collects garbage periodically until ctx is done. A failed collection is logged and tried again.
+// RunGarbageCollector collects garbage periodically until ctx is done. It logs a failed collection and tries again
+// after the next period.
 func (s *Store) RunGarbageCollector(ctx context.Context, period time.Duration) error {
 	return httpserver.RunPeriodically(ctx, period, func() error {
 		removed, err := s.CollectGarbage()
--- a/internal/artifact/artifactstore/compat_test.go
+++ b/internal/artifact/artifactstore/compat_test.go
@@ -11,9 +11,9 @@
 	"lupinpond/internal/artifact/layer"
 )
 
-// A store's folder that an earlier version wrote lists its releases under their digests, and each is read and built whole
-// from its chunks, which are verified.
-func TestStoredStoreIsRead(t *testing.T) {
+// Guards against format changes that make existing stores unreadable: a store folder written by an earlier version must
+// list its releases with the same digests, and each release must be complete, with all chunks verified.
+func TestOpenStoreOfEarlierVersion(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/stored")); err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 		t.Errorf("releases: got %+v, error %v, want %+v", got, err, want)
 	}
 	if n, err := s.CollectGarbage(); err != nil || n != 0 {
-		t.Errorf("collected: got %d chunks, error %v, want 0: every chunk is named by a release", n, err)
+		t.Errorf("collected: got %d chunks, error %v, want 0: a release references every chunk", n, err)
 	}
 	for i, version := range []string{"1", "2"} {
 		encoded, err := c.Release(t.Context(), "f", version)
@@ -43,23 +43,25 @@
 			t.Fatal(err)
 		}
 		if m, err := r.ParseManifest(); err != nil || m.Name != "f" || m.Version != version || m.MemoryLimit != 1<<20 {
-			t.Errorf("release %s: got manifest %+v, error %v, want name f, version %s, memory %d", version, m, err, version, 1<<20)
+			t.Errorf("release %s: got manifest %+v, error %v, want name f, version %s, memory %d",
+				version, m, err, version, 1<<20)
 		}
 		if again, err := layer.Encode(r); err != nil || !bytes.Equal(again, encoded) {
 			t.Errorf("release %s encoded again: got %x, error %v, want %x", version, again, err, encoded)
 		}
-		content := make([]byte, 3000) // as folder drew it
+		content := make([]byte, 3000) // the random content with which the stored package was created
 		_, _ = rand.NewChaCha8([32]byte{byte(i + 1)}).Read(content)
 		chunks := r.Chunks()
 		if len(chunks) != 1 {
 			t.Fatalf("release %s: got %d chunks, want 1", version, len(chunks))
 		}
-		packed, err := c.Chunk(t.Context(), chunks[0].Digest)
+		compressed, err := c.Chunk(t.Context(), chunks[0].Digest)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := layer.Decompress(chunks[0].Digest, packed); err != nil || !bytes.Equal(got, content) {
-			t.Errorf("release %s: got chunk of %d bytes, error %v, want the %d bytes that were stored", version, len(got), err, len(content))
+		if got, err := layer.Decompress(chunks[0].Digest, compressed); err != nil || !bytes.Equal(got, content) {
+			t.Errorf("release %s: got chunk of %d bytes, error %v, want the %d bytes that were stored",
+				version, len(got), err, len(content))
 		}
 		requireCompleteRelease(t, c, version)
 	}
--- a/internal/artifact/artifactstore/handler.go
+++ b/internal/artifact/artifactstore/handler.go
@@ -16,17 +16,18 @@
 	"lupinpond/internal/artifact/layer"
 )
 
-// Access says which requests a Handler serves.
+// Access selects the requests that a Handler serves.
 type Access bool
 
-// The accesses.
+// The access modes of a Handler.
 const (
-	ReadOnly  Access = false // fetches only
-	ReadWrite Access = true  // publishing, withdrawing and stopping too
+	ReadOnly  Access = false // fetches and counters only
+	ReadWrite Access = true  // additionally publishing and withdrawing releases, and stopping the store
 )
 
-// Handler serves fetches under /v1/: packages, packages/NAME, packages/NAME/VERSION, chunks/DIGEST and counts; with
-// ReadWrite also what publishers and operators need.
+// Handler returns the handler of the HTTP API. It serves GET requests under /v1/ for packages, packages/NAME,
+// packages/NAME/VERSION, chunks/DIGEST and counts. With ReadWrite it also serves the requests of publishers and
+// operators.
 func (s *Store) Handler(access Access) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/packages", s.withAdmission(s.servePackages))
@@ -44,7 +45,7 @@
 	return mux
 }
 
-// withAdmission passes a fetch on if the store has capacity for it, and rejects it otherwise.
+// withAdmission returns a handler that calls next if the fetch is admitted and rejects it with a Retry-After otherwise.
 func (s *Store) withAdmission(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		decision, retryAfter := s.admit()
@@ -158,7 +159,7 @@
 		writeStatus(w, err)
 		return
 	}
-	missing := []string{} // not nil: the answer is a list
+	missing := []string{} // not nil, which would be encoded as null instead of an empty list
 	for _, digest := range s.MissingChunks(digests) {
 		missing = append(missing, digest.String())
 	}
@@ -195,7 +196,7 @@
 	writeStatus(w, err)
 }
 
-// serveContent answers a request for content, for a range of it, or for whether it has changed.
+// serveContent serves content with its digest as the ETag. It supports range and conditional requests.
 func serveContent(w http.ResponseWriter, r *http.Request, digest layer.Digest, content []byte) {
 	w.Header().Set("ETag", `"`+digest.String()+`"`)
 	http.ServeContent(w, r, "", time.Time{}, bytes.NewReader(content))
@@ -203,10 +204,10 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // it fails only if the client has disconnected
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
 
-// writeStatus answers a request that has no content but how it went.
+// writeStatus writes a response without content if err is nil, and the status and text of the error otherwise.
 func writeStatus(w http.ResponseWriter, err error) {
 	switch {
 	case err == nil:
--- a/internal/artifact/artifactstore/publish.go
+++ b/internal/artifact/artifactstore/publish.go
@@ -13,22 +13,22 @@
 	"lupinpond/internal/artifact/layer"
 )
 
-// maxConcurrentUploads is how many chunks Publish sends at a time.
+// maxConcurrentUploads is the maximum number of chunks that Publish uploads concurrently.
 const maxConcurrentUploads = 8
 
-// ErrContentChanged is returned when a package's folder changes while it is published.
-var ErrContentChanged = errors.New("the content changed while it was sent")
+// ErrContentChanged is returned when the content of a package's folder changes while it is published.
+var ErrContentChanged = errors.New("the package's content changed while it was published")
 
-// PublishResult is a published release and what publishing it sent.
+// PublishResult describes a published release and the chunks that were uploaded for it.
 type PublishResult struct {
 	PackageInfo
 	Release           layer.Release
-	Chunks, NewChunks int // of the release, and of them those that the store did not have
-	Bytes, NewBytes   int64
+	Chunks, NewChunks int   // number of chunks in the release, and how many of them the store did not have
+	Bytes, NewBytes   int64 // uncompressed size of these chunks in bytes
 }
 
-// Publish splits a package's folder into chunks, uploads those that the store does not have and then the release. Until
-// it returns, the release before it stays the newest.
+// Publish splits a package's folder into chunks, uploads the chunks that the store does not have and then publishes the
+// release. The previous release stays the newest until then.
 func (c Client) Publish(ctx context.Context, folder string) (PublishResult, error) {
 	result, err := c.publish(ctx, folder)
 	if err != nil {
@@ -59,19 +59,19 @@
 	if err != nil {
 		return result, err
 	}
-	// the folder was read twice: what was uploaded has to be what the release names
-	again, err := layer.Encode(uploaded)
+	// The folder was read twice: the uploaded chunks must be those that the release references.
+	encodedUpload, err := layer.Encode(uploaded)
 	if err != nil {
 		return result, err
 	}
-	if !bytes.Equal(encoded, again) {
+	if !bytes.Equal(encoded, encodedUpload) {
 		return result, ErrContentChanged
 	}
 	err = c.doJSON(ctx, http.MethodPost, "/v1/releases", encoded, maxInfoBytes, &result.PackageInfo)
 	return result, err
 }
 
-// missingChunks asks the store which chunks it does not have.
+// missingChunks asks the store which of the chunks it does not have, and returns their digests.
 func (c Client) missingChunks(ctx context.Context, chunks []layer.ChunkRef) (map[string]bool, error) {
 	var digests []string
 	for _, chunk := range chunks {
@@ -92,8 +92,8 @@
 	return set, nil
 }
 
-// uploadChunks splits the folder again and uploads each missing chunk as it passes, so that no package has to fit into
-// memory. It returns the release that it has split.
+// uploadChunks splits the folder a second time and uploads each missing chunk as soon as it is read, so that packages
+// need not fit into memory. It returns the release of this second split and counts the uploaded chunks in result.
 func (c Client) uploadChunks(ctx context.Context, folder string, missing map[string]bool, result *PublishResult,
 ) (layer.Release, error) {
 	group, ctx := errgroup.WithContext(ctx)
--- a/internal/artifact/artifactstore/releases.go
+++ b/internal/artifact/artifactstore/releases.go
@@ -13,17 +13,18 @@
 	"lupinpond/internal/artifact/layer"
 )
 
-// PackageInfo names the newest release of a package.
+// PackageInfo identifies a release of a package.
 type PackageInfo struct {
 	Name    string `json:"name"`
 	Version string `json:"version"`
-	Digest  string `json:"digest"` // of the encoded release
+	Digest  string `json:"digest"` // digest of the encoded release in hex
 }
 
 func releaseKey(name, version string) []byte { return []byte(name + "\x00" + version) }
 
-// Publish makes a release the newest of its package, in one transaction. A version that is published already can only
-// be published again with the same content.
+// Publish stores a release and makes it the newest of its package, in one transaction. A version that is already
+// published can only be published again with the same content. If chunks of the release are not stored, the error is
+// ErrMissingChunks. The texts of its errors are part of the HTTP API.
 func (s *Store) Publish(encoded []byte) (PackageInfo, error) {
 	release, err := layer.Decode(encoded)
 	if err != nil {
@@ -64,8 +65,8 @@
 	return PackageInfo{manifest.Name, manifest.Version, layer.Sum(encoded).String()}, nil
 }
 
-// Withdraw removes a version of a package. The newest version cannot be withdrawn; for one that is not there the error
-// is fs.ErrNotExist.
+// Withdraw removes a version of a package. The newest version cannot be withdrawn. If the version does not exist, the
+// error is fs.ErrNotExist. The texts of its errors are part of the HTTP API.
 func (s *Store) Withdraw(name, version string) error {
 	return s.db.Update(func(tx *bolt.Tx) error {
 		if string(tx.Bucket(newestBucket).Get([]byte(name))) == version {
@@ -78,7 +79,8 @@
 	})
 }
 
-// Release returns an encoded release; version "" is the newest. If there is none, the error is fs.ErrNotExist.
+// Release returns an encoded release. An empty version means the newest. If the release does not exist, the error is
+// fs.ErrNotExist.
 func (s *Store) Release(name, version string) (encoded []byte, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
 		if version == "" {
@@ -94,8 +96,8 @@
 	return encoded, err
 }
 
-// Packages returns the newest release of each package. Every worker polls it, so that the database is read only after a
-// release was published.
+// Packages returns the newest release of each package. Because every worker polls this list, it is cached and read from
+// the database only after a release was published.
 func (s *Store) Packages() ([]PackageInfo, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/artifact/artifactstore/stats.go
+++ b/internal/artifact/artifactstore/stats.go
@@ -2,18 +2,18 @@
 
 import "lupinpond/internal/artifact/layer"
 
-// Stats counts what a store did since it was opened. GET /v1/counts serves it.
+// Stats holds the counters of a store since it was opened. GET /v1/counts serves it.
 type Stats struct {
-	Served               int   `json:"served"`      // fetches of chunks
-	Bytes                int64 `json:"bytes"`       // of the chunks served
+	Served               int   `json:"served"`      // chunk fetches served
+	Bytes                int64 `json:"bytes"`       // compressed bytes of the chunks served
 	Rejected             int   `json:"turned-away"` // fetches rejected at capacity
 	RejectedWhileStopped int   `json:"stopped"`     // fetches rejected while the store was stopped
-	Stops                int   `json:"stops"`       // how often the store was stopped
-	MaxFetchesPerChunk   int   `json:"most"`        // fetches of the chunk that was fetched most
+	Stops                int   `json:"stops"`       // times that the store was stopped
+	MaxFetchesPerChunk   int   `json:"most"`        // fetches of the most fetched chunk
 	DistinctChunks       int   `json:"chunks"`      // chunks that were fetched at least once
 }
 
-// Stats returns the counters since the store was opened.
+// Stats returns the store's counters.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,7 +25,7 @@
 	return stats
 }
 
-// countServed counts a chunk that is about to be sent.
+// countServed counts a chunk that is about to be sent. bytes is its compressed size.
 func (s *Store) countServed(digest layer.Digest, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/artifact/artifactstore/store.go
+++ b/internal/artifact/artifactstore/store.go
@@ -1,6 +1,7 @@
-// Package artifactstore is the store of function packages: chunks in files, releases in an embedded database, and an
-// HTTP API to fetch and publish them. Fetches beyond a stated capacity are rejected with a Retry-After. A release
-// becomes visible in one transaction, and no chunk that a release names is ever collected.
+// Package artifactstore implements the store of function packages. It keeps chunks in files and releases in an embedded
+// database, and provides an HTTP API to fetch and publish them. Fetches beyond the configured capacity are rejected
+// with a Retry-After. A release becomes visible in one transaction, and garbage collection never removes a chunk that a
+// release references.
 package artifactstore
 
 import (
@@ -19,18 +20,18 @@
 	"lupinpond/internal/base/durable"
 )
 
-// formatVersion is the version of the database file.
+// formatVersion is the format version of the database file.
 const formatVersion = 1
 
 var (
-	releasesBucket = []byte("releases") // key NAME, zero byte, VERSION: the encoded release
-	newestBucket   = []byte("newest")   // key NAME: VERSION
+	releasesBucket = []byte("releases") // maps NAME, a zero byte and VERSION to the encoded release
+	newestBucket   = []byte("newest")   // maps NAME to the VERSION of the newest release
 )
 
-// FailPoint names a step of publishing at which a test can fail or kill the process.
+// FailPoint identifies a step of publishing at which a test can kill the process.
 type FailPoint string
 
-// The fail points, in the order in which publishing passes them.
+// The fail points, in the order in which publishing reaches them.
 const (
 	FailPointChunkWritten FailPoint = "chunk"   // a chunk's temporary file is written
 	FailPointChunkRenamed FailPoint = "named"   // the chunk has its final name
@@ -42,12 +43,12 @@
 type Options struct {
 	Folder      string
 	Capacity    Capacity
-	GracePeriod time.Duration // how long a chunk that no release names is left before it is collected
+	GracePeriod time.Duration // minimum time for which a chunk that no release references is kept
 	Log         *slog.Logger
-	FailPoint   func(FailPoint) // called at each step of publishing, for tests; may be nil
+	FailPoint   func(FailPoint) // for tests: called at each fail point; may be nil
 }
 
-// Store is an open artifact store. Its methods may be called by any goroutine.
+// Store is an open artifact store. Its methods are safe for concurrent use.
 type Store struct {
 	options     Options
 	db          *bolt.DB
@@ -56,18 +57,21 @@
 
 	mu             sync.Mutex
 	admission      *AdmissionController
-	fetchesByChunk map[layer.Digest]int // fetches that were served
-	counters       Stats                // those fields that are counted as requests come
-	packageCache   []PackageInfo        // the newest releases; nil: not read since the last was published
+	fetchesByChunk map[layer.Digest]int // number of fetches served for each chunk
+	counters       Stats                // without the fields that Stats derives from other state
+	packageCache   []PackageInfo        // newest release of each package; nil: not read since the last publish
 
-	collectMu sync.RWMutex // held for writing while chunks are collected, for reading while they are stored or named
+	// collectMu is held for writing during garbage collection, and for reading while chunks are stored or a release that
+	// references them is published.
+	collectMu sync.RWMutex
 }
 
-// ErrMissingChunks is returned for a release that names chunks that the store does not have. Its text is part of the
-// HTTP API.
+// ErrMissingChunks is returned for a release that references chunks that the store does not have. Its text is part of
+// the HTTP API.
 var ErrMissingChunks = errors.New("the release names chunks that are not there")
 
-// Open opens a store's folder, or creates it. A folder that another process has open is an error.
+// Open opens the store in options.Folder and creates the folder if necessary. It fails if another process has the store
+// open.
 func Open(options Options) (*Store, error) {
 	if options.FailPoint == nil {
 		options.FailPoint = func(FailPoint) {}
@@ -99,18 +103,18 @@
 // Close closes the store's database.
 func (s *Store) Close() error { return s.db.Close() }
 
-// elapsed is the store's monotonic clock, as AdmissionController takes it.
+// elapsed returns the monotonic time since the store was opened. It is the clock of the AdmissionController.
 func (s *Store) elapsed() time.Duration { return time.Since(s.startedAt) }
 
-// Stop makes the store reject every fetch for a duration.
+// Stop makes the store reject all fetches for a duration.
 func (s *Store) Stop(duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.admission.Stop(s.elapsed(), duration)
 }
 
-// SetRate changes the bytes a second that the store serves. It has no effect on a store that was opened without a
-// limit.
+// SetRate changes the maximum rate, in bytes per second, at which the store serves chunks. It has no effect on a store
+// that was opened without a rate limit.
 func (s *Store) SetRate(bytesPerSecond float64) {
 	if s.rateLimiter != nil && bytesPerSecond > 0 {
 		s.rateLimiter.SetLimit(rate.Limit(bytesPerSecond))
--- a/internal/artifact/artifactstore/store_test.go
+++ b/internal/artifact/artifactstore/store_test.go
@@ -35,10 +35,11 @@
 	goleak.VerifyTestMain(m)
 }
 
-// ample is a capacity that no test reaches.
-var ample = artifactstore.Capacity{MaxConcurrent: 64}
+// ampleCapacity is more capacity than any test uses.
+var ampleCapacity = artifactstore.Capacity{MaxConcurrent: 64}
 
-// writePackage makes a package with an entry of random content, drawn from seed, in an empty folder.
+// writePackage creates a package in an empty folder. Its entry point has size bytes of random content, generated from
+// seed.
 func writePackage(folder, version string, seed byte, size int) error {
 	content := make([]byte, size)
 	_, _ = rand.NewChaCha8([32]byte{seed}).Read(content) // never fails
@@ -50,7 +51,7 @@
 	return err
 }
 
-// packageFolder is a temporary folder with a package.
+// packageFolder creates a package in a temporary folder and returns the folder.
 func packageFolder(t *testing.T, version string, seed byte, size int) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -77,10 +78,10 @@
 	return store, artifactstore.Client{BaseURL: server.URL, HTTPClient: client}
 }
 
-// publishUntilKilled publishes version 2 and kills its own process at a step of that.
+// publishUntilKilled publishes version 2 and kills its own process at the fail point number LP_TEST_AT.
 func publishUntilKilled(folder string) {
 	stepsLeft, _ := strconv.Atoi(os.Getenv("LP_TEST_AT"))
-	store, err := artifactstore.Open(artifactstore.Options{Folder: folder, Capacity: ample,
+	store, err := artifactstore.Open(artifactstore.Options{Folder: folder, Capacity: ampleCapacity,
 		FailPoint: func(point artifactstore.FailPoint) {
 			if stepsLeft--; stepsLeft == 0 {
 				fmt.Println("at", point)
@@ -115,8 +116,8 @@
 	os.Exit(0)
 }
 
-// Killed at every step of publishing: the old release or the new one is the newest, complete, and publishing again
-// works.
+// Guards against a publisher crash that corrupts the store: whichever step of publishing the process is killed at, the
+// newest release must be the old or the new one and complete, and publishing again must succeed.
 func TestKilledWhilePublishing(t *testing.T) {
 	points := map[string]int{}
 	for step, completed := 1, false; !completed; step += 3 {
@@ -125,9 +126,9 @@
 		child := exec.Command(os.Args[0])
 		child.Env = append(os.Environ(), "LP_TEST_STORE="+folder, fmt.Sprint("LP_TEST_AT=", step))
 		output, err := child.Output()
-		completed = err == nil // it published before it reached the step
+		completed = err == nil // the process published the release before it reached the step
 		points[strings.TrimSpace(string(output))]++
-		_, client := openStore(t, folder, ample, 0)
+		_, client := openStore(t, folder, ampleCapacity, 0)
 		packages, err := client.Packages(t.Context())
 		if err != nil || len(packages) != 1 || completed && packages[0].Version != "2" {
 			t.Fatalf("killed at step %d: %+v, %v", step, packages, err)
@@ -139,14 +140,14 @@
 		requireCompleteRelease(t, client, "2")
 	}
 	if len(points) < 3 {
-		t.Errorf("killed at %v only", points)
+		t.Errorf("the process was killed at too few fail points: %v", points)
 	}
 }
 
-// publishFirstRelease publishes version 1 to a store in folder and closes the store.
+// publishFirstRelease creates a store in folder, publishes version 1 and closes the store.
 func publishFirstRelease(t *testing.T, folder string) {
 	t.Helper()
-	store, err := artifactstore.Open(artifactstore.Options{Folder: folder, Capacity: ample})
+	store, err := artifactstore.Open(artifactstore.Options{Folder: folder, Capacity: ampleCapacity})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -188,43 +189,43 @@
 	}
 }
 
-// Collecting garbage removes what no release names and nothing else; a release whose chunks are missing is rejected,
-// and uploading them mends that; the newest version can't be withdrawn; a published version can't change.
+// Garbage collection must remove unreferenced chunks and nothing else. The store must reject a release whose chunks are
+// missing, changed content of a published version, and the withdrawal of the newest version.
 func TestCollectGarbage(t *testing.T) {
-	store, client := openStore(t, t.TempDir(), ample, 0)
+	store, client := openStore(t, t.TempDir(), ampleCapacity, 0)
 	first := packageFolder(t, "1", 1, 512<<10)
 	if _, err := client.Publish(t.Context(), first); err != nil {
 		t.Fatal(err)
 	}
-	unnamed := []byte("named by nobody")
-	if err := store.PutChunk(layer.Sum(unnamed), layer.Compress(unnamed)); err != nil {
+	unreferenced := []byte("unreferenced chunk")
+	if err := store.PutChunk(layer.Sum(unreferenced), layer.Compress(unreferenced)); err != nil {
 		t.Fatal(err)
 	}
 	if removed, err := store.CollectGarbage(); removed != 1 || err != nil {
-		t.Errorf("%d collected, %v", removed, err)
+		t.Errorf("collected %d chunks, error %v, want 1", removed, err)
 	}
 	requireCompleteRelease(t, client, "1")
 	encodedManifest, err := os.ReadFile(filepath.Join(first, manifest.FileName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	chunks := []layer.ChunkRef{{Digest: layer.Sum(unnamed), Size: len(unnamed)}}
+	chunks := []layer.ChunkRef{{Digest: layer.Sum(unreferenced), Size: len(unreferenced)}}
 	encoded, err := layer.Encode(layer.Release{Format: layer.Format, Manifest: encodedManifest,
 		Layers: []layer.Layer{{Name: "entry", Files: []layer.File{{Path: "entry", Chunks: chunks}}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := store.Publish(encoded); !errors.Is(err, artifactstore.ErrMissingChunks) {
-		t.Error("a release without its chunks was published: ", err)
+		t.Error("publishing a release with missing chunks: got error ", err)
 	}
-	if err := store.PutChunk(layer.Sum(unnamed), layer.Compress(unnamed)); err != nil {
+	if err := store.PutChunk(layer.Sum(unreferenced), layer.Compress(unreferenced)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := store.Publish(encoded); err == nil || !strings.Contains(err.Error(), "published already") {
-		t.Error("a published version was changed: ", err)
+		t.Error("publishing a version again with other content: got error ", err)
 	}
-	if err := store.PutChunk(layer.Sum(unnamed), layer.Compress([]byte("other"))); !errors.Is(err, layer.ErrCorrupt) {
-		t.Error("a chunk under another's name: ", err)
+	if err := store.PutChunk(layer.Sum(unreferenced), layer.Compress([]byte("other"))); !errors.Is(err, layer.ErrCorrupt) {
+		t.Error("storing a chunk under the digest of another: got error ", err)
 	}
 	if err := store.Withdraw("f", "1"); err == nil {
 		t.Error("the newest version was withdrawn")
@@ -239,12 +240,13 @@
 		t.Error(err)
 	}
 	if removed, err := store.CollectGarbage(); removed < 3 || err != nil {
-		t.Errorf("%d collected of what the withdrawn release named, %v", removed, err)
+		t.Errorf("collected %d chunks of the withdrawn release, error %v", removed, err)
 	}
 	requireCompleteRelease(t, client, "2")
 }
 
-// Ranges and conditions work; a stopped store rejects fetches with a Retry-After and counts them.
+// The store must support range and conditional requests, and a stopped store must reject fetches with a Retry-After and
+// count them.
 func TestHTTP(t *testing.T) {
 	capacity := artifactstore.Capacity{MaxConcurrent: 1, StopFactor: 4, StopWindow: time.Hour, StopDuration: time.Hour}
 	store, client := openStore(t, t.TempDir(), capacity, time.Hour)
@@ -285,9 +287,9 @@
 	}
 }
 
-// Bad requests are answered with the reason and change nothing.
+// Whatever a client sends, the store must not answer with an internal server error.
 func FuzzHandler(f *testing.F) {
-	store, err := artifactstore.Open(artifactstore.Options{Folder: f.TempDir(), Capacity: ample})
+	store, err := artifactstore.Open(artifactstore.Options{Folder: f.TempDir(), Capacity: ampleCapacity})
 	if err != nil {
 		f.Fatal(err)
 	}
