--- a/internal/artifact/manifest/manifest.go
+++ b/internal/artifact/manifest/manifest.go
@@ -1,6 +1,6 @@
-// Package manifest reads and writes packages: a folder with manifest.yaml and the content that it names. A small model
-// is a package like any other: a scoring function with its weights in its content. docs/operate/worker.md has the
-// format.
+// Package manifest reads and writes packages. A package is a folder with a manifest.yaml and the files of a function.
+// Small models need no format of their own: such a package is a scoring function with the model's weights among its
+// files. docs/operate/worker.md describes the format.
 package manifest
 
 import (
@@ -12,19 +12,19 @@
 	"lupinpond/internal/base/config"
 )
 
-// Format is the version of the manifest that this program reads.
+// Format is the format version of the manifests that this program reads and writes.
 const Format = 1
 
-// FileName is the manifest's name in a package's folder.
+// FileName is the name of the manifest file in a package's folder.
 const FileName = "manifest.yaml"
 
 // The kinds of packages.
 const (
-	Wasm    = "wasm"    // a module for wasip1 that is run with no host access beyond input, output, log and clock
-	Process = "process" // a program that speaks the runtime interface
+	Wasm    = "wasm"    // a wasip1 module; its only access to the host is input, output, log and clock
+	Process = "process" // an executable that implements the runtime interface
 )
 
-// Bounds of a manifest's values.
+// Limits of the values in a manifest. Memory limits are in bytes.
 const (
 	maxConcurrency = 1024
 	minMemoryLimit = 1 << 20
@@ -32,22 +32,23 @@
 	digestSize     = 32 // bytes
 )
 
-// Manifest says what a package is.
+// Manifest describes a package and how to run it.
 type Manifest struct {
 	Format      int             `yaml:"format"`
-	Name        string          `yaml:"name"`    // of the function
-	Version     string          `yaml:"version"` // of the release
-	Type        string          `yaml:"type"`    // of the requests that it serves
+	Name        string          `yaml:"name"`    // function name
+	Version     string          `yaml:"version"` // release version
+	Type        string          `yaml:"type"`    // type of the requests that the function serves
 	Kind        string          `yaml:"kind"`    // Wasm or Process
-	Concurrency int             `yaml:"lanes"`   // requests that one replica runs at a time
-	MemoryLimit config.ByteSize `yaml:"memory"`  // of a replica
-	Timeout     config.Duration `yaml:"time"`    // of one request
-	EntryPoint  string          `yaml:"entry"`   // the file that is run, in the package's folder
-	Digest      string          `yaml:"digest"`  // BLAKE3 of the entry point, hex
+	Concurrency int             `yaml:"lanes"`   // maximum number of concurrent requests in one replica
+	MemoryLimit config.ByteSize `yaml:"memory"`  // memory limit of one replica
+	Timeout     config.Duration `yaml:"time"`    // maximum run time of one request
+	EntryPoint  string          `yaml:"entry"`   // file to run, relative to the package's folder
+	Digest      string          `yaml:"digest"`  // BLAKE3 digest of the entry point in hex
 }
 
-// Parse parses the content of a manifest; name is that of its file. A validation error is a *config.Error with the line
-// and column. Its text is part of the store's HTTP API, as a release has its manifest in it.
+// Parse parses the content of a manifest. name is the file name for error messages. A validation error is a
+// *config.Error with the line and column. Its text is part of the store's HTTP API because a release contains its
+// manifest.
 func Parse(name string, content []byte) (Manifest, error) {
 	var m Manifest
 	if err := config.DecodeStrict(name, content, &m); err != nil {
@@ -59,7 +60,8 @@
 	return m, nil
 }
 
-// validate returns the first field with a value that is not allowed, by its name in the file, and what is; or "".
+// validate returns the name in the file of the first field with an invalid value, and which values are valid. Both are
+// empty if all fields are valid.
 func (m Manifest) validate() (field, reason string) {
 	digest, err := hex.DecodeString(m.Digest)
 	switch {
--- a/internal/artifact/manifest/manifest_test.go
+++ b/internal/artifact/manifest/manifest_test.go
@@ -23,7 +23,7 @@
 digest: "0000000000000000000000000000000000000000000000000000000000000000"
 `
 
-// Every validation error of a manifest has its place.
+// A validation error must report the line, column and field of the invalid value.
 func TestParseErrors(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"format: 1", "format: 2", "m:1:9: format: version 2, this program reads 1"},
@@ -37,12 +37,12 @@
 	} {
 		_, err := manifest.Parse("m", []byte(strings.Replace(manifestText, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %s", c.new, err, c.want)
+			t.Errorf("%s: got error %v, want %s", c.new, err, c.want)
 		}
 	}
 }
 
-// Content that is not what the manifest names is ErrDigestMismatch.
+// Verify must return ErrDigestMismatch if the entry point was changed after the manifest was written.
 func TestVerify(t *testing.T) {
 	folder := t.TempDir()
 	if err := os.WriteFile(filepath.Join(folder, "entry"), []byte("content"), 0o755); err != nil {
@@ -75,11 +75,11 @@
 		m, err := manifest.Parse("m", content)
 		var invalid *config.Error
 		if err != nil && (!errors.As(err, &invalid) || invalid.Line < 1) {
-			t.Errorf("no place: %v", err)
+			t.Errorf("the error has no line: %v", err)
 		}
 		if err == nil && (!filepath.IsLocal(m.EntryPoint) || strings.Contains(m.Name, "/") || m.Concurrency < 1 ||
 			m.MemoryLimit < 1<<20) {
-			t.Errorf("accepted: %+v", m)
+			t.Errorf("an invalid manifest was accepted: %+v", m)
 		}
 	})
 }
--- a/internal/artifact/manifest/package.go
+++ b/internal/artifact/manifest/package.go
@@ -13,16 +13,16 @@
 	"github.com/zeebo/blake3"
 )
 
-// ErrDigestMismatch is returned for content that is not what its manifest names.
-var ErrDigestMismatch = errors.New("the content is not what the manifest names")
+// ErrDigestMismatch is returned if the entry point's digest differs from the one in the manifest.
+var ErrDigestMismatch = errors.New("the content does not match the manifest's digest")
 
-// Package is a manifest and the folder with its content.
+// Package is a package's manifest and the folder that holds the package.
 type Package struct {
 	Manifest
 	Folder string
 }
 
-// Open reads the manifest of a package's folder. The content is not read: see Verify.
+// Open reads the manifest in a package's folder. It does not verify the entry point: see Verify.
 func Open(folder string) (Package, error) {
 	path := filepath.Join(folder, FileName)
 	content, err := os.ReadFile(path)
@@ -33,7 +33,8 @@
 	return Package{m, folder}, err
 }
 
-// Verify reads the entry point and compares it with the manifest's digest.
+// Verify computes the digest of the entry point and compares it with the manifest's. If they differ, the error is
+// ErrDigestMismatch.
 func (p Package) Verify() error {
 	got, err := fileDigest(filepath.Join(p.Folder, p.EntryPoint))
 	if err != nil {
@@ -46,8 +47,8 @@
 	return nil
 }
 
-// Write makes a package of the content in a folder: it sets the manifest's format and digest and writes the manifest
-// atomically.
+// Write turns a folder into a package: it sets the format and digest of the manifest and writes the manifest into the
+// folder atomically.
 func Write(folder string, m Manifest) (Package, error) {
 	if err := write(folder, &m); err != nil {
 		return Package{}, fmt.Errorf("package %s: %w", m.Name, err)
