--- a/internal/artifact/distribution/serve.go
+++ b/internal/artifact/distribution/serve.go
@@ -129,7 +129,7 @@
 // isHome tells whether this worker is a home of a chunk by its own endpoint list.
 func (d *Distributor) isHome(digest layer.Digest) bool {
 	order, _ := d.candidates(digest)
-	return slices.Index(order, d.options.Name) < fetch.Homes
+	return slices.Index(order, d.options.Name) < fetch.HomesPerChunk
 }
 
 func (d *Distributor) writeReply(w http.ResponseWriter, request chunkRequest, status string, retryAfter time.Duration) {
--- a/internal/artifact/fetch/model_test.go
+++ b/internal/artifact/fetch/model_test.go
@@ -9,13 +9,15 @@
 	"time"
 )
 
-// choiceSequence has every choice of a run; the next run changes the last one that can be changed.
+// choiceSequence enumerates all runs of a model by depth-first search. It records the choices of a run; the next run
+// takes another alternative for the last choice that has one left.
 type choiceSequence struct {
-	position int
-	choices  []int
-	sizes    []int // how many alternatives each choice has
+	position int   // number of choices that the current run has made
+	choices  []int // chosen alternative of each choice
+	sizes    []int // number of alternatives of each choice
 }
 
+// choose returns the alternative to take, from 0 to alternatives-1.
 func (c *choiceSequence) choose(alternatives int) int {
 	if c.position == len(c.choices) {
 		c.choices = append(c.choices, 0)
@@ -25,7 +27,7 @@
 	return c.choices[c.position-1]
 }
 
-// next prepares the next run; false if there is none.
+// next prepares the next run. It returns false if all runs have been made.
 func (c *choiceSequence) next() bool {
 	for i := c.position - 1; i >= 0; i-- {
 		if c.choices[i]+1 < c.sizes[i] {
@@ -38,18 +40,18 @@
 	return false
 }
 
-// fleetModel is a small fleet that searches for one chunk.
+// fleetModel models a small fleet in which workers search for the same chunk.
 type fleetModel struct {
 	choices        *choiceSequence
 	names          []string
-	lists          map[string][]string // the endpoint list as each worker has it
+	lists          map[string][]string // endpoint list of each worker
 	searches       map[string]*Search
 	cached         map[string]bool
 	crashed        map[string]bool
 	now            time.Duration
-	faultsLeft     int // a lost message, a corrupt chunk, a store that rejects, a crash
+	faultsLeft     int // number of lost messages, corrupt chunks, store rejections and crashes that may still happen
 	storeAvailable bool
-	storeFetches   int // fetches from the store that delivered the chunk
+	storeFetches   int // number of times that the store delivered the chunk
 	log            []string
 }
 
@@ -66,7 +68,7 @@
 	delete(m.searches, name)
 }
 
-// fault chooses whether a fault happens now.
+// fault reports whether a fault happens now. While faults are left, both alternatives are explored.
 func (m *fleetModel) fault() bool {
 	if m.faultsLeft == 0 || m.choices.choose(2) == 0 {
 		return false
@@ -75,7 +77,8 @@
 	return true
 }
 
-// step has one worker do what its search says; every fault that may happen is a choice.
+// step executes the next step of a worker's search, with a choice for each fault that may happen. It reports whether
+// the search was abandoned.
 func (m *fleetModel) step(name string) (abandoned bool) {
 	search := m.searches[name]
 	step := search.Next(m.now, func(string) bool { return true }, 0)
@@ -99,7 +102,7 @@
 
 func (m *fleetModel) fetchFromPeer(name string, search *Search, step Step) {
 	peer := step.Peer
-	if !m.crashed[peer] && m.faultsLeft > 0 && m.choices.choose(2) == 1 { // it crashes just now, with its cache
+	if !m.crashed[peer] && m.faultsLeft > 0 && m.choices.choose(2) == 1 { // the peer crashes and its cache is lost
 		m.faultsLeft--
 		m.crashed[peer] = true
 		delete(m.searches, peer)
@@ -111,7 +114,7 @@
 	}
 	response := ResponseFor(PeerRequest{
 		Cached:     m.cached[peer],
-		Home:       slices.Index(m.order(peer), peer) < Homes,
+		Home:       slices.Index(m.order(peer), peer) < HomesPerChunk,
 		CachedOnly: step.CachedOnly,
 	})
 	if response == Delivered {
@@ -128,7 +131,7 @@
 	search.RecordPeerResponse(m.now, peer, response, nil, time.Second)
 }
 
-// state is all that the rest of a run depends on.
+// state returns a text with all state that determines the rest of a run.
 func (m *fleetModel) state() string {
 	var b strings.Builder
 	fmt.Fprint(&b, m.now, m.faultsLeft, m.storeFetches)
@@ -141,33 +144,33 @@
 	return b.String()
 }
 
-// advance moves the clock to the next step and returns the workers whose step that may be.
+// advance moves the clock to the time of the next step and returns the workers that may execute a step then.
 func (m *fleetModel) advance() (ready []string) {
-	soonest := time.Duration(-1)
+	earliest := time.Duration(-1)
 	for _, name := range m.names {
 		search := m.searches[name]
 		if search == nil {
 			continue
 		}
 		at := max(m.now, search.resumeAt)
-		if soonest < 0 || at < soonest {
-			soonest = at
+		if earliest < 0 || at < earliest {
+			earliest = at
 			ready = nil
 		}
-		if at == soonest {
+		if at == earliest {
 			ready = append(ready, name)
 		}
 	}
-	m.now = soonest
+	m.now = earliest
 	return ready
 }
 
-// run plays one run to its end, or to a state that an earlier run has passed.
+// run executes one run until all searches have ended, or until it reaches a state that an earlier run has reached.
 func (m *fleetModel) run(t *testing.T, seen map[uint64]bool, seed maphash.Seed) {
 	t.Helper()
 	for steps := 0; len(m.searches) > 0; steps++ {
 		if steps > 400 {
-			t.Fatalf("it goes on for ever:\n%s", strings.Join(m.log, "\n"))
+			t.Fatalf("the searches do not end:\n%s", strings.Join(m.log, "\n"))
 		}
 		ready := m.advance()
 		next := ready[0]
@@ -175,10 +178,10 @@
 			next = ready[m.choices.choose(len(ready))]
 		}
 		if m.step(next) {
-			t.Fatalf("%s gives up though the store or a live worker can deliver the chunk:\n%s",
+			t.Fatalf("%s abandons its search although the store or a live worker can deliver the chunk:\n%s",
 				next, strings.Join(m.log, "\n"))
 		}
-		if m.choices.position == len(m.choices.choices) { // every choice of this run is behind it
+		if m.choices.position == len(m.choices.choices) { // the run has left the prefix it shares with earlier runs
 			state := maphash.String(seed, m.state())
 			if seen[state] {
 				return
@@ -188,7 +191,8 @@
 	}
 }
 
-// explore plays every run of a fleet and returns how many there were and the most fetches from the store in one.
+// explore executes every run of a fleet. It returns the number of runs and the largest number of deliveries by the
+// store in one run.
 func explore(t *testing.T, start func(*choiceSequence) *fleetModel) (runs, maxStoreFetches int) {
 	t.Helper()
 	seed := maphash.MakeSeed()
@@ -205,10 +209,11 @@
 	}
 }
 
-// Every order of steps and every two faults of a fleet of three, whose endpoint lists agree or not, with the store
-// there, and with the chunk at one worker and no store: nobody gives up, nothing goes on for ever, and the store is
-// asked at most once for each fault and once more where lists agree.
-func TestEveryRunOfSmallFleets(t *testing.T) {
+// Guards against searches that never end or are abandoned although the chunk is available, and against needless load on
+// the store. The test explores every order of steps and up to two faults in a fleet of three whose endpoint lists agree
+// or differ, and fleets without a store in which one worker has the chunk. If the lists agree, the store must deliver
+// the chunk at most once, and once more for each fault.
+func TestAllInterleavingsOfSmallFleets(t *testing.T) {
 	three := []string{"a", "b", "c"}
 	same := map[string][]string{"a": three, "b": three, "c": three}
 	different := map[string][]string{"a": {"a", "b"}, "b": {"b", "c"}, "c": {"a", "c"}}
@@ -218,23 +223,24 @@
 		name            string
 		names           []string
 		lists           map[string][]string
-		replica         string // that has the chunk from the beginning; "": none
+		initialReplica  string // worker that has the chunk from the beginning; "": none
 		storeAvailable  bool
 		faults          int
 		maxStoreFetches int
 	}{
 		{"lists agree", three, same, "", true, 2, 3},
 		{"lists differ", three, different, "", true, 1, 3},
-		{"no store, one has it", three, same, "b", false, 0, 0},
-		{"no store, one that is no home has it", five, sameFive, RendezvousOrder([]byte("c"), five)[4], false, 0, 0},
+		{"no store, one worker has the chunk", three, same, "b", false, 0, 0},
+		{"no store, a worker that is not a home has the chunk", five, sameFive, RendezvousOrder([]byte("c"), five)[4],
+			false, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			runs, storeFetches := explore(t, func(choices *choiceSequence) *fleetModel {
 				m := &fleetModel{choices: choices, names: c.names, lists: c.lists, searches: map[string]*Search{},
 					cached: map[string]bool{}, crashed: map[string]bool{}, faultsLeft: c.faults,
 					storeAvailable: c.storeAvailable}
-				if c.replica != "" {
-					m.cached[c.replica] = true
+				if c.initialReplica != "" {
+					m.cached[c.initialReplica] = true
 				}
 				for _, name := range c.names {
 					m.startSearch(name)
@@ -242,7 +248,7 @@
 				return m
 			})
 			if storeFetches > c.maxStoreFetches {
-				t.Errorf("the store delivered the chunk %d times, at most %d are right", storeFetches, c.maxStoreFetches)
+				t.Errorf("the store delivered the chunk %d times, want at most %d", storeFetches, c.maxStoreFetches)
 			}
 			t.Logf("%d runs, at most %d fetches from the store", runs, storeFetches)
 		})
--- a/internal/artifact/fetch/order.go
+++ b/internal/artifact/fetch/order.go
@@ -7,11 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Homes is how many workers, the first of a chunk's rendezvous order, are its homes.
-const Homes = 3
+// HomesPerChunk is the number of homes of a chunk. The homes are the first workers in the chunk's rendezvous order.
+const HomesPerChunk = 3
 
-// RendezvousOrder returns names in the order of their hash with the chunk, so that workers with the same endpoint list
-// agree on a chunk's homes and the homes of all chunks are spread over the workers.
+// RendezvousOrder returns the worker names sorted by the hash of chunk and name (rendezvous hashing). Workers with the
+// same endpoint list thus agree on the homes of a chunk, and the homes of all chunks are spread evenly over the
+// workers.
 func RendezvousOrder(chunk []byte, names []string) []string {
 	type candidate struct {
 		name string
--- a/internal/artifact/fetch/peer_health.go
+++ b/internal/artifact/fetch/peer_health.go
@@ -3,34 +3,38 @@
 import "time"
 
 const (
-	// failureBackoff is how long a peer is left alone after a first failure; it doubles with each that follows.
+	// failureBackoff is the time for which a peer gets no requests after its first failure. It doubles with each
+	// consecutive failure.
 	failureBackoff = 200 * time.Millisecond
 
-	// corruptionBackoff is how long a peer is left alone after a first corrupt chunk; it doubles with each that follows.
+	// corruptionBackoff is the time for which a peer gets no requests after its first corrupt chunk. It doubles with each
+	// further corrupt chunk.
 	corruptionBackoff = 10 * time.Second
 
-	// maxBackoffDoublings bounds both backoffs.
+	// maxBackoffDoublings limits the doublings of both backoffs.
 	maxBackoffDoublings = 8
 
-	// maxCorruptChunks is after how many corrupt chunks a peer is never asked again.
+	// maxCorruptChunks is the number of corrupt chunks after which a peer gets no requests any more.
 	maxCorruptChunks = 3
 )
 
-// PeerHealth remembers how peers responded: one that fails or sends corrupt chunks is left alone, longer each time.
+// PeerHealth tracks failures and corrupt chunks of peers. A peer that fails or sends corrupt chunks gets no requests
+// for a backoff that grows each time.
 type PeerHealth struct {
 	byName map[string]*peerState
 }
 
 type peerState struct {
 	corruptChunks int
-	failures      int // since another response came
+	failures      int // consecutive failures
 	avoidUntil    time.Duration
 }
 
-// NewPeerHealth returns a PeerHealth that has heard of no peer.
+// NewPeerHealth returns a PeerHealth without any records, for which all peers are usable.
 func NewPeerHealth() *PeerHealth { return &PeerHealth{byName: map[string]*peerState{}} }
 
-// Record notes a peer's response. Any response resets its failures; nothing resets its corrupt chunks.
+// Record records a peer's response. A response other than Failed and Corrupt resets the peer's failures. The count of
+// corrupt chunks is never reset.
 func (h *PeerHealth) Record(now time.Duration, peer string, response PeerResponse) {
 	state := h.byName[peer]
 	if state == nil {
@@ -50,13 +54,13 @@
 	}
 }
 
-// Usable tells whether a peer may be asked.
+// Usable reports whether a peer may be sent requests.
 func (h *PeerHealth) Usable(now time.Duration, peer string) bool {
 	state := h.byName[peer]
 	return state == nil || state.corruptChunks < maxCorruptChunks && now >= state.avoidUntil
 }
 
-// Prune forgets peers that are not listed, except those that sent a corrupt chunk.
+// Prune removes the records of peers that are not listed. It keeps those of peers that sent corrupt chunks.
 func (h *PeerHealth) Prune(listed func(name string) bool) {
 	for name, state := range h.byName {
 		if state.corruptChunks == 0 && !listed(name) {
--- a/internal/artifact/fetch/peer_response.go
+++ b/internal/artifact/fetch/peer_response.go
@@ -1,27 +1,27 @@
 package fetch
 
-// PeerResponse is how a peer responds to a request for a chunk.
+// PeerResponse is the outcome of a request for a chunk to a peer.
 type PeerResponse int
 
-// The responses.
+// The outcomes of a request to a peer.
 const (
-	Delivered PeerResponse = iota // it sent the chunk, which ends the search
-	Missing                       // it does not have the chunk and does not fetch it
-	Pending                       // it is fetching the chunk
-	Busy                          // it has the chunk, but has no capacity to send it
-	Failed                        // no answer in time, or none at all
-	Corrupt                       // it sent something else
+	Delivered PeerResponse = iota // the peer sent the chunk; the search has ended
+	Missing                       // the peer does not have the chunk and does not fetch it
+	Pending                       // the peer is fetching the chunk
+	Busy                          // the peer has the chunk, but no capacity to send it
+	Failed                        // the peer could not be reached, or did not answer in time
+	Corrupt                       // the peer sent content that does not match the digest
 )
 
-// PeerRequest is what a worker knows about a request for a chunk.
+// PeerRequest describes a peer's request for a chunk, from the view of the worker that receives it.
 type PeerRequest struct {
-	Cached     bool // this worker has the chunk
-	Home       bool // this worker is a home of the chunk by its own endpoint list
-	CachedOnly bool // the chunk is not to be fetched for the request
+	Cached     bool // the receiving worker has the chunk
+	Home       bool // the receiving worker is a home of the chunk according to its own endpoint list
+	CachedOnly bool // the receiving worker must not fetch the chunk for this request
 }
 
-// ResponseFor decides how a worker responds to a request: Delivered, Missing, or Pending, by which it fetches the
-// chunk.
+// ResponseFor returns the response of a worker to a request: Delivered, Missing or Pending. For Pending, the worker
+// must fetch the chunk.
 func ResponseFor(request PeerRequest) PeerResponse {
 	switch {
 	case request.Cached:
--- a/internal/artifact/fetch/search_test.go
+++ b/internal/artifact/fetch/search_test.go
@@ -6,39 +6,40 @@
 	"time"
 )
 
-// A late peer is hedged by replicas first, then by the order, each once, never by the store and not before its time.
+// When a peer is slow, hedged requests must go to the replicas first and then to the peers in the rendezvous order, to
+// each peer once, never to the store, and not before the hedge delay has passed.
 func TestHedge(t *testing.T) {
 	usable := func(string) bool { return true }
 	search := NewSearch("x", []string{"a", "b", "c", "d", "x"}, 0, 64*time.Second)
-	late := search.Next(0, usable, 0)
-	if late.Action != FetchFromPeer || late.Peer != "a" {
-		t.Fatalf("%+v", late)
+	slow := search.Next(0, usable, 0)
+	if slow.Action != FetchFromPeer || slow.Peer != "a" {
+		t.Fatalf("%+v", slow)
 	}
 	for _, c := range []struct {
-		late Step
+		slow Step
 		now  time.Duration
 	}{
-		{late, 2999 * time.Millisecond}, // a home may wait 2 s
+		{slow, 2999 * time.Millisecond}, // a home has 2 s to fetch the chunk, plus the hedge delay of 1 s
 		{Step{Peer: "a", CachedOnly: true}, 999 * time.Millisecond},
 	} {
-		if _, ok, after := search.Hedge(c.now, c.late, 0, usable); ok || after != time.Millisecond {
-			t.Error("hedged early: ", ok, after)
+		if _, ok, after := search.Hedge(c.now, c.slow, 0, usable); ok || after != time.Millisecond {
+			t.Error("got a hedged request too early, or a wrong delay: ", ok, after)
 		}
 	}
 	search.RecordPeerResponse(0, "b", Missing, []string{"d"}, 0)
 	hedges := ""
 	for range 2 {
-		next, ok, _ := search.Hedge(3*time.Second, late, 0, usable)
+		next, ok, _ := search.Hedge(3*time.Second, slow, 0, usable)
 		if !ok {
-			t.Fatal("nobody besides ", late.Peer)
+			t.Fatal("no hedged request although untried peers are left; slow peer: ", slow.Peer)
 		}
 		hedges += fmt.Sprint(next.Peer, next.CachedOnly, " ")
-		late = next
+		slow = next
 	}
 	if hedges != "dtrue cfalse " {
 		t.Error(hedges)
 	}
-	if step, ok, _ := search.Hedge(time.Hour, late, 0, usable); ok {
-		t.Errorf("a second time: %+v", step)
+	if step, ok, _ := search.Hedge(time.Hour, slow, 0, usable); ok {
+		t.Errorf("a peer was hedged a second time: %+v", step)
 	}
 }
--- a/internal/artifact/fetch/store_guard.go
+++ b/internal/artifact/fetch/store_guard.go
@@ -2,76 +2,79 @@
 
 import "time"
 
-// StoreOutcome is how a request to the store ended.
+// StoreOutcome is the outcome of a request to the store.
 type StoreOutcome int
 
-// The outcomes.
+// The outcomes of a request to the store.
 const (
 	StoreSucceeded StoreOutcome = iota
-	StoreRejected               // the store sheds load
-	StoreFailed                 // no answer, or an error
+	StoreRejected               // the store rejected the request because it is at capacity
+	StoreFailed                 // the store did not answer, or returned an error
 )
 
-// StoreResult is how a request to the store ended, and what the store said.
+// StoreResult is the result of a request to the store.
 type StoreResult struct {
 	StartedAt  time.Duration
 	Outcome    StoreOutcome
-	RetryAfter time.Duration // when the store may be asked again; 0: at once
+	RetryAfter time.Duration // minimum time until the next request; 0: no minimum
 }
 
-// Attempt says whether a request to the store repeats one that failed.
+// Attempt distinguishes the first request to the store in a search from its retries.
 type Attempt int
 
-// The attempts.
+// The kinds of attempts.
 const (
 	FirstAttempt Attempt = iota
 	Retry
 )
 
-// The concurrency limit: it grows by one for each limit's worth of successes and shrinks at a rejection or failure.
+// The concurrency limit is additive-increase, multiplicative-decrease: each success adds 1/limit, so that the limit
+// grows by one after that many successes; a rejection or failure multiplies it by limitReduction.
 const (
 	initialLimit   = 2.0
 	maxLimit       = 16.0
-	limitReduction = 0.5 // factor
+	limitReduction = 0.5
 )
 
-// The retry budget: first attempts earn it, retries spend it.
+// The retry budget: each first attempt adds retryBudgetPerRequest, and each retry costs 1.
 const (
 	retryBudgetPerRequest = 0.2
 	maxRetryBudget        = 10.0
 )
 
-// The circuit breaker: it opens after consecutive failures, for an interval that doubles with each failure that
-// follows.
+// The circuit breaker opens after failuresToOpen consecutive failures. It stays open for minOpenInterval, which doubles
+// with each further failure up to maxOpenInterval.
 const (
 	failuresToOpen  = 4
 	minOpenInterval = 500 * time.Millisecond
 	maxOpenInterval = 8 * time.Second
 )
 
-// retryAfterJitter is the part by which a time to come back is stretched at most, so that not all workers come at once.
+// retryAfterJitter: a wait is extended by a random time of up to retryAfterJitter times its length, so that not all
+// workers send their next requests to the store at the same time.
 const retryAfterJitter = 0.5
 
-// StoreGuard bounds what one worker asks of the store, by a concurrency limit that follows the outcomes, the store's
-// Retry-After, a retry budget, and a circuit breaker that lets one request through when it is half open.
+// StoreGuard limits the requests of one worker to the store. It combines an adaptive concurrency limit, the store's
+// Retry-After, a retry budget and a circuit breaker, which lets a single request through when it is half open.
 type StoreGuard struct {
-	limit               float64 // requests at a time
+	limit               float64 // maximum number of requests in flight
 	inFlight            int
-	notBefore           time.Duration // no request is sent before
+	notBefore           time.Duration // earliest time of the next request
 	retryBudget         float64
 	consecutiveFailures int
 	openInterval        time.Duration
-	halfOpen            bool          // one request is in flight to see whether the store works again
-	limitReducedAt      time.Duration // last
+	halfOpen            bool          // a single request is in flight to test whether the store works again
+	limitReducedAt      time.Duration // time of the last reduction of limit
 }
 
-// NewStoreGuard returns a guard that knows nothing of the store yet.
+// NewStoreGuard returns a guard in its initial state.
 func NewStoreGuard() *StoreGuard {
 	return &StoreGuard{limit: initialLimit, retryBudget: maxRetryBudget / 2}
 }
 
-// Acquire asks to send a request. If it may not, retryAfter says when to ask again, 0 when a request in flight has
-// completed; if it may, Release has to be called.
+// Acquire reports whether a request may be sent now. If so, the caller must call Release when the request has
+// completed. Otherwise the caller may try again after retryAfter or, if that is 0, when a request in flight has
+// completed.
 func (g *StoreGuard) Acquire(now time.Duration, attempt Attempt) (ok bool, retryAfter time.Duration) {
 	open := g.consecutiveFailures >= failuresToOpen
 	switch {
@@ -80,7 +83,7 @@
 	case open && g.halfOpen, !open && g.inFlight >= int(g.limit):
 		return false, 0
 	case attempt == Retry && g.retryBudget < 1 && g.inFlight > 0:
-		return false, 0 // a retry alone is always let through, so that nothing stands still
+		return false, 0 // a retry is always allowed if no other request is in flight, so that searches make progress
 	}
 	if attempt == Retry {
 		g.retryBudget = max(0, g.retryBudget-1)
@@ -92,7 +95,8 @@
 	return true, 0
 }
 
-// Release notes the result of a request. jitter, between 0 and 1, spreads when the store is asked again.
+// Release records the result of a request that Acquire has allowed. jitter, between 0 and 1, randomizes the time of the
+// next request after a rejection or failure.
 func (g *StoreGuard) Release(now time.Duration, result StoreResult, jitter float64) {
 	g.inFlight = max(0, g.inFlight-1)
 	g.halfOpen = false
@@ -102,7 +106,7 @@
 		g.limit = min(maxLimit, g.limit+1/g.limit)
 		return
 	}
-	if result.StartedAt >= g.limitReducedAt { // once for all requests that were in flight together
+	if result.StartedAt >= g.limitReducedAt { // reduce once for all requests that were in flight together
 		g.limit = max(1, g.limit*limitReduction)
 		g.limitReducedAt = now
 	}
--- a/internal/artifact/fetch/store_guard_test.go
+++ b/internal/artifact/fetch/store_guard_test.go
@@ -7,13 +7,14 @@
 	"pgregory.net/rapid"
 )
 
-// The guard in front of the store: never more in flight than its limit; nothing before the store's Retry-After; one
-// request alone while the store fails; and whatever happens, a request is let through in the end.
+// Guards against overloading a store that is at capacity or failing, and against a guard that blocks for ever. There
+// must never be more requests in flight than the maximum limit, no request before the store's Retry-After, and a single
+// request at a time while the store fails. After any history, a request must be allowed in the end.
 func TestStoreGuard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		guard := NewStoreGuard()
 		now := time.Duration(0)
-		var inFlight []time.Duration // when each was sent
+		var inFlight []time.Duration // start time of each request in flight
 		notBefore := time.Duration(0)
 		failures := 0
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -38,15 +39,15 @@
 			ok, _ := guard.Acquire(now, rapid.SampledFrom([]Attempt{FirstAttempt, Retry}).Draw(t, "attempt"))
 			switch {
 			case ok && now < notBefore:
-				t.Fatalf("asked %v before the store's Retry-After", notBefore-now)
+				t.Fatalf("a request was allowed %v before the store's Retry-After", notBefore-now)
 			case ok && failures >= failuresToOpen && guard.inFlight > 1 && len(inFlight) == 0:
-				t.Fatal("more than one request while the store fails")
+				t.Fatal("more than one request in flight while the store fails")
 			}
 			if ok {
 				inFlight = append(inFlight, now)
 			}
 			if len(inFlight) > maxLimit {
-				t.Fatalf("%d in flight", len(inFlight))
+				t.Fatalf("%d requests are in flight, more than the maximum limit", len(inFlight))
 			}
 		}
 		for _, startedAt := range inFlight {
@@ -55,10 +56,10 @@
 		ok, retryAfter := guard.Acquire(now, Retry)
 		if !ok {
 			if retryAfter <= 0 {
-				t.Fatal("not let through though nothing is in flight, with no time to come back")
+				t.Fatal("a request was rejected without a retry time although no request is in flight")
 			}
 			if ok, _ = guard.Acquire(now+retryAfter, Retry); !ok {
-				t.Fatal("never let through again")
+				t.Fatal("a request was rejected again after the retry time")
 			}
 		}
 	})
--- a/internal/artifact/fetch/upload_limiter_test.go
+++ b/internal/artifact/fetch/upload_limiter_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// What is sent to others stays within their share of the network, less while the worker is busy, and what is rejected
-// may come back at the time that it was given.
+// Uploads must stay within their share of the network capacity, which is reduced while the worker is busy. A rejected
+// upload must be allowed at the retry time that it was given.
 func TestUploadLimiter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limiter := NewUploadLimiter(100e6, 0.2, 4)
@@ -21,7 +21,7 @@
 			if !ok {
 				now += retryAfter
 				if again, _ := limiter.Acquire(now, size, utilization); !again {
-					t.Fatal("not let through at the time that it was given")
+					t.Fatal("an upload was rejected at the retry time that it was given")
 				}
 			}
 			sent += float64(size)
@@ -29,7 +29,7 @@
 		}
 		allowed := limiter.burstBytes() + 20e6*(1-0.5*utilization)*now.Seconds() + 1
 		if sent > allowed*1.001 {
-			t.Fatalf("%.0f bytes in %v, %.0f are allowed", sent, now, allowed)
+			t.Fatalf("%.0f bytes were sent in %v, %.0f are allowed", sent, now, allowed)
 		}
 	})
 }
