--- a/internal/artifact/cache/cache.go
+++ b/internal/artifact/cache/cache.go
@@ -1,5 +1,6 @@
-// Package cache keeps chunks on a worker's disk: bounded, over restarts, verified on every read. The least valuable
-// chunks are evicted first; a file that is not what its name says is quarantined and counts as missing.
+// Package cache implements a cache of chunks on a worker's disk. Its size is limited, it survives restarts, and every
+// read verifies the chunk. The least valuable chunks are evicted first. A file whose content does not match the digest
+// in its name is quarantined, and its chunk counts as missing.
 package cache
 
 import (
@@ -16,34 +17,35 @@
 )
 
 const (
-	// formatDir is the folder of this format's chunks; another format's folder is left alone.
+	// formatDir is the folder for chunks of the current format. Folders of other formats are not touched.
 	formatDir = "chunks-1"
 
-	// maxQuarantined is how many corrupt files are left for an operator to look at.
+	// maxQuarantined is the maximum number of corrupt files that are kept for operators to inspect.
 	maxQuarantined = 16
 )
 
-var errNoSpace = errors.New("all chunks in the cache are in use")
+// errNoSpace is logged for a chunk that would not fit even if all unpinned chunks were evicted.
+var errNoSpace = errors.New("not enough space even if all unpinned chunks were evicted")
 
-// Stats counts what a cache did since it was opened.
+// Stats holds the counters of a cache since it was opened.
 type Stats struct {
-	Hits      int
-	Misses    int
-	Corrupt   int
-	Evicted   int
-	NotStored int // chunks that could not be written; they are used all the same
+	Hits      int // reads of a chunk that was cached
+	Misses    int // reads of a chunk that was not cached or could not be read
+	Corrupt   int // chunks that did not match their digest
+	Evicted   int // chunks evicted to make space
+	NotStored int // chunks that could not be written; the caller can use them nevertheless
 }
 
-// Rarity says whether other workers are known to have a chunk.
+// Rarity indicates whether other workers are known to have a chunk.
 type Rarity bool
 
-// The rarities.
+// The rarities of a chunk.
 const (
-	Common Rarity = false // it was fetched from another worker
-	Rare   Rarity = true  // it was fetched from the store
+	Common Rarity = false // the chunk was fetched from another worker
+	Rare   Rarity = true  // the chunk was fetched from the store
 )
 
-// Cache is a folder of chunks. Its methods may be called by any goroutine.
+// Cache is a cache of chunks in a folder. Its methods are safe for concurrent use.
 type Cache struct {
 	folder   string
 	maxBytes int64
@@ -51,14 +53,15 @@
 
 	mu      sync.Mutex
 	items   map[layer.Digest]*Item
-	pins    map[layer.Digest]int // how often a chunk is protected from eviction
-	writing map[layer.Digest]bool
-	size    int64 // bytes on disk, those being written included
+	pins    map[layer.Digest]int  // number of pins of each chunk; pinned chunks are not evicted
+	writing map[layer.Digest]bool // chunks that are being written
+	size    int64                 // bytes on disk, including chunks that are being written
 	stats   Stats
 }
 
-// Open opens a cache in a folder, or creates it; maxBytes bounds what it has on disk. Files that a killed process left
-// half written are noticed when they are read; files whose names are no digests are left alone.
+// Open opens or creates a cache in a folder. maxBytes is the maximum total size of the chunks on disk. Files that a
+// killed process has written only in part are detected when they are read. Files whose names are not digests are
+// ignored.
 func Open(folder string, maxBytes int64, log *slog.Logger) (*Cache, error) {
 	c := &Cache{
 		folder:   filepath.Join(folder, formatDir),
@@ -82,8 +85,8 @@
 
 func (c *Cache) makeFolders() error {
 	folders := []string{c.quarantineDir()}
-	for _, letter := range "0123456789abcdef" {
-		folders = append(folders, filepath.Join(c.folder, string(letter)))
+	for _, digit := range "0123456789abcdef" {
+		folders = append(folders, filepath.Join(c.folder, string(digit)))
 	}
 	for _, folder := range folders {
 		if err := os.MkdirAll(folder, 0o755); err != nil {
@@ -103,7 +106,7 @@
 	return err
 }
 
-// loadItem adds a file of the cache's folder to its items.
+// loadItem adds a file found in the cache's folder to the items. It is an fs.WalkDirFunc.
 func (c *Cache) loadItem(path string, entry fs.DirEntry, err error) error {
 	switch {
 	case err != nil:
@@ -132,15 +135,14 @@
 	return filepath.Join(c.folder, digest.String()[:1], digest.String())
 }
 
-// Has tells whether a chunk is on disk; it may turn out to be corrupt.
+// Has reports whether a chunk is on disk. It does not verify the chunk.
 func (c *Cache) Has(digest layer.Digest) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.items[digest] != nil
 }
 
-// Get returns a chunk's content and its compressed form, verified. A corrupt chunk is quarantined and counts as
-// missing.
+// Get returns a chunk's verified content and its compressed form. A corrupt chunk is quarantined and counts as missing.
 func (c *Cache) Get(digest layer.Digest) (content, compressed []byte, ok bool) {
 	c.mu.Lock()
 	item := c.items[digest]
@@ -158,7 +160,7 @@
 	defer c.mu.Unlock()
 	if err != nil {
 		c.stats.Misses++
-		if c.items[digest] == item { // else it was evicted meanwhile
+		if c.items[digest] == item { // otherwise the chunk was evicted during the read
 			c.quarantine(item, err)
 		}
 		return nil, nil, false
@@ -169,7 +171,8 @@
 	return content, compressed, true
 }
 
-// quarantine takes a chunk that could not be read out of the cache; the lock is held.
+// quarantine removes a chunk that could not be read from the cache and moves its file to the quarantine folder. c.mu
+// must be held.
 func (c *Cache) quarantine(item *Item, cause error) {
 	c.removeItem(item)
 	if errors.Is(cause, layer.ErrCorrupt) {
@@ -182,7 +185,7 @@
 		os.Rename(path, filepath.Join(c.quarantineDir(), item.Digest.String())) == nil {
 		return
 	}
-	_ = os.Remove(path) // what can't be removed is written over when the chunk is fetched
+	_ = os.Remove(path) // if this fails, the file is overwritten when the chunk is fetched again
 }
 
 func (c *Cache) removeItem(item *Item) {
@@ -190,8 +193,8 @@
 	c.size -= item.Size
 }
 
-// Put stores a chunk that has been verified. A chunk that can't be stored, for want of space or because the disk is
-// full, is counted and logged: its user has it all the same.
+// Put stores a chunk, which the caller has verified. If the chunk can't be stored because the cache or the disk is
+// full, Put counts and logs that; the caller can use the chunk nevertheless.
 func (c *Cache) Put(digest layer.Digest, compressed []byte, rarity Rarity) {
 	size := int64(len(compressed))
 	c.mu.Lock()
@@ -207,7 +210,8 @@
 	c.mu.Unlock()
 	err := errNoSpace
 	if reserved {
-		// not renamed into place: half a file is noticed when it is read, and a new name costs more than the bytes
+		// The file is written in place: a partly written file is detected when it is read, and renaming a temporary file
+		// would cost more than writing the content.
 		err = os.WriteFile(c.chunkPath(digest), compressed, 0o644)
 	}
 	c.mu.Lock()
@@ -219,13 +223,13 @@
 	}
 	if reserved {
 		c.size -= size
-		_ = os.Remove(c.chunkPath(digest)) // what is left of it is noticed when it is read
+		_ = os.Remove(c.chunkPath(digest)) // if this fails, the partly written file is detected when it is read
 	}
 	c.stats.NotStored++
 	c.log.Warn("chunk not cached", "chunk", digest, "err", err)
 }
 
-// makeSpace evicts chunks until need more bytes fit, and tells whether they do; the lock is held.
+// makeSpace evicts chunks until need more bytes fit, and reports whether they fit. c.mu must be held.
 func (c *Cache) makeSpace(need int64) bool {
 	if excess := c.size + need - c.maxBytes; excess > 0 {
 		var evictable []Item
@@ -245,7 +249,7 @@
 	return c.size+need <= c.maxBytes
 }
 
-// Pin protects chunks from eviction until the function that it returns is called.
+// Pin protects chunks from eviction until the returned function is called.
 func (c *Cache) Pin(chunks []layer.ChunkRef) (unpin func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -263,14 +267,14 @@
 	}
 }
 
-// Stats returns the counters since the cache was opened.
+// Stats returns the cache's counters.
 func (c *Cache) Stats() Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stats
 }
 
-// Size is the cache's bytes on disk.
+// Size returns the total size of the cached chunks on disk in bytes.
 func (c *Cache) Size() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/artifact/cache/cache_test.go
+++ b/internal/artifact/cache/cache_test.go
@@ -22,6 +22,7 @@
 	os.Exit(m.Run())
 }
 
+// putUntilKilled puts chunks until the process is killed. It prints a line after every ten chunks.
 func putUntilKilled(folder string) {
 	c, err := cache.Open(folder, 200_000, discardLog)
 	if err != nil {
@@ -39,8 +40,9 @@
 	return []byte(strings.Repeat(fmt.Sprint("chunk ", i, " "), 1000+i%1000))
 }
 
-// Killed at any moment, ten times over one folder: what the next process finds is complete or quarantined, and within
-// its bound.
+// Guards against a crash that leaves corrupt chunks in use or exceeds the size limit. A process that writes chunks is
+// killed ten times at an arbitrary moment; after each kill, every chunk in the folder must be complete or be
+// quarantined when it is read.
 func TestKilledWhileWriting(t *testing.T) {
 	folder := t.TempDir()
 	for range 10 {
@@ -50,7 +52,7 @@
 			t.Fatal(err)
 		}
 		if c.Size() > 200_000 {
-			t.Errorf("%d bytes are on disk", c.Size())
+			t.Errorf("the cache has %d bytes on disk, more than its limit", c.Size())
 		}
 		files, err := filepath.Glob(filepath.Join(folder, "chunks-1", "?", "*"))
 		if err != nil || len(files) == 0 {
@@ -59,11 +61,11 @@
 		for _, file := range files {
 			digest, err := layer.ParseDigest(filepath.Base(file))
 			if err != nil {
-				t.Errorf("%s is left", file)
+				t.Errorf("unexpected file %s in the cache", file)
 				continue
 			}
 			if content, _, ok := c.Get(digest); ok && layer.Sum(content) != digest {
-				t.Errorf("%s was read though it is corrupt", file)
+				t.Errorf("reading the corrupt file %s succeeded", file)
 			}
 		}
 		if stats := c.Stats(); stats.Hits == 0 {
@@ -72,7 +74,7 @@
 	}
 }
 
-// runUntilKilled has a child process put chunks and kills it some time after it has begun.
+// runUntilKilled starts a child process that puts chunks, and kills it after it has printed 200 bytes.
 func runUntilKilled(t *testing.T, folder string) {
 	t.Helper()
 	child := exec.Command(os.Args[0])
@@ -103,7 +105,8 @@
 	c.Put(layer.Sum(content), layer.Compress(content), rarity)
 }
 
-// A pinned chunk is not evicted, whatever comes; the cache of another format is left alone.
+// A pinned chunk must never be evicted, and must be evictable again when it is unpinned. The folder of another cache
+// format must not be removed.
 func TestPinsAndOtherFormats(t *testing.T) {
 	folder := t.TempDir()
 	other := filepath.Join(folder, "chunks-0", "aa")
@@ -122,7 +125,7 @@
 		put(c, i, cache.Rare)
 	}
 	if !c.Has(pinned.Digest) || c.Stats().Evicted == 0 || c.Size() > 2000 {
-		t.Errorf("pinned: %v, %+v, %d bytes", c.Has(pinned.Digest), c.Stats(), c.Size())
+		t.Errorf("the pinned chunk is cached: %v, counters: %+v, size: %d bytes", c.Has(pinned.Digest), c.Stats(), c.Size())
 	}
 	unpin()
 	for i := 200; i < 400; i++ {
--- a/internal/artifact/cache/compat_test.go
+++ b/internal/artifact/cache/compat_test.go
@@ -9,9 +9,9 @@
 	"lupinpond/internal/artifact/layer"
 )
 
-// Chunks that an earlier version cached are found under their digests and verified. The digests are written out: they are
-// what stored releases name.
-func TestStoredCacheIsRead(t *testing.T) {
+// Guards against format changes that make existing caches unreadable: chunks that an earlier version cached must be
+// found under their digests and verified. The digests are constants because stored releases reference them.
+func TestOpenCacheOfEarlierVersion(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/stored")); err != nil {
 		t.Fatal(err)
@@ -29,11 +29,12 @@
 			t.Fatal(err)
 		}
 		if !c.Has(d) {
-			t.Errorf("chunk %s: got none, want it in the cache", x.digest)
+			t.Errorf("chunk %s is missing from the cache", x.digest)
 		}
 		got, _, ok := c.Get(d)
 		if !ok || string(got) != x.content {
-			t.Errorf("chunk %s: got %d bytes %.20q, found %v, want %d bytes %.20q", x.digest, len(got), got, ok, len(x.content), x.content)
+			t.Errorf("chunk %s: got %d bytes %.20q, found %v, want %d bytes %.20q",
+				x.digest, len(got), got, ok, len(x.content), x.content)
 		}
 	}
 	if got, want := c.Stats(), (cache.Stats{Hits: 2}); got != want {
--- a/internal/artifact/cache/eviction.go
+++ b/internal/artifact/cache/eviction.go
@@ -10,24 +10,27 @@
 )
 
 const (
-	// valueHalvingTime is how long after its last use a chunk is worth half as much.
+	// valueHalvingTime is the half-life of a chunk's value after its last use.
 	valueHalvingTime = 10 * time.Minute
 
-	// rareChunkWeight is how many times more a chunk is worth that no other worker is known to have.
+	// rareChunkWeight is the factor by which the value of a chunk is higher if no other worker is known to have it.
 	rareChunkWeight = 2.0
 )
 
-// Item is a chunk as eviction sees it.
+// Item describes a cached chunk for eviction.
 type Item struct {
 	Digest   layer.Digest
-	Size     int64 // bytes on disk
-	Uses     int
-	LastUsed time.Time
-	Rare     bool // no other worker is known to have it
+	Size     int64     // size on disk in bytes
+	Uses     int       // number of reads since the cache was opened
+	LastUsed time.Time // time of the last read, or of writing the chunk
+	Rare     bool      // no other worker is known to have the chunk
 }
 
-// Value is what a byte of an item is worth now: more with each use, half with each valueHalvingTime since the last, and
-// rareChunkWeight times as much if the item is rare.
+// Value returns the item's value per byte at time now:
+//
+//	(1 + Uses) * 2^(-timeSinceLastUse/valueHalvingTime) * weight / Size
+//
+// where weight is rareChunkWeight for a rare item and 1 otherwise.
 func (i Item) Value(now time.Time) float64 {
 	value := float64(1+i.Uses) * math.Exp2(-float64(now.Sub(i.LastUsed))/float64(valueHalvingTime))
 	if i.Rare {
@@ -36,8 +39,8 @@
 	return value / float64(max(1, i.Size))
 }
 
-// SelectEvictions chooses items so that need bytes are freed, the least valuable first. If all items together are not
-// enough it chooses none.
+// SelectEvictions selects items to evict so that at least need bytes are freed, the least valuable first. If all items
+// together are smaller than need, it selects none. It sorts items in place.
 func SelectEvictions(items []Item, need int64, now time.Time) []layer.Digest {
 	slices.SortFunc(items, func(a, b Item) int {
 		return cmp.Or(cmp.Compare(a.Value(now), b.Value(now)), slices.Compare(a.Digest[:], b.Digest[:]))
--- a/internal/artifact/cache/eviction_test.go
+++ b/internal/artifact/cache/eviction_test.go
@@ -10,8 +10,9 @@
 	"lupinpond/internal/artifact/layer"
 )
 
-// SelectEvictions frees what is needed with the least valuable items, or nothing; an item that is used more, later or
-// is rarer than another of its size never goes before it.
+// SelectEvictions must free the needed bytes, or select nothing if all items together are not enough. It must not
+// select an item before another one that is not smaller, was not used more or later, is not rarer and has a lower
+// value.
 func TestSelectEvictions(t *testing.T) {
 	now := time.Unix(1e6, 0)
 	rapid.Check(t, func(t *rapid.T) {
@@ -41,16 +42,16 @@
 		}
 		switch {
 		case need > total && len(evicted) > 0:
-			t.Fatal("items were evicted though all are not enough")
+			t.Fatal("items were selected although all items together are not enough")
 		case need <= total && freed < need:
-			t.Fatalf("%d freed of %d", freed, need)
+			t.Fatalf("%d bytes were freed, need %d", freed, need)
 		}
 		for _, a := range items {
 			for _, b := range items {
 				better := a.Size <= b.Size && a.Uses >= b.Uses && !a.LastUsed.Before(b.LastUsed) &&
 					(a.Rare || !b.Rare) && a.Value(now) > b.Value(now)
 				if better && evicted[a.Digest] && !evicted[b.Digest] {
-					t.Fatalf("%+v was evicted before %+v", a, b)
+					t.Fatalf("%+v was selected before %+v", a, b)
 				}
 			}
 		}
