--- a/internal/artifact/distribution/bench_test.go
+++ b/internal/artifact/distribution/bench_test.go
@@ -9,16 +9,16 @@
 	"lupinpond/internal/artifact/artifactstore"
 )
 
-// BenchmarkColdFleet is the time in which all live workers have a package of 4 MiB that none has, beside the ideal (the
-// package once through the store) and the baseline in which each fetches from the store alone. Run it with -benchtime
-// 1x.
+// BenchmarkColdFleet measures the time until all live workers have installed a package of 4 MiB that no worker has at
+// first. It reports the time relative to the ideal, in which the store sends the package once. In the baseline "alone",
+// each worker fetches only from the store. Run it with -benchtime 1x.
 func BenchmarkColdFleet(b *testing.B) {
 	const size, rate = 4 << 20, 16e6
 	for _, c := range []struct {
 		name          string
-		maxConcurrent int // at the store
-		crashes       int // of workers, while they fetch
-		alone         bool
+		maxConcurrent int  // maximum number of concurrent fetches at the store
+		crashes       int  // number of workers that crash while they fetch
+		alone         bool // endpoint lists are empty
 	}{
 		{"shared-50", 64, 0, false},
 		{"alone-50", 64, 0, true},
@@ -48,7 +48,7 @@
 				duration := time.Since(startedAt)
 				<-crashed
 				if installed < len(f.workers)-c.crashes {
-					b.Fatalf("%d of %d have it", installed, len(f.workers))
+					b.Fatalf("%d of %d workers installed the package", installed, len(f.workers))
 				}
 				stats := f.store.Stats()
 				b.ReportMetric(duration.Seconds()/(size/rate), "of-ideal")
@@ -61,7 +61,8 @@
 	}
 }
 
-// BenchmarkInstall is installing a package of 16 MiB whose chunks are all on disk, beside copying the file.
+// BenchmarkInstall measures the installation of a package of 16 MiB that is already built on disk. Its throughput can
+// be compared with that of copying the file.
 func BenchmarkInstall(b *testing.B) {
 	f := newFleet(b, fleetOptions{workers: 1, capacity: ampleCapacity, chunkTimeout: time.Minute})
 	f.publish("1", 16<<20, 0)
--- a/internal/artifact/distribution/chunks.go
+++ b/internal/artifact/distribution/chunks.go
@@ -12,25 +12,26 @@
 	"lupinpond/internal/artifact/layer"
 )
 
-// storeSlotShare is the share of the time for a chunk after which a search looks again whether the store may be asked,
-// even if no request to it has completed.
+// storeSlotShare: a search that waits for a request to the store to complete tries again after ChunkTimeout *
+// storeSlotShare at the latest.
 const storeSlotShare = 1.0 / 64
 
-// chunkData is a chunk that has been verified.
+// chunkData is a verified chunk.
 type chunkData struct {
 	content    []byte
 	compressed []byte
 }
 
-// chunkFetch is a search for a chunk; all who need the chunk wait for the same one.
+// chunkFetch is a search for a chunk. It is shared by all goroutines that need the chunk.
 type chunkFetch struct {
-	done chan struct{}
-	// once done is closed:
+	done chan struct{} // closed when the search has ended
+
+	// The result, valid after done is closed:
 	chunk chunkData
 	err   error
 }
 
-// getChunk returns a chunk from the cache or searches for it.
+// getChunk returns a chunk from the cache, or searches for it if it is not cached.
 func (d *Distributor) getChunk(ctx context.Context, digest layer.Digest) (chunkData, error) {
 	if content, compressed, ok := d.options.Cache.Get(digest); ok {
 		d.mu.Lock()
@@ -47,7 +48,7 @@
 	}
 }
 
-// startFetch starts a search for a chunk, unless one is in flight.
+// startFetch returns the search for a chunk that is in flight, or starts one.
 func (d *Distributor) startFetch(digest layer.Digest) *chunkFetch {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,7 +65,7 @@
 	d.tasks.Go(func() {
 		var rarity cache.Rarity
 		f.chunk, rarity, f.err = d.fetchChunk(digest)
-		close(f.done) // whoever waits goes on while the chunk is written to disk
+		close(f.done) // waiting goroutines continue while the chunk is written to disk
 		if f.err == nil {
 			d.options.Cache.Put(digest, f.chunk.compressed, rarity)
 		}
@@ -75,16 +76,16 @@
 	return f
 }
 
-// fetchChunk carries out the steps of a search until the chunk is here.
+// fetchChunk executes the steps of a search until the chunk is received or the search is abandoned.
 func (d *Distributor) fetchChunk(digest layer.Digest) (chunkData, cache.Rarity, error) {
 	order, addresses := d.candidates(digest)
 	d.mu.Lock()
 	d.peerHealth.Prune(func(name string) bool { return addresses[name] != "" })
 	d.mu.Unlock()
 	search := fetch.NewSearch(d.options.Name, order, d.elapsed(), d.options.ChunkTimeout)
-	lastErr := errors.New("nobody was asked")
+	lastErr := errors.New("no peer or store was asked")
 	attempt := fetch.FirstAttempt
-	for d.ctx.Err() == nil { // what Close interrupts says nothing about those that were asked
+	for d.ctx.Err() == nil { // after Close, lastErr may come from an interrupted request and is not returned
 		now := d.elapsed()
 		step := d.nextStep(search, now)
 		switch step.Action {
@@ -124,12 +125,14 @@
 	return step
 }
 
-// usablePeers tells which peers may be asked now; the lock is held when it is called.
+// usablePeers returns a function that reports whether a peer may be sent requests now. d.mu must be held when the
+// returned function is called.
 func (d *Distributor) usablePeers(now time.Duration) func(peer string) bool {
 	return func(peer string) bool { return d.peerHealth.Usable(now, peer) }
 }
 
-// candidates returns the chunk's order of this worker and the listed ones, and the addresses of the listed ones.
+// candidates returns the chunk's rendezvous order of this worker and the listed peers, and the addresses of the peers
+// by name.
 func (d *Distributor) candidates(digest layer.Digest) (order []string, addresses map[string]string) {
 	addresses = map[string]string{}
 	names := []string{d.options.Name}
@@ -142,7 +145,7 @@
 	return fetch.RendezvousOrder(digest[:], names), addresses
 }
 
-// wait returns after a duration, when wake is closed, or when the Distributor is closed.
+// wait waits until the duration has passed, wake is closed or the Distributor is closed.
 func (d *Distributor) wait(duration time.Duration, wake <-chan struct{}) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -153,7 +156,7 @@
 	}
 }
 
-// share is a part of the time that a search for a chunk has.
-func (d *Distributor) share(part float64) time.Duration {
-	return time.Duration(part * float64(d.options.ChunkTimeout))
+// shareOfTimeout returns ChunkTimeout * share.
+func (d *Distributor) shareOfTimeout(share float64) time.Duration {
+	return time.Duration(share * float64(d.options.ChunkTimeout))
 }
--- a/internal/artifact/distribution/distribution_test.go
+++ b/internal/artifact/distribution/distribution_test.go
@@ -19,13 +19,14 @@
 	"lupinpond/internal/artifact/layer"
 )
 
-// homes is how many workers may go to the store for a chunk that no worker has.
+// homes is the number of workers that may fetch a chunk from the store if no worker has it.
 const homes = 3
 
-// Fifty workers start cold on the same package: every chunk leaves the store three times at the most, by its own count,
-// and what peers send in place of a chunk is never used, and counted every time.
+// Guards against overloading the store when a fleet installs a new package, and against using corrupt chunks. Fifty
+// workers install a package that no worker has: according to the store's counters, it must send each chunk at most
+// three times. Ten workers send corrupt chunks: each must be detected and counted.
 func TestFiftyColdStarts(t *testing.T) {
-	// the timeout is so long that a home is waited for as long as it may be
+	// With this long timeout, workers wait for a home for the maximum time.
 	f := newFleet(t, fleetOptions{workers: 50, capacity: ampleCapacity, chunkTimeout: 10 * time.Minute})
 	f.publish("1", 2<<20, 0)
 	f.refresh()
@@ -40,24 +41,25 @@
 		})
 	}
 	if installed := f.install("1", f.workers...); installed != 50 {
-		t.Errorf("%d of 50 have the package", installed)
+		t.Errorf("%d of 50 workers installed the package", installed)
 	}
 	stats := f.store.Stats()
 	if stats.MaxFetchesPerChunk > homes {
-		t.Errorf("a chunk left the store %d times", stats.MaxFetchesPerChunk)
+		t.Errorf("the store sent a chunk %d times", stats.MaxFetchesPerChunk)
 	}
 	detected := 0
 	for _, worker := range f.workers {
 		detected += worker.Stats().CorruptFromPeers
 	}
 	if sent := int(requests.Load()+1) / 2; detected != sent || sent == 0 {
-		t.Errorf("%d corrupt chunks were sent, %d detected", sent, detected)
+		t.Errorf("%d corrupt chunks were sent, but %d were detected", sent, detected)
 	}
 	t.Logf("store: %+v, %d corrupt chunks detected", stats, detected)
 }
 
-// A store with capacity for a tenth of what would come at once, and a fifth of the workers crashing midway: all the
-// others finish.
+// Guards against searches that fail when the store is overloaded and peers crash. The store has capacity for a tenth of
+// the fetches that the workers would send at once, and a fifth of the workers crash during the installation: all other
+// workers must complete it.
 func TestOverloadedStoreAndCrashedWorkers(t *testing.T) {
 	f := newFleet(t, fleetOptions{workers: 20, capacity: artifactstore.Capacity{MaxConcurrent: 2, BytesPerSecond: 8e6},
 		chunkTimeout: 60 * time.Second})
@@ -75,13 +77,13 @@
 	installed := f.install("1", f.workers...)
 	crashes.Wait()
 	if installed < 16 {
-		t.Errorf("%d have the package, 16 live", installed)
+		t.Errorf("%d workers installed the package, want the 16 live ones", installed)
 	}
 	t.Logf("store: %+v", f.store.Stats())
 }
 
-// cachedChunks waits until a worker has all of the chunks that the store has served on disk, and returns their files: a
-// chunk is used before it is on disk.
+// cachedChunks waits until a worker has written all chunks that the store has served to disk, and returns their files.
+// It must wait because a chunk is used before it is written.
 func (f *testFleet) cachedChunks(worker *testWorker) []string {
 	f.t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -100,20 +102,21 @@
 			return files
 		}
 		if time.Now().After(deadline) {
-			f.t.Fatalf("%d of %d chunks are on disk", cached, want)
+			f.t.Fatalf("only %d of %d chunks were written to disk", cached, want)
 		}
 	}
 }
 
-// While the store is stopped, what any worker has is found; what none has comes when the store is back. Corrupt files
-// on disk are quarantined and fetched again.
+// While the store is stopped, workers must fetch the chunks that another worker has from that worker, and the remaining
+// chunks once the store has started again. Corrupt files in the cache must be quarantined and their chunks fetched
+// again.
 func TestStoppedStoreAndCorruptDisk(t *testing.T) {
 	f := newFleet(t, fleetOptions{workers: 6, capacity: ampleCapacity, chunkTimeout: 30 * time.Second})
 	f.publish("1", 1<<20, 0)
 	f.refresh()
 	seeder := f.workers[5]
 	if f.install("1", seeder) != 1 {
-		t.Fatal("the first worker has no package")
+		t.Fatal("the first worker did not install the package")
 	}
 	served := f.store.Stats().Served
 	for _, file := range f.cachedChunks(seeder)[:2] {
@@ -123,23 +126,23 @@
 	}
 	f.store.Stop(1500 * time.Millisecond)
 	if installed := f.install("1", f.workers[:5]...); installed != 5 {
-		t.Errorf("%d of 5 have the package", installed)
+		t.Errorf("%d of 5 workers installed the package", installed)
 	}
 	if stats := f.store.Stats(); stats.Served-served > 4*homes || stats.Served == served {
-		t.Errorf("%d chunks came from the store, no worker had two", stats.Served-served)
+		t.Errorf("the store served %d chunks, but only two were missing from the workers' caches", stats.Served-served)
 	}
 	restarted, err := distribution.New(distribution.Options{Name: seeder.name, Folder: seeder.folder, Cache: seeder.cache,
-		Store: f.storeClient(), ChunkTimeout: 30 * time.Second, MaxParallelChunks: 4}) // it builds anew
+		Store: f.storeClient(), ChunkTimeout: 30 * time.Second, MaxParallelChunks: 4}) // it builds the package again
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer restarted.Close()
 	p, err := restarted.Install(context.Background(), "f", "1", filepath.Join(seeder.folder, "again"))
 	if err != nil || p.Verify() != nil {
-		t.Error("the worker that had it can't build it any more: ", err)
+		t.Error("the worker with the corrupt cache can't build the package again: ", err)
 	}
 	if stats := seeder.cache.Stats(); stats.Corrupt != 2 {
-		t.Errorf("%+v: two files were corrupt", stats)
+		t.Errorf("got cache counters %+v, want two corrupt chunks", stats)
 	}
 	quarantined, err := os.ReadDir(filepath.Join(seeder.folder, "chunks-1", "aside"))
 	if err != nil || len(quarantined) != 2 {
@@ -147,8 +150,8 @@
 	}
 }
 
-// A peer that accepts and sends nothing, a store that sends corrupt chunks for a while, and endpoint lists that differ:
-// all workers get the package.
+// All workers must install the package although one peer accepts requests and never sends a chunk, the store sends
+// corrupt chunks at first, and the workers' endpoint lists differ.
 func TestSlowPeerCorruptStoreAndDivergentPeerLists(t *testing.T) {
 	f := newFleet(t, fleetOptions{workers: 8, capacity: ampleCapacity, chunkTimeout: 8 * time.Second,
 		lists: func(i, j int) bool { return i%2 == j%2 || (i+j)%3 == 0 }})
@@ -174,7 +177,7 @@
 		return true
 	})
 	if n := f.install("1", f.workers...); n != 8 {
-		t.Errorf("%d of 8 have the package", n)
+		t.Errorf("%d of 8 workers installed the package", n)
 	}
 	close(installed)
 	detected, hedged := 0, 0
@@ -183,15 +186,16 @@
 		hedged += worker.Stats().Hedged
 	}
 	if hedged == 0 {
-		t.Error("nobody was asked besides the peer that never sends")
+		t.Error("no hedged request was sent although a peer never sends a chunk")
 	}
 	if detected != 5 {
-		t.Errorf("%d corrupt chunks of the store detected, 5 were sent", detected)
+		t.Errorf("%d corrupt chunks of the store were detected, 5 were sent", detected)
 	}
 }
 
-// A release that changes a little of a large package costs a little; one that is published while the old one is
-// installed does not disturb that; a worker that restarts while the store is away knows what it knew.
+// A release with a small change must cause few fetches. A release that is published during the installation of the
+// previous one must not affect that installation. A worker that restarts while the store is unreachable must be able to
+// install the releases that it had cached.
 func TestNextRelease(t *testing.T) {
 	f := newFleet(t, fleetOptions{workers: 2, capacity: ampleCapacity, chunkTimeout: 30 * time.Second})
 	first := f.publish("1", 4<<20, 0)
@@ -205,28 +209,28 @@
 		t.Errorf("%d of %d chunks, %d of %d bytes are new after a small change",
 			next.NewChunks, next.Chunks, next.NewBytes, first.Bytes)
 	}
-	if n := f.install("1", f.workers[1]); n != 1 { // which knows it as the newest still
-		t.Error("the old release is not there while it is the newest that is known")
+	if n := f.install("1", f.workers[1]); n != 1 { // it has not refreshed: version 1 is its newest
+		t.Error("a worker could not install the release that is the newest known to it")
 	}
 	f.refresh()
 	before := worker.Stats()
 	if f.install("2", worker) != 1 {
-		t.Error("no second release")
+		t.Error("the second release was not installed")
 	}
 	after := worker.Stats()
 	if fetched := after.FromPeers + after.FromStore - before.FromPeers - before.FromStore; fetched != next.NewChunks {
-		t.Errorf("%d chunks fetched, %d are new", fetched, next.NewChunks)
+		t.Errorf("%d chunks were fetched, but %d are new", fetched, next.NewChunks)
 	}
 	ctx := context.Background()
 	if p, err := worker.Install(ctx, "f", "1", filepath.Join(worker.folder, "x")); err != nil || p.Version != "1" {
-		t.Error("the previous version is not there until it is dropped: ", err)
+		t.Error("the previous version could not be installed before it was dropped: ", err)
 	}
 	if err := worker.DropPrevious("f"); err != nil {
 		t.Error(err)
 	}
 	_, err := worker.Install(ctx, "f", "1", filepath.Join(worker.folder, "y"))
 	if !errors.Is(err, distribution.ErrUnknownRelease) {
-		t.Error("a version that was dropped was installed: ", err)
+		t.Error("installing a dropped version: want ErrUnknownRelease, got ", err)
 	}
 	restarted, err := distribution.New(distribution.Options{Name: "w0", Folder: worker.folder, Cache: worker.cache,
 		Store: artifactstore.Client{BaseURL: "http://127.0.0.1:1", HTTPClient: &http.Client{}}, ChunkTimeout: time.Second})
@@ -235,15 +239,15 @@
 	}
 	defer restarted.Close()
 	if err := restarted.Refresh(ctx); err == nil {
-		t.Error("a store that is not there answers")
+		t.Error("refreshing from an unreachable store succeeded")
 	}
 	p, err := restarted.Install(ctx, "f", "2", filepath.Join(worker.folder, "again"))
 	if err != nil || p.Verify() != nil {
-		t.Error("what was known and cached is not there without the store: ", err)
+		t.Error("a cached release could not be installed without the store: ", err)
 	}
 }
 
-// A disk without space costs the cache, not the installation.
+// A full cache must not make an installation fail: the chunks are used without being cached.
 func TestFullCache(t *testing.T) {
 	f := newFleet(t, fleetOptions{workers: 1, capacity: ampleCapacity, chunkTimeout: 30 * time.Second})
 	f.publish("1", 1<<20, 0)
@@ -265,6 +269,7 @@
 		t.Fatal(err)
 	}
 	if stats := small.Stats(); stats.NotStored == 0 || small.Size() > 100_000 {
-		t.Errorf("%+v, %d bytes", stats, small.Size())
+		t.Errorf("got cache counters %+v and %d bytes, want chunks not stored and at most 100000 bytes",
+			stats, small.Size())
 	}
 }
--- a/internal/artifact/distribution/distributor.go
+++ b/internal/artifact/distribution/distributor.go
@@ -1,6 +1,6 @@
-// Package distribution brings packages to a worker and spreads their chunks between workers. A Distributor takes each
-// chunk from its own disk, from another worker or from the artifact store, as internal/artifact/fetch decides, and
-// serves chunks to other workers in turn.
+// Package distribution installs packages on a worker and distributes their chunks between workers. A Distributor reads
+// each chunk from its disk cache, or fetches it from another worker or from the artifact store as decided by
+// internal/artifact/fetch. It also serves chunks to other workers.
 package distribution
 
 import (
@@ -21,11 +21,11 @@
 )
 
 const (
-	// maxTrackedChunks is for how many chunks a Distributor remembers which workers have it.
+	// maxTrackedChunks is the maximum number of chunks for which a Distributor tracks the workers that have them.
 	maxTrackedChunks = 10_000
 
-	// maxIdleConns and maxIdleConnsPerPeer bound the connections to other workers that are left open, idleConnTimeout
-	// how long each is.
+	// maxIdleConns and maxIdleConnsPerPeer limit the idle connections to other workers. idleConnTimeout is the time after
+	// which an idle connection is closed.
 	maxIdleConns        = 256
 	maxIdleConnsPerPeer = 4
 	idleConnTimeout     = 30 * time.Second
@@ -36,43 +36,43 @@
 
 // Options configures a Distributor.
 type Options struct {
-	Name                  string // of this worker
-	Folder                string // for releases and built packages
+	Name                  string // name of this worker
+	Folder                string // folder for releases and built packages
 	Store                 artifactstore.Client
 	Cache                 *cache.Cache
-	Peers                 func() []Peer // listed workers that serve chunks; this one may be among them. nil: none
-	NetworkBytesPerSecond float64       // that the worker's network carries
-	UploadShare           float64       // of the network's capacity that is spent on other workers
-	MaxUploads            int           // chunks sent to other workers at a time
-	ChunkTimeout          time.Duration // how long one chunk is searched for
-	MaxParallelChunks     int           // of a release that are searched for at a time
+	Peers                 func() []Peer // returns the listed workers that serve chunks, possibly with this one; nil: none
+	NetworkBytesPerSecond float64       // capacity of the worker's network in bytes per second
+	UploadShare           float64       // share of the network capacity that uploads to other workers may use
+	MaxUploads            int           // maximum number of concurrent uploads to other workers
+	ChunkTimeout          time.Duration // time after which the search for a chunk is abandoned
+	MaxParallelChunks     int           // maximum number of chunks of a release that are searched for concurrently
 	Log                   *slog.Logger
 }
 
-// Distributor fetches, builds and serves one worker's packages. Its methods may be called by any goroutine.
+// Distributor fetches, builds and serves one worker's packages. Its methods are safe for concurrent use.
 type Distributor struct {
 	options   Options
 	startedAt time.Time
-	client    *http.Client    // for other workers
-	ctx       context.Context // of fetches, which several callers may wait for
+	client    *http.Client    // client for requests to other workers
+	ctx       context.Context // context of searches, which outlive the callers that wait for them
 	cancel    context.CancelFunc
 	tasks     sync.WaitGroup
 
 	mu               sync.Mutex
-	utilization      func() float64 // between 0 and 1: how busy the worker's concurrency slots are
+	utilization      func() float64 // returns the share of the worker's concurrency slots in use, between 0 and 1
 	storeGuard       *fetch.StoreGuard
-	storeRequestDone chan struct{} // closed, and made anew, when a request to the store has completed
+	storeRequestDone chan struct{} // closed and replaced when a request to the store has completed
 	peerHealth       *fetch.PeerHealth
 	replicas         *fetch.ReplicaTracker
 	uploads          *fetch.UploadLimiter
 	inFlight         map[layer.Digest]*chunkFetch
-	newest           map[string]release     // by package name
-	previous         map[string]release     // by package name: the one in use until DropPrevious
-	builds           map[string]*buildState // by the release's digest
+	newest           map[string]release     // newest known release by package name
+	previous         map[string]release     // release that stays installable until DropPrevious, by package name
+	builds           map[string]*buildState // builds by release digest
 	stats            Stats
 }
 
-// New returns a Distributor that knows the releases which an earlier process stored in its folder.
+// New returns a Distributor. It loads the releases that an earlier process stored in options.Folder.
 func New(options Options) (*Distributor, error) {
 	if options.Log == nil {
 		options.Log = slog.New(slog.DiscardHandler)
@@ -97,7 +97,7 @@
 		builds:           map[string]*buildState{},
 	}
 	err := errors.Join(
-		os.RemoveAll(d.buildsDir()), // of an earlier process: nobody tells whether they are complete
+		os.RemoveAll(d.buildsDir()), // builds of an earlier process may be incomplete
 		os.MkdirAll(d.releasesDir(), 0o755),
 		os.MkdirAll(d.buildsDir(), 0o755))
 	if err != nil {
@@ -110,22 +110,22 @@
 	return d, nil
 }
 
-// Close cancels fetches and waits until they have returned.
+// Close cancels all fetches and waits until they have returned.
 func (d *Distributor) Close() {
 	d.cancel()
 	d.tasks.Wait()
 	d.client.CloseIdleConnections()
 }
 
-// SetUtilization makes what is spent on other workers depend on how busy this one is: utilization returns the share of
-// its concurrency slots that are taken.
+// SetUtilization sets the function that reports how busy this worker is; the busier it is, the less it uploads to other
+// workers. utilization returns the share of the worker's concurrency slots in use, between 0 and 1.
 func (d *Distributor) SetUtilization(utilization func() float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.utilization = utilization
 }
 
-// elapsed is the distributor's monotonic clock, as the decisions of internal/artifact/fetch take it.
+// elapsed returns the monotonic time since the Distributor was created. It is the clock of internal/artifact/fetch.
 func (d *Distributor) elapsed() time.Duration { return time.Since(d.startedAt) }
 
 func (d *Distributor) releasesDir() string { return filepath.Join(d.options.Folder, "releases") }
--- a/internal/artifact/distribution/fetch_peers.go
+++ b/internal/artifact/distribution/fetch_peers.go
@@ -11,8 +11,8 @@
 	"lupinpond/internal/artifact/layer"
 )
 
-// fetchFromPeers asks a peer and, when it is late, others as well. The first chunk that is what its digest names ends
-// it.
+// fetchFromPeers requests a chunk from a peer and sends hedged requests to other peers if it is slow. It returns the
+// first chunk that matches the digest.
 func (d *Distributor) fetchFromPeers(search *fetch.Search, addresses map[string]string, first fetch.Step,
 	digest layer.Digest,
 ) (chunkData, error) {
@@ -22,7 +22,7 @@
 		chunk chunkData
 		err   error
 	}
-	answers := make(chan answer, len(addresses)) // each peer is asked once at most: no one waits to send
+	answers := make(chan answer, len(addresses)) // each peer is asked at most once, so that sends never block
 	var latest fetch.Step
 	var sentAt time.Duration
 	inFlight := 0
@@ -56,21 +56,21 @@
 	}
 }
 
-// nextHedge returns whom to ask besides a peer that is late, or after how long to see again.
-func (d *Distributor) nextHedge(search *fetch.Search, late fetch.Step, sentAt time.Duration,
+// nextHedge returns a hedged request if a peer is slow, or the time after which to check again.
+func (d *Distributor) nextHedge(search *fetch.Search, slow fetch.Step, sentAt time.Duration,
 ) (step fetch.Step, ok bool, after time.Duration) {
 	now := d.elapsed()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	step, ok, after = search.Hedge(now, late, sentAt, d.usablePeers(now))
+	step, ok, after = search.Hedge(now, slow, sentAt, d.usablePeers(now))
 	if ok {
 		d.stats.Hedged++
-		d.peerHealth.Record(now, late.Peer, fetch.Failed) // other searches are better off elsewhere for a while
+		d.peerHealth.Record(now, slow.Peer, fetch.Failed) // makes other searches avoid the slow peer for a while
 	}
 	return step, ok, after
 }
 
-// fetchFromPeer asks one peer and notes its answer.
+// fetchFromPeer requests a chunk from one peer, verifies it and records the peer's response.
 func (d *Distributor) fetchFromPeer(ctx context.Context, search *fetch.Search, address string, step fetch.Step,
 	digest layer.Digest,
 ) (chunkData, error) {
@@ -87,7 +87,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if ctx.Err() != nil && answer.response == fetch.Failed {
-		return chunkData{}, ctx.Err() // another peer was faster: that says nothing about this one
+		return chunkData{}, ctx.Err() // canceled because another peer was faster: not a failure of this peer
 	}
 	d.peerHealth.Record(now, step.Peer, answer.response)
 	if answer.response == fetch.Delivered {
@@ -106,14 +106,14 @@
 	return chunkData{}, err
 }
 
-// peerAnswer is how a peer answered a request for a chunk.
+// peerAnswer is a peer's answer to a request for a chunk.
 type peerAnswer struct {
 	response   fetch.PeerResponse
-	compressed []byte    // if it delivered the chunk; not verified
-	reply      peerReply // if it replied something else
+	compressed []byte    // the unverified chunk, if the peer delivered it
+	reply      peerReply // the reply, if the peer did not deliver the chunk
 }
 
-// requestChunk sends a peer a request for a chunk. An error is a failure of the peer.
+// requestChunk sends a request for a chunk to a peer. If it returns an error, the response is fetch.Failed.
 func (d *Distributor) requestChunk(ctx context.Context, address string, step fetch.Step, digest layer.Digest,
 ) (peerAnswer, error) {
 	failed := peerAnswer{response: fetch.Failed}
@@ -125,7 +125,7 @@
 	if step.CachedOnly {
 		req.Header.Set(headerCachedOnly, "1")
 	} else {
-		req.Header.Set(headerWait, min(step.Wait, maxWait).String()) // the peer rejects a longer one
+		req.Header.Set(headerWait, min(step.Wait, maxWait).String()) // the peer rejects a longer wait
 	}
 	resp, err := d.client.Do(req)
 	if err != nil {
--- a/internal/artifact/distribution/fetch_store.go
+++ b/internal/artifact/distribution/fetch_store.go
@@ -13,18 +13,20 @@
 )
 
 const (
-	// storeTimeoutShare is the share of the time for a chunk that one request to the store may take.
+	// storeTimeoutShare: one request to the store may take up to ChunkTimeout * storeTimeoutShare.
 	storeTimeoutShare = 1.0 / 4
 
-	// missingRetryShare is the share of that time after which the store is asked again for a chunk that it did not have.
+	// missingRetryShare: the store is asked again for a chunk that it did not have after ChunkTimeout *
+	// missingRetryShare.
 	missingRetryShare = 1.0 / 8
 
-	// corruptRetryAfter is when the store is asked again after a corrupt chunk, which may have been repaired by then.
+	// corruptRetryAfter is the time after which the store is asked again for a chunk that it sent corrupt. The chunk may
+	// have been repaired in the meantime.
 	corruptRetryAfter = time.Second
 )
 
-// acquireStore asks the guard whether the store may be asked now. If not, the search is told when, or acquireStore
-// waits for another request to complete.
+// acquireStore reports whether the store guard allows a request now. If not, it records in the search when the store
+// may be asked again, or waits for another request to complete.
 func (d *Distributor) acquireStore(search *fetch.Search, now time.Duration, attempt fetch.Attempt) bool {
 	d.mu.Lock()
 	ok, retryAfter := d.storeGuard.Acquire(now, attempt)
@@ -36,15 +38,15 @@
 	case retryAfter > 0:
 		search.RecordStoreFailure(now, retryAfter)
 	default:
-		d.wait(d.share(storeSlotShare), requestDone)
+		d.wait(d.shareOfTimeout(storeSlotShare), requestDone)
 	}
 	return false
 }
 
-// fetchFromStore asks the store for a chunk, which acquireStore has allowed.
+// fetchFromStore fetches a chunk from the store and verifies it. acquireStore must have allowed the request.
 func (d *Distributor) fetchFromStore(search *fetch.Search, digest layer.Digest) (chunkData, error) {
 	result := fetch.StoreResult{StartedAt: d.elapsed()}
-	ctx, cancel := context.WithTimeout(d.ctx, d.share(storeTimeoutShare))
+	ctx, cancel := context.WithTimeout(d.ctx, d.shareOfTimeout(storeTimeoutShare))
 	defer cancel()
 	chunk := chunkData{}
 	var err error
@@ -70,7 +72,8 @@
 	return chunk, nil
 }
 
-// storeOutcome tells what an answer of the store means for the guard, and when the chunk may be asked for again.
+// storeOutcome returns the outcome that the store guard records for a request with error err, and the time after which
+// the store may be asked for the chunk again.
 func (d *Distributor) storeOutcome(err error) (outcome fetch.StoreOutcome, retryAfter time.Duration) {
 	var rejection *httpclient.StatusError
 	switch {
@@ -82,8 +85,8 @@
 		return fetch.StoreFailed, 0
 	}
 	switch rejection.StatusCode {
-	case http.StatusNotFound: // the store works, and others may have the chunk
-		return fetch.StoreSucceeded, d.share(missingRetryShare)
+	case http.StatusNotFound: // the store works; other workers may have the chunk
+		return fetch.StoreSucceeded, d.shareOfTimeout(missingRetryShare)
 	case http.StatusTooManyRequests:
 		return fetch.StoreRejected, rejection.RetryAfter
 	}
--- a/internal/artifact/distribution/fleet_test.go
+++ b/internal/artifact/distribution/fleet_test.go
@@ -26,13 +26,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// ampleCapacity is more than any test needs of the store.
+// ampleCapacity is more store capacity than any test uses.
 var ampleCapacity = artifactstore.Capacity{MaxConcurrent: 64}
 
-// interceptor answers a request in place of a handler, if it returns true.
+// interceptor may answer a request in place of a handler. It returns true if it has answered.
 type interceptor func(http.ResponseWriter, *http.Request) bool
 
-// intercepted is a handler with an interceptor that a test may set.
+// intercepted is a handler with an optional interceptor.
 type intercepted struct {
 	interceptor atomic.Pointer[interceptor]
 	handler     http.Handler
@@ -47,7 +47,7 @@
 	h.handler.ServeHTTP(w, r)
 }
 
-// testFleet is a store and workers, each with a server of its own.
+// testFleet is a store and several workers, each with its own HTTP server.
 type testFleet struct {
 	t            testing.TB
 	options      fleetOptions
@@ -57,7 +57,7 @@
 	workers      []*testWorker
 }
 
-// testWorker is the part of a worker that distributes packages.
+// testWorker is the part of a worker that fetches and serves packages.
 type testWorker struct {
 	*distribution.Distributor
 	name    string
@@ -68,12 +68,12 @@
 	cache   *cache.Cache
 }
 
-// fleetOptions configure a fleet.
+// fleetOptions configures a testFleet.
 type fleetOptions struct {
 	workers      int
 	capacity     artifactstore.Capacity
 	chunkTimeout time.Duration
-	lists        func(worker, peer int) bool // whether a worker's endpoint list has a peer; nil: always
+	lists        func(worker, peer int) bool // reports whether a worker's endpoint list contains a peer; nil: always
 }
 
 func newFleet(t testing.TB, options fleetOptions) *testFleet {
@@ -94,7 +94,7 @@
 		server.Close()
 		f.store.Close()
 	})
-	// every server has its address before the first worker lists it
+	// All servers must have an address before the first worker reads its endpoint list.
 	for i := range options.workers {
 		worker := &testWorker{name: fmt.Sprint("w", i), folder: t.TempDir(), handler: &intercepted{}}
 		worker.server = httptest.NewUnstartedServer(worker.handler)
@@ -108,7 +108,7 @@
 	return f
 }
 
-// peers is the endpoint list of a worker.
+// peers returns the endpoint list of a worker.
 func (f *testFleet) peers(worker int) (peers []distribution.Peer) {
 	for i, peer := range f.workers {
 		if f.options.lists == nil || f.options.lists(worker, i) {
@@ -136,7 +136,7 @@
 	return artifactstore.Client{BaseURL: f.storeURL, HTTPClient: &http.Client{}}
 }
 
-// stop ends a worker as a crash does.
+// stop closes a worker's connections and server abruptly, as in a crash.
 func (w *testWorker) stop() {
 	if !w.stopped.Swap(true) {
 		w.server.CloseClientConnections()
@@ -145,7 +145,8 @@
 	}
 }
 
-// publish publishes a version of a package with random content; change, unless 0, is a small change in the middle.
+// publish publishes a version of a package with random content. If change is not 0, a few bytes in the middle of the
+// content differ.
 func (f *testFleet) publish(version string, size int, change int) artifactstore.PublishResult {
 	f.t.Helper()
 	folder := f.t.TempDir()
@@ -168,7 +169,7 @@
 	return published
 }
 
-// refresh has every worker know the releases; the store counts none of it as a fetch of a chunk.
+// refresh makes every worker load the list of releases. The store does not count these requests as chunk fetches.
 func (f *testFleet) refresh() {
 	f.t.Helper()
 	for _, worker := range f.workers {
@@ -184,7 +185,7 @@
 	}
 }
 
-// install has workers install the package at once and returns how many have it, complete.
+// install makes workers install the package concurrently. It returns the number of complete installations.
 func (f *testFleet) install(version string, workers ...*testWorker) int {
 	var group sync.WaitGroup
 	var installed atomic.Int64
--- a/internal/artifact/distribution/install.go
+++ b/internal/artifact/distribution/install.go
@@ -13,14 +13,14 @@
 	"lupinpond/internal/artifact/manifest"
 )
 
-// buildState is a release that is built, or is being built.
+// buildState is a running or completed build of a release.
 type buildState struct {
-	done chan struct{}
-	err  error // once done is closed
+	done chan struct{} // closed when the build has completed
+	err  error         // result of the build, valid after done is closed
 }
 
-// Install puts a release of a package, the newest or the one before, into a folder that does not exist yet. The release
-// is built once; each installation links to the same files.
+// Install installs the newest or the previous release of a package into folder, which must not exist yet. The release
+// is built once; each installation has hard links to the built files.
 func (d *Distributor) Install(ctx context.Context, name, version, folder string) (manifest.Package, error) {
 	r, base, err := d.ensureBuilt(ctx, name, version)
 	if err != nil {
@@ -32,7 +32,7 @@
 	return manifest.Open(folder)
 }
 
-// Prefetch fetches and builds a release, so that it can be installed even if the store is not reachable then.
+// Prefetch fetches and builds a release, so that it can be installed later even if the store is unreachable.
 func (d *Distributor) Prefetch(ctx context.Context, name, version string) error {
 	_, _, err := d.ensureBuilt(ctx, name, version)
 	return err
@@ -42,7 +42,7 @@
 	return fmt.Errorf("install %s version %s: %w", name, version, err)
 }
 
-// findRelease returns the newest release of a package or the one before, if it has the version.
+// findRelease returns the newest or the previous release of a package, whichever has the version.
 func (d *Distributor) findRelease(name, version string) (release, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -54,8 +54,9 @@
 	return release{}, fmt.Errorf("version %s of %s: %w", version, name, ErrUnknownRelease)
 }
 
-// ensureBuilt builds a release, unless that is done, and returns the folder. Of several callers one builds and the
-// others wait; if the build fails, each of them tries in turn, as it may have been the first one's time that was up.
+// ensureBuilt builds a release if necessary and returns it with the folder base that it is built in. Of several
+// concurrent callers, one builds the release and the others wait. If the build fails, the waiting callers retry it one
+// after the other, because the failure may be due to the first caller's context.
 func (d *Distributor) ensureBuilt(ctx context.Context, name, version string) (r release, base string, err error) {
 	r, err = d.findRelease(name, version)
 	if err != nil {
@@ -81,7 +82,7 @@
 	}
 }
 
-// joinBuild returns the build of a release, and whether the caller is the first and has to run it.
+// joinBuild returns the build of a release. first reports whether the caller is the first one and must run the build.
 func (d *Distributor) joinBuild(digest string) (build *buildState, first bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -95,7 +96,7 @@
 }
 
 func (d *Distributor) runBuild(ctx context.Context, build *buildState, r release, base string) {
-	// DropPrevious leaves the files of a build that was not done
+	// The folder may exist: DropPrevious does not remove the files of a build that has not completed.
 	if build.err = os.RemoveAll(base); build.err == nil {
 		build.err = d.build(ctx, r, base)
 	}
@@ -107,8 +108,8 @@
 	close(build.done)
 }
 
-// build fetches a release's chunks and builds it in a folder that does not exist yet. Files are written in order while
-// later chunks are still being fetched.
+// build fetches the chunks of a release and builds it in folder, which must not exist yet. It writes the files in order
+// while later chunks are still being fetched.
 func (d *Distributor) build(ctx context.Context, r release, folder string) error {
 	chunks := r.Chunks()
 	defer d.options.Cache.Pin(chunks)()
@@ -117,9 +118,9 @@
 		contents[chunk.Digest] = make(chan []byte, 1)
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(max(1, d.options.MaxParallelChunks) + 1) // 1: who writes the files
+	group.SetLimit(max(1, d.options.MaxParallelChunks) + 1) // plus the goroutine that writes the files
 	group.Go(func() error {
-		received := map[layer.Digest][]byte{} // a chunk may stand in several places
+		received := map[layer.Digest][]byte{} // a chunk may occur several times in a release
 		_, err := layer.Build(r.Release, folder, func(chunk layer.ChunkRef) ([]byte, error) {
 			if content, ok := received[chunk.Digest]; ok {
 				return content, nil
@@ -149,7 +150,7 @@
 	return nil
 }
 
-// linkFiles makes folder with hard links to the files of a release that is built in base.
+// linkFiles creates folder with hard links to the files of a release that is built in base.
 func linkFiles(r layer.Release, base, folder string) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
--- a/internal/artifact/distribution/protocol_test.go
+++ b/internal/artifact/distribution/protocol_test.go
@@ -6,7 +6,7 @@
 	"lupinpond/internal/artifact/fetch"
 )
 
-// What a peer replies in place of a chunk is read within bounds, or rejected.
+// Whatever a peer replies, parsePeerReply must return values within their limits or reject the reply.
 func FuzzPeerReply(f *testing.F) {
 	f.Add([]byte(`{"said":"busy","holders":["a"],"after-ms":20}`))
 	f.Add([]byte(`{"said":"coming","after-ms":99999999999}`))
@@ -19,7 +19,7 @@
 		}
 		if response == fetch.Delivered || len(reply.Replicas) > maxReplicas ||
 			reply.retryAfter() < 0 || reply.retryAfter() > maxWait {
-			t.Errorf("%q was read as %+v", body, reply)
+			t.Errorf("%q was parsed as %+v", body, reply)
 		}
 	})
 }
--- a/internal/artifact/distribution/releases.go
+++ b/internal/artifact/distribution/releases.go
@@ -15,16 +15,17 @@
 	"lupinpond/internal/base/httpclient"
 )
 
-// ErrUnknownRelease is returned for a release that is neither the newest of its package nor the one before.
-var ErrUnknownRelease = errors.New("no such release is known")
+// ErrUnknownRelease is returned for a release that is neither the newest nor the previous one of its package.
+var ErrUnknownRelease = errors.New("neither the newest nor the previous release")
 
+// release is a decoded release with its manifest and the digest of its encoded form.
 type release struct {
 	layer.Release
 	manifest manifest.Manifest
 	digest   string
 }
 
-// Packages returns the manifests of the newest known releases.
+// Packages returns the manifest of the newest known release of each package.
 func (d *Distributor) Packages() []manifest.Manifest {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -35,8 +36,8 @@
 	return manifests
 }
 
-// Refresh asks the store for new releases. Known releases stay known if it does not answer; a release that can't be
-// read is skipped and logged.
+// Refresh loads new releases from the store. If the store does not answer, the known releases are kept. A release that
+// can't be decoded or stored is logged and skipped.
 func (d *Distributor) Refresh(ctx context.Context) error {
 	packages, err := d.options.Store.Packages(ctx)
 	if err != nil {
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// downloadRelease fetches an encoded release from the store and verifies it.
+// downloadRelease fetches an encoded release from the store and verifies its digest.
 func (d *Distributor) downloadRelease(ctx context.Context, info artifactstore.PackageInfo) ([]byte, error) {
 	encoded, err := d.options.Store.Release(ctx, info.Name, info.Version)
 	if err == nil && layer.Sum(encoded).String() != info.Digest {
@@ -90,21 +91,21 @@
 	defer d.mu.Unlock()
 	old, known := d.newest[m.Name]
 	d.newest[m.Name] = release{decoded, m, layer.Sum(encoded).String()}
-	// the previous release is the one in use: those between it and the newest are skipped
+	// The previous release is the one in use. Releases between it and the newest are skipped.
 	if _, inUse := d.previous[m.Name]; known && !inUse {
 		d.previous[m.Name] = old
 	}
 	return nil
 }
 
-// persistRelease stores a release for the next process.
+// persistRelease writes a release to disk, so that it is known after a restart.
 func (d *Distributor) persistRelease(name string, encoded []byte) error {
-	// a package's name may have any letters, a digest has none that a file name could not have
+	// A package name may contain characters that are not allowed in file names. Its digest does not.
 	path := filepath.Join(d.releasesDir(), layer.Sum([]byte(name)).String()+".release")
 	return renameio.WriteFile(path, encoded, 0o644)
 }
 
-// loadReleases adds the releases that an earlier process stored.
+// loadReleases adds the releases that an earlier process wrote to disk.
 func (d *Distributor) loadReleases() error {
 	files, err := filepath.Glob(filepath.Join(d.releasesDir(), "*.release"))
 	if err != nil {
@@ -122,17 +123,19 @@
 	return nil
 }
 
-// DropPrevious forgets a package's release before the newest, which has taken its place, and removes its files.
+// DropPrevious removes the previous release of a package and its built files. It is called when the newest release has
+// replaced it.
 func (d *Distributor) DropPrevious(name string) error {
 	removed, err := d.detachPrevious(name)
 	if removed == "" || err != nil {
 		return err
 	}
-	return os.RemoveAll(removed) // packages that were installed have links of their own
+	return os.RemoveAll(removed) // installed packages have their own links to the files
 }
 
-// detachPrevious forgets a package's previous release and renames its folder, so that the same release can be built
-// again while this one is removed. It returns the folder to remove; "" is none.
+// detachPrevious removes the previous release of a package from the known releases and renames its folder, so that the
+// same release can be built again while the old files are removed. It returns the folder to remove, or "" if there is
+// none.
 func (d *Distributor) detachPrevious(name string) (string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -145,7 +148,7 @@
 	select {
 	case <-build.done:
 	default:
-		return "", nil // an installation goes on with it; the files are removed at the next start
+		return "", nil // the build is still running; its files are removed at the next start
 	}
 	delete(d.builds, old.digest)
 	base := filepath.Join(d.buildsDir(), old.digest)
--- a/internal/artifact/distribution/serve.go
+++ b/internal/artifact/distribution/serve.go
@@ -12,15 +12,15 @@
 	"lupinpond/internal/artifact/layer"
 )
 
-// pendingRetryAfter is when a worker may ask again for a chunk that is still being fetched.
+// pendingRetryAfter is the retry time in the reply to a request for a chunk that is still being fetched.
 const pendingRetryAfter = 20 * time.Millisecond
 
-// chunkRequest is a request of another worker for a chunk.
+// chunkRequest is a request for a chunk from another worker.
 type chunkRequest struct {
 	digest     layer.Digest
-	worker     string        // that asks
-	cachedOnly bool          // the chunk is not to be fetched for it
-	wait       time.Duration // for a chunk that is being fetched
+	worker     string        // name of the requesting worker
+	cachedOnly bool          // this worker must not fetch the chunk for the request
+	wait       time.Duration // maximum time to wait for a chunk that is being fetched
 }
 
 func parseChunkRequest(r *http.Request) (request chunkRequest, err error) {
@@ -40,7 +40,7 @@
 	return request, nil
 }
 
-// Handler serves chunks to other workers: GET /v1/chunks/DIGEST.
+// Handler returns the handler that serves chunks to other workers under GET /v1/chunks/DIGEST.
 func (d *Distributor) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/chunks/{digest}", d.serveChunk)
@@ -80,16 +80,17 @@
 	http.ServeContent(w, r, "", time.Time{}, bytes.NewReader(compressed))
 }
 
-// respond decides how a request is answered.
+// respond returns the response to a request.
 func (d *Distributor) respond(request chunkRequest, cached bool) fetch.PeerResponse {
 	return fetch.ResponseFor(fetch.PeerRequest{
 		Cached:     cached,
 		CachedOnly: request.cachedOnly,
-		Home:       !cached && !request.cachedOnly && d.isHome(request.digest), // the order is not worked out for nothing
+		Home:       !cached && !request.cachedOnly && d.isHome(request.digest), // isHome is costly: called only if needed
 	})
 }
 
-// awaitChunk fetches a chunk for another worker. If it is not here in time, the reply is written and ok is false.
+// awaitChunk fetches a chunk for another worker. If the chunk does not arrive in time, it writes a reply and returns
+// false.
 func (d *Distributor) awaitChunk(w http.ResponseWriter, r *http.Request, request chunkRequest,
 ) (compressed []byte, ok bool) {
 	f := d.startFetch(request.digest)
@@ -109,12 +110,14 @@
 	return nil, false
 }
 
-// acquireUpload asks whether a chunk of so many bytes may be sent now, and if not, when.
+// acquireUpload reports whether a chunk of size bytes may be sent now. If not, the request may be retried after
+// retryAfter.
 func (d *Distributor) acquireUpload(size int) (ok bool, retryAfter time.Duration) {
 	d.mu.Lock()
 	utilization := d.utilization
 	d.mu.Unlock()
-	busy := utilization() // not under the lock: the worker takes its own, and calls the Distributor under that
+	// Called without d.mu: utilization takes the worker's lock, and the worker calls the Distributor while holding it.
+	busy := utilization()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	ok, retryAfter = d.uploads.Acquire(d.elapsed(), size, busy)
@@ -126,7 +129,7 @@
 	return ok, retryAfter
 }
 
-// isHome tells whether this worker is a home of a chunk by its own endpoint list.
+// isHome reports whether this worker is a home of a chunk according to its own endpoint list.
 func (d *Distributor) isHome(digest layer.Digest) bool {
 	order, _ := d.candidates(digest)
 	return slices.Index(order, d.options.Name) < fetch.HomesPerChunk
@@ -142,5 +145,6 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
-	_ = json.NewEncoder(w).Encode(peerReply{status, replicas, retryAfter.Milliseconds()}) // it fails if the peer has left
+	// Encode fails only if the peer has disconnected.
+	_ = json.NewEncoder(w).Encode(peerReply{status, replicas, retryAfter.Milliseconds()})
 }
--- a/internal/artifact/fetch/search.go
+++ b/internal/artifact/fetch/search.go
@@ -22,8 +22,8 @@
 	// Pending.
 	homeWaitShare = 1.0 / 32
 
-	// hedgeDelayShare: if a peer has not answered timeout * hedgeDelayShare after its wait time, another peer is asked
-	// as well.
+	// hedgeDelayShare: if a peer has not answered within timeout * hedgeDelayShare, plus Step.Wait if it may fetch the
+	// chunk, another peer is asked as well.
 	hedgeDelayShare = 1.0 / 64
 
 	// storeFallbackShare: after timeout * storeFallbackShare, a worker asks the store although a home is fetching the
