--- a/internal/artifact/artifactstore/admission.go
+++ b/internal/artifact/artifactstore/admission.go
@@ -80,8 +80,8 @@
 // Done records that an admitted fetch has completed.
 func (c *AdmissionController) Done() { c.inFlight = max(0, c.inFlight-1) }
 
-// Stop makes the controller reject all fetches for a duration from now. An overloaded store and
-// operators (POST /v1/stop) use it.
+// Stop makes the controller reject all fetches for a duration from now. It is called when the store is overloaded and
+// for POST /v1/stop.
 func (c *AdmissionController) Stop(now, duration time.Duration) {
 	c.stoppedUntil = now + duration
 	c.stopCount++
--- a/internal/artifact/artifactstore/store.go
+++ b/internal/artifact/artifactstore/store.go
@@ -28,7 +28,7 @@
 	newestBucket   = []byte("newest")   // maps NAME to the VERSION of the newest release
 )
 
-// FailPoint identifies a step of publishing at which a test can kill the process.
+// FailPoint identifies a step of publishing at which a test can make it fail or kill the process.
 type FailPoint string
 
 // The fail points, in the order in which publishing reaches them.
--- a/internal/artifact/distribution/golden_test.go
+++ b/internal/artifact/distribution/golden_test.go
@@ -138,7 +138,7 @@
 	)
 	for _, x := range []struct {
 		content string
-		missing bool // at the peer
+		missing bool // the peer replies that the chunk is missing
 		want    []string
 	}{
 		{"golden 0", false, []string{cachedOnlyRequest}},
--- a/internal/artifact/layer/layer_test.go
+++ b/internal/artifact/layer/layer_test.go
@@ -56,7 +56,7 @@
 }
 
 // Splitting a package, encoding and decoding its release and building it must restore every file. Bytes inserted at the
-// front of a large file must change only a few chunks: with fixed chunk boundaries, each would change. A modified
+// front of a large file must change only a few chunks (with chunks of a fixed size, all would change). A modified
 // compressed chunk must be reported as corrupt.
 func TestSplitAndBuild(t *testing.T) {
 	files := map[string][]byte{"entry": randomBytes(1, 1<<20), "weights/a": randomBytes(2, 3<<20), "weights/b/c": nil}
--- a/internal/artifact/manifest/manifest.go
+++ b/internal/artifact/manifest/manifest.go
@@ -1,6 +1,6 @@
 // Package manifest reads and writes packages. A package is a folder with a manifest.yaml and the files of a function.
-// Small models need no format of their own: such a package is a scoring function with the model's weights among its
-// files. docs/operate/worker.md describes the format.
+// A small model is packaged in the same way, as a scoring function with the model's weights among its files.
+// docs/operate/worker.md describes the format.
 package manifest
 
 import (
