--- a/internal/artifact/layer/layer_test.go
+++ b/internal/artifact/layer/layer_test.go
@@ -134,7 +134,7 @@
 			t.Fatal(err)
 		}
 		if _, err := layer.Decode(encoded); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("want an error that contains %q, got %v", want, err)
+			t.Errorf("want an error that contains %s, got %v", want, err)
 		}
 	}
 }
