--- a/internal/testbed/checker/checker.go
+++ b/internal/testbed/checker/checker.go
@@ -1,5 +1,6 @@
-// Package checker checks the five rules against what crossed the sockets of gateways and the watch events that each was
-// sent. It asks no gateway anything and knows nothing of what one decided or why.
+// Package checker checks the five rules against the traffic captured at the gateways' sockets and the watch events that
+// were sent to each gateway. It uses no state of a gateway, so a gateway's own view of its decisions can't influence
+// the verdict.
 package checker
 
 import (
@@ -12,40 +13,40 @@
 	"lupinpond/internal/registry"
 )
 
-// The rules, by their numbers in verdicts and docs.
+// Numbers of the rules, as verdicts and the documentation use them.
 const (
-	ruleResponses  = 1 // each request gets one response, in time
-	ruleExecutions = 2 // no effect twice
-	ruleDrains     = 3 // nothing new to a draining or removed worker after the grace
-	ruleSlowStart  = 4 // no more to a worker that is warming up than it bears
+	ruleResponses  = 1 // each request gets exactly one response before its deadline
+	ruleExecutions = 2 // no request takes effect twice
+	ruleDrains     = 3 // no new work is sent to a draining or removed worker after the drain grace
+	ruleSlowStart  = 4 // a worker that is warming up isn't sent more work than it can handle
 	ruleLoadRate   = 5 // load requests stay within their rate limit
 )
 
-// GatewayCapture is what was captured at one incarnation of a gateway.
+// GatewayCapture is the traffic captured at one incarnation of a gateway.
 type GatewayCapture struct {
 	Name    string
 	Index   int
 	Records []capture.Record
-	Torn    bool // the capture ends early: what is missing at its end is not checked
+	Torn    bool // the capture was truncated: a response missing at its end is not a violation
 }
 
-// Delivery is a watch event as it was sent to a gateway, on the same clock as the captures.
+// Delivery is a watch event that was sent to a gateway. Its time is on the clock of the captures.
 type Delivery struct {
 	Gateway string `json:"Front"`
 	At      time.Duration
 	Event   registry.WatchEvent `json:"News"`
 }
 
-// Input is all that is checked.
+// Input is the recorded run that Check examines.
 type Input struct {
 	Config     fleetconfig.File
 	Captures   []GatewayCapture
 	Deliveries []Delivery
-	End        time.Duration // of the run; 0: after the last record
-	ClockBase  time.Time     // what the clock of the captures counts from
+	End        time.Duration // end of the run; 0 means the time of the last record
+	ClockBase  time.Time     // zero point of the captures' clock
 }
 
-// end is the end of the run.
+// end returns the end of the run.
 func (i Input) end() time.Duration {
 	if i.End != 0 {
 		return i.End
@@ -59,7 +60,7 @@
 	return end
 }
 
-// Violation is one violation of a rule.
+// Violation describes one violation of a rule.
 type Violation struct {
 	Rule      int           `json:"rule"`
 	Gateway   string        `json:"front"`
@@ -69,7 +70,7 @@
 	Message   string        `json:"what"`
 }
 
-// String says what, where and when.
+// String describes the violation with its rule, time, gateway, request and worker.
 func (v Violation) String() string {
 	text := fmt.Sprintf("rule %d at %v by %s: %s", v.Rule, v.At.Round(time.Microsecond), v.Gateway, v.Message)
 	if v.RequestID != "" {
@@ -81,26 +82,27 @@
 	return text
 }
 
-// Verdict is what was checked and what was found. Checked counts by rule, from 1, what could have violated it.
+// Verdict is the result of a check. Checked[n] is the number of events that were checked against rule n; Checked[0] is
+// unused.
 type Verdict struct {
 	Checked          [6]int      `json:"checked"`
 	Violations       []Violation `json:"breaches"`
-	Requests         int         `json:"tries"` // that were accepted
+	Requests         int         `json:"tries"` // accepted requests
 	Completed        int         `json:"handled"`
 	Rejected         int         `json:"deferred"`
 	Failed           int         `json:"dead-lettered"`
-	Disconnected     int         `json:"left"`      // the client disconnected first
-	Lost             int         `json:"lost"`      // in flight at a gateway that crashed
-	NotAccepted      int         `json:"not-taken"` // rejected before they were in flight
+	Disconnected     int         `json:"left"`      // requests whose client disconnected before the response
+	Lost             int         `json:"lost"`      // requests in flight at a gateway that crashed
+	NotAccepted      int         `json:"not-taken"` // requests rejected before they were in flight
 	Attempts         int         `json:"launches"`
 	LoadRequests     int         `json:"orders"`
-	PeakSlowStartUse float64     `json:"tightest-cold"` // most of a warming worker's budget that was used
+	PeakSlowStartUse float64     `json:"tightest-cold"` // highest used fraction of the budget of a worker warming up
 }
 
 // Passed reports whether no rule was violated.
 func (v Verdict) Passed() bool { return len(v.Violations) == 0 }
 
-// ViolatedRules lists the rules that were violated.
+// ViolatedRules returns the numbers of the violated rules in ascending order.
 func (v Verdict) ViolatedRules() []int {
 	var rules []int
 	for _, violation := range v.Violations {
@@ -112,37 +114,37 @@
 	return rules
 }
 
-// evaluation is the checking of one input.
+// evaluation is the state of one call of Check.
 type evaluation struct {
 	Verdict
-	input   Input
-	fleet   fleetconfig.Fleet
-	end     time.Duration
-	traffic *traffic
-	types   map[string]fleetconfig.RequestType
-	sent    map[string][]*attempt // by request
+	input             Input
+	fleet             fleetconfig.Fleet
+	end               time.Duration
+	traffic           *traffic
+	types             map[string]fleetconfig.RequestType
+	attemptsByRequest map[string][]*attempt // by request ID, in the order of sending
 }
 
-// Check checks the five rules. An error says that the captures can't be read.
+// Check checks the five rules and returns the verdict. An error means that the captures can't be decoded.
 func Check(input Input) (Verdict, error) {
 	traffic, err := readTraffic(input)
 	if err != nil {
 		return Verdict{}, err
 	}
 	e := &evaluation{
-		input:   input,
-		fleet:   input.Config.Fleet,
-		end:     input.end(),
-		traffic: traffic,
-		types:   map[string]fleetconfig.RequestType{},
-		sent:    map[string][]*attempt{},
+		input:             input,
+		fleet:             input.Config.Fleet,
+		end:               input.end(),
+		traffic:           traffic,
+		types:             map[string]fleetconfig.RequestType{},
+		attemptsByRequest: map[string][]*attempt{},
 	}
 	for _, requestType := range e.fleet.Types {
 		e.types[requestType.Name] = requestType
 	}
 	for _, attempt := range traffic.attempts {
 		id := attempt.frame.RequestID
-		e.sent[id] = append(e.sent[id], attempt)
+		e.attemptsByRequest[id] = append(e.attemptsByRequest[id], attempt)
 	}
 	e.Attempts, e.LoadRequests = len(traffic.attempts), len(traffic.loadRequests)
 	e.Violations = append(e.Violations, traffic.protocolViolations...)
@@ -155,7 +157,7 @@
 	return e.Verdict, nil
 }
 
-// place is where and when a rule was violated. Request and worker may be empty.
+// place is the gateway, time, request and worker of a violation. Request and worker may be empty.
 type place struct {
 	gateway   *GatewayCapture
 	at        time.Duration
--- a/internal/testbed/checker/checker_test.go
+++ b/internal/testbed/checker/checker_test.go
@@ -20,10 +20,10 @@
 
 const ms = time.Millisecond
 
-// base is what the clock of the captures counts from.
+// base is the zero point of the captures' clock.
 var base = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 
-// captureBuilder writes the captures of gateways by hand.
+// captureBuilder composes an input with the captures of two gateways.
 type captureBuilder struct {
 	checker.Input
 	t        *testing.T
@@ -31,7 +31,7 @@
 	lastSeq  uint64
 }
 
-// newCaptureBuilder starts two gateways over workers a and b of one zone, and c of another.
+// newCaptureBuilder returns a builder with two gateways and three warm workers: a and b in zone z1, c in zone z2.
 func newCaptureBuilder(t *testing.T) *captureBuilder {
 	t.Helper()
 	settings, err := fleetconfig.Default()
@@ -68,12 +68,12 @@
 	}
 }
 
-// deliver sends a gateway a watch event with changed entries.
+// deliver adds the delivery of a watch event with changed entries to a gateway.
 func (s *captureBuilder) deliver(gateway int, at time.Duration, entries ...registry.Entry) {
 	s.deliverEvent(gateway, at, registry.WatchEvent{Entries: entries})
 }
 
-// deliverComplete sends a gateway the complete endpoint list.
+// deliverComplete adds the delivery of a complete endpoint list to a gateway.
 func (s *captureBuilder) deliverComplete(gateway int, at time.Duration, entries ...registry.Entry) {
 	s.deliverEvent(gateway, at, registry.WatchEvent{Complete: true, Entries: entries})
 }
@@ -91,7 +91,7 @@
 	return s.lastConn
 }
 
-// request sends a client's request for a function; it returns its connection.
+// request adds a client's request for a function on a new connection and returns the connection's ID.
 func (s *captureBuilder) request(gateway int, at time.Duration, function, id string) uint64 {
 	conn := s.openConn()
 	s.record(gateway, capture.Record{Kind: capture.Read, ConnID: conn, Side: capture.Client, At: at,
@@ -115,10 +115,10 @@
 	s.record(gateway, capture.Record{Kind: kind, ConnID: conn, Side: capture.Worker, Peer: worker, At: at, Data: frame})
 }
 
-// complete sends the result of an attempt.
+// complete adds the result of an attempt.
 type complete func(at time.Duration, code workerrpc.Code, cpuTime time.Duration)
 
-// attempt sends an attempt on a connection of its own; it returns how to complete it.
+// attempt adds an attempt on a new connection to a worker and returns a function that adds its result.
 func (s *captureBuilder) attempt(gateway int, at time.Duration, worker, function, requestType, id string) complete {
 	conn := s.openConn()
 	s.lastSeq++
@@ -131,27 +131,27 @@
 	}
 }
 
-// requestLoad requests a replica on a connection of its own.
+// requestLoad adds a load request for one replica on a new connection to a worker.
 func (s *captureBuilder) requestLoad(at time.Duration, worker string, seq int) {
 	s.frame(0, capture.Written, s.openConn(), worker, at,
 		&workerrpc.LoadRequest{Seq: uint64(seq), Function: "preview", Replicas: 1})
 }
 
-// addOrdinaryTraffic adds traffic without a violation that comes close to each rule.
+// addOrdinaryTraffic adds traffic that violates no rule but comes close to violating each.
 func addOrdinaryTraffic(s *captureBuilder) {
-	c := s.request(0, 100*ms, "gross-salary", "1") // at-most-once, rejected by workers twice, then completed
+	c := s.request(0, 100*ms, "gross-salary", "1") // at-most-once: rejected by two workers, then completed
 	s.attempt(0, 101*ms, "a", "gross-salary", "salary-release", "e1")(105*ms, workerrpc.CodeOverloaded, 0)
 	s.attempt(0, 106*ms, "c", "gross-salary", "salary-release", "e1")(110*ms, workerrpc.CodeNotStarted, 0)
 	s.attempt(0, 111*ms, "b", "gross-salary", "salary-release", "e1")(150*ms, workerrpc.CodeOK, 10*ms)
 	s.respond(0, c, 151*ms, 200, "e1")
-	c = s.request(0, 200*ms, "transfer", "2") // keyed by zone, failed, again in the zone and window
+	c = s.request(0, 200*ms, "transfer", "2") // keyed with scope zone: failed, retried in the zone and window
 	s.attempt(0, 201*ms, "a", "transfer", "bank-transfer", "e2")(205*ms, workerrpc.CodeFailed, ms)
 	s.attempt(0, 206*ms, "b", "transfer", "bank-transfer", "e2")(230*ms, workerrpc.CodeOK, ms)
 	s.respond(0, c, 231*ms, 200, "e2")
-	c = s.request(1, 300*ms, "preview", "3") // redeliverable, failed and rejected
+	c = s.request(1, 300*ms, "preview", "3") // redeliverable: failed, then rejected by the gateway
 	s.attempt(1, 301*ms, "c", "preview", "pay-preview", "e3")(305*ms, workerrpc.CodeFailed, ms)
 	s.respond(1, c, 306*ms, 503, "e3")
-	c = s.request(1, 320*ms, "gross-salary", "4") // at-most-once, failed
+	c = s.request(1, 320*ms, "gross-salary", "4") // at-most-once: failed
 	s.attempt(1, 321*ms, "c", "gross-salary", "salary-release", "e4")(325*ms, workerrpc.CodeFailed, ms)
 	s.respond(1, c, 326*ms, 502, "e4")
 	c = s.request(1, 340*ms, "preview", "5") // the client disconnects
@@ -160,13 +160,13 @@
 		s.requestLoad(at, "a", i)
 	}
 	s.deliver(0, 1000*ms, entry("c", "z2", registry.Draining, -time.Hour))
-	c = s.request(0, 1400*ms, "preview", "6") // within the grace
+	c = s.request(0, 1400*ms, "preview", "6") // attempt to a draining worker within the drain grace
 	s.attempt(0, 1450*ms, "c", "preview", "pay-preview", "e6")(1460*ms, workerrpc.CodeOK, ms)
 	s.respond(0, c, 1461*ms, 200, "e6")
 	for i := range s.Captures {
 		s.deliver(i, 2000*ms, entry("b", "z1", registry.InService, 1990*ms))
 	}
-	for i := range 10 { // 100 ms of work in a second at a worker that bears about 500 ms
+	for i := range 10 { // 100 ms of work in a second for a worker that can handle about 500 ms
 		id := fmt.Sprint("cold", i)
 		at := 2100*ms + time.Duration(i)*50*ms
 		c = s.request(i%2, at, "preview", id)
@@ -175,8 +175,8 @@
 	}
 }
 
-// Every mutant is an edit of ordinary traffic that violates one rule; the checker names that rule and no other.
-// It is long as it is one table.
+// TestMutantsAreCaught guards against a check that misses violations or reports false ones. Each mutant adds traffic to
+// the ordinary traffic; the checker must report the rule that the addition violates and no other.
 func TestMutantsAreCaught(t *testing.T) {
 	for _, m := range []struct {
 		name  string
@@ -193,7 +193,7 @@
 			s.respond(0, c, 5100*ms, 200, "x")
 			s.respond(0, c, 5200*ms, 200, "x")
 		}},
-		{"an empty 200 to a client taken for disconnected", []int{1}, func(s *captureBuilder) {
+		{"status 200 without a request ID", []int{1}, func(s *captureBuilder) {
 			s.respond(0, s.request(0, 5*time.Second, "preview", "x"), 5100*ms, 200, "")
 		}},
 		{"attempt after the response", []int{1}, func(s *captureBuilder) {
@@ -204,7 +204,7 @@
 			c := s.request(0, 5*time.Second, "preview", "x")
 			s.record(0, capture.Record{Kind: capture.Closed, ConnID: c, Side: capture.Client, At: 5100 * ms})
 		}},
-		{"at-most-once again after an error", []int{2}, func(s *captureBuilder) {
+		{"at-most-once retried after a failure", []int{2}, func(s *captureBuilder) {
 			c := s.request(0, 5*time.Second, "gross-salary", "x")
 			s.attempt(0, 5001*ms, "a", "gross-salary", "salary-release", "x")(5010*ms, workerrpc.CodeFailed, ms)
 			s.attempt(0, 5011*ms, "b", "gross-salary", "salary-release", "x")(5020*ms, workerrpc.CodeOK, ms)
@@ -215,60 +215,60 @@
 			s.attempt(0, 5001*ms, "a", "gross-salary", "salary-release", "x")
 			s.respond(0, c, 5100*ms, 503, "x")
 		}},
-		{"two attempts at once", []int{2}, func(s *captureBuilder) {
+		{"parallel attempts without hedging", []int{2}, func(s *captureBuilder) {
 			c := s.request(0, 5*time.Second, "preview", "x")
 			s.attempt(0, 5001*ms, "a", "preview", "pay-preview", "x")(5050*ms, workerrpc.CodeOK, ms)
 			s.attempt(0, 5002*ms, "b", "preview", "pay-preview", "x")(5040*ms, workerrpc.CodeOK, ms)
 			s.respond(0, c, 5060*ms, 200, "x")
 		}},
-		{"two attempts at once, hedging", nil, func(s *captureBuilder) {
+		{"parallel attempts with hedging", nil, func(s *captureBuilder) {
 			s.Config.Fleet.Policy.Hedging = true
 			c := s.request(0, 5*time.Second, "preview", "x")
 			s.attempt(0, 5001*ms, "a", "preview", "pay-preview", "x")(5050*ms, workerrpc.CodeOK, ms)
 			s.attempt(0, 5002*ms, "b", "preview", "pay-preview", "x")(5040*ms, workerrpc.CodeOK, ms)
 			s.respond(0, c, 5060*ms, 200, "x")
 		}},
-		{"attempt within a longer grace", nil, func(s *captureBuilder) {
+		{"attempt within a longer drain grace", nil, func(s *captureBuilder) {
 			s.Config.Fleet.DrainGrace = config.Duration(10 * time.Second)
 			c := s.request(0, 1500*ms, "preview", "x")
 			s.attempt(0, 1501*ms, "c", "preview", "pay-preview", "x")(1510*ms, workerrpc.CodeOK, ms)
 			s.respond(0, c, 1511*ms, 200, "x")
 		}},
-		{"keyed in another zone", []int{2}, func(s *captureBuilder) {
+		{"keyed retried in another zone", []int{2}, func(s *captureBuilder) {
 			c := s.request(0, 900*ms, "transfer", "x")
 			s.attempt(0, 901*ms, "a", "transfer", "bank-transfer", "x")(910*ms, workerrpc.CodeFailed, ms)
 			s.attempt(0, 911*ms, "c", "transfer", "bank-transfer", "x")(920*ms, workerrpc.CodeOK, ms)
 			s.respond(0, c, 921*ms, 200, "x")
 		}},
-		{"keyed outside its window", []int{2}, func(s *captureBuilder) {
+		{"keyed retried outside its window", []int{2}, func(s *captureBuilder) {
 			s.Config.Fleet.Types[1].DedupWindow = config.Duration(100 * ms)
 			c := s.request(0, 900*ms, "transfer", "x")
 			s.attempt(0, 901*ms, "a", "transfer", "bank-transfer", "x")(990*ms, workerrpc.CodeFailed, ms)
 			s.attempt(0, 1002*ms, "b", "transfer", "bank-transfer", "x")(1020*ms, workerrpc.CodeOK, ms)
 			s.respond(0, c, 1021*ms, 200, "x")
 		}},
-		{"attempt after a drain", []int{3}, func(s *captureBuilder) {
+		{"attempt after the drain grace", []int{3}, func(s *captureBuilder) {
 			c := s.request(0, 1500*ms, "preview", "x")
 			s.attempt(0, 1501*ms, "c", "preview", "pay-preview", "x")(1510*ms, workerrpc.CodeOK, ms)
 			s.respond(0, c, 1511*ms, 200, "x")
 		}},
-		{"load requested after a drain", []int{3}, func(s *captureBuilder) {
+		{"load request after the drain grace", []int{3}, func(s *captureBuilder) {
 			s.requestLoad(1600*ms, "c", 99)
 		}},
-		{"attempt to a worker that a complete list left out", []int{3}, func(s *captureBuilder) {
+		{"attempt to a worker missing from a complete list", []int{3}, func(s *captureBuilder) {
 			s.deliverComplete(1, 3000*ms, entry("a", "z1", registry.InService, -time.Hour),
 				entry("b", "z1", registry.InService, 1990*ms))
 			c := s.request(1, 3600*ms, "preview", "x")
 			s.attempt(1, 3601*ms, "c", "preview", "pay-preview", "x")(3610*ms, workerrpc.CodeOK, ms)
 			s.respond(1, c, 3611*ms, 200, "x")
 		}},
-		{"a warming worker overloaded by one gateway", []int{4}, func(s *captureBuilder) {
+		{"worker overloaded by one gateway while warming up", []int{4}, func(s *captureBuilder) {
 			addColdOverload(s, func(int) int { return 0 })
 		}},
-		{"a warming worker overloaded by all together", []int{4}, func(s *captureBuilder) {
+		{"worker overloaded by two gateways while warming up", []int{4}, func(s *captureBuilder) {
 			addColdOverload(s, func(i int) int { return i % 2 })
 		}},
-		{"load requests past the limit", []int{5}, func(s *captureBuilder) {
+		{"load requests over the limit", []int{5}, func(s *captureBuilder) {
 			for i := range 3 {
 				s.requestLoad(time.Duration(10+i)*time.Second/10*10, "a", i)
 			}
@@ -276,12 +276,12 @@
 				s.requestLoad(20*time.Second+time.Duration(i)*ms, "a", i)
 			}
 		}},
-		{"load requests after the requests that allowed them have aged", []int{5}, func(s *captureBuilder) {
+		{"load requests after the requests that allowed them left the window", []int{5}, func(s *captureBuilder) {
 			for i := range 8 {
 				c := s.request(0, 30*time.Second+time.Duration(i)*ms, "preview", fmt.Sprint("x", i))
 				s.respond(0, c, 30100*ms, 200, fmt.Sprint("x", i))
 			}
-			for i := range 6 { // eight requests allow six loads, but only within their second
+			for i := range 6 { // eight requests allow six load requests, but only within one second
 				s.requestLoad(31100*ms+time.Duration(i)*ms, "a", i)
 			}
 		}},
@@ -296,7 +296,7 @@
 		if !slices.Equal(verdict.ViolatedRules(), m.rules) {
 			t.Errorf("%s: rules %v violated, want %v: %v", m.name, verdict.ViolatedRules(), m.rules, verdict.Violations)
 		}
-		dir := t.TempDir() // a saved folder is checked alike
+		dir := t.TempDir() // saved and loaded, the input must get the same verdict
 		if err := checker.Save(dir, s.Input); err != nil {
 			t.Fatal(err)
 		}
@@ -305,7 +305,7 @@
 			t.Fatalf("%s: %v", m.name, err)
 		}
 		if second, err := checker.Check(again); err != nil || fmt.Sprint(second) != fmt.Sprint(verdict) {
-			t.Errorf("%s: checked from its folder: %v, %v", m.name, second, err)
+			t.Errorf("%s: verdict after saving and loading: %v, error %v", m.name, second, err)
 		}
 	}
 }
@@ -321,7 +321,8 @@
 	}
 }
 
-// A capture that ends inside a record is read up to there; one that is no capture is rejected with a reason.
+// TestTornAndForeignCaptures checks that a truncated capture, as a crash leaves it, is read up to its last complete
+// record and reported as torn, and that a file of another format is rejected.
 func TestTornAndForeignCaptures(t *testing.T) {
 	var b bytes.Buffer
 	out, err := capture.NewWriter(&b, capture.Header{Incarnation: "f"})
@@ -341,12 +342,12 @@
 	}
 	complete, half := b.Bytes(), b.Bytes()[:b.Len()/2]
 	if _, records, torn, err := capture.ReadAll(bytes.NewReader(complete)); err != nil || torn || len(records) != 1000 {
-		t.Errorf("%d records, torn %v, %v", len(records), torn, err)
+		t.Errorf("complete capture: got %d records, torn %v, error %v; want 1000, false, nil", len(records), torn, err)
 	}
 	if _, records, torn, err := capture.ReadAll(bytes.NewReader(half)); err != nil || !torn || len(records) < 100 {
-		t.Errorf("%d records, torn %v, %v", len(records), torn, err)
+		t.Errorf("truncated capture: got %d records, torn %v, error %v; want at least 100, true", len(records), torn, err)
 	}
 	if _, _, _, err := capture.ReadAll(strings.NewReader("something else")); err == nil {
-		t.Error("a foreign file was accepted")
+		t.Error("a file that is not a capture was accepted")
 	}
 }
--- a/internal/testbed/checker/drains.go
+++ b/internal/testbed/checker/drains.go
@@ -6,18 +6,18 @@
 	"lupinpond/internal/registry"
 )
 
-// notice is a change of a worker's state as a gateway was notified of it.
+// notice is a change of a worker's state that a gateway was notified of.
 type notice struct {
-	at  time.Duration
-	out bool // it drains or is removed
+	at          time.Duration
+	unavailable bool // the worker is draining or removed
 }
 
-// drainNotices are what each gateway was notified of each worker, in its order.
+// drainNotices holds the notices that each gateway received about each worker, in the order of delivery.
 type drainNotices map[drainKey][]notice
 
 type drainKey struct{ gateway, worker string }
 
-// checkDrains checks rule 3: nothing new to a draining or removed worker after the grace.
+// checkDrains checks rule 3: no new work is sent to a draining or removed worker after the drain grace.
 func (e *evaluation) checkDrains() {
 	notices := newDrainNotices(e.input.Deliveries)
 	for _, attempt := range e.traffic.attempts {
@@ -30,11 +30,11 @@
 	}
 }
 
-// checkDrain checks what was sent to a worker by a time.
+// checkDrain checks one attempt or load request, described by what, whose last byte was sent to the worker at end.
 func (e *evaluation) checkDrain(notices drainNotices, at place, end time.Duration, what string) {
 	e.Checked[ruleDrains]++
-	since, out := notices.outSince(drainKey{at.gateway.Name, at.worker}, end)
-	if out && end > since+e.fleet.DrainGrace.Std() {
+	since, unavailable := notices.unavailableSince(drainKey{at.gateway.Name, at.worker}, end)
+	if unavailable && end > since+e.fleet.DrainGrace.Std() {
 		at.at = end
 		e.violated(ruleDrains, at, "%s %v after the notice that the worker is draining or removed", what, end-since)
 	}
@@ -42,12 +42,12 @@
 
 func newDrainNotices(deliveries []Delivery) drainNotices {
 	notices := drainNotices{}
-	known := map[string]map[string]bool{} // by gateway: the workers it has heard of
+	knownWorkers := map[string]map[string]bool{} // by gateway: workers named in any event delivered to it
 	for _, delivery := range deliveries {
-		if known[delivery.Gateway] == nil {
-			known[delivery.Gateway] = map[string]bool{}
+		if knownWorkers[delivery.Gateway] == nil {
+			knownWorkers[delivery.Gateway] = map[string]bool{}
 		}
-		workers := known[delivery.Gateway]
+		workers := knownWorkers[delivery.Gateway]
 		named := map[string]bool{}
 		for _, entry := range delivery.Event.Entries {
 			key := drainKey{delivery.Gateway, entry.Name}
@@ -67,16 +67,17 @@
 	return notices
 }
 
-// outSince reports whether a worker was out by a time as far as a gateway was notified, and since when.
-func (n drainNotices) outSince(key drainKey, end time.Duration) (since time.Duration, out bool) {
+// unavailableSince reports whether, according to the notices that the gateway had received by end, the worker was
+// draining or removed, and since when.
+func (n drainNotices) unavailableSince(key drainKey, end time.Duration) (since time.Duration, unavailable bool) {
 	for _, notice := range n[key] {
 		if notice.at > end {
 			break
 		}
-		if notice.out && !out {
+		if notice.unavailable && !unavailable {
 			since = notice.at
 		}
-		out = notice.out
+		unavailable = notice.unavailable
 	}
-	return since, out
+	return since, unavailable
 }
--- a/internal/testbed/checker/executions.go
+++ b/internal/testbed/checker/executions.go
@@ -8,14 +8,14 @@
 	"lupinpond/internal/registry"
 )
 
-// The effects of request types, as settings spell them.
+// Effects of request types, as spelled in the settings.
 const (
 	effectAtMostOnce    = "at-most-once"
 	effectKeyed         = "keyed"
 	effectRedeliverable = "redeliverable"
 )
 
-// attemptState is what a gateway could know of an attempt at a moment.
+// attemptState is the state of an attempt as far as its gateway could observe it at some time.
 type attemptState int
 
 const (
@@ -24,6 +24,8 @@
 	stateMayHaveRun
 )
 
+// state returns the state of the attempt at a time. An attempt that was cancelled or whose connection closed before its
+// result arrived may have run.
 func (a *attempt) state(at time.Duration) attemptState {
 	switch {
 	case a.result != nil && a.resultAt <= at:
@@ -37,16 +39,16 @@
 	return stateInFlight
 }
 
-// checkExecutions checks rule 2: no effect twice, and hedged requests only where they are redeliverable and settings
-// allow it.
+// checkExecutions checks rule 2: no request takes effect twice, and attempts run in parallel only for redeliverable
+// requests while the settings enable hedging.
 func (e *evaluation) checkExecutions() {
-	placements := e.placements()
-	for _, attempts := range e.sent {
+	latest := e.latestEntries()
+	for _, attempts := range e.attemptsByRequest {
 		requestType := e.types[attempts[0].frame.Type]
 		for i, attempt := range attempts {
 			e.Checked[ruleExecutions]++
-			if risk := e.earlierRisk(requestType, attempt, attempts[:i]); risk != nil {
-				e.checkRetry(requestType, attempt, risk, placements)
+			if previous := e.firstThatMayHaveRun(requestType, attempt, attempts[:i]); previous != nil {
+				e.checkRetry(requestType, attempt, previous, latest)
 			}
 		}
 	}
@@ -57,16 +59,19 @@
 	}
 }
 
-// idempotentAnywhere reports whether a client may repeat a request of the type although it may have run.
+// idempotentAnywhere reports whether a client may send a request of the type again, through any gateway, although an
+// earlier attempt may have run.
 func idempotentAnywhere(requestType fleetconfig.RequestType) bool {
 	return requestType.Effect == effectRedeliverable ||
 		requestType.Effect == effectKeyed && requestType.DedupScope == "all"
 }
 
-// earlierRisk is the first of earlier attempts that may have run when another was sent; nil: none. It also checks that
-// none was still in flight.
-func (e *evaluation) earlierRisk(requestType fleetconfig.RequestType, next *attempt, earlier []*attempt) *attempt {
-	var risk *attempt
+// firstThatMayHaveRun returns the first of the earlier attempts that may have run by the time next was sent, or nil. It
+// also records a violation for each earlier attempt that was still in flight then, unless the request may be hedged.
+func (e *evaluation) firstThatMayHaveRun(
+	requestType fleetconfig.RequestType, next *attempt, earlier []*attempt,
+) *attempt {
+	var first *attempt
 	hedging := requestType.Effect == effectRedeliverable && e.fleet.Policy.Hedging
 	for _, attempt := range earlier {
 		switch attempt.state(next.begin) {
@@ -76,37 +81,38 @@
 					attempt.frame.Number, attempt.worker)
 			}
 		case stateMayHaveRun:
-			if risk == nil {
-				risk = attempt
+			if first == nil {
+				first = attempt
 			}
 		}
 	}
-	return risk
+	return first
 }
 
-// checkRetry checks an attempt after one that may have run. Placements say where each worker stands.
+// checkRetry checks a retry that was sent after a previous attempt that may have run. A keyed request may only be
+// retried within its deduplication window and scope; latest gives the zone and cell of each worker.
 func (e *evaluation) checkRetry(
-	requestType fleetconfig.RequestType, retry, risk *attempt, placements map[string]registry.Entry,
+	requestType fleetconfig.RequestType, retry, previous *attempt, latest map[string]registry.Entry,
 ) {
 	switch requestType.Effect {
 	case effectAtMostOnce:
-		e.violated(ruleExecutions, retry.place(), "retried although attempt %d may have run", risk.frame.Number)
+		e.violated(ruleExecutions, retry.place(), "retried although attempt %d may have run", previous.frame.Number)
 	case effectKeyed:
-		if window := requestType.DedupWindow.Std(); retry.begin > risk.begin+window {
+		if window := requestType.DedupWindow.Std(); retry.begin > previous.begin+window {
 			e.violated(ruleExecutions, retry.place(), "retried outside its deduplication window of %v", window)
 		}
-		to, from := placements[retry.worker], placements[risk.worker]
+		to, from := latest[retry.worker], latest[previous.worker]
 		otherZone := to.Zone != from.Zone
 		otherCell := otherZone || to.Cell != from.Cell
 		if requestType.DedupScope == "zone" && otherZone || requestType.DedupScope == "cell" && otherCell {
-			e.violated(ruleExecutions, retry.place(), "retried outside the %s of %s", requestType.DedupScope, risk.worker)
+			e.violated(ruleExecutions, retry.place(), "retried outside the %s of %s", requestType.DedupScope, previous.worker)
 		}
 	}
 }
 
-// checkRejection checks that a rejected request, which its client may repeat, never ran.
+// checkRejection checks that a rejected request never ran, since its client may send it again.
 func (e *evaluation) checkRejection(request *clientRequest) {
-	for _, attempt := range e.sent[request.requestID] {
+	for _, attempt := range e.attemptsByRequest[request.requestID] {
 		e.Checked[ruleExecutions]++
 		if attempt.state(request.responseBegin) != stateNeverRan {
 			at := place{request.gateway, request.responseBegin, request.requestID, attempt.worker}
@@ -115,13 +121,13 @@
 	}
 }
 
-// placements is where each worker stands, by the newest watch event that has it.
-func (e *evaluation) placements() map[string]registry.Entry {
-	placements := map[string]registry.Entry{}
+// latestEntries returns the registry entry of each worker from the newest watch event that contains the worker.
+func (e *evaluation) latestEntries() map[string]registry.Entry {
+	latest := map[string]registry.Entry{}
 	for _, delivery := range e.input.Deliveries {
 		for _, entry := range delivery.Event.Entries {
-			placements[entry.Name] = entry
+			latest[entry.Name] = entry
 		}
 	}
-	return placements
+	return latest
 }
--- a/internal/testbed/checker/folder.go
+++ b/internal/testbed/checker/folder.go
@@ -22,17 +22,17 @@
 	captureExt     = ".cap"
 )
 
-// ErrNoCaptures says that a folder holds no capture.
+// ErrNoCaptures is returned by Load for a folder without a capture file.
 var ErrNoCaptures = errors.New("no capture (*" + captureExt + ")")
 
-// manifest is what is saved beside the captures and the settings.
+// manifest is the content of deliveriesFile, which is saved beside the captures and the settings.
 type manifest struct {
 	ClockBase  time.Time `json:"Base"`
 	End        time.Duration
 	Deliveries []Delivery `json:"News"`
 }
 
-// Save writes an input into a folder: settings, deliveries and a capture for each incarnation of a gateway.
+// Save writes an input into a folder: the settings, the deliveries and one capture file per incarnation of a gateway.
 func Save(dir string, input Input) error {
 	settings, err := yaml.Marshal(input.Config)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return out.Close()
 }
 
-// Load reads a folder that Save wrote, or that gateways with captures of their own left.
+// Load reads a folder written by Save, or a folder with captures that gateway processes wrote themselves.
 func Load(dir string) (Input, error) {
 	var input Input
 	var err error
@@ -119,7 +119,7 @@
 	if err != nil {
 		return GatewayCapture{}, err
 	}
-	for i := range records { // a process of its own counts from another moment
+	for i := range records { // convert to the input's clock: each gateway process has its own zero point
 		records[i].At += header.Base.Sub(base)
 	}
 	return GatewayCapture{Name: header.Incarnation, Index: header.GatewayIndex, Records: records, Torn: torn}, nil
--- a/internal/testbed/checker/loadrate.go
+++ b/internal/testbed/checker/loadrate.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// checkLoadRate checks rule 5: the load requests of a gateway in any window, the last one included, stay within the
-// limit.
+// checkLoadRate checks rule 5: in each window that ends with a load request, a gateway sends at most
+// Burst + PerRequest * requests load requests, where requests counts the requests accepted in the same window.
 func (e *evaluation) checkLoadRate() {
 	limit := e.fleet.LoadPolicy.RateLimit
 	window := limit.Window.Std()
@@ -30,7 +30,7 @@
 	}
 }
 
-// countWithin counts the times within the window that ends at a time.
+// countWithin returns how many of the times lie within the window that ends at end.
 func countWithin(times []time.Duration, end, window time.Duration) (count int) {
 	for _, at := range times {
 		if at > end-window && at <= end {
--- a/internal/testbed/checker/responses.go
+++ b/internal/testbed/checker/responses.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// checkResponses checks rule 1: one final response to each request, in time, and no attempt after it.
+// checkResponses checks rule 1: each request gets one final response before its deadline, and no attempt is sent after
+// that response.
 func (e *evaluation) checkResponses() {
 	final := map[string]*clientRequest{}
 	for _, request := range e.traffic.requests {
@@ -26,7 +27,7 @@
 			e.checkUnanswered(request)
 		}
 	}
-	for id, attempts := range e.sent {
+	for id, attempts := range e.attemptsByRequest {
 		response := final[id]
 		if response == nil {
 			continue
@@ -40,13 +41,14 @@
 	}
 }
 
-// checkResponse checks a request that got a response; repeated says that it had one before.
+// checkResponse checks a request that got a response; repeated reports whether an earlier response had the same
+// request ID.
 func (e *evaluation) checkResponse(request *clientRequest, repeated bool) {
 	at := place{gateway: request.gateway, at: request.responseBegin, requestID: request.requestID}
 	if repeated {
 		e.violated(ruleResponses, at, "second response")
 	}
-	if late := request.responseEnd - e.due(request); late > 0 {
+	if late := request.responseEnd - e.deadline(request); late > 0 {
 		end := at
 		end.at = request.responseEnd
 		e.violated(ruleResponses, end, "response %v after the client's time and slack", late)
@@ -63,26 +65,26 @@
 	}
 }
 
-// checkUnanswered checks a request that got no response, or not all of one.
+// checkUnanswered checks a request that got no response or only part of one.
 func (e *evaluation) checkUnanswered(request *clientRequest) {
-	due := e.due(request)
+	deadline := e.deadline(request)
 	crashedAt, crashed := e.traffic.crashedAt[request.gateway]
 	at := place{gateway: request.gateway, at: request.closedAt, requestID: request.call.ClientID}
 	switch {
-	case crashed && crashedAt <= due:
+	case crashed && crashedAt <= deadline:
 		e.Lost++
-	case request.disconnected && request.closedAt <= due:
+	case request.disconnected && request.closedAt <= deadline:
 		e.Disconnected++
 	case request.closedByGateway:
 		e.violated(ruleResponses, at, "connection closed without a response")
-	case due <= e.end && !request.gateway.Torn:
-		at.at = due
+	case deadline <= e.end && !request.gateway.Torn:
+		at.at = deadline
 		e.violated(ruleResponses, at, "no response within %v and %v of slack", request.call.TimeLeft,
 			e.fleet.AnswerSlack.Std())
 	}
 }
 
-// due is when a request has to have its response.
-func (e *evaluation) due(request *clientRequest) time.Duration {
+// deadline returns the time by which the response to the request must be complete.
+func (e *evaluation) deadline(request *clientRequest) time.Duration {
 	return request.receivedAt + request.call.TimeLeft + e.fleet.AnswerSlack.Std()
 }
--- a/internal/testbed/checker/slowstart.go
+++ b/internal/testbed/checker/slowstart.go
@@ -8,31 +8,32 @@
 	"lupinpond/internal/registry"
 )
 
-// deviations is how many standard deviations of chance a worker's budget is widened by.
-const deviations = 3
+// toleranceStdDevs is the tolerance added to a worker's budget, in standard deviations of the work that randomly
+// arriving requests bring within a crash window.
+const toleranceStdDevs = 3
 
-// incarnation names one start of a worker.
+// incarnation identifies one incarnation of a worker.
 type incarnation struct {
 	worker    string
 	startedAt time.Time
 }
 
-// warmUp is what is known of a worker's start.
+// warmUp describes an incarnation of a worker that gateways were notified of.
 type warmUp struct {
 	worker     string
 	cores      float64
 	startedAt  time.Duration            // on the captures' clock
-	notifiedAt map[string]time.Duration // by gateway
+	notifiedAt map[string]time.Duration // by gateway: when it was notified of the start
 }
 
-// informed reports whether the gateway that sent an attempt had been notified of the start.
-func (w *warmUp) informed(attempt *attempt) bool {
-	at, is := w.notifiedAt[attempt.gateway.Name]
-	return is && at <= attempt.begin
+// notified reports whether the gateway that sent the attempt had been notified of the worker's start by then.
+func (w *warmUp) notified(attempt *attempt) bool {
+	at, ok := w.notifiedAt[attempt.gateway.Name]
+	return ok && at <= attempt.begin
 }
 
-// checkSlowStart checks rule 4, all gateways together: the work that reaches a worker within any crash window while it
-// warms up stays within the multiple of its capacity then, widened by three standard deviations of chance.
+// checkSlowStart checks rule 4: the work that all gateways together send to a worker within any crash window while it
+// warms up stays within CrashMultiple times its capacity at that age, plus toleranceStdDevs standard deviations.
 func (e *evaluation) checkSlowStart() {
 	if e.fleet.SlowStart.CrashMultiple <= 0 {
 		return
@@ -47,7 +48,7 @@
 	}
 }
 
-// warmUps are the starts of workers that gateways were notified of.
+// warmUps returns the incarnations of workers that gateways were notified of.
 func (e *evaluation) warmUps() map[incarnation]*warmUp {
 	starts := map[incarnation]*warmUp{}
 	for _, delivery := range e.input.Deliveries {
@@ -64,7 +65,7 @@
 					notifiedAt: map[string]time.Duration{},
 				}
 			}
-			if _, is := starts[key].notifiedAt[delivery.Gateway]; !is {
+			if _, ok := starts[key].notifiedAt[delivery.Gateway]; !ok {
 				starts[key].notifiedAt[delivery.Gateway] = delivery.At
 			}
 		}
@@ -72,11 +73,13 @@
 	return starts
 }
 
-// checkWarmUp checks the attempts that a worker got while it was warming up.
+// checkWarmUp checks the attempts that were sent to a worker while it was warming up.
 func (e *evaluation) checkWarmUp(start *warmUp, attempts []*attempt, estimate *workEstimate) {
 	slowStart := e.fleet.SlowStart
 	crashWindow := slowStart.CrashWindow.Std()
-	first, sent, informed := 0, 0.0, 0.0 // of the attempts within the window that ends with the last one
+	// sent is the work of window[first:], the attempts within the crash window that ends with the current one;
+	// notified is the part of it from gateways that had been notified of the start.
+	first, sent, notified := 0, 0.0, 0.0
 	var window []*attempt
 	for _, attempt := range attempts {
 		if attempt.begin < start.startedAt || attempt.begin > start.startedAt+slowStart.WarmUpTime.Std() {
@@ -86,41 +89,43 @@
 		window = append(window, attempt)
 		work := estimate.of(attempt)
 		sent += work
-		if start.informed(attempt) {
-			informed += work
+		if start.notified(attempt) {
+			notified += work
 		}
 		for window[first].begin <= attempt.begin-crashWindow {
 			old := window[first]
 			sent -= estimate.of(old)
-			if start.informed(old) {
-				informed -= estimate.of(old)
+			if start.notified(old) {
+				notified -= estimate.of(old)
 			}
 			first++
 		}
-		share := warmShare(slowStart, attempt.begin-crashWindow/2-start.startedAt)
+		share := capacityShare(slowStart, attempt.begin-crashWindow/2-start.startedAt)
 		budget := slowStart.CrashMultiple * share * start.cores * float64(crashWindow)
 		mean := sent / float64(len(window)-first)
-		budget += deviations * math.Sqrt(budget*mean)
+		budget += toleranceStdDevs * math.Sqrt(budget*mean)
 		e.PeakSlowStartUse = max(e.PeakSlowStartUse, sent/budget)
-		// gateways that were not yet notified of the start can't spare the worker
-		if sent > budget && informed >= 2*sent/3 {
+		// a gateway that was not yet notified of the start can't limit its load on the worker, so a window counts only
+		// if two thirds of its work came from notified gateways
+		if sent > budget && notified >= 2*sent/3 {
 			e.violated(ruleSlowStart, attempt.place(), "overloaded while warming up: %v of work in %v, capacity %v",
 				time.Duration(sent), crashWindow, time.Duration(budget))
 		}
 	}
 }
 
-// warmShare is the part of its capacity that a worker has so long after its start.
-func warmShare(slowStart fleetconfig.SlowStart, age time.Duration) float64 {
+// capacityShare returns the fraction of its full capacity that a worker has at an age: it rises linearly from
+// InitialShare to 1 over WarmUpTime.
+func capacityShare(slowStart fleetconfig.SlowStart, age time.Duration) float64 {
 	initial := slowStart.InitialShare
 	return min(1, initial+(1-initial)*float64(max(0, age))/float64(slowStart.WarmUpTime))
 }
 
-// workEstimate estimates the CPU time of attempts: what the worker said that one took; where it did not say, what the
-// function's attempts took on average, else what all did.
+// workEstimate estimates the CPU time of attempts: the time that the worker reported or, if it reported none, the mean
+// of the function's attempts, or the mean of all attempts if none of the function's has a time.
 type workEstimate struct {
-	sum      map[string]time.Duration // by function
-	count    map[string]int
+	sum      map[string]time.Duration // reported CPU time, by function
+	count    map[string]int           // attempts with a reported CPU time, by function
 	allSum   time.Duration
 	allCount int
 }
@@ -140,6 +145,7 @@
 	return estimate
 }
 
+// of returns the estimated CPU time of an attempt in nanoseconds.
 func (w *workEstimate) of(attempt *attempt) float64 {
 	if cpuTime := attempt.cpuTime(); cpuTime > 0 {
 		return float64(cpuTime)
@@ -150,7 +156,7 @@
 	return float64(w.allSum) / float64(max(1, w.allCount))
 }
 
-// cpuTime is what the worker said that the attempt took; 0: it did not say.
+// cpuTime returns the CPU time that the worker reported for the attempt, or 0 if it reported none.
 func (a *attempt) cpuTime() time.Duration {
 	if a.result == nil {
 		return 0
--- a/internal/testbed/checker/stream.go
+++ b/internal/testbed/checker/stream.go
@@ -10,15 +10,16 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// stream is one direction of a connection.
+// stream holds the bytes of one direction of a connection and the times at which they were read or written.
 type stream struct {
 	data     []byte
 	segments []segment
 }
 
-// segment is when a part of a stream passed.
+// segment is a part of a stream that one call read or wrote. For a write, begin and end are those of the call; for a
+// read, both are the time at which the call returned.
 type segment struct {
-	offset     int // of its first byte
+	offset     int // offset of the first byte in the stream
 	begin, end time.Duration
 }
 
@@ -27,7 +28,7 @@
 	s.data = append(s.data, record.Data...)
 }
 
-// segmentAt gives when the byte at an offset passed.
+// segmentAt returns the segment that contains the byte at an offset.
 func (s *stream) segmentAt(offset int) segment {
 	i, found := slices.BinarySearchFunc(s.segments, offset, func(s segment, offset int) int { return s.offset - offset })
 	if !found {
@@ -39,16 +40,17 @@
 	return s.segments[i]
 }
 
-// frameHeaderBytes is the length that stands before each frame.
+// frameHeaderBytes is the size of the length prefix of each frame.
 const frameHeaderBytes = 4
 
-// frameReader reads the frames of the worker protocol out of a stream.
+// frameReader reads the frames of the worker protocol from a stream.
 type frameReader struct {
 	stream
 	offset int
 }
 
-// next reads a frame, with when its first and last bytes passed. The body is nil where no complete frame is left.
+// next reads a frame and returns it with the segments of its first and last bytes. The body is nil if no complete frame
+// is left.
 func (r *frameReader) next() (body any, first, last segment, err error) {
 	rest := r.data[r.offset:]
 	if len(rest) < frameHeaderBytes {
@@ -56,7 +58,7 @@
 	}
 	length := int(binary.BigEndian.Uint32(rest))
 	if length > workerrpc.MaxFrame {
-		return nil, segment{}, segment{}, fmt.Errorf("%w: a frame of %d bytes", workerrpc.ErrProtocol, length)
+		return nil, segment{}, segment{}, fmt.Errorf("%w: frame of %d bytes exceeds the limit", workerrpc.ErrProtocol, length)
 	}
 	end := frameHeaderBytes + length
 	if len(rest) < end {
--- a/internal/testbed/checker/traffic.go
+++ b/internal/testbed/checker/traffic.go
@@ -15,45 +15,45 @@
 	"lupinpond/internal/workerrpc"
 )
 
-// traffic is what the captures hold.
+// traffic holds the requests, attempts and load requests decoded from the captures.
 type traffic struct {
 	requests           []*clientRequest
 	attempts           []*attempt
 	loadRequests       []*loadRequest
-	crashedAt          map[*GatewayCapture]time.Duration
-	protocolViolations []Violation // what no gateway that upholds the rules puts on a socket
+	crashedAt          map[*GatewayCapture]time.Duration // gateways that crashed, with the time
+	protocolViolations []Violation                       // responses to clients that match no request
 }
 
 // clientRequest is one request of a client and its response.
 type clientRequest struct {
 	gateway         *GatewayCapture
 	call            invoke.Call
-	receivedAt      time.Duration // of its last byte
-	status          int           // of the response; 0: there is none
+	receivedAt      time.Duration // time of the request's last byte
+	status          int           // HTTP status of the response; 0 if there is no complete response
 	responseBegin   time.Duration
 	responseEnd     time.Duration
-	requestID       string // that the gateway gave it
-	disconnected    bool   // the client closed the connection without a response
-	closedByGateway bool   // the gateway did
+	requestID       string // ID assigned by the gateway, from the response
+	disconnected    bool   // the client closed the connection before a response
+	closedByGateway bool   // the gateway closed the connection without a response
 	closedAt        time.Duration
-	notAccepted     bool
+	notAccepted     bool // the gateway had to reject the request, or rejected it before it was in flight
 }
 
-// attempt is one attempt as it left a gateway.
+// attempt is one attempt that a gateway sent to a worker, and its result.
 type attempt struct {
 	gateway        *GatewayCapture
 	worker         string
 	frame          *workerrpc.Attempt
 	begin, end     time.Duration
-	result         *workerrpc.AttemptResult
+	result         *workerrpc.AttemptResult // nil if none was received
 	resultAt       time.Duration
-	cancelledAt    time.Duration // 0: never
-	disconnectedAt time.Duration // 0: never
+	cancelledAt    time.Duration // when the gateway sent a cancellation; 0 if it sent none
+	disconnectedAt time.Duration // when the connection closed; 0 if it didn't
 }
 
 func (a *attempt) place() place { return place{a.gateway, a.begin, a.frame.RequestID, a.worker} }
 
-// loadRequest is one load request as it left a gateway.
+// loadRequest is one load request that a gateway sent to a worker.
 type loadRequest struct {
 	gateway    *GatewayCapture
 	worker     string
@@ -67,13 +67,13 @@
 type conn struct {
 	side     capture.Side
 	peer     string
-	in, out  stream
+	in, out  stream // in and out as seen from the gateway
 	closedAt time.Duration
 	isClosed bool
-	byPeer   bool
+	byPeer   bool // the peer closed the connection, not the gateway
 }
 
-// readTraffic takes the captures apart.
+// readTraffic decodes the captures. It returns requests, attempts and load requests in the order of their times.
 func readTraffic(input Input) (*traffic, error) {
 	t := &traffic{crashedAt: map[*GatewayCapture]time.Duration{}}
 	catalogue := invoke.NewCatalogue(input.Config)
@@ -99,7 +99,8 @@
 	return t, nil
 }
 
-// readConns puts the records of a capture together by connection; ids has these in the order of their first records.
+// readConns groups the records of a capture by connection; ids lists the connections in the order of their first
+// records.
 func (t *traffic) readConns(gateway *GatewayCapture) (conns map[uint64]*conn, ids []uint64) {
 	conns = map[uint64]*conn{}
 	for _, record := range gateway.Records {
@@ -125,7 +126,7 @@
 	return conns, ids
 }
 
-// readClient takes the requests of a client's connection and their responses.
+// readClient decodes the requests on a client's connection and their responses.
 func (t *traffic) readClient(gateway *GatewayCapture, c *conn, catalogue *invoke.Catalogue) {
 	in, out := newHTTPReader(&c.in), newHTTPReader(&c.out)
 	for {
@@ -134,7 +135,7 @@
 			break
 		}
 		if _, err := io.Copy(io.Discard, message.Body); err != nil {
-			break // never complete, so never accepted
+			break // an incomplete request is never accepted
 		}
 		request := newClientRequest(gateway, message, catalogue)
 		request.receivedAt = c.in.segmentAt(in.offset() - 1).begin
@@ -163,7 +164,8 @@
 	}
 }
 
-// readResponse reads the next response as the one to the request; status stays 0 where there is no complete one.
+// readResponse reads the next response as the response to this request. If there is no complete response, status stays
+// 0.
 func (r *clientRequest) readResponse(message *http.Request, out *httpReader) {
 	begin := out.offset()
 	response, err := http.ReadResponse(out.buffered, message)
@@ -181,7 +183,8 @@
 	r.notAccepted = r.notAccepted || r.requestID == "" || bytes.Contains(body, []byte(invoke.ProblemNotAccepted))
 }
 
-// readUnmatchedResponse notes a response that no request asked for. A 400 may be one to what could not be read.
+// readUnmatchedResponse records a violation if a response is left that matches no request. Status 400 is allowed: it
+// may be the response to a malformed request.
 func (t *traffic) readUnmatchedResponse(gateway *GatewayCapture, out *httpReader) {
 	if out.offset() == len(out.stream.data) {
 		return
@@ -197,7 +200,7 @@
 	}
 }
 
-// readWorker takes the frames of a worker's connection.
+// readWorker decodes the attempts, results and load requests on a worker's connection.
 func (t *traffic) readWorker(gateway *GatewayCapture, c *conn) error {
 	attempts, err := t.readSent(gateway, c)
 	if err != nil {
@@ -207,10 +210,10 @@
 	for {
 		body, _, last, err := in.next()
 		if err != nil || body == nil {
-			return nil // what a worker sends is not checked
+			return nil // frames of workers are not checked, so an invalid one is no error
 		}
-		result, is := body.(*workerrpc.AttemptResult)
-		if !is {
+		result, ok := body.(*workerrpc.AttemptResult)
+		if !ok {
 			continue
 		}
 		if sent := attempts[result.Seq]; sent != nil && sent.result == nil && sent.frame.RequestID == result.RequestID {
@@ -219,7 +222,7 @@
 	}
 }
 
-// readSent takes the frames that were sent to a worker; it gives the attempts among them, by their sequence numbers.
+// readSent decodes the frames that were sent to a worker and returns the attempts among them by sequence number.
 func (t *traffic) readSent(gateway *GatewayCapture, c *conn) (map[uint64]*attempt, error) {
 	attempts, cancelledAt := map[uint64]*attempt{}, map[uint64]time.Duration{}
 	out := frameReader{stream: c.out}
@@ -253,7 +256,7 @@
 	return attempts, nil
 }
 
-// httpReader reads HTTP messages out of a stream.
+// httpReader reads HTTP messages from a stream.
 type httpReader struct {
 	stream   *stream
 	rest     *bytes.Reader
@@ -265,5 +268,5 @@
 	return &httpReader{stream: s, rest: rest, buffered: bufio.NewReader(rest)}
 }
 
-// offset is how much of the stream has been read.
+// offset returns the number of bytes of the stream that have been read.
 func (r *httpReader) offset() int { return len(r.stream.data) - r.rest.Len() - r.buffered.Buffered() }
