--- a/internal/testbed/localfleet/build.go
+++ b/internal/testbed/localfleet/build.go
@@ -9,8 +9,8 @@
 	"lupinpond/internal/artifact/manifest"
 )
 
-// Build builds a program of this module, such as lupinpond/examples/payroll, as a package's entry point of a kind, with
-// the Go toolchain on the path. It is for tests.
+// Build builds a program of this module, such as lupinpond/examples/payroll, with the Go toolchain on the PATH and
+// writes it to entryPoint. The kind, process or wasm, determines the target. Build is meant for tests.
 func Build(entryPoint, program, kind string) error {
 	args, env := []string{"build", "-o", entryPoint}, append(os.Environ(), "CGO_ENABLED=0")
 	if kind == manifest.Wasm {
--- a/internal/testbed/localfleet/chunkserver.go
+++ b/internal/testbed/localfleet/chunkserver.go
@@ -15,7 +15,7 @@
 	"lupinpond/internal/base/httpserver"
 )
 
-// What a worker's distributor is set up with: loopback limits nothing.
+// Settings of a worker's distributor. They are high enough not to limit transfers over loopback.
 const (
 	cacheBytes            = 1 << 30
 	networkBytesPerSecond = 1e9
@@ -24,7 +24,7 @@
 	maxParallelChunks     = 16
 )
 
-// ChunkServer is a worker's distributor and the server on which it gives chunks to other workers.
+// ChunkServer is a worker's distributor with an HTTP server that serves its chunks to other workers.
 type ChunkServer struct {
 	*distribution.Distributor
 	Addr   string
@@ -32,8 +32,8 @@
 	server *httpserver.LoopbackServer
 }
 
-// NewChunkServer makes a distributor in a worker's folder, of the store at a URL, and serves it. Peers and log may be
-// nil.
+// NewChunkServer starts the chunk server of the worker name. It keeps its files in folder and fetches chunks from peers
+// and from the store at storeURL. If peers is nil, it uses only the store; if log is nil, nothing is logged.
 func NewChunkServer(name, folder, storeURL string, chunkTimeout time.Duration, peers func() []distribution.Peer,
 	log *slog.Logger) (*ChunkServer, error) {
 	if log == nil {
@@ -41,7 +41,7 @@
 	}
 	folder = filepath.Join(folder, "cache")
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return nil, fmt.Errorf("make chunk cache of %s: %w", name, err)
+		return nil, fmt.Errorf("create chunk cache of %s: %w", name, err)
 	}
 	chunks, err := cache.Open(folder, cacheBytes, log)
 	if err != nil {
@@ -71,11 +71,11 @@
 	return s, nil
 }
 
-// Close ends it, and what is under way.
+// Close stops the server and the distributor and aborts the transfers in progress.
 func (s *ChunkServer) Close() {
 	var distributor sync.WaitGroup
 	distributor.Go(s.Distributor.Close)
-	_ = s.server.Close() // what was being given is lost with it
+	_ = s.server.Close() // an error doesn't matter: unfinished uploads are aborted
 	distributor.Wait()
 	s.client.CloseIdleConnections()
 }
--- a/internal/testbed/localfleet/executions.go
+++ b/internal/testbed/localfleet/executions.go
@@ -6,10 +6,12 @@
 	"strings"
 )
 
-// executionPrefix begins a line that the example packages write for each execution.
+// executionPrefix is the prefix of the log line that the example packages write for each execution. The request's name
+// follows it.
 const executionPrefix = "effect "
 
-// CountExecutions counts what ran at the workers, by request, from the log that the packages write.
+// CountExecutions returns the number of executions of each request, by its name, from the log that the replicas of the
+// example packages write.
 func CountExecutions(path string) (map[string]int, error) {
 	log, err := os.Open(path)
 	if err != nil {
@@ -19,7 +21,7 @@
 	counts := map[string]int{}
 	lines := bufio.NewScanner(log)
 	for lines.Scan() {
-		if name, is := strings.CutPrefix(lines.Text(), executionPrefix); is {
+		if name, ok := strings.CutPrefix(lines.Text(), executionPrefix); ok {
 			counts[name]++
 		}
 	}
--- a/internal/testbed/localfleet/localfleet.go
+++ b/internal/testbed/localfleet/localfleet.go
@@ -1,5 +1,6 @@
-// Package localfleet starts and stops workers inside one process, for scenarios and for tests of gateways: emulated
-// ones and the worker runtime, behind one interface, and the store of the packages that the runtime ones load.
+// Package localfleet runs workers within the current process, for scenarios and for tests of gateways. It provides one
+// interface for emulated workers and for the worker runtime, and an artifact store with the packages that the worker
+// runtime loads.
 package localfleet
 
 import (
@@ -9,33 +10,33 @@
 	"lupinpond/internal/worker/faultinject"
 )
 
-// LongUptime is the uptime of workers that the registry has had for long: they are warm.
+// LongUptime is the uptime of a worker that has finished its warm-up long ago.
 const LongUptime = 24 * time.Hour
 
-// Worker is a worker of a scenario: an emulated one (emulator.Worker), or the worker runtime (Runtime).
+// Worker is a worker that can be started, stopped and disturbed: emulator.Worker or Runtime.
 type Worker interface {
 	Name() string
-	// Start begins an incarnation at addr, or any port of loopback where that is empty. The worker says that it started
-	// an uptime ago.
+	// Start starts an incarnation that listens at addr, or at any free loopback port if addr is empty. The returned
+	// start time lies uptime in the past, so that the worker can be registered as warm.
 	Start(addr string, uptime time.Duration) (listenAddr string, started time.Time, err error)
-	// Stop ends the incarnation at once; whatever ran is lost.
+	// Stop stops the incarnation at once; running requests are lost.
 	Stop()
-	// Crashes is how often the worker crashed under too much load while warming up.
+	// Crashes returns how often the worker crashed from overload while warming up.
 	Crashes() int
-	// InjectFault has the worker misbehave from now on.
+	// InjectFault changes the faults that are injected into the worker.
 	InjectFault(change func(*faultinject.Faults))
-	// SetUnresponsive has it neither read nor write, or no more.
+	// SetUnresponsive stops the worker from reading and writing on its connections, or lets it continue.
 	SetUnresponsive(unresponsive bool)
-	// Reset breaks its connections.
+	// Reset closes the worker's connections; the worker continues to accept new ones.
 	Reset()
-	// Drain says on its connections that nothing new is started there.
+	// Drain starts the drain of the worker and announces it on the worker's connections.
 	Drain()
-	// Redeploy has it notice a new release of a function.
+	// Redeploy makes the worker pick up a new release of a function.
 	Redeploy(function string)
 }
 
-// AlternateDeployment makes settings those of the other supported deployment (docs/migration.md), whose gateways stand
-// in a zone.
+// AlternateDeployment changes settings to those of the other supported deployment (docs/migration.md), with the
+// gateways in the given zone.
 func AlternateDeployment(settings *fleetconfig.File, zone string) {
 	settings.Fleet.Tenants = nil
 	for i := range settings.Functions {
--- a/internal/testbed/localfleet/releases.go
+++ b/internal/testbed/localfleet/releases.go
@@ -17,29 +17,31 @@
 )
 
 const (
-	// uniqueContentBytes is how many bytes of a release differ from all others.
+	// uniqueContentBytes is the number of bytes in a release that no other release contains.
 	uniqueContentBytes = 512 << 10
 	// packageMemoryLimit is the memory limit of a replica in bytes.
 	packageMemoryLimit = 64 << 20
-	// packageTimeout is how long a request of a package may take.
+	// packageTimeout is the timeout of a request at a replica.
 	packageTimeout = 30 * time.Second
 )
 
-// ErrUnknownFunction says that a function is not in the catalogue.
+// ErrUnknownFunction is returned by Publish for a function that is not in the settings.
 var ErrUnknownFunction = errors.New("unknown function")
 
-// Releases is a store with a package for each function of a catalogue, all of them the example program payroll.
+// Releases is a store with a package for each function of the settings. All packages contain the example program
+// payroll.
 type Releases struct {
 	store  *Store
 	folder string
-	binary string // the payroll program
+	binary string // path of the payroll program
 	config fleetconfig.File
 
 	mu          sync.Mutex
 	lastVersion int
 }
 
-// NewReleases opens a store in a folder and publishes every function of the settings; binary is the payroll program.
+// NewReleases opens a store in a folder and publishes a release of every function of the settings; binary is the path
+// of the payroll program.
 func NewReleases(folder, binary string, settings fleetconfig.File, capacity artifactstore.Capacity) (*Releases, error) {
 	store, err := OpenStore(filepath.Join(folder, "store"), capacity)
 	if err != nil {
@@ -57,7 +59,7 @@
 // Close closes the store.
 func (r *Releases) Close() error { return r.store.Close() }
 
-// Store is the store, to have it stop or to read its counts.
+// Store returns the store, so that callers can stop it or read its counts.
 func (r *Releases) Store() *Store { return r.store }
 
 // Publish publishes a new release of a function.
@@ -85,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	// what stands behind a program is not read by it
+	// bytes appended to an executable don't change how it runs
 	if err := os.WriteFile(filepath.Join(folder, "entry"), append(program, r.uniqueContent()...), 0o755); err != nil {
 		return err
 	}
@@ -105,9 +107,9 @@
 	return err
 }
 
-// uniqueContent is content that only the last version has.
+// uniqueContent returns random bytes that only the last version contains.
 func (r *Releases) uniqueContent() []byte {
 	content := make([]byte, uniqueContentBytes)
-	_, _ = rand.NewChaCha8([32]byte{byte(r.lastVersion), byte(r.lastVersion >> 8)}).Read(content) // it never fails
+	_, _ = rand.NewChaCha8([32]byte{byte(r.lastVersion), byte(r.lastVersion >> 8)}).Read(content) // never fails
 	return content
 }
--- a/internal/testbed/localfleet/runtime.go
+++ b/internal/testbed/localfleet/runtime.go
@@ -15,7 +15,7 @@
 	"lupinpond/internal/worker/idempotency"
 )
 
-// How workers of the runtime are set up: patient where a loaded machine is slow, quick where a test waits.
+// Settings of workers. Timeouts are long enough for a busy machine; intervals are short so that tests don't wait long.
 const (
 	maxInFlight          = 256
 	maxResponseBytes     = 1 << 20
@@ -26,35 +26,35 @@
 	chunkTimeout         = 5 * time.Second
 )
 
-// RuntimeOptions are what a Runtime is made from.
+// RuntimeOptions configures a Runtime.
 type RuntimeOptions struct {
 	Name         string
-	Folder       string // its own
+	Folder       string // used by this worker alone
 	Releases     *Releases
 	Limits       admission.Limits
-	ExecutionLog *os.File                   // gets the log of all replicas
-	Claims       *idempotency.Group         // see worker.Options
-	Peers        func() []distribution.Peer // that give chunks; nil: none
+	ExecutionLog *os.File                   // receives the output of all replicas
+	Claims       *idempotency.Group         // worker.Options.IdempotencyGroup
+	Peers        func() []distribution.Peer // returns the workers that serve chunks; nil if there are none
 }
 
-// Runtime is the worker runtime, started and stopped within this process.
+// Runtime is a worker of the worker runtime within the current process.
 type Runtime struct {
 	options RuntimeOptions
 
 	mu          sync.Mutex
 	worker      *worker.Worker
 	chunkServer *ChunkServer
-	cancel      context.CancelFunc // of the incarnation; nil: stopped
-	stopped     chan error
+	cancel      context.CancelFunc // stops the current incarnation; nil if there is none
+	stopped     chan error         // receives the result of the worker's Run
 }
 
-// NewRuntime makes a worker that is not started.
+// NewRuntime returns a worker that is not started.
 func NewRuntime(options RuntimeOptions) *Runtime { return &Runtime{options: options} }
 
-// Name is the worker's name.
+// Name returns the worker's name.
 func (r *Runtime) Name() string { return r.options.Name }
 
-// Start begins an incarnation.
+// Start starts an incarnation, see Worker.Start.
 func (r *Runtime) Start(addr string, uptime time.Duration) (listenAddr string, started time.Time, err error) {
 	if addr == "" {
 		addr = "127.0.0.1:0"
@@ -100,7 +100,7 @@
 	}
 }
 
-// Stop ends the incarnation; what ran is lost.
+// Stop stops the incarnation; running requests are lost.
 func (r *Runtime) Stop() {
 	r.mu.Lock()
 	cancel, stopped, w, chunks := r.cancel, r.stopped, r.worker, r.chunkServer
@@ -115,7 +115,7 @@
 	<-stopped
 }
 
-// ChunkAddr is where it gives chunks to others; empty while it is stopped.
+// ChunkAddr returns the address at which the worker serves chunks to other workers, or "" while the worker is stopped.
 func (r *Runtime) ChunkAddr() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,24 +125,26 @@
 	return r.chunkServer.Addr
 }
 
-// Crashes is 0: the runtime bears what it gets while warming up.
+// Crashes returns 0: the worker runtime doesn't crash from overload while warming up.
 func (r *Runtime) Crashes() int { return 0 }
 
-// InjectFault has it misbehave from now on.
+// InjectFault changes the faults that are injected into the worker.
 func (r *Runtime) InjectFault(change func(*faultinject.Faults)) { r.current().UpdateFaults(change) }
 
-// SetUnresponsive has it neither read nor write, or no more.
+// SetUnresponsive stops the worker from reading and writing on its connections, or lets it continue.
 func (r *Runtime) SetUnresponsive(unresponsive bool) { r.current().Silence(unresponsive) }
 
-// Reset breaks its connections.
+// Reset closes the worker's connections; the worker continues to accept new ones.
 func (r *Runtime) Reset() { r.current().Reset() }
 
-// Drain drains it.
+// Drain starts the drain of the worker: it rejects new work, finishes accepted work and announces the drain on its
+// connections.
 func (r *Runtime) Drain() { r.current().Drain() }
 
-// Redeploy has it read the releases anew. The release itself is in the store, for all workers.
+// Redeploy makes the worker read the current releases from the store, where the new release has been published for all
+// workers.
 func (r *Runtime) Redeploy(string) {
-	_ = r.current().RefreshReleases(context.Background()) // a store that can't be read leaves them as they are
+	_ = r.current().RefreshReleases(context.Background()) // if the store can't be read, the old releases stay active
 }
 
 func (r *Runtime) current() *worker.Worker {
--- a/internal/testbed/localfleet/store.go
+++ b/internal/testbed/localfleet/store.go
@@ -11,17 +11,17 @@
 	"lupinpond/internal/base/httpserver"
 )
 
-// AmpleCapacity is the capacity of a store that limits nobody.
+// AmpleCapacity is a store capacity that limits neither rate nor, in practice, the number of concurrent fetches.
 var AmpleCapacity = artifactstore.Capacity{MaxConcurrent: 256}
 
-// Store is a store of packages inside this process, on loopback.
+// Store is an artifact store within the current process, served on a loopback port.
 type Store struct {
 	*artifactstore.Store
-	Client artifactstore.Client // of it
+	Client artifactstore.Client // client of this store
 	server *httpserver.LoopbackServer
 }
 
-// OpenStore opens a store in a folder.
+// OpenStore opens a store in a folder and starts its server.
 func OpenStore(folder string, capacity artifactstore.Capacity) (*Store, error) {
 	s, err := artifactstore.Open(artifactstore.Options{Folder: folder, Capacity: capacity, GracePeriod: time.Hour})
 	if err != nil {
@@ -38,7 +38,7 @@
 	return &Store{Store: s, Client: client, server: server}, nil
 }
 
-// PublishAll publishes every package NAME/VERSION of a folder.
+// PublishAll publishes the packages in all folders NAME/VERSION under root.
 func (s *Store) PublishAll(ctx context.Context, root string) error {
 	manifests, err := filepath.Glob(filepath.Join(root, "*", "*", "manifest.yaml"))
 	if err != nil {
--- a/internal/testbed/subprocess/subprocess.go
+++ b/internal/testbed/subprocess/subprocess.go
@@ -1,4 +1,4 @@
-// Package subprocess starts processes that end with this one, however that ends.
+// Package subprocess starts child processes that the kernel kills when the current process ends, even if it crashes.
 package subprocess
 
 import (
@@ -7,18 +7,19 @@
 	"syscall"
 )
 
-// Starter starts children from one thread, which lives as long as it does: the kernel kills the children that are left
-// when the thread that started them is gone.
+// Starter starts child processes from one OS thread, which lives until Close. The children get a parent-death signal:
+// the kernel kills them when the thread that started them ends, not only when the process does. An ordinary goroutine
+// may run on a thread that ends earlier.
 type Starter struct {
 	jobs chan func()
 	done chan struct{}
 }
 
-// NewStarter makes a Starter; Close ends it.
+// NewStarter returns a Starter, which must be closed with Close.
 func NewStarter() *Starter {
 	s := &Starter{jobs: make(chan func()), done: make(chan struct{})}
 	go func() {
-		runtime.LockOSThread() // never unlocked: the thread ends with the goroutine, and with it the children that are left
+		runtime.LockOSThread() // never unlocked, so that the thread ends with the goroutine and its children are killed
 		defer close(s.done)
 		for job := range s.jobs {
 			job()
@@ -27,7 +28,7 @@
 	return s
 }
 
-// Start starts a child.
+// Start starts a child process, as cmd.Start does. It sets cmd.SysProcAttr.
 func (s *Starter) Start(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	started := make(chan error)
@@ -35,7 +36,7 @@
 	return <-started
 }
 
-// Close ends it, and the children that are left.
+// Close ends the thread and thereby kills the children that are still running.
 func (s *Starter) Close() {
 	close(s.jobs)
 	<-s.done
