--- a/internal/testbed/scenario/arrivals.go
+++ b/internal/testbed/scenario/arrivals.go
@@ -9,18 +9,18 @@
 	"lupinpond/internal/gateway/fleetconfig"
 )
 
-// arrival is one request, drawn ahead of the run.
+// arrival is one request of a client, generated before the run.
 type arrival struct {
 	at       time.Duration
 	name     string // unique in the scenario
 	function fleetconfig.Function
 	maxWait  time.Duration
-	work     time.Duration // CPU time, where a package runs it; emulated workers draw their own
-	gateway  int           // of the first attempt
+	work     time.Duration // CPU time used by the example package; emulated workers generate a time of their own
+	gateway  int           // index of the gateway that gets the first attempt
 }
 
-// drawArrivals draws all arrivals of a scenario: the same for the same seed.
-func (s Scenario) drawArrivals(settings fleetconfig.File) []arrival {
+// generateArrivals returns all arrivals of a scenario, sorted by time. The same seed gives the same arrivals.
+func (s Scenario) generateArrivals(settings fleetconfig.File) []arrival {
 	var all []arrival
 	for i, arrivals := range s.Arrivals {
 		random := rand.New(rand.NewPCG(s.Seed, uint64(i)))
@@ -53,7 +53,7 @@
 	return all
 }
 
-// functionNamed finds a function of the settings; the last one of a name, as Parse has checked that there is one.
+// functionNamed returns the last function of the settings with the name. Parse has checked that there is one.
 func functionNamed(settings fleetconfig.File, name string) (found fleetconfig.Function) {
 	for _, function := range settings.Functions {
 		if function.Name == name {
--- a/internal/testbed/scenario/clientconn.go
+++ b/internal/testbed/scenario/clientconn.go
@@ -17,9 +17,9 @@
 
 const (
 	clientDialTimeout = time.Second
-	// maxIdleConns is how many idle connections are kept to each gateway.
+	// maxIdleConns is the maximum number of idle connections that are kept open to each gateway.
 	maxIdleConns = 64
-	// idleProbeTime is how long an idle connection is read for the end that its gateway may have sent meanwhile.
+	// idleProbeTime is the read timeout of the check whether the gateway has closed an idle connection.
 	idleProbeTime = 50 * time.Microsecond
 )
 
@@ -33,12 +33,12 @@
 type clientAttempt struct {
 	arrival
 	number          int
-	retry           bool // a gateway has had the request before
+	retry           bool // an earlier attempt may have been accepted by a gateway
 	maxWait         time.Duration
-	disconnectAfter time.Duration // 0: the client waits
+	disconnectAfter time.Duration // time after which the client disconnects; 0 means that it waits for the response
 }
 
-// attemptOutcome is how an attempt ended.
+// attemptOutcome is the outcome of a client's attempt.
 type attemptOutcome int
 
 const (
@@ -46,13 +46,14 @@
 	outcomeRejected
 	outcomeFailed
 	outcomeNotAccepted
-	outcomeUnreachable    // no connection
-	outcomeConnectionLost // the gateway may have accepted it
-	outcomeUnanswered     // the time and the slack are over
-	outcomeDisconnected   // the client did not wait
+	outcomeUnreachable    // the connection to the gateway failed
+	outcomeConnectionLost // the connection ended without a response; the gateway may have accepted the request
+	outcomeUnanswered     // no response within the client's wait, the gateway's slack and deadlineMargin
+	outcomeDisconnected   // the client disconnected before a response
 )
 
-// retryable reports whether a client retries after an outcome: never where the request might run twice that must not.
+// retryable reports whether a client retries after the outcome. It doesn't if the retry could make a request run twice
+// that must run only once.
 func (o attemptOutcome) retryable(requestType fleetconfig.RequestType) bool {
 	redeliverable := requestType.Effect == "redeliverable"
 	switch o {
@@ -66,7 +67,7 @@
 	return false
 }
 
-// send makes one attempt. The duration is the response's Retry-After.
+// send sends one attempt to a gateway and returns its outcome and the response's Retry-After.
 func (p *clientPool) send(ctx context.Context, addr string, attempt clientAttempt) (attemptOutcome, time.Duration) {
 	conn, err := p.acquire(addr)
 	if err != nil {
@@ -78,7 +79,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { conn.conn.Close() })
 	defer stop()
-	_ = conn.conn.SetDeadline(deadline) // a connection that has ended fails below
+	_ = conn.conn.SetDeadline(deadline) // fails only on a closed connection, and then so does the write below
 	if _, err := conn.conn.Write(attempt.message(addr)); err != nil {
 		conn.conn.Close()
 		return outcomeConnectionLost, 0
@@ -106,7 +107,7 @@
 	return responseOutcome(response)
 }
 
-// message is the attempt as it is written to a gateway.
+// message returns the HTTP request of the attempt.
 func (a clientAttempt) message(addr string) []byte {
 	body := a.name + " " + a.work.String()
 	message := fmt.Appendf(nil, "POST /v1/functions/%s/invocations HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n"+
@@ -122,7 +123,7 @@
 	return fmt.Appendf(message, "\r\n%s", body)
 }
 
-// responseOutcome reads how an attempt ended, and when the client may retry.
+// responseOutcome returns the outcome that a response means and its Retry-After.
 func responseOutcome(response *http.Response) (outcome attemptOutcome, retryAfter time.Duration) {
 	if millis, err := strconv.Atoi(response.Header.Get(invoke.HeaderRetryAfterMillis)); err == nil {
 		retryAfter = time.Duration(millis) * time.Millisecond
@@ -143,10 +144,10 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// acquire takes an idle connection to a gateway, or dials.
+// acquire returns an idle connection to a gateway, or a new one if there is none.
 func (p *clientPool) acquire(addr string) (*clientConn, error) {
 	for conn := p.takeIdle(addr); conn != nil; conn = p.takeIdle(addr) {
-		// one that the gateway closed meanwhile shows it at once
+		// a short read detects a connection that the gateway has closed: it returns EOF instead of a timeout
 		_ = conn.conn.SetReadDeadline(time.Now().Add(idleProbeTime))
 		if _, err := conn.reader.Peek(1); err != nil && isTimeout(err) {
 			return &clientConn{conn: conn.conn, reader: bufio.NewReader(conn.conn)}, nil
@@ -160,7 +161,7 @@
 	return &clientConn{conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// takeIdle takes the idle connection to a gateway that was used last; nil: there is none.
+// takeIdle removes and returns the most recently used idle connection to a gateway, or nil if there is none.
 func (p *clientPool) takeIdle(addr string) *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,7 +173,7 @@
 	return conns[len(conns)-1]
 }
 
-// release gives a connection back for the next attempt.
+// release returns a connection to the pool, or closes it if the pool is full.
 func (p *clientPool) release(addr string, conn *clientConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -183,7 +184,7 @@
 	p.idle[addr] = append(p.idle[addr], conn)
 }
 
-// close closes the idle connections.
+// close closes all idle connections.
 func (p *clientPool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/scenario/clients.go
+++ b/internal/testbed/scenario/clients.go
@@ -9,21 +9,23 @@
 )
 
 const (
-	// minAttemptTime is the time that has to be left for another attempt.
+	// minAttemptTime is the minimum time left until the request's max age for which a client makes another attempt.
 	minAttemptTime = 50 * time.Millisecond
-	// deadlineMargin is how long a client waits beyond its time and the gateway's slack before it counts as unanswered.
+	// deadlineMargin is the additional time after the client's wait and the gateway's slack until an attempt without a
+	// response counts as unanswered.
 	deadlineMargin = time.Second
 )
 
-// clientPool sends requests over connections of its own: net/http's client would resend some requests by itself.
+// clientPool sends the clients' requests. It manages its connections itself, because http.Client resends some requests
+// on its own.
 type clientPool struct {
 	behavior ClientBehavior
-	addrs    []string      // of the gateways
-	slack    time.Duration // that a gateway has beyond a client's time
+	addrs    []string      // gateway addresses, by gateway index
+	slack    time.Duration // time after the client's deadline that a gateway may take to respond
 
 	mu              sync.Mutex
-	idle            map[string][]*clientConn // by gateway address
-	disconnectAfter map[string]time.Duration // by tenant: its clients disconnect so early, and retry at once
+	idle            map[string][]*clientConn // idle connections by gateway address
+	disconnectAfter map[string]time.Duration // by tenant: time after which its clients disconnect and retry at once
 	stats           ClientStats
 }
 
@@ -37,7 +39,7 @@
 	}
 }
 
-// setDisconnectAfter has the clients of a tenant disconnect early; 0: no more.
+// setDisconnectAfter makes the clients of a tenant disconnect that long after each attempt; 0 makes them wait again.
 func (p *clientPool) setDisconnectAfter(tenant string, after time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,21 +50,21 @@
 	}
 }
 
-// runRequest plays one request from its first attempt to its end.
+// runRequest sends one request, with its retries, and counts its outcome.
 func (p *clientPool) runRequest(ctx context.Context, request arrival, requestType fleetconfig.RequestType) {
 	start := time.Now()
 	target := request.gateway
 	outcome, attempts, reached := outcomeUnreachable, 0, false
 	for attempts < p.behavior.MaxAttempts && ctx.Err() == nil {
-		remains := requestType.MaxAge.Std() - time.Since(start)
-		if remains < minAttemptTime {
+		remaining := requestType.MaxAge.Std() - time.Since(start)
+		if remaining < minAttemptTime {
 			break
 		}
 		next := clientAttempt{
 			arrival:         request,
 			number:          attempts,
 			retry:           reached,
-			maxWait:         min(request.maxWait, remains),
+			maxWait:         min(request.maxWait, remaining),
 			disconnectAfter: p.earlyDisconnect(request, requestType),
 		}
 		var retryAfter time.Duration
@@ -76,7 +78,7 @@
 			target = (target + 1) % len(p.addrs)
 		}
 		if outcome == outcomeDisconnected {
-			continue // one that did not wait retries at once
+			continue // a client that disconnects retries without a delay
 		}
 		select {
 		case <-ctx.Done():
@@ -89,8 +91,9 @@
 	p.stats.add(outcome, attempts, latency, requestType.Objective.Std())
 }
 
-// earlyDisconnect is when a request's client disconnects; 0: it waits. A client that disconnects retries at once, which
-// for a request that may not run twice would be the client's own duplicate.
+// earlyDisconnect returns the time after which the client of a request disconnects, or 0 if it waits for the response.
+// Only clients of redeliverable requests disconnect: they retry at once, and for other request types the client itself
+// would cause a second execution.
 func (p *clientPool) earlyDisconnect(request arrival, requestType fleetconfig.RequestType) time.Duration {
 	if requestType.Effect != "redeliverable" {
 		return 0
--- a/internal/testbed/scenario/dedup.go
+++ b/internal/testbed/scenario/dedup.go
@@ -6,7 +6,8 @@
 	"lupinpond/internal/testbed/localfleet"
 )
 
-// dedupGroups are the groups of emulated workers that recognize repeats of keyed requests, by request type and zone.
+// dedupGroups holds the deduplication groups of the emulated workers. The workers of a group share the idempotency keys
+// that they have seen. Each keyed request type has one group for all zones or one per zone, by its scope.
 type dedupGroups struct {
 	keyed  []fleetconfig.RequestType
 	shared map[string]*emulator.DedupGroup
@@ -22,8 +23,9 @@
 	return groups
 }
 
-// ofZone gives the groups of a worker in a zone, by request type. A cell is as large as its zone.
-func (g *dedupGroups) ofZone(zone string) map[string]*emulator.DedupGroup {
+// forZone returns the groups of a worker in a zone, by request type. Each zone has a single cell, so scopes cell and
+// zone are the same.
+func (g *dedupGroups) forZone(zone string) map[string]*emulator.DedupGroup {
 	groups := map[string]*emulator.DedupGroup{}
 	for _, requestType := range g.keyed {
 		scope := requestType.Name
@@ -38,7 +40,7 @@
 	return groups
 }
 
-// duplicateExecutions lists requests that must run once and ran more than once, counted at the workers.
+// duplicateExecutions returns the requests that must run once but ran more than once, as counted at the workers.
 func (r *run) duplicateExecutions(arrivals []arrival) (duplicates []string, err error) {
 	if r.runtime == nil {
 		for _, requestType := range r.options.Config.Fleet.Types {
@@ -54,10 +56,10 @@
 	}
 	for _, arrival := range arrivals {
 		requestType, _ := r.options.Config.RequestType(arrival.function.Type)
-		// of a keyed request, all attempts are within its window
-		once := requestType.Effect == "at-most-once" ||
+		// a keyed request must run once if all of its attempts are within its deduplication window
+		mustRunOnce := requestType.Effect == "at-most-once" ||
 			requestType.Effect == "keyed" && requestType.MaxAge.Std() <= requestType.DedupWindow.Std()
-		if once && executions[arrival.name] > 1 {
+		if mustRunOnce && executions[arrival.name] > 1 {
 			duplicates = append(duplicates, arrival.name)
 		}
 	}
--- a/internal/testbed/scenario/faults.go
+++ b/internal/testbed/scenario/faults.go
@@ -11,7 +11,7 @@
 	"lupinpond/internal/worker/faultinject"
 )
 
-// playFault injects one fault at its time, and ends it when its time is over or the run has failed.
+// playFault injects a fault at its time and ends it after its duration, or earlier if the run fails.
 func (r *run) playFault(ctx context.Context, start time.Time, fault Fault) error {
 	begin := start.Add(fault.At.Std())
 	if err := httpserver.Sleep(ctx, time.Until(begin)); err != nil {
@@ -27,7 +27,7 @@
 	return errors.Join(err, end())
 }
 
-// injectFault begins a fault; the result ends it, and is nil where nothing has to be undone.
+// injectFault starts a fault and returns the function that ends it, or nil if the fault has no end.
 func (r *run) injectFault(fault Fault) (end func() error, err error) {
 	switch fault.Kind {
 	case WorkerHang, WorkerSlow, WorkerErrors, WorkerFailLoads, WorkerFalseReports, WorkerRejectTenant:
@@ -50,17 +50,17 @@
 		for _, i := range fault.Gateways {
 			r.instance(i).gateway.Pause(fault.Duration.Std())
 		}
-		return nothing, nil
+		return endNothing, nil
 	case GatewayCrash:
 		return r.restartGateways(fault.Gateways)
 	}
 	return nil, errors.New("unknown fault " + string(fault.Kind))
 }
 
-// nothing ends a fault that ends by itself.
-func nothing() error { return nil }
+// endNothing is the end of a fault that ends by itself.
+func endNothing() error { return nil }
 
-// injectWorkerFault has workers misbehave.
+// injectWorkerFault injects a fault from package faultinject into workers.
 func (r *run) injectWorkerFault(fault Fault) (end func() error, err error) {
 	set, undo, err := faultinject.ByName(string(fault.Kind), fault.Tenant, fault.Factor)
 	if err != nil {
@@ -78,7 +78,8 @@
 	}, nil
 }
 
-// disconnectWorkers resets, silences, crashes or drains workers. All but a reset end with a restart.
+// disconnectWorkers resets the connections of workers, or makes workers unresponsive, crashes or drains them. All but
+// the reset end with a restart of the workers.
 func (r *run) disconnectWorkers(fault Fault) (end func() error, err error) {
 	for _, i := range fault.Workers {
 		worker := r.workers[i]
@@ -107,7 +108,7 @@
 	return workers
 }
 
-// setStoreSlowdown has every fetch take so many times longer.
+// setStoreSlowdown multiplies the duration of every fetch from the store by factor.
 func (r *run) setStoreSlowdown(factor float64) {
 	if r.runtime != nil {
 		r.runtime.releases.Store().SetRate(r.runtime.storeRate / factor)
@@ -115,7 +116,7 @@
 	r.store.SetSlowdown(factor)
 }
 
-// stopStore has the store reject every fetch for a time.
+// stopStore makes the store reject every fetch for a duration.
 func (r *run) stopStore(duration time.Duration) (end func() error) {
 	if r.runtime != nil {
 		r.runtime.releases.Store().Stop(duration)
@@ -124,7 +125,7 @@
 	return func() error { r.store.SetUnavailable(false); return nil }
 }
 
-// releaseFunction publishes a function anew.
+// releaseFunction publishes a new release of a function.
 func (r *run) releaseFunction(function string) error {
 	if r.runtime != nil {
 		if err := r.runtime.releases.Publish(function); err != nil {
@@ -137,7 +138,7 @@
 	return nil
 }
 
-// injectRegistryFault delays, empties or stops the registry.
+// injectRegistryFault delays the registry's events, removes all workers from the registry or stops its server.
 func (r *run) injectRegistryFault(fault Fault) (end func() error, err error) {
 	switch fault.Kind {
 	case RegistryDelay:
@@ -146,7 +147,7 @@
 	case RegistryEmpty:
 		r.registry.RemoveAll()
 		return func() error {
-			for _, entry := range r.registered() {
+			for _, entry := range r.registeredEntries() {
 				r.registry.Set(entry)
 			}
 			return nil
@@ -155,7 +156,7 @@
 	return r.startRegistry, r.registryServer.Close()
 }
 
-// restartGateways crashes gateways; the end starts them again at their addresses.
+// restartGateways crashes gateways. The returned function starts them again at their previous addresses.
 func (r *run) restartGateways(indexes []int) (end func() error, err error) {
 	for _, i := range indexes {
 		if err := r.instance(i).crash(); err != nil {
--- a/internal/testbed/scenario/gateways.go
+++ b/internal/testbed/scenario/gateways.go
@@ -16,14 +16,14 @@
 	"lupinpond/internal/testbed/checker"
 )
 
-// gatewayInstance is one incarnation of a gateway, from a start to the next stop.
+// gatewayInstance is one incarnation of a gateway, from its start until it is drained or crashes.
 type gatewayInstance struct {
 	gateway     *gateway.Gateway
-	tap         *capture.Tap // nil: nothing is captured
+	tap         *capture.Tap // nil if the traffic is not captured
 	drain       context.CancelFunc
-	abort       context.CancelFunc // of a crash
-	done        chan error
-	recording   *os.File // of the core; nil: none
+	abort       context.CancelFunc // stops the gateway at once, as a crash does
+	done        chan error         // receives the result of the gateway's Run
+	recording   *os.File           // recording of the core's inputs for a replay; nil if none is made
 	finalCounts gateway.Counts
 	stopped     bool
 
@@ -31,7 +31,7 @@
 	capture *checker.GatewayCapture
 }
 
-// startGateways starts all gateways of the scenario on free ports.
+// startGateways starts all gateways of the scenario on free ports and returns their addresses.
 func (r *run) startGateways() (addrs []string, err error) {
 	for i := range r.scenario.Gateways {
 		addr, err := r.startGateway(i, "127.0.0.1:0")
@@ -43,7 +43,7 @@
 	return addrs, nil
 }
 
-// startGateway starts an incarnation of a gateway, with the endpoint list that the one before has cached.
+// startGateway starts an incarnation of a gateway with the endpoint list that the previous incarnation cached.
 func (r *run) startGateway(index int, addr string) (listenAddr string, err error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -52,7 +52,7 @@
 	r.mu.Lock()
 	name := fmt.Sprintf("front-%d.%d", index, len(r.instances))
 	var cached *registry.WatchEvent
-	if event, is := r.cachedEndpoints[index]; is {
+	if event, ok := r.cachedEndpoints[index]; ok {
 		cached = &event
 		r.deliveries = append(r.deliveries, checker.Delivery{Gateway: name, At: time.Since(r.startedAt), Event: event})
 	}
@@ -99,14 +99,14 @@
 	return listener.Addr().String(), nil
 }
 
-// instance is the running instance of a gateway.
+// instance returns the current incarnation of a gateway.
 func (r *run) instance(index int) *gatewayInstance {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.running[index]
 }
 
-// drainGateways shuts all gateways down gracefully: every request in flight is answered.
+// drainGateways shuts all gateways down gracefully: each responds to its requests in flight before it stops.
 func (r *run) drainGateways() (err error) {
 	for _, instance := range r.running {
 		err = errors.Join(err, instance.shutDown())
@@ -114,10 +114,10 @@
 	return err
 }
 
-// crashGateways ends the gateways that have not been stopped.
+// crashGateways crashes the gateways that are still running.
 func (r *run) crashGateways() {
 	for _, instance := range r.running {
-		_ = instance.crash() // of a run that has failed, or an instance that has stopped already
+		_ = instance.crash() // matters only if the run has failed: otherwise all gateways have been drained
 	}
 }
 
@@ -134,7 +134,7 @@
 	go func() { g.done <- g.gateway.Run(draining, aborted) }()
 }
 
-// shutDown drains an instance and waits for its end.
+// shutDown drains the gateway and waits until it has stopped.
 func (g *gatewayInstance) shutDown() error {
 	if g.stopped {
 		return nil
@@ -146,7 +146,7 @@
 	return g.finish(err)
 }
 
-// crash ends an instance at once, as the end of its process does.
+// crash stops the gateway at once, without responses to its requests in flight, as if its process were killed.
 func (g *gatewayInstance) crash() error {
 	if g.stopped {
 		return nil
@@ -158,7 +158,8 @@
 	return g.finish(<-g.done)
 }
 
-// finish releases what an instance holds; err is how it ended.
+// finish releases the resources of a stopped gateway. It returns err, the result of the gateway's Run, or, if err is
+// nil, the error from closing the recording.
 func (g *gatewayInstance) finish(err error) error {
 	g.drain()
 	g.abort()
--- a/internal/testbed/scenario/local.go
+++ b/internal/testbed/scenario/local.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// localWork is the mean CPU time of a request at an emulated worker of RunLocal.
-	localWork = 20 * time.Millisecond
-	// localStoreCapacity is how many fetches its store serves at full speed.
+	// localMeanCPUTime is the mean CPU time of a request at an emulated worker of RunLocal.
+	localMeanCPUTime = 20 * time.Millisecond
+	// localStoreCapacity is the number of concurrent fetches that the store of RunLocal serves at full speed.
 	localStoreCapacity = 8
 )
 
-// ErrNothingToRun says that RunLocal was asked for no gateway or no worker.
+// ErrNothingToRun is returned by RunLocal if its options have no gateway or no worker.
 var ErrNothingToRun = errors.New("at least one gateway and one worker are needed")
 
-// LocalOptions are what RunLocal runs.
+// LocalOptions configures RunLocal.
 type LocalOptions struct {
 	Config   fleetconfig.File
-	Gateways int // the first listens where Config says, the others on the ports after it
+	Gateways int // number of gateways; the first listens at the address in Config, the others at the next ports
 	Workers  int
 	Log      *slog.Logger
-	Ready    func(gateways []string, registry string) // called with the addresses once all run
+	Ready    func(gateways []string, registry string) // called with the addresses once all gateways are running
 }
 
 // RunLocal runs gateways, the registry and emulated workers in this process until ctx ends.
@@ -64,11 +64,11 @@
 	return nil
 }
 
-// scenario is what RunLocal plays: no arrivals and no faults.
+// scenario returns the scenario that RunLocal plays. It has no arrivals and no faults.
 func (o LocalOptions) scenario() Scenario {
 	work := map[string]config.Duration{}
 	for _, function := range o.Config.Functions {
-		work[function.Name] = config.Duration(localWork)
+		work[function.Name] = config.Duration(localMeanCPUTime)
 	}
 	return Scenario{
 		Name:          "up",
@@ -80,7 +80,7 @@
 	}
 }
 
-// offsetPort is an address some ports on. Port 0 stays 0: any free one.
+// offsetPort returns addr with its port increased by offset. Port 0 stays 0, which means any free port.
 func offsetPort(addr string, offset int) (string, error) {
 	host, text, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/internal/testbed/scenario/play.go
+++ b/internal/testbed/scenario/play.go
@@ -21,60 +21,63 @@
 )
 
 const (
-	// listSettleTime is how long gateways have to receive the endpoint list before the first arrival.
+	// listSettleTime is the time before the first arrival in which the gateways receive the endpoint list.
 	listSettleTime = 100 * time.Millisecond
-	// progressEvery is after how many arrivals Options.Progress is called.
-	progressEvery = 16
+	// progressInterval is the number of arrivals between two calls of Options.Progress.
+	progressInterval = 16
 )
 
-// Options of a played scenario.
+// Options configures how a scenario is played.
 type Options struct {
 	Config fleetconfig.File
-	Log    *slog.Logger // nil: nothing is logged
+	Log    *slog.Logger // nil disables logging
 
-	// OutputDir gets captures, endpoint-list deliveries, settings and core recordings. Empty: nothing is saved.
+	// OutputDir is the folder in which captures, delivered watch events, settings and core recordings are saved. It must
+	// be empty or not exist yet. If OutputDir is "", nothing is saved.
 	OutputDir string
-	// Progress is called now and then. It may be nil.
+	// Progress, if not nil, is called every few arrivals with the played part of the scenario, from 0 to 1.
 	Progress func(part float64)
-	// PayrollBinary is the built example package payroll, for workers of the worker runtime. Empty: workers are emulated.
+	// PayrollBinary is the path of the built example package payroll. If it is set, the scenario is played on the worker
+	// runtime with this package, otherwise on emulated workers.
 	PayrollBinary string
-	// DisablePeerDistribution has such workers give each other no chunks, as a baseline.
+	// DisablePeerDistribution makes workers of the worker runtime fetch chunks only from the store and not from each
+	// other, as a baseline for measurements.
 	DisablePeerDistribution bool
 }
 
-// Result is how a scenario went.
+// Result is the outcome of a played scenario.
 type Result struct {
 	Scenario            string `json:"Day"`
 	Verdict             checker.Verdict
 	Clients             ClientStats
-	Gateways            gateway.Counts `json:"Gates"`   // of all incarnations of all gateways
-	DuplicateExecutions []string       `json:"Doubles"` // at-most-once requests that ran twice, counted at the workers
-	WorkerCrashes       int            `json:"Falls"`   // workers that crashed under too much load while warming up
+	Gateways            gateway.Counts `json:"Gates"`   // sums over all incarnations of all gateways
+	DuplicateExecutions []string       `json:"Doubles"` // requests that must run once but ran again at a worker
+	WorkerCrashes       int            `json:"Falls"`   // crashes of workers overloaded while warming up
 	Arrivals            int
-	ServedInTimeShare   float64 `json:"ServiceOf"` // part of the requests that were served within their latency objective
+	ServedInTimeShare   float64 `json:"ServiceOf"` // fraction of requests served within their latency objective
 }
 
-// Passed reports whether no rule was violated and no at-most-once request ran twice.
+// Passed reports whether no rule was violated and no request that must run once ran twice.
 func (r Result) Passed() bool { return r.Verdict.Passed() && len(r.DuplicateExecutions) == 0 }
 
-// run is one scenario being played.
+// run is the state of a scenario while it is played.
 type run struct {
 	scenario     Scenario
 	options      Options
-	startedAt    time.Time // what the clock of the captures counts from
+	startedAt    time.Time // zero point of the captures' clock
 	registry     *registry.Registry
 	registryAddr string
-	runtime      *runtimeFiles // of workers that are the worker runtime; nil: they are emulated
+	runtime      *runtimeFiles // shared by workers of the worker runtime; nil if the workers are emulated
 	workers      []localfleet.Worker
-	store        *emulator.Store        // of emulated workers
-	executions   *emulator.ExecutionLog // of emulated workers
+	store        *emulator.Store        // used by emulated workers
+	executions   *emulator.ExecutionLog // written by emulated workers
 	clients      *clientPool
 
 	mu              sync.Mutex
-	entries         []registry.Entry // of the workers, as the registry was last given them
-	instances       []*gatewayInstance
-	running         []*gatewayInstance          // by gateway
-	cachedEndpoints map[int]registry.WatchEvent // the endpoint list as each gateway last cached it
+	entries         []registry.Entry            // last registered entry of each worker
+	instances       []*gatewayInstance          // all incarnations of all gateways
+	running         []*gatewayInstance          // latest incarnation of each gateway
+	cachedEndpoints map[int]registry.WatchEvent // last endpoint list that each gateway cached
 	deliveries      []checker.Delivery
 	captureDisabled bool
 	registryServer  io.Closer
@@ -92,7 +95,8 @@
 	}
 }
 
-// Play plays a scenario and checks the rules. An error says that it could not be played, not that a rule was violated.
+// Play plays a scenario and checks the rules. It returns an error if the scenario could not be played. Violations are
+// reported in the result's verdict and not as an error.
 func Play(ctx context.Context, scenario Scenario, options Options) (Result, error) {
 	if options.Log == nil {
 		options.Log = slog.New(slog.DiscardHandler)
@@ -114,7 +118,7 @@
 	return r.play(ctx)
 }
 
-// makeEmptyDir makes a folder, which may exist but must be empty.
+// makeEmptyDir creates a folder if it doesn't exist, and returns an error if it isn't empty.
 func makeEmptyDir(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -152,7 +156,7 @@
 	defer r.clients.close()
 	time.Sleep(listSettleTime)
 
-	arrivals := r.scenario.drawArrivals(r.options.Config)
+	arrivals := r.scenario.generateArrivals(r.options.Config)
 	if err := r.playTimeline(ctx, arrivals); err != nil {
 		return Result{}, err
 	}
@@ -163,7 +167,8 @@
 	return r.result(arrivals)
 }
 
-// playTimeline plays arrivals and faults at their times and returns when all of them are over.
+// playTimeline sends the requests and injects the faults at their times. It returns when all requests are completed and
+// all faults have ended.
 func (r *run) playTimeline(ctx context.Context, arrivals []arrival) error {
 	start := time.Now()
 	group, ctx := errgroup.WithContext(ctx)
@@ -180,7 +185,7 @@
 				r.clients.runRequest(ctx, arrival, requestType)
 				return nil
 			})
-			if r.options.Progress != nil && i%progressEvery == 0 {
+			if r.options.Progress != nil && i%progressInterval == 0 {
 				r.options.Progress(float64(arrival.at) / float64(r.scenario.Duration))
 			}
 		}
@@ -189,7 +194,7 @@
 	return group.Wait()
 }
 
-// result counts what happened, checks the rules and saves what they were checked on.
+// result sums up the counts of the run, checks the rules and saves the checker's input to Options.OutputDir.
 func (r *run) result(arrivals []arrival) (Result, error) {
 	result := Result{Scenario: r.scenario.Name, Clients: r.clients.stats, Arrivals: len(arrivals)}
 	for _, instance := range r.instances {
--- a/internal/testbed/scenario/runtime.go
+++ b/internal/testbed/scenario/runtime.go
@@ -16,35 +16,37 @@
 )
 
 const (
-	// memoryDir is a file system in memory.
+	// memoryDir is the mount point of a file system in memory.
 	memoryDir = "/dev/shm"
-	// minMemoryBytes has to be free in memoryDir: a few scenarios at a time may take it.
+	// minMemoryBytes is the minimum free space of memoryDir for it to be used. It is enough for a few scenarios that run
+	// at the same time.
 	minMemoryBytes = 4 << 30
 
-	// claimServers is how many servers keep claims of idempotency keys.
-	claimServers = 3
-	// claimFileBytes is the size of such a server's file.
+	// claimServerCount is the number of servers that store claims of idempotency keys.
+	claimServerCount = 3
+	// claimFileBytes is the file size of a claim server.
 	claimFileBytes = 1 << 20
-	// claimTimeout is how long a worker waits for a claim.
+	// claimTimeout is the timeout of a worker's claim of an idempotency key.
 	claimTimeout = time.Second
 
-	// requestsPerFetch is how many requests the store takes at a time, for each fetch at full speed.
+	// requestsPerFetch is the number of concurrent requests that the store accepts per concurrent fetch of its capacity.
 	requestsPerFetch = 8
-	// defaultLoadTime is the time of a load where no function has one.
+	// defaultLoadTime is the load time from which the store's rate is computed if no function has a load time.
 	defaultLoadTime = time.Second
 )
 
-// runtimeFiles is what workers of the worker runtime share: the store, claims, and the log of what their replicas ran.
+// runtimeFiles holds the resources that the workers of the worker runtime share: the store, the claims of idempotency
+// keys, and the log to which their replicas write each execution.
 type runtimeFiles struct {
 	dir          string
 	releases     *localfleet.Releases
-	storeRate    float64 // bytes a second
+	storeRate    float64 // bytes per second
 	executionLog *os.File
 	claims       *idempotency.Group
-	closers      []func() error
+	closers      []func() error // called by close in reverse order
 }
 
-// startRuntime starts the store and the claim servers, and makes the workers' folder.
+// startRuntime creates the workers' folder and starts the store and the claim servers.
 func (r *run) startRuntime() (files *runtimeFiles, err error) {
 	files = &runtimeFiles{}
 	if files.dir, err = os.MkdirTemp(scratchDir(), "lupinpond-rehearse-"); err != nil {
@@ -60,8 +62,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("example package: %w", err)
 	}
-	// as many fetches of the whole package at full speed, each in the usual time of a load
-	files.storeRate = float64(r.scenario.StoreCapacity) * float64(binary.Size()) / r.usualLoadTime().Seconds()
+	// storeRate = StoreCapacity * package size / load time: StoreCapacity concurrent fetches of the whole package each
+	// take one load time
+	files.storeRate = float64(r.scenario.StoreCapacity) * float64(binary.Size()) / r.referenceLoadTime().Seconds()
 	capacity := artifactstore.Capacity{
 		BytesPerSecond: files.storeRate,
 		MaxConcurrent:  requestsPerFetch * r.scenario.StoreCapacity,
@@ -88,8 +91,8 @@
 	return files, nil
 }
 
-// usualLoadTime is the load time of the first function that has one.
-func (r *run) usualLoadTime() time.Duration {
+// referenceLoadTime returns the load time of the first function that has one, or defaultLoadTime.
+func (r *run) referenceLoadTime() time.Duration {
 	for _, function := range r.options.Config.Functions {
 		if function.LoadTime > 0 {
 			return function.LoadTime.Std()
@@ -98,9 +101,10 @@
 	return defaultLoadTime
 }
 
-// startClaimServers starts the claim servers of all workers: those of a zone are then in one group as well.
+// startClaimServers starts the claim servers and returns their addresses. All workers use the same servers, so workers
+// of the same zone also share their claims.
 func (f *runtimeFiles) startClaimServers() (addrs []string, err error) {
-	for i := range claimServers {
+	for i := range claimServerCount {
 		folder := filepath.Join(f.dir, fmt.Sprint("register-", i))
 		if err := os.Mkdir(folder, 0o755); err != nil {
 			return nil, err
@@ -122,19 +126,20 @@
 
 func (f *runtimeFiles) onClose(closer func() error) { f.closers = append(f.closers, closer) }
 
-// close ends what was started, the last first: servers before their files, and the folder at the end.
+// close releases the resources in reverse order of creation: servers before their files, and the folder last.
 func (f *runtimeFiles) close() {
 	for _, closer := range slices.Backward(f.closers) {
-		_ = closer() // the folder goes anyway
+		_ = closer() // errors don't matter: the folder is removed in any case
 	}
 }
 
-// scratchDir is where the folders of many workers stand. Their syncs would all wait for the one disk of this machine,
-// where a fleet has a disk for each: so memory, if enough of it is free and programs may be run from it.
+// scratchDir returns the parent folder of the workers' folders, or "" for the system's temporary folder. It prefers a
+// file system in memory that has enough free space and allows programs to be executed: on disk, the syncs of all
+// workers would wait for the one disk of this machine, while in a real fleet each worker has its own.
 func scratchDir() string {
 	var stat unix.Statfs_t
 	if unix.Statfs(memoryDir, &stat) != nil || stat.Flags&unix.ST_NOEXEC != 0 {
-		return "" // the system's own
+		return ""
 	}
 	if int64(stat.Bavail)*stat.Bsize < minMemoryBytes {
 		return ""
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -20,22 +20,23 @@
 	"lupinpond/scenarios"
 )
 
-// suite is a number of scenarios and how they are played.
+// suite selects scenarios and the settings and workers with which they are played.
 type suite struct {
 	settings      fleetconfig.File
-	payrollBinary string   // for the worker runtime; "": emulated workers
-	only          []string // one after the other; none: all scenarios, side by side
+	payrollBinary string   // example package for the worker runtime; "" means emulated workers
+	only          []string // scenarios to play one after the other; empty means all scenarios in parallel
 }
 
-// Every scenario upholds the five rules, checked on the sockets' traffic; every accepted request has one outcome, no
-// client was left without a response, no at-most-once request ran twice at the workers, and every core's recording
-// replays alike.
+// TestScenariosUpholdRules plays all scenarios on emulated workers. It fails if the captured traffic violates one of
+// the five rules, an accepted request has no outcome, a client gets no response, a request that must run once runs
+// twice at the workers, or the replay of a core's recording differs from the recording.
 func TestScenariosUpholdRules(t *testing.T) {
 	suite{settings: defaultSettings(t)}.play(t)
 }
 
-// Four of the scenarios on the worker runtime, one after the other: its replicas are processes, and the machine is to
-// be late for nobody. lpctl scenario --all --workers runtime plays them all.
+// TestScenariosOnWorkerRuntime plays four of the scenarios on the worker runtime. They run one after the other because
+// replicas of the runtime are processes: more of them would overload the machine and delay responses past their
+// deadlines. The command lpctl scenario --all --workers runtime plays all scenarios.
 func TestScenariosOnWorkerRuntime(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "payroll")
 	if err := localfleet.Build(binary, "lupinpond/examples/payroll", manifest.Process); err != nil {
@@ -48,8 +49,10 @@
 	}.play(t)
 }
 
-// Three scenarios of an alternate deployment, by settings alone: workers answer a miss, there are no tenants, load
-// reports have no queue depth, the endpoint list has sizes, and crossing zones costs.
+// TestScenariosWithAlternateDeployment plays three scenarios with the settings of the alternate deployment: workers
+// report a miss instead of loading the function, there are no tenants, load reports contain no queue depth, the
+// endpoint list contains the workers' sizes, and requests to another zone have a cost. It guards against code that
+// handles only the default deployment.
 func TestScenariosWithAlternateDeployment(t *testing.T) {
 	settings := defaultSettings(t)
 	localfleet.AlternateDeployment(&settings, "zone-0")
@@ -70,7 +73,7 @@
 	defer goleak.VerifyNone(t)
 	all, err := scenario.LoadAll(scenarios.Files, s.settings)
 	if err != nil || len(all) < 12 {
-		t.Fatalf("%d scenarios: %v", len(all), err)
+		t.Fatalf("loaded %d scenarios, want at least 12; error: %v", len(all), err)
 	}
 	t.Run("scenarios", func(t *testing.T) {
 		for _, played := range all {
@@ -100,14 +103,14 @@
 		t.Error(violation)
 	}
 	if len(result.DuplicateExecutions) > 0 {
-		t.Error("ran twice at the workers: ", result.DuplicateExecutions)
+		t.Error("requests ran more than once at the workers: ", result.DuplicateExecutions)
 	}
 	outcomes := verdict.Completed + verdict.Rejected + verdict.Failed + verdict.Disconnected + verdict.Lost
 	if verdict.Requests != outcomes || verdict.Requests < result.Arrivals-result.Clients.Abandoned {
-		t.Errorf("%d requests accepted of %d that arrived: %+v", verdict.Requests, result.Arrivals, verdict)
+		t.Errorf("outcomes don't match %d accepted requests of %d arrivals: %+v", verdict.Requests, result.Arrivals, verdict)
 	}
 	if result.Clients.Unanswered > 0 || result.Clients.Requests != result.Arrivals {
-		t.Errorf("clients: %+v", result.Clients)
+		t.Errorf("requests unanswered or not counted: %+v", result.Clients)
 	}
 	saved, err := checker.Load(dir)
 	if err != nil {
@@ -115,7 +118,8 @@
 	}
 	again, err := checker.Check(saved)
 	if err != nil || len(again.Violations) != len(verdict.Violations) || again.Requests != verdict.Requests {
-		t.Errorf("checked from its folder: %d violations, %d requests, %v", len(again.Violations), again.Requests, err)
+		t.Errorf("verdict after loading differs: %d violations, %d requests, error %v", len(again.Violations),
+			again.Requests, err)
 	}
 	recordings, err := filepath.Glob(filepath.Join(dir, "*.core"))
 	if err != nil || len(recordings) < played.Gateways {
@@ -134,11 +138,12 @@
 	}
 	defer recording.Close()
 	if summary, err := replay.Replay(recording, nil); err != nil || summary.Inputs == 0 || summary.Truncated {
-		t.Errorf("replay of %s: %+v, %v", filepath.Base(name), summary, err)
+		t.Errorf("replay of %s failed: %+v, error %v", filepath.Base(name), summary, err)
 	}
 }
 
-// A scenario that can't be played is rejected with file, line and column.
+// TestParseErrorsHavePosition checks that an invalid scenario is rejected with an error that contains the cause, file,
+// line and column.
 func TestParseErrorsHavePosition(t *testing.T) {
 	settings := defaultSettings(t)
 	text, err := scenarios.Files.ReadFile("drains.yaml")
@@ -158,7 +163,7 @@
 		_, err := scenario.Parse("d.yaml", []byte(strings.Replace(string(text), c.old, c.new, 1)), settings)
 		var at *config.Error
 		if !errors.As(err, &at) || at.Line < 2 || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %s", c.new, err, c.want)
+			t.Errorf("%s: got error %v, want one with a position and %q", c.new, err, c.want)
 		}
 	}
 }
--- a/internal/testbed/scenario/stats.go
+++ b/internal/testbed/scenario/stats.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// ClientStats counts how requests ended for their clients.
+// ClientStats counts the outcomes of requests as their clients saw them.
 type ClientStats struct {
 	Requests   int `json:"Events"`
 	Served     int
-	InTime     int // of those served: within the latency objective
+	InTime     int // requests served within their latency objective
 	Failed     int `json:"Dead"`
-	Abandoned  int `json:"GaveUp"` // out of attempts or time
+	Abandoned  int `json:"GaveUp"` // requests whose client ran out of attempts or time
 	Unanswered int
 	Attempts   int             `json:"Tries"`
-	Latencies  []time.Duration `json:"Took"` // of those served, from the first attempt
+	Latencies  []time.Duration `json:"Took"` // served requests: time from the first attempt to the response
 }
 
-// Percentile is a percentile of the latencies; 0 where there are none.
+// Percentile returns the latency at quantile p, from 0 to 1, or 0 if no request was served.
 func (s ClientStats) Percentile(p float64) time.Duration {
 	if len(s.Latencies) == 0 {
 		return 0
@@ -26,7 +26,7 @@
 	return sorted[min(len(sorted)-1, int(p*float64(len(sorted))))]
 }
 
-// add counts a request that has ended.
+// add counts a completed request.
 func (s *ClientStats) add(outcome attemptOutcome, attempts int, latency, objective time.Duration) {
 	s.Requests++
 	s.Attempts += attempts
--- a/internal/testbed/scenario/validate.go
+++ b/internal/testbed/scenario/validate.go
@@ -8,15 +8,15 @@
 	"lupinpond/internal/gateway/fleetconfig"
 )
 
-// Bounds of a scenario that one machine can play.
+// Limits of a scenario that one machine can play.
 const (
 	maxDuration    = time.Hour
 	maxGateways    = 100
 	maxWorkers     = 1000
-	maxArrivalRate = 1e5 // requests a second
+	maxArrivalRate = 1e5 // requests per second
 )
 
-// faultFields are the faults there are, and the fields that each needs besides its time.
+// faultFields lists all kinds of faults with the fields that each requires in addition to "at" and "what".
 var faultFields = map[FaultKind][]string{
 	WorkerHang:         {"workers", "for"},
 	WorkerSilence:      {"workers", "for"},
@@ -39,7 +39,8 @@
 	RegistryDown:       {"for"},
 }
 
-// firstInvalid finds the first value that can't be, with its path in the file; an empty reason: there is none.
+// firstInvalid returns the path of the first invalid value in the file and the reason why it is invalid. The reason is
+// empty if all values are valid.
 func (s Scenario) firstInvalid(settings fleetconfig.File) (path, reason string) {
 	if path, reason := s.invalidSetting(); reason != "" {
 		return path, reason
@@ -61,46 +62,46 @@
 	return "", ""
 }
 
-// invalidSetting checks what stands once in a file.
+// invalidSetting checks the values that are not entries of arrivals or faults.
 func (s Scenario) invalidSetting() (path, reason string) {
 	workers := s.Workers
 	switch {
 	case s.Name == "":
 		return "$.name", "a scenario needs a name"
 	case s.Duration <= 0 || s.Duration.Std() > maxDuration:
-		return "$.lasts", "more than 0s, at most an hour"
+		return "$.lasts", "must be more than 0s and at most an hour"
 	case s.Gateways < 1 || s.Gateways > maxGateways:
-		return "$.fronts", fmt.Sprintf("from 1 to %d gateways", maxGateways)
+		return "$.fronts", fmt.Sprintf("must be from 1 to %d gateways", maxGateways)
 	case workers.Count < 1 || workers.Count > maxWorkers:
-		return "$.workers.count", fmt.Sprintf("from 1 to %d workers", maxWorkers)
+		return "$.workers.count", fmt.Sprintf("must be from 1 to %d workers", maxWorkers)
 	case !(workers.Cores > 0) || workers.Memory <= 0 || workers.Queue < 1 || workers.Zones < 1:
-		return "$.workers", "cores, memory, queue and zones are more than 0"
+		return "$.workers", "cores, memory, queue and zones must be more than 0"
 	case s.StoreCapacity < 1:
-		return "$.store", "at least one fetch at full speed"
+		return "$.store", "must be at least 1 fetch at full speed"
 	case s.Clients.MaxAttempts < 1 || s.Clients.RetryDelay <= 0:
-		return "$.clients", "at least one attempt, and a pause of more than 0s"
+		return "$.clients", "tries must be at least 1 and pause more than 0s"
 	case len(s.Arrivals) == 0:
 		return "$.arrivals", "a scenario needs arrivals"
 	}
 	return "", ""
 }
 
-// invalidArrivals checks one entry of the arrivals, which stands at a path.
+// invalidArrivals checks one entry of the arrivals; at is the prefix of its fields' paths in the file.
 func (s Scenario) invalidArrivals(arrivals Arrivals, functions map[string]bool, at string) (path, reason string) {
 	switch {
 	case !functions[arrivals.Function]:
 		return at + "function", fmt.Sprintf("no function %q", arrivals.Function)
 	case !(arrivals.Rate > 0 && arrivals.Rate < maxArrivalRate):
-		return at + "rate", "more than 0 requests a second"
+		return at + "rate", "must be more than 0 and less than 100000 requests per second"
 	case arrivals.Until != 0 && arrivals.Until <= arrivals.From:
-		return at + "until", "after from"
+		return at + "until", "must be after from"
 	case s.Work[arrivals.Function] <= 0:
 		return "$.work", fmt.Sprintf("no work for function %q", arrivals.Function)
 	}
 	return "", ""
 }
 
-// invalidFault checks that a fault has the fields of its kind, no other, and names workers and gateways that exist.
+// invalidFault checks that a fault has exactly the fields of its kind and that its workers and gateways exist.
 func (s Scenario) invalidFault(fault Fault) (field, reason string) {
 	needs, known := faultFields[fault.Kind]
 	if !known {
--- a/internal/testbed/scenario/workers.go
+++ b/internal/testbed/scenario/workers.go
@@ -17,15 +17,16 @@
 )
 
 const (
-	// maxAttempts is how many attempts a worker lets be open on a connection.
-	maxAttempts = 256
-	// runtimeMemoryBytes is the memory that a worker of the worker runtime admits replicas into: 16 of the package's.
+	// maxOpenAttempts is the maximum number of open attempts per connection of an emulated worker.
+	maxOpenAttempts = 256
+	// runtimeMemoryBytes is the memory for replicas at a worker of the worker runtime. It holds 16 replicas of the
+	// example package at their memory limit of 64 MiB.
 	runtimeMemoryBytes = 16 * 64 << 20
-	// runtimeMaxLoads is how many replicas such a worker loads at a time.
+	// runtimeMaxLoads is the maximum number of concurrent loads at a worker of the worker runtime.
 	runtimeMaxLoads = 2
 )
 
-// startFleet starts the registry and the workers, and registers them.
+// startFleet starts the registry and the workers and registers the workers.
 func (r *run) startFleet(ctx context.Context) error {
 	r.registry = registry.New(r.recordDelivery)
 	if err := r.startRegistry(); err != nil {
@@ -38,7 +39,7 @@
 		if r.runtime != nil {
 			worker = r.newRuntimeWorker(name)
 		} else {
-			worker = emulator.NewWorker(name, model, functions, r.store, r.executions, groups.ofZone(zone), r.scenario.Seed)
+			worker = emulator.NewWorker(name, model, functions, r.store, r.executions, groups.forZone(zone), r.scenario.Seed)
 		}
 		addr, started, err := worker.Start("", localfleet.LongUptime)
 		if err != nil {
@@ -61,17 +62,17 @@
 	return ctx.Err()
 }
 
-// stopFleet stops the registry and the workers, as far as they were started.
+// stopFleet stops the registry and the workers that were started.
 func (r *run) stopFleet() {
 	if r.registryServer != nil {
-		_ = r.registryServer.Close() // its watch streams have ended with the gateways
+		_ = r.registryServer.Close() // no watch stream is cut off: the gateways have already stopped
 	}
 	for _, worker := range r.workers {
 		worker.Stop()
 	}
 }
 
-// startRegistry serves the registry; after the first time, at the address that it had.
+// startRegistry starts the registry's server. A restart uses the same address as before.
 func (r *run) startRegistry() error {
 	server, err := httpserver.StartLoopback(r.registryAddr, r.registry.Handler())
 	if err != nil {
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// recordDelivery notes what the registry has sent to a gateway.
+// recordDelivery records a watch event that the registry sent to a gateway.
 func (r *run) recordDelivery(gateway string, at time.Time, event registry.WatchEvent) {
 	if r.captureDisabled {
 		return
@@ -91,10 +92,10 @@
 	r.deliveries = append(r.deliveries, checker.Delivery{Gateway: gateway, At: at.Sub(r.startedAt), Event: event})
 }
 
-// restartWorkers has workers start anew, not warmed up, and registers them.
+// restartWorkers restarts workers as cold workers at their previous addresses and registers them again.
 func (r *run) restartWorkers(indexes []int) error {
 	for _, i := range indexes {
-		worker, entry := r.workers[i], r.registered()[i]
+		worker, entry := r.workers[i], r.registeredEntries()[i]
 		worker.Stop()
 		_, started, err := worker.Start(entry.Addr, 0)
 		if err != nil {
@@ -109,14 +110,14 @@
 	return nil
 }
 
-// registered are the workers' entries as the registry was last given them.
-func (r *run) registered() []registry.Entry {
+// registeredEntries returns a copy of the last registered entry of each worker.
+func (r *run) registeredEntries() []registry.Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.entries)
 }
 
-// workerModel is what the settings say that workers are like.
+// workerModel returns the model of the emulated workers according to the settings and the scenario.
 func (r *run) workerModel() emulator.Model {
 	fleet, workers := r.options.Config.Fleet, r.scenario.Workers
 	return emulator.Model{
@@ -129,7 +130,7 @@
 		WarmUpTime:         fleet.SlowStart.WarmUpTime.Std(),
 		CrashMultiple:      fleet.SlowStart.CrashMultiple,
 		CrashWindow:        fleet.SlowStart.CrashWindow.Std(),
-		MaxAttempts:        maxAttempts,
+		MaxAttempts:        maxOpenAttempts,
 	}
 }
 
@@ -146,7 +147,7 @@
 	return functions
 }
 
-// newRuntimeWorker makes a worker that is the worker runtime.
+// newRuntimeWorker returns a stopped worker of the worker runtime.
 func (r *run) newRuntimeWorker(name string) *localfleet.Runtime {
 	policy, workers := r.options.Config.Fleet.LoadPolicy, r.scenario.Workers
 	return localfleet.NewRuntime(localfleet.RuntimeOptions{
@@ -167,7 +168,7 @@
 	})
 }
 
-// chunkPeers are the workers that give chunks to each other.
+// chunkPeers returns the running workers of the worker runtime that serve chunks to other workers.
 func (r *run) chunkPeers() (peers []distribution.Peer) {
 	if r.options.DisablePeerDistribution {
 		return nil
@@ -175,8 +176,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, worker := range r.workers {
-		runtime, is := worker.(*localfleet.Runtime)
-		if !is {
+		runtime, ok := worker.(*localfleet.Runtime)
+		if !ok {
 			continue
 		}
 		if addr := runtime.ChunkAddr(); addr != "" {
