--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -71,24 +71,24 @@
 // Faults that a scenario can inject. The constant's name begins with the component that has the fault.
 const (
 	WorkerHang         FaultKind = "hang"          // accepts requests but does not respond to them
-	WorkerSilence      FaultKind = "silence"       // neither reads nor writes; its connections stay open
+	WorkerSilence      FaultKind = "silence"       // neither reads nor writes; restarts at the end of the fault
 	WorkerSlow         FaultKind = "slow"          // takes Factor times as long for a request
 	WorkerErrors       FaultKind = "errors"        // fails every request at once
 	WorkerFailLoads    FaultKind = "fail-loads"    // fails every load
 	WorkerFalseReports FaultKind = "false-reports" // multiplies the queue depth in its load reports by Factor
 	WorkerReset        FaultKind = "reset"         // closes its connections
-	WorkerCrash        FaultKind = "crash"         // stops and loses its running requests; restarts at the end of the fault
+	WorkerCrash        FaultKind = "crash"         // loses its running requests; restarts at the end of the fault
 	WorkerDrain        FaultKind = "drain"         // drains; restarts at the end of the fault
 	WorkerRejectTenant FaultKind = "refuse"        // rejects the requests of Tenant as if it were full
 	StoreSlow          FaultKind = "slow-store"    // takes Factor times as long for a fetch
 	StoreStop          FaultKind = "stop-store"    // rejects every fetch
 	GatewayCrash       FaultKind = "kill-front"    // stops at once; restarts at the end of the fault
 	GatewayPause       FaultKind = "pause-front"   // blocks its event loop, as a pause of the process would
-	ClientDisconnect   FaultKind = "give-up"       // the clients of Tenant disconnect after DisconnectAfter and retry at once
+	ClientDisconnect   FaultKind = "give-up"       // clients of Tenant disconnect after DisconnectAfter and retry
 	FunctionRelease    FaultKind = "release"       // a new release of Function is published
-	RegistryDelay      FaultKind = "late-list"     // sends changes to the gateways later by Duration
+	RegistryDelay      FaultKind = "late-list"     // sends changes to the gateways with a delay of Duration
 	RegistryEmpty      FaultKind = "empty-list"    // removes all workers; registers them again at the end of the fault
-	RegistryDown       FaultKind = "list-down"     // its server is stopped
+	RegistryDown       FaultKind = "list-down"     // stops its server, then restarts it
 )
 
 // Parse parses and validates a scenario file. A validation error contains file, line and column.
