--- a/cmd/lpctl/check.go
+++ b/cmd/lpctl/check.go
@@ -8,12 +8,12 @@
 	"lupinpond/internal/gateway/fleetconfig"
 )
 
-// checkCmd checks a file of settings.
+// checkCmd validates a settings file.
 type checkCmd struct {
-	File string `arg:"" optional:"" help:"The file; without it the built-in defaults are printed." type:"path"`
+	File string `arg:"" optional:"" help:"Settings file; without it the built-in defaults are printed." type:"path"`
 }
 
-// Run checks a file, or prints the defaults.
+// Run validates the file and prints a summary, or prints the defaults if there is no file.
 func (c *checkCmd) Run(_ *slog.Logger) error {
 	if c.File == "" {
 		_, err := os.Stdout.Write(fleetconfig.DefaultText())
--- a/cmd/lpctl/checkrules.go
+++ b/cmd/lpctl/checkrules.go
@@ -7,16 +7,16 @@
 	"lupinpond/internal/testbed/checker"
 )
 
-// rules is how many rules there are.
-const rules = 5
+// ruleCount is the number of rules in docs/design.md that the checker checks.
+const ruleCount = 5
 
-// checkRulesCmd checks captures.
+// checkRulesCmd checks the rules on captures of earlier runs.
 type checkRulesCmd struct {
-	Folder string `arg:"" help:"Folder with settings.yaml, news.json and captures, as scenario --output writes it." type:"existingdir"`
-	JSON   bool   `help:"The verdict as JSON."`
+	Folder string `arg:"" help:"Folder with settings.yaml, news.json and captures (scenario --output)." type:"existingdir"`
+	JSON   bool   `help:"Print the verdict as JSON."`
 }
 
-// Run checks a folder; a violation is exitFailed.
+// Run checks the captures of a folder. A violation makes the program exit with exitFailed.
 func (c *checkRulesCmd) Run(_ *slog.Logger) error {
 	input, err := checker.Load(c.Folder)
 	if err != nil {
@@ -47,7 +47,7 @@
 	for _, violation := range verdict.Violations {
 		violations[violation.Rule]++
 	}
-	for rule := 1; rule <= rules; rule++ {
+	for rule := 1; rule <= ruleCount; rule++ {
 		fmt.Printf("rule %d: %d checked, %d violations\n", rule, verdict.Checked[rule], violations[rule])
 	}
 	for _, violation := range verdict.Violations {
--- a/cmd/lpctl/costmodel.go
+++ b/cmd/lpctl/costmodel.go
@@ -8,22 +8,22 @@
 	"lupinpond/internal/testbed/costmodel"
 )
 
-// costModelCmd measures the decision core at several sizes. Each size runs by itself, one after the other, on one
-// processor core.
+// costModelCmd measures the cost of the gateway's decision core at several sizes. The sizes run one after the other on
+// one processor core.
 type costModelCmd struct {
-	By        string  `enum:"workers,functions,rate,fleet" default:"workers" help:"What grows: ${enum}. With fleet, workers, gateways and rate grow together from today's to the target."`
-	Sizes     []int   `help:"Sizes to measure; without them those of the capacity page."`
-	Workers   int     `default:"400" help:"Workers, where these do not grow."`
-	Functions int     `default:"21000" help:"Functions, where these do not grow."`
-	Gateways  int     `aliases:"front-ends" default:"490" help:"Gateways, where these do not grow."`
-	Rate      float64 `default:"122" help:"Requests a second at this gateway, where these do not grow."`
-	Skew      float64 `default:"1.7" help:"Exponent of the Zipf law by which functions are called; with 1.65 or more, most of 21,000 are called less than once a minute at 60,000 calls a second."`
-	Requests  int     `default:"3000" help:"Requests that are counted at each size."`
-	Seed      uint64  `default:"1" help:"Of the drawn traffic."`
-	JSON      bool    `help:"One line of JSON for each size in place of the table."`
+	By        string  `enum:"workers,functions,rate,fleet" default:"workers" help:"${by_help}"`
+	Sizes     []int   `help:"Sizes to measure; by default those of the capacity page."`
+	Workers   int     `default:"400" help:"Number of workers, unless it grows."`
+	Functions int     `default:"21000" help:"Number of functions, unless it grows."`
+	Gateways  int     `aliases:"front-ends" default:"490" help:"Number of gateways, unless it grows."`
+	Rate      float64 `default:"122" help:"Requests per second at this gateway, unless the rate grows."`
+	Skew      float64 `default:"1.7" help:"${skew_help}"`
+	Requests  int     `default:"3000" help:"Number of requests that are measured at each size."`
+	Seed      uint64  `default:"1" help:"Seed of the random traffic."`
+	JSON      bool    `help:"Print one line of JSON for each size instead of the table."`
 }
 
-// defaultSizes are the sizes of the capacity page.
+// defaultSizes are the sizes of the capacity page in docs, by value of --by.
 var defaultSizes = map[string][]int{
 	"workers":   {120, 400, 1300, 4000, 12000, 43000},
 	"functions": {100, 1000, 5000, 21000, 60000},
@@ -31,7 +31,8 @@
 	"fleet":     {2, 5, 10, 20, 35, 50, 75, 100},
 }
 
-// Today's fleet and the target's middle case; with --by fleet a size is a percentage of the way between them.
+// Today's fleet and the middle case of the target. With --by fleet, a size is a percentage: 0 is today's fleet, 100 is
+// the target, and the quantities are interpolated linearly.
 const (
 	todayWorkers    = 120
 	targetWorkers   = 4300
@@ -43,7 +44,7 @@
 	targetFunctions = 21000
 )
 
-// Run measures and prints.
+// Run measures the core at each size, prints the results and fits a curve to the time per request.
 func (c *costModelCmd) Run(_ *slog.Logger) error {
 	runtime.GOMAXPROCS(1)
 	sizes := c.Sizes
@@ -54,7 +55,7 @@
 		"B a worker", "B a worker, used", "heap MiB", "load requests a request", "probes a request", "served")
 	var points []costmodel.Point
 	for _, size := range sizes {
-		measured, err := costmodel.MeasureCore(c.load(size))
+		measured, err := costmodel.MeasureCore(c.loadAt(size))
 		if err != nil {
 			return err
 		}
@@ -79,7 +80,7 @@
 }
 
 func measurementRow(size int, measured costmodel.Measurement) []any {
-	aRequest := func(count int) string {
+	perRequest := func(count int) string {
 		return fmt.Sprintf("%.2f", float64(count)/float64(measured.Counts.Requests))
 	}
 	return []any{
@@ -92,14 +93,14 @@
 		fmt.Sprintf("%.0f", measured.WorkerBytes),
 		fmt.Sprintf("%.0f", measured.UsedBytes),
 		fmt.Sprintf("%.1f", measured.HeapMiB),
-		aRequest(measured.Counts.LoadRequests),
-		aRequest(measured.Counts.Probes),
+		perRequest(measured.Counts.LoadRequests),
+		perRequest(measured.Counts.Probes),
 		fmt.Sprintf("%.3f", float64(measured.Counts.Served)/float64(measured.Counts.Requests)),
 	}
 }
 
-// load is what is measured at one size.
-func (c *costModelCmd) load(size int) costmodel.Load {
+// loadAt returns the load under which the core is measured at one size.
+func (c *costModelCmd) loadAt(size int) costmodel.Load {
 	load := costmodel.Load{
 		Workers:   c.Workers,
 		Functions: c.Functions,
@@ -117,12 +118,12 @@
 	case "rate":
 		load.Rate = float64(size)
 	case "fleet":
-		way := float64(size) / 100
-		between := func(from, to float64) float64 { return from + way*(to-from) }
-		load.Workers = int(between(todayWorkers, targetWorkers))
-		load.Gateways = int(between(todayGateways, targetGateways))
-		load.Functions = int(between(todayFunctions, targetFunctions))
-		load.Rate = between(todayRate, targetRate)
+		fraction := float64(size) / 100
+		interpolate := func(from, to float64) float64 { return from + fraction*(to-from) }
+		load.Workers = int(interpolate(todayWorkers, targetWorkers))
+		load.Gateways = int(interpolate(todayGateways, targetGateways))
+		load.Functions = int(interpolate(todayFunctions, targetFunctions))
+		load.Rate = interpolate(todayRate, targetRate)
 	}
 	return load
 }
--- a/cmd/lpctl/fault.go
+++ b/cmd/lpctl/fault.go
@@ -12,17 +12,18 @@
 	"lupinpond/internal/worker"
 )
 
-// maxControlResponse bounds a response of a worker's control interface.
+// maxControlResponse is the maximum size in bytes of a response of a worker's control interface.
 const maxControlResponse = 4096
 
-// injectFaultCmd has a worker misbehave.
+// injectFaultCmd injects a fault into a worker through its control interface.
 type injectFaultCmd struct {
-	Fault   string        `arg:"" name:"what" help:"hang, silence, slow, refuse, errors, fail-loads or false-reports."`
+	Fault string `arg:"" name:"what" help:"Fault: hang, silence, slow, refuse, errors, fail-loads or false-reports."`
+
 	Control string        `required:"" help:"The worker's control address, such as http://127.0.0.1:8720."`
-	For     time.Duration `required:"" help:"Then it is undone."`
-	At      time.Duration `help:"From now."`
-	Tenant  string        `help:"Of refuse."`
-	Factor  float64       `help:"Of slow and false-reports."`
+	For     time.Duration `required:"" help:"Duration of the fault."`
+	At      time.Duration `help:"Time from now until the fault begins."`
+	Tenant  string        `help:"For refuse: the tenant whose requests are rejected."`
+	Factor  float64       `help:"For slow: multiplies run times; for false-reports: the reported queue depth."`
 }
 
 // Run sends the fault to the worker.
--- a/cmd/lpctl/main.go
+++ b/cmd/lpctl/main.go
@@ -1,4 +1,5 @@
-// Command lpctl is the operators' command line.
+// Command lpctl is the operators' command line tool: it sends requests, inspects and changes workers and packages, and
+// runs tests and measurements.
 package main
 
 import (
@@ -15,47 +16,70 @@
 	"lupinpond/internal/base/telemetry"
 )
 
-// cli is the command line. Results go to standard output, logs to standard error.
+// cli is the command line: each field is a subcommand. Results go to standard output, logs to standard error.
 type cli struct {
 	telemetry.Flags
 
-	Up          upCmd          `cmd:"" help:"Start gateways, the registry and emulated workers in one process."`
+	Up          upCmd          `cmd:"" help:"Run gateways, the registry and emulated workers in one process."`
 	Invoke      invokeCmd      `cmd:"" help:"Send one request to a gateway."`
-	Check       checkCmd       `cmd:"" help:"Check a file of settings."`
-	Workers     workersCmd     `cmd:"" help:"Show the registered workers, or drain or remove one."`
-	Publish     publishCmd     `cmd:"" help:"Publish a package to the artifact store, and say what it makes workers fetch."`
-	Package     packageCmd     `cmd:"" help:"Look at the packages of the artifact store."`
-	InjectFault injectFaultCmd `cmd:"" help:"Have a worker misbehave for a time, over its control interface."`
-	Scenario    scenarioCmd    `cmd:"" help:"Play fault scenarios on loopback and check the five rules."`
+	Check       checkCmd       `cmd:"" help:"Validate a settings file, or print the built-in defaults."`
+	Workers     workersCmd     `cmd:"" help:"List the registered workers, after draining or removing one."`
+	Publish     publishCmd     `cmd:"" help:"Publish a package and print how much of it a worker fetches."`
+	Package     packageCmd     `cmd:"" help:"List, show and compare packages of the artifact store."`
+	InjectFault injectFaultCmd `cmd:"" help:"Make a worker misbehave for a limited time."`
+	Scenario    scenarioCmd    `cmd:"" help:"Run fault scenarios on loopback and check the five rules."`
 	CheckRules  checkRulesCmd  `cmd:"" help:"Check the five rules on a folder of captures."`
-	Replay      replayCmd      `cmd:"" help:"Replay a recording of a core and compare what it does."`
-	CostModel   costModelCmd   `cmd:"" help:"Measure what the decision core costs as the fleet grows, and fit curves."`
-	Scale       scaleCmd       `cmd:"" help:"Run real and hollow gateways, emulated workers and a discovery service at a fleet's size on loopback."`
-	Soak        soakCmd        `cmd:"" help:"Play real gateways on loopback through overlapping faults, and check the rules on the sockets."`
+	Replay      replayCmd      `cmd:"" help:"Replay a gateway core's recorded inputs and compare its actions."`
+	CostModel   costModelCmd   `cmd:"" help:"Measure the cost of the core at several fleet sizes, and fit curves."`
+	Scale       scaleCmd       `cmd:"" help:"${scale_help}"`
+	Soak        soakCmd        `cmd:"" help:"${soak_help}"`
 
-	ScaleChild scaleChildCmd `cmd:"" hidden:"" help:"A process of a scale run."`
+	ScaleChild scaleChildCmd `cmd:"" hidden:"" help:"Run one process of a scale run (started by scale itself)."`
 
-	// Commands under the names that scripts may know them by.
-	FormerInjectFault injectFaultCmd `cmd:"" name:"trouble" hidden:"" help:"inject-fault under its former name."`
-	FormerScenario    scenarioCmd    `cmd:"" name:"rehearse" hidden:"" help:"scenario under its former name."`
-	FormerCheckRules  checkRulesCmd  `cmd:"" name:"rules" hidden:"" help:"check-rules under its former name."`
-	FormerCostModel   costModelCmd   `cmd:"" name:"slopes" hidden:"" help:"cost-model under its former name."`
+	// Former names of commands, kept for existing scripts.
+	FormerInjectFault injectFaultCmd `cmd:"" name:"trouble" hidden:"" help:"Former name of inject-fault."`
+	FormerScenario    scenarioCmd    `cmd:"" name:"rehearse" hidden:"" help:"Former name of scenario."`
+	FormerCheckRules  checkRulesCmd  `cmd:"" name:"rules" hidden:"" help:"Former name of check-rules."`
+	FormerCostModel   costModelCmd   `cmd:"" name:"slopes" hidden:"" help:"Former name of cost-model."`
 
 	Completion kongplete.InstallCompletions `cmd:"" help:"Print how to install shell completion."`
 }
 
-// The exit statuses that are not success.
+// helpTexts are the help texts that are too long for a struct tag.
+var helpTexts = kong.Vars{
+	"scale_help": "Run real and hollow gateways, emulated workers and a discovery service on loopback, at the size of a " +
+		"fleet.",
+	"soak_help": "Run real gateways on loopback through overlapping faults, and check the rules on the sockets' traffic.",
+	"up_gateways_help": "Number of gateways; the first listens at front.listen of the settings, the others on the " +
+		"ports after it.",
+	"by_help": "What grows: workers, functions, rate or fleet. With fleet, workers, gateways, functions and rate grow " +
+		"together, from today's fleet (size 0) to the target (size 100).",
+	"skew_help": "Exponent of the Zipf distribution of calls over functions; with 1.65 or more, most of 21,000 " +
+		"functions are called less than once a minute at 60,000 calls per second.",
+	"sweep_help":  "Run the plan once for each of --sizes and fit curves: none, workers, gateways or rate.",
+	"output_help": "Folder for captures, watch events and core recordings, with a subfolder for each scenario.",
+	"jobs_help": "Scenarios that run in parallel; 0: 3, or 1 with --workers runtime, whose replicas share the cores of " +
+		"this machine.",
+	"no_peers_help": "With --workers runtime: workers fetch all chunks from the artifact store and none from each other.",
+	"payroll_help":  "With --workers runtime: the built example package (go build -o bin/ ./examples/payroll).",
+	"soak_dir_help": "Folder for the gateways' configurations and logs; by default a temporary one, which is kept if a " +
+		"rule was violated.",
+	"syscall_errors_help":  "Run a third of the gateways under strace, which makes some of their system calls fail.",
+	"gateway_program_help": "Gateway program, built with the build command of deploy/balancer.toml.",
+}
+
+// Exit statuses of failures.
 const (
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// errFailed is an end with exitFailed that has been told already.
+// errFailed makes the program exit with exitFailed without a message: the command has already printed the reason.
 var errFailed = errors.New("failed")
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// run runs a command line; it gives the exit status.
+// run runs a command line and returns the exit status.
 func run(args []string) (status int) {
 	parser, flags := newParser()
 	kongplete.Complete(parser)
@@ -63,7 +87,7 @@
 	if err != nil {
 		var parseErr *kong.ParseError
 		if errors.As(err, &parseErr) {
-			_ = parseErr.Context.PrintUsage(true) // the error says what is wrong anyway
+			_ = parseErr.Context.PrintUsage(true) // if this fails, the error below is still printed
 		}
 		fmt.Fprintln(os.Stderr, "lpctl:", err)
 		return exitUsage
@@ -84,9 +108,9 @@
 
 func newParser() (*kong.Kong, *cli) {
 	var flags cli
-	parser := kong.Must(&flags, kong.Name("lpctl"), kong.UsageOnError(),
-		kong.Description("Run, ask and test lupinpond, a gateway that runs calls on workers which load functions on "+
-			"demand.\n\nExit status: 0 as wanted, 1 a rule was violated, a request was not completed or something failed, "+
-			"2 wrong arguments."))
+	parser := kong.Must(&flags, kong.Name("lpctl"), kong.UsageOnError(), helpTexts,
+		kong.Description("Run, query and test lupinpond, a gateway that runs requests on workers which load functions on "+
+			"demand.\n\nExit status: 0 success, 1 a rule was violated, a request was not completed or the command failed, "+
+			"2 invalid arguments."))
 	return parser, &flags
 }
--- a/cmd/lpctl/main_test.go
+++ b/cmd/lpctl/main_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// command parses a command line; it gives the selected command with its flags.
+// command parses a command line and returns the selected command with its flags.
 func command(t *testing.T, line string) (path string, flags any) {
 	t.Helper()
 	parser, _ := newParser()
@@ -20,14 +20,15 @@
 	return parsed.Command(), parsed.Selected().Target.Interface()
 }
 
-// Scripts go on working: a command line of the former names is the one of the names of now.
+// Existing scripts must keep working: a command line with former names of commands and flags is parsed into the same
+// command as the one with the current names.
 func TestFormerNames(t *testing.T) {
 	folder := t.TempDir()
 	file := filepath.Join(folder, "0.core")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, test := range []struct{ former, now string }{
+	for _, test := range []struct{ former, current string }{
 		{"up --fronts 3", "up --gateways 3"},
 		{"invoke --front http://h:1 f body", "invoke --gateway http://h:1 f body"},
 		{"workers --list http://h:1 --gone w1", "workers --registry http://h:1 --remove w1"},
@@ -42,14 +43,14 @@
 		{"soak --inject", "soak --inject-syscall-errors"},
 	} {
 		_, former := command(t, test.former)
-		_, now := command(t, test.now)
-		if fmt.Sprintf("%T%+v", former, former) != fmt.Sprintf("%T%+v", now, now) {
-			t.Errorf("lpctl %s: %+v, lpctl %s: %+v", test.former, former, test.now, now)
+		_, current := command(t, test.current)
+		if fmt.Sprintf("%T%+v", former, former) != fmt.Sprintf("%T%+v", current, current) {
+			t.Errorf("lpctl %s: %+v, lpctl %s: %+v", test.former, former, test.current, current)
 		}
 	}
 }
 
-// Values of flags that had other names are taken too.
+// Former names of flag values are still accepted.
 func TestFormerValues(t *testing.T) {
 	if _, flags := command(t, "rehearse --all --workers imitation"); flags.(scenarioCmd).Workers == workersRuntime {
 		t.Errorf("%+v", flags)
@@ -59,7 +60,7 @@
 	}
 }
 
-// The former names are not listed.
+// The help doesn't list former names of commands, flags and values.
 func TestFormerNamesAreHidden(t *testing.T) {
 	for _, test := range []struct {
 		line   string
@@ -74,7 +75,7 @@
 		parser, _ := newParser()
 		var help bytes.Buffer
 		parser.Stdout = &help
-		parser.Exit = func(int) { panic(errFailed) } // what follows the help is not of interest
+		parser.Exit = func(int) { panic(errFailed) } // kong exits after printing the help
 		func() {
 			defer func() { _ = recover() }()
 			_, _ = parser.Parse(strings.Fields(test.line))
@@ -90,7 +91,7 @@
 	}
 }
 
-// A command line that can't be read has exitUsage.
+// A command line that can't be parsed makes the program exit with exitUsage.
 func TestUsageError(t *testing.T) {
 	for _, line := range []string{"no-such-command", "up --no-such-flag", "scenario --workers neither"} {
 		if status := run(strings.Fields(line)); status != exitUsage {
--- a/cmd/lpctl/output.go
+++ b/cmd/lpctl/output.go
@@ -10,7 +10,7 @@
 	"lupinpond/internal/gateway/fleetconfig"
 )
 
-// loadConfig reads a file of settings, or the defaults where none is named.
+// loadConfig reads a settings file. With an empty path it returns the built-in defaults.
 func loadConfig(path string) (fleetconfig.File, error) {
 	if path == "" {
 		return fleetconfig.Default()
@@ -18,7 +18,7 @@
 	return fleetconfig.Read(path)
 }
 
-// newTable is a table on standard output; Render prints it.
+// newTable returns a table with a header. Its Render method prints it to standard output.
 func newTable(header ...any) table.Writer {
 	t := table.NewWriter()
 	t.SetOutputMirror(os.Stdout)
--- a/cmd/lpctl/packages.go
+++ b/cmd/lpctl/packages.go
@@ -15,7 +15,7 @@
 	"lupinpond/internal/base/httpclient"
 )
 
-// storeFlag is the address of the artifact store.
+// storeFlag is the flag with the address of the artifact store, embedded in the commands that use the store.
 type storeFlag struct {
 	Store string `default:"http://127.0.0.1:8730" help:"Address of the artifact store."`
 }
@@ -24,20 +24,20 @@
 	return artifactstore.Client{BaseURL: f.Store, HTTPClient: http.DefaultClient}
 }
 
-// publishCmd publishes a package.
+// publishCmd publishes a package to the artifact store.
 type publishCmd struct {
 	storeFlag
-	Folder string `arg:"" type:"existingdir" help:"The package: its content and the manifest that worker pack has written."`
-	Dry    bool   `help:"Send nothing; say what a worker that has the newest release would fetch."`
+	Folder string `arg:"" type:"existingdir" help:"Folder of the package, with the manifest from worker pack."`
+	Dry    bool   `help:"Publish nothing; print what a worker with the newest release would fetch."`
 }
 
-// Run publishes a package and says what its release makes workers fetch.
+// Run publishes the package and prints how many chunks and bytes of it a worker fetches that has the previous release.
 func (c *publishCmd) Run(ctx context.Context, _ *slog.Logger) error {
 	p, err := manifest.Open(c.Folder)
 	if err != nil {
 		return err
 	}
-	old, since := layer.Release{}, "a worker without any release"
+	old, baseline := layer.Release{}, "a worker without any release"
 	encoded, err := c.client().Release(ctx, p.Name, "")
 	var status *httpclient.StatusError
 	switch {
@@ -49,7 +49,7 @@
 		if err != nil {
 			return err
 		}
-		since = "a worker that has version " + newest.Version
+		baseline = "a worker that has version " + newest.Version
 	case !errors.As(err, &status) || status.StatusCode != http.StatusNotFound:
 		return err
 	}
@@ -58,7 +58,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("%s fetches %s\n", since, describeFetch(old, next))
+		fmt.Printf("%s fetches %s\n", baseline, describeFetch(old, next))
 		return nil
 	}
 	sent, err := c.client().Publish(ctx, c.Folder)
@@ -67,28 +67,28 @@
 	}
 	fmt.Printf("%s version %s, release %.12s: %d chunks, %d sent\n", sent.Name, sent.Version, sent.Digest, sent.Chunks,
 		sent.NewChunks)
-	fmt.Printf("%s fetches %s\n", since, describeFetch(old, sent.Release))
+	fmt.Printf("%s fetches %s\n", baseline, describeFetch(old, sent.Release))
 	return nil
 }
 
-// describeFetch says what a worker that has one release fetches for another.
+// describeFetch describes what a worker with release old fetches to get release next.
 func describeFetch(old, next layer.Release) string {
 	chunks, bytes, all := layer.Diff(old, next)
 	percent := 100 * float64(bytes) / float64(max(1, all))
 	return fmt.Sprintf("%d chunks, %s of %s (%.1f %%)", chunks, mib(bytes), mib(all), percent)
 }
 
-// packageCmd looks at packages.
+// packageCmd lists, shows and compares releases of packages.
 type packageCmd struct {
-	List packageListCmd `cmd:"" help:"The newest release of every package."`
-	Show packageShowCmd `cmd:"" help:"What a release consists of."`
-	Diff packageDiffCmd `cmd:"" help:"What a worker that has one release would fetch for another."`
+	List packageListCmd `cmd:"" help:"List the newest release of each package."`
+	Show packageShowCmd `cmd:"" help:"Print the manifest, layers and files of a release."`
+	Diff packageDiffCmd `cmd:"" help:"Print what a worker with one release would fetch to get another."`
 }
 
-// packageListCmd lists packages.
+// packageListCmd lists the newest release of each package.
 type packageListCmd struct{ storeFlag }
 
-// Run lists packages.
+// Run prints a table of the packages in the store.
 func (c *packageListCmd) Run(ctx context.Context, _ *slog.Logger) error {
 	releases, err := c.client().Packages(ctx)
 	if err != nil {
@@ -102,14 +102,14 @@
 	return nil
 }
 
-// packageShowCmd shows a release.
+// packageShowCmd shows the content of a release.
 type packageShowCmd struct {
 	storeFlag
 	Name    string `arg:""`
-	Version string `arg:"" optional:"" help:"The newest unless named."`
+	Version string `arg:"" optional:"" help:"Version of the release; the newest by default."`
 }
 
-// release fetches a release; an empty version is the newest one.
+// release fetches a release from the store. An empty version selects the newest release.
 func (f storeFlag) release(ctx context.Context, name, version string) (layer.Release, error) {
 	encoded, err := f.client().Release(ctx, name, version)
 	if err != nil {
@@ -118,7 +118,7 @@
 	return layer.Decode(encoded)
 }
 
-// Run shows a release.
+// Run prints the manifest of the release and a table of its files.
 func (c *packageShowCmd) Run(ctx context.Context, _ *slog.Logger) error {
 	release, err := c.release(ctx, c.Name, c.Version)
 	if err != nil {
@@ -140,11 +140,11 @@
 type packageDiffCmd struct {
 	storeFlag
 	Name string `arg:""`
-	Old  string `arg:"" help:"A version."`
-	New  string `arg:"" optional:"" help:"Another; the newest unless named."`
+	Old  string `arg:"" help:"Version that the worker has."`
+	New  string `arg:"" optional:"" help:"Version to compare with; the newest by default."`
 }
 
-// Run compares two releases, file by file.
+// Run prints, for each file of the new release, how many chunks and bytes the old release lacks.
 func (c *packageDiffCmd) Run(ctx context.Context, _ *slog.Logger) error {
 	old, err := c.release(ctx, c.Name, c.Old)
 	if err != nil {
--- a/cmd/lpctl/replay.go
+++ b/cmd/lpctl/replay.go
@@ -10,14 +10,14 @@
 	"lupinpond/internal/gateway/replay"
 )
 
-// replayCmd replays a recording.
+// replayCmd replays a recording of a gateway's core.
 type replayCmd struct {
-	File    string `arg:"" help:"A recording of a core, as scenario --output writes it (*.core)." type:"existingfile"`
-	Show    bool   `help:"Print every input and action."`
-	Request string `aliases:"event" help:"Print only what names this request."`
+	File    string `arg:"" help:"Recording of a core (*.core), as written by scenario --output." type:"existingfile"`
+	Show    bool   `help:"Print all inputs and actions."`
+	Request string `aliases:"event" help:"Print only the inputs and actions of this request."`
 }
 
-// Run replays a recording.
+// Run replays the recording. An action that differs from the recorded one is an error.
 func (c *replayCmd) Run(_ *slog.Logger) error {
 	recording, err := os.Open(c.File)
 	if err != nil {
@@ -38,28 +38,29 @@
 	return nil
 }
 
-// replayPrinter prints inputs and actions: all, or those that name a request.
+// replayPrinter prints the inputs and actions of a replay: all of them, or those of one request.
 type replayPrinter struct {
 	all     bool
-	request string // "": any
-	now     time.Duration
+	request string        // ID of the request to print; empty: all requests
+	now     time.Duration // time of the latest input
 }
 
-// print prints an input or an action; the other one is nil.
+// print prints an input or an action if it is selected; exactly one of them isn't nil.
 func (p *replayPrinter) print(input *core.Input, action *replay.Action) {
 	if input != nil {
 		p.now = input.Now
 	}
 	switch {
 	case !p.all && p.request == "":
-	case input != nil && p.wants(input.ID, input.Request != nil && input.Request.ID == p.request):
+	case input != nil && p.selects(input.ID, input.Request != nil && input.Request.ID == p.request):
 		fmt.Printf("%v %v\n", p.now, input)
-	case action != nil && p.wants(action.ID, false):
+	case action != nil && p.selects(action.ID, false):
 		fmt.Printf("%v   -> %v\n", p.now, action)
 	}
 }
 
-// wants reports whether what names an ID is printed; matches says that it names the request in another way.
-func (p *replayPrinter) wants(id string, matches bool) bool {
-	return p.request == "" || id == p.request || matches
+// selects reports whether an input or action with an ID is printed. namesRequest is set if it refers to the request
+// in another way than by that ID.
+func (p *replayPrinter) selects(id string, namesRequest bool) bool {
+	return p.request == "" || id == p.request || namesRequest
 }
--- a/cmd/lpctl/scale.go
+++ b/cmd/lpctl/scale.go
@@ -12,28 +12,29 @@
 	"lupinpond/internal/testbed/scale"
 )
 
-// scaleCmd plays a scale run.
+// scaleCmd runs a fleet of real gateways, hollow gateways (which generate their requests themselves) and emulated
+// workers on loopback.
 type scaleCmd struct {
-	Plan           string `arg:"" help:"File of the plan." type:"path"`
-	GatewayProgram string `aliases:"gate" default:"bin/gateway" help:"Program of the real gateways, as the deploy file builds it." type:"path"`
-	Check          bool   `help:"Only check the plan, and print what it takes."`
-	JSON           bool   `help:"The result as JSON in place of the tables."`
-	Samples        string `help:"File for one JSON line a sample." type:"path"`
-	Sweep          string `enum:"none,workers,gateways,rate,front-ends" default:"none" help:"Play the plan once for each of --sizes, and fit curves: none, workers, gateways or rate."`
-	Sizes          []int  `help:"Sizes of --sweep, four at the least."`
+	Plan           string `arg:"" help:"Plan file (YAML)." type:"path"`
+	GatewayProgram string `aliases:"gate" default:"bin/gateway" help:"${gateway_program_help}" type:"path"`
+	Check          bool   `help:"Only check the plan and print an estimate of the memory that it needs."`
+	JSON           bool   `help:"Print the result as JSON instead of tables."`
+	Samples        string `help:"File to which each sample is written as a line of JSON." type:"path"`
+	Sweep          string `enum:"none,workers,gateways,rate,front-ends" default:"none" help:"${sweep_help}"`
+	Sizes          []int  `help:"Sizes of --sweep, at least four."`
 }
 
-// scaleChildCmd is a process of a run.
+// scaleChildCmd is one process of a scale run, which the scale command starts.
 type scaleChildCmd struct {
-	Role string `arg:"" enum:"list,workers,front-ends" help:"What it plays: ${enum}."`
+	Role string `arg:"" enum:"list,workers,front-ends" help:"Role of the process: ${enum}."`
 }
 
-// Run plays the role until standard input ends.
+// Run runs the role until standard input is closed.
 func (c *scaleChildCmd) Run(ctx context.Context, _ *slog.Logger) error {
 	return scale.Child(ctx, scale.Role(c.Role), os.Stdin, os.Stdout)
 }
 
-// Run plays the plan.
+// Run checks or runs the plan.
 func (c *scaleCmd) Run(ctx context.Context, _ *slog.Logger) error {
 	text, err := os.ReadFile(c.Plan)
 	if err != nil {
@@ -62,7 +63,7 @@
 	return errors.Join(err, c.print(result))
 }
 
-// options are what the run needs beside its plan; closeSamples closes the file of samples.
+// options returns the options of the run. closeSamples closes the file to which samples are written.
 func (c *scaleCmd) options() (options scale.Options, closeSamples func(), err error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -103,7 +104,7 @@
 	printLatencies(result)
 	fmt.Printf("real gateways' clients: %d sent, %d served, %d rejected, %d failed\n", result.Real.Submitted,
 		result.Real.Served, result.Real.Rejected, result.Real.Failed)
-	fmt.Printf("%d changes; lists at the end %v, the service's %s; %d received out of order\n", result.Changes,
+	fmt.Printf("%d changes; endpoint lists at the end %v, expected %s; %d changes out of order\n", result.Changes,
 		result.Lists, result.ExpectedList, result.OutOfOrder)
 	return nil
 }
@@ -145,9 +146,10 @@
 	t.Render()
 }
 
-// printApplied prints how long changes took to be in force, by the span in which they were published.
+// printApplied prints the time from the publication of a change until gateways applied it, by the span in which it
+// was published.
 func printApplied(result scale.Result) {
-	t := newTable("changes of", "in force at a gateway: p50 ms", "p99", "worst", "count", "at the last of each: p50",
+	t := newTable("changes of", "applied at a gateway: p50 ms", "p99", "worst", "count", "at the last gateway: p50",
 		"p99", "worst", "changes")
 	for _, span := range result.Spans {
 		each, last := result.Applied[span.Name], result.AppliedEverywhere[span.Name]
--- a/cmd/lpctl/scenario.go
+++ b/cmd/lpctl/scenario.go
@@ -22,32 +22,32 @@
 )
 
 const (
-	// maxShownViolations is how many violations of a scenario are printed.
+	// maxShownViolations is the maximum number of violations that are printed for a scenario.
 	maxShownViolations = 10
-	// emulatedJobs is how many scenarios are played at a time with emulated workers, unless --jobs says.
+	// emulatedJobs is the default of --jobs with emulated workers.
 	emulatedJobs = 3
-	// runtimeJobs is the same with the worker runtime, whose replicas share this machine's cores.
+	// runtimeJobs is the default of --jobs with the worker runtime, whose replicas share this machine's cores.
 	runtimeJobs = 1
 )
 
-// workersRuntime is the value of --workers for the worker runtime.
+// workersRuntime is the value of --workers that selects the worker runtime.
 const workersRuntime = "runtime"
 
-// scenarioCmd plays scenarios.
+// scenarioCmd runs fault scenarios and checks the rules on what was captured.
 type scenarioCmd struct {
-	Scenarios []string `arg:"" optional:"" name:"days" help:"Scenarios by name, or files ending in .yaml."`
-	All       bool     `help:"Play every built-in scenario."`
+	Scenarios []string `arg:"" optional:"" name:"days" help:"Names of built-in scenarios, or files ending in .yaml."`
+	All       bool     `help:"Run all built-in scenarios."`
 	List      bool     `help:"List the built-in scenarios."`
-	Settings  string   `help:"File of settings instead of the built-in defaults." type:"path"`
-	Output    string   `aliases:"keep" help:"Folder for captures, watch events and core recordings; a folder in it for each scenario." type:"path"`
-	Jobs      int      `default:"0" help:"Scenarios played at a time; 0: three, or one with --workers runtime, whose replicas share this machine's cores."`
-	Workers   string   `enum:"emulated,runtime,imitation" default:"emulated" help:"What workers are: emulated or runtime."`
-	NoPeers   bool     `aliases:"alone" help:"With --workers runtime: workers give each other no chunks, each fetches from the store alone."`
-	Payroll   string   `default:"bin/payroll" help:"With --workers runtime: the built example package (go build -o bin/ ./examples/payroll)." type:"path"`
-	JSON      bool     `help:"Results as JSON lines."`
+	Settings  string   `help:"Settings file; the built-in defaults are used without it." type:"path"`
+	Output    string   `aliases:"keep" help:"${output_help}" type:"path"`
+	Jobs      int      `default:"0" help:"${jobs_help}"`
+	Workers   string   `enum:"emulated,runtime,imitation" default:"emulated" help:"Kind of workers: emulated or runtime."`
+	NoPeers   bool     `aliases:"alone" help:"${no_peers_help}"`
+	Payroll   string   `default:"bin/payroll" help:"${payroll_help}" type:"path"`
+	JSON      bool     `help:"Print the results as JSON lines."`
 }
 
-// Run lists or plays scenarios.
+// Run lists or runs scenarios.
 func (c *scenarioCmd) Run(ctx context.Context, log *slog.Logger) error {
 	settings, err := loadConfig(c.Settings)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return c.report(results)
 }
 
-// choose finds the scenarios that are named.
+// choose returns the scenarios that the arguments select.
 func (c *scenarioCmd) choose(builtIn []scenario.Scenario, settings fleetconfig.File) ([]scenario.Scenario, error) {
 	var chosen []scenario.Scenario
 	if c.All {
@@ -95,12 +95,12 @@
 		}
 		i := slices.IndexFunc(builtIn, func(s scenario.Scenario) bool { return s.Name == name })
 		if i < 0 {
-			return nil, fmt.Errorf("no scenario %q; lpctl scenario --list names them", name)
+			return nil, fmt.Errorf("no scenario %q; lpctl scenario --list lists the built-in ones", name)
 		}
 		chosen = append(chosen, builtIn[i])
 	}
 	if len(chosen) == 0 {
-		return nil, errors.New("name a scenario, or --all")
+		return nil, errors.New("no scenario given; name one or use --all")
 	}
 	return chosen, nil
 }
@@ -133,7 +133,7 @@
 	return results, group.Wait()
 }
 
-// jobs is how many scenarios are played at a time.
+// jobs returns the number of scenarios that run in parallel.
 func (c *scenarioCmd) jobs() int {
 	switch {
 	case c.Jobs != 0:
@@ -144,36 +144,36 @@
 	return emulatedJobs
 }
 
-// progress shows how far several scenarios are.
+// progress shows the progress of several scenarios in one bar.
 type progress struct {
-	mu    sync.Mutex
-	shown *progressbar.ProgressBar
-	parts []int // percent of each
+	mu       sync.Mutex
+	bar      *progressbar.ProgressBar
+	percents []int // progress of each scenario
 }
 
-// newProgress shows nothing if it is to be silent.
+// newProgress returns a progress bar for count scenarios; a silent one prints nothing.
 func newProgress(count int, silent bool) *progress {
 	var out io.Writer = os.Stderr
 	if silent {
 		out = io.Discard
 	}
-	shown := progressbar.NewOptions(100*count,
+	bar := progressbar.NewOptions(100*count,
 		progressbar.OptionSetWriter(out),
 		progressbar.OptionThrottle(100*time.Millisecond),
 		progressbar.OptionSetDescription("scenarios"),
 		progressbar.OptionClearOnFinish())
-	return &progress{shown: shown, parts: make([]int, count)}
+	return &progress{bar: bar, percents: make([]int, count)}
 }
 
-// set notes how far one is; it never goes back.
+// set records the progress of one scenario; a value below the recorded one is ignored.
 func (p *progress) set(index, percent int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_ = p.shown.Add(max(0, percent-p.parts[index])) // nobody may be looking
-	p.parts[index] = max(percent, p.parts[index])
+	_ = p.bar.Add(max(0, percent-p.percents[index])) // a bar that can't be printed doesn't matter
+	p.percents[index] = max(percent, p.percents[index])
 }
 
-// report prints the results; a scenario that did not pass is exitFailed.
+// report prints the results. If a scenario did not pass, the program exits with exitFailed.
 func (c *scenarioCmd) report(results []scenario.Result) error {
 	passed := 0
 	for _, result := range results {
--- a/cmd/lpctl/soak.go
+++ b/cmd/lpctl/soak.go
@@ -20,39 +20,40 @@
 	maxSoakDuration  = 30 * time.Minute
 )
 
-// maxShownSoakViolations is how many violations are printed.
+// maxShownSoakViolations is the maximum number of violations that are printed.
 const maxShownSoakViolations = 40
 
-// soakCmd plays a soak test.
+// soakCmd runs gateway processes against emulated workers and clients on loopback while it injects overlapping faults,
+// and checks the rules on the traffic of the sockets.
 type soakCmd struct {
-	Seed                uint64        `default:"0" help:"Of all that is drawn; 0: by the clock. It is printed."`
-	Gateways            int           `aliases:"processes" default:"24" help:"Gateways, one process each."`
-	Workers             int           `default:"12" help:"Emulated workers."`
-	Rate                float64       `default:"12" help:"Requests a second at each gateway."`
-	For                 time.Duration `default:"30s" help:"How long faults are begun."`
-	WarmUp              time.Duration `aliases:"quiet" default:"1s" help:"Time without faults at the begin."`
-	GatewayProgram      string        `aliases:"gate" default:"bin/gateway" help:"Program of the gateways, as the deploy file builds it." type:"path"`
-	Dir                 string        `help:"Folder for configurations and logs of the gateways; a temporary one by default, which stays if a rule was violated." type:"path"`
-	InjectSyscallErrors bool          `aliases:"inject" help:"A third of the gateways runs under strace, which makes system calls fail now and then."`
-	Outage              bool          `help:"One outage of the discovery service, drawn by the seed, in place of drawn faults."`
-	MaxOutage           time.Duration `default:"30s" help:"Longest outage that is drawn, from 8s on."`
-	AnswerQueries       bool          `help:"Draining workers answer load requests for no replicas as others do."`
-	Verbose             bool          `short:"v" help:"A line for each fault."`
+	Seed                uint64        `default:"0" help:"Seed of the random faults and traffic; 0: by the clock. Printed."`
+	Gateways            int           `aliases:"processes" default:"24" help:"Number of gateways, one process each."`
+	Workers             int           `default:"12" help:"Number of emulated workers."`
+	Rate                float64       `default:"12" help:"Requests per second at each gateway."`
+	For                 time.Duration `default:"30s" help:"Period in which new faults begin."`
+	WarmUp              time.Duration `aliases:"quiet" default:"1s" help:"Time without faults at the beginning."`
+	GatewayProgram      string        `aliases:"gate" default:"bin/gateway" help:"${gateway_program_help}" type:"path"`
+	Dir                 string        `help:"${soak_dir_help}" type:"path"`
+	InjectSyscallErrors bool          `aliases:"inject" help:"${syscall_errors_help}"`
+	Outage              bool          `help:"Play one random outage of the discovery service instead of faults."`
+	MaxOutage           time.Duration `default:"30s" help:"Maximum length of the outage, at least 8s."`
+	AnswerQueries       bool          `help:"Draining workers answer replica queries like others."`
+	Verbose             bool          `short:"v" help:"Print a line for each fault."`
 }
 
 func (c *soakCmd) check() error {
 	switch {
 	case c.Gateways < 1 || c.Gateways > maxSoakProcesses:
-		return fmt.Errorf("--gateways %d: from 1 to %d", c.Gateways, maxSoakProcesses)
+		return fmt.Errorf("--gateways %d: must be from 1 to %d", c.Gateways, maxSoakProcesses)
 	case c.Workers < minSoakWorkers || c.Workers > maxSoakProcesses:
-		return fmt.Errorf("--workers %d: from %d to %d", c.Workers, minSoakWorkers, maxSoakProcesses)
+		return fmt.Errorf("--workers %d: must be from %d to %d", c.Workers, minSoakWorkers, maxSoakProcesses)
 	case !(c.Rate > 0 && c.Rate <= maxSoakRate):
-		return fmt.Errorf("--rate %v: above 0, at most %d", c.Rate, maxSoakRate)
+		return fmt.Errorf("--rate %v: must be above 0 and at most %d", c.Rate, maxSoakRate)
 	case c.For <= 0 || c.For > maxSoakDuration || c.WarmUp < 0 || c.WarmUp > maxSoakDuration:
-		return fmt.Errorf("--for and --warm-up: at most %v", maxSoakDuration)
+		return fmt.Errorf("--for must be above 0, --warm-up not below 0, and both at most %v", maxSoakDuration)
 	}
 	if c.MaxOutage < soak.MinOutage || c.MaxOutage > maxSoakDuration {
-		return fmt.Errorf("--max-outage %v: from %v to %v", c.MaxOutage, soak.MinOutage, maxSoakDuration)
+		return fmt.Errorf("--max-outage %v: must be from %v to %v", c.MaxOutage, soak.MinOutage, maxSoakDuration)
 	}
 	if c.InjectSyscallErrors {
 		if _, err := exec.LookPath("strace"); err != nil {
@@ -63,7 +64,7 @@
 	return err
 }
 
-// Run plays the run; a violation is exitFailed.
+// Run runs the soak test. A violation of a rule makes the program exit with exitFailed.
 func (c *soakCmd) Run(ctx context.Context, _ *slog.Logger) error {
 	if err := c.check(); err != nil {
 		return err
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// printSoakReport prints what was checked and the violations.
+// printSoakReport prints the number of checked requests, attempts and faults, and the violations.
 func printSoakReport(report soak.Report) {
 	counts := report.Counts
 	fmt.Printf("requests %d: served %d, rejected %d, failed %d, exceptions %d, client disconnected %d, excused %d; "+
--- a/cmd/lpctl/sweep.go
+++ b/cmd/lpctl/sweep.go
@@ -9,20 +9,20 @@
 	"lupinpond/internal/testbed/scale"
 )
 
-// minSizes is how many sizes a sweep needs at the least.
+// minSizes is the minimum number of sizes of a sweep.
 const minSizes = 4
 
-// errSizes says that a sweep has too few sizes.
-var errSizes = errors.New("--sweep needs --sizes, four at the least")
+// errSizes reports that a sweep has fewer than minSizes sizes.
+var errSizes = errors.New("--sweep needs --sizes with at least four sizes")
 
-// sweep plays the plan at several sizes and fits curves through the first span's figures.
+// sweep runs the plan at several sizes and fits a curve to each measured quantity.
 func (c *scaleCmd) sweep(ctx context.Context, plan scale.Plan, options scale.Options) error {
 	if len(c.Sizes) < minSizes {
 		return errSizes
 	}
 	swept := newSweptFigures()
 	for _, size := range c.Sizes {
-		result, err := scale.Run(ctx, c.sized(plan, size), options)
+		result, err := scale.Run(ctx, c.planAt(plan, size), options)
 		fmt.Printf("-- %s %d\n", c.Sweep, size)
 		if err := errors.Join(err, c.print(result)); err != nil {
 			return err
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// sized is the plan at one size.
-func (c *scaleCmd) sized(plan scale.Plan, size int) scale.Plan {
+// planAt returns the plan with the swept quantity set to size.
+func (c *scaleCmd) planAt(plan scale.Plan, size int) scale.Plan {
 	switch c.Sweep {
 	case "workers":
 		plan.Workers.Count = size
@@ -46,9 +46,9 @@
 	return plan
 }
 
-// sweptFigures are figures at several sizes.
+// sweptFigures collects the measured quantities of a sweep, by name.
 type sweptFigures struct {
-	names  []string // in the order of their first points
+	names  []string // names of the quantities, in the order in which they were first added
 	points map[string][]costmodel.Point
 }
 
@@ -79,7 +79,7 @@
 	}
 }
 
-// print prints a curve for each figure.
+// print prints the fitted curve of each quantity.
 func (f *sweptFigures) print() {
 	for _, name := range f.names {
 		fit, err := costmodel.FitPoints(f.points[name])
--- a/cmd/lpctl/up.go
+++ b/cmd/lpctl/up.go
@@ -8,14 +8,14 @@
 	"lupinpond/internal/testbed/scenario"
 )
 
-// upCmd runs everything in one process.
+// upCmd runs gateways, the registry and emulated workers in one process.
 type upCmd struct {
-	Settings string `help:"File of settings instead of the built-in defaults." type:"path"`
-	Gateways int    `aliases:"fronts" default:"2" help:"Gateways; the first listens where the settings say, the others on the ports after it."`
-	Workers  int    `default:"6" help:"Emulated workers."`
+	Settings string `help:"Settings file; the built-in defaults are used without it." type:"path"`
+	Gateways int    `aliases:"fronts" default:"2" help:"${up_gateways_help}"`
+	Workers  int    `default:"6" help:"Number of emulated workers."`
 }
 
-// Run runs until a signal.
+// Run runs the fleet until a signal arrives. Once it is ready, it prints its addresses and commands to try.
 func (c *upCmd) Run(ctx context.Context, log *slog.Logger) error {
 	settings, err := loadConfig(c.Settings)
 	if err != nil {
--- a/cmd/lpctl/workers.go
+++ b/cmd/lpctl/workers.go
@@ -11,15 +11,15 @@
 	"lupinpond/internal/registry"
 )
 
-// workersCmd shows and changes the registry.
+// workersCmd lists the workers of the registry and changes the state of one.
 type workersCmd struct {
 	Registry string `aliases:"list" default:"http://127.0.0.1:8710" help:"Address of the registry."`
 	Drain    string `help:"Mark this worker as draining."`
 	Remove   string `aliases:"gone" help:"Remove this worker."`
-	JSON     bool   `help:"The workers as JSON."`
+	JSON     bool   `help:"Print the workers as JSON."`
 }
 
-// Run changes the state of workers, if it is to, and shows all.
+// Run marks workers as draining or removed if the flags ask for it, then lists all workers.
 func (c *workersCmd) Run(ctx context.Context, _ *slog.Logger) error {
 	client := registry.Client{BaseURL: c.Registry, HTTP: http.DefaultClient}
 	for _, change := range []struct {
