--- a/cmd/gateway/descriptors_test.go
+++ b/cmd/gateway/descriptors_test.go
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// limitedProgram is the gateway as a process of its own with few descriptors.
+// limitedProgram is a gateway process with a low limit of file descriptors.
 type limitedProgram struct {
 	*exec.Cmd
 	t        *testing.T
-	addr     string
-	deadline time.Time // of the test
+	addr     string    // address for clients
+	deadline time.Time // latest time at which dial still retries
 }
 
-// startLimitedProgram starts the gateway with a number of descriptors.
+// startLimitedProgram starts a gateway process that may open at most config.sockets file descriptors.
 func startLimitedProgram(t *testing.T, config platformConfig) *limitedProgram {
 	t.Helper()
 	command := fmt.Sprintf("ulimit -n %d && exec %q", config.sockets, os.Args[0])
@@ -36,7 +36,7 @@
 	return p
 }
 
-// dial connects, as soon as the gateway has started.
+// dial connects to the gateway, and retries until the gateway listens.
 func (p *limitedProgram) dial() net.Conn {
 	p.t.Helper()
 	for time.Now().Before(p.deadline) {
@@ -46,11 +46,11 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	p.t.Fatal("nobody listens")
+	p.t.Fatal("the gateway doesn't listen")
 	return nil
 }
 
-// dispatch sends request n on a connection of its own and reports whether it was completed.
+// dispatch sends request n on a new connection and reports whether it was completed.
 func (p *limitedProgram) dispatch(n int) (ok bool, err error) {
 	p.t.Helper()
 	conn := p.dial()
@@ -58,19 +58,20 @@
 	return roundTrip(conn, dispatchFrame(n))
 }
 
-// connectIdle makes connections that stay idle after a health check.
+// connectIdle opens n connections that stay idle after a health check.
 func (p *limitedProgram) connectIdle(n int) {
 	p.t.Helper()
 	for range n {
 		conn := p.dial()
 		p.t.Cleanup(func() { conn.Close() })
 		if ok, err := roundTrip(conn, healthCheckFrame()); err != nil || !ok {
-			p.t.Error("not alive:", ok, err)
+			p.t.Error("health check failed:", ok, err)
 		}
 	}
 }
 
-// startJournal starts a journal at addr whose event 2 changes hosts; polled gets a token for each poll after that.
+// startJournal starts a journal (the platform's discovery service) at addr. Its event 2 changes hosts; polled receives
+// a value for each poll after that event.
 func startJournal(t *testing.T, addr string, hosts []string) (polled <-chan struct{}) {
 	t.Helper()
 	polls := make(chan struct{}, 1000)
@@ -93,9 +94,9 @@
 	return polls
 }
 
-// Idle clients occupy every descriptor that they can get while the journal is down, and every worker has been sent
-// requests: the gateway goes on serving, gets the endpoint list as soon as the journal is back, and exits with
-// status 0.
+// Idle clients and connections to all workers must not use up the gateway's file descriptors: while the journal is
+// unreachable the gateway still serves requests, it receives the endpoint list once the journal is reachable again, and
+// it exits with status 0.
 func TestIdleClientsExhaustDescriptors(t *testing.T) {
 	const sockets, workers = 64, 30
 	var known, changed []string
@@ -115,7 +116,7 @@
 		giveUp:     1,
 	})
 	program.connectIdle(2 * sockets)
-	for n := range 10 * workers { // of enough functions that each worker gets some
+	for n := range 10 * workers { // enough functions that each worker receives requests
 		if ok, err := program.dispatch(n); err != nil || !ok {
 			t.Error("request", n, "completed:", ok, err)
 		}
@@ -125,10 +126,10 @@
 	select {
 	case <-polled:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the endpoint list does not arrive")
+		t.Fatal("the gateway did not receive the endpoint list")
 	}
 	if ok, err := program.dispatch(1 << 20); err != nil || !ok {
-		t.Error("after that, completed:", ok, err)
+		t.Error("request after the endpoint list arrived, completed:", ok, err)
 	}
 	if err := program.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
--- a/cmd/gateway/flags_test.go
+++ b/cmd/gateway/flags_test.go
@@ -6,7 +6,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// The names that flags and environment variables had in earlier versions go on working.
+// Names that flags and environment variables had in earlier versions must still work.
 func TestFormerFlagNames(t *testing.T) {
 	type names struct {
 		gatewayCount  int
--- a/cmd/gateway/helpers_test.go
+++ b/cmd/gateway/helpers_test.go
@@ -16,8 +16,8 @@
 	"lupinpond/internal/gateway/thrift"
 )
 
-// startWorker starts a worker that answers every command with a success and returns its address; onCommand, which
-// may be nil, is called with each command before.
+// startWorker starts a worker that answers every command with success, and returns its address. Before each answer it
+// calls onCommand, which may be nil, with the command.
 func startWorker(t *testing.T, onCommand func(words []string)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,7 +33,7 @@
 			}
 			go func() {
 				defer conn.Close()
-				_ = resp.ReadCommands(conn, 1<<20, func(words []string, _ int) error { // until the gateway closes it
+				_ = resp.ReadCommands(conn, 1<<20, func(words []string, _ int) error { // ends when the gateway closes conn
 					if onCommand != nil {
 						onCommand(words)
 					}
@@ -46,7 +46,8 @@
 	return listener.Addr().String()
 }
 
-// roundTrip sends one message and reports whether its answer is not an exception; an error where there is none.
+// roundTrip sends one message and reports whether the answer is a success and no exception. It returns an error if no
+// valid answer arrives.
 func roundTrip(conn net.Conn, frame []byte) (ok bool, err error) {
 	if err := conn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		return false, err
@@ -66,17 +67,17 @@
 	return err == nil && message.Type == thrift.Reply && message.Args[2] == 0, err
 }
 
-// healthCheckFrame is a health check.
+// healthCheckFrame returns the frame of a health check.
 func healthCheckFrame() []byte {
 	w := thrift.NewWriter("alive", thrift.Call, 1)
 	w.Bool(1, false)
 	return w.Frame()
 }
 
-// dispatchFrame is request n, of function n.
+// dispatchFrame returns the frame of request n, which calls function n.
 func dispatchFrame(n int) []byte { return requestFrame(n, n, 900*time.Millisecond) }
 
-// requestFrame is a request of a function with an id whose client waits for a time.
+// requestFrame returns the frame of a request with an ID, which calls a function and whose client waits at most wait.
 func requestFrame(id, function int, wait time.Duration) []byte {
 	w := thrift.NewWriter("dispatch", thrift.Call, 1)
 	w.StringMap(1, "class", "call", "id", fmt.Sprintf("%016x", id), "key", fmt.Sprintf("%016x", function),
@@ -85,7 +86,7 @@
 	return w.Frame()
 }
 
-// unusedAddr is an address at which nobody listens.
+// unusedAddr returns a loopback address on which no process listens.
 func unusedAddr(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -96,23 +97,23 @@
 	return listener.Addr().String()
 }
 
-// hostJSON is a worker as the platform lists it.
+// hostJSON returns a worker's entry in the endpoint list of the platform.
 func hostJSON(name, addr, health string) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"z","class":"k","block":0,"health":%q,"share":4,"born_ms":0}`,
 		name, addr, health)
 }
 
-// platformConfig is what differs between the configurations of the tests.
+// platformConfig holds the values in which the tests' gateway configurations differ.
 type platformConfig struct {
 	listen, journal string
-	sockets         int
-	hosts           []string // known from the start, as hostJSON gives them
-	familyInfo      string   // how functions are loaded, as JSON
-	connIdle        int      // seconds
-	giveUp          int      // seconds
+	sockets         int      // file descriptor limit
+	hosts           []string // workers known at the start, from hostJSON
+	familyInfo      string   // JSON object with the settings for loading functions
+	connIdle        int      // time in seconds after which idle connections are closed
+	giveUp          int      // time in seconds after which requests are given up
 }
 
-// write writes the configuration to a file and returns its path.
+// write writes the gateway's configuration file and returns its path.
 func (c platformConfig) write(t *testing.T) (path string) {
 	t.Helper()
 	content := fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","journal":%q,
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -1,5 +1,5 @@
-// Command gateway takes clients' requests and has workers run them. With --config it speaks the platform's
-// protocols, else the invoke API to clients and the worker protocol to workers.
+// Command gateway accepts requests of clients and runs them on workers. With --config it speaks the platform's
+// protocols, otherwise the HTTP invoke API with clients and the worker protocol with workers.
 package main
 
 import (
@@ -25,35 +25,36 @@
 	"lupinpond/internal/registry"
 )
 
-// flags are the command line. Aliases, and the second name of an environment variable, are those of earlier versions.
+// flags are the flags of the command line. Aliases, and the second name of an environment variable, are names of
+// earlier versions that still work.
 type flags struct {
 	telemetry.Flags
 	Config        string `help:"${config_help}" env:"GW_CONFIG" type:"path"`
 	MetricsAddr   string `name:"metrics" help:"${metrics_help} ($$${env})." env:"GATEWAY_METRICS,LPGATE_METRICS"`
-	Settings      string `help:"File of settings; without it the built-in defaults." type:"path"`
-	Listen        string `help:"Address for clients, instead of front.listen."`
-	Name          string `help:"Name of this gateway in logs and request ids."`
-	Index         int    `default:"0" help:"Its number among the gateways, from 0."`
+	Settings      string `help:"Settings file; the built-in defaults are used without it." type:"path"`
+	Listen        string `help:"Address for clients; overrides front.listen of the settings."`
+	Name          string `help:"Name of this gateway in logs and request IDs."`
+	Index         int    `default:"0" help:"Index of this gateway among all gateways, from 0."`
 	GatewayCount  int    `name:"gateways" aliases:"peers" default:"1" help:"Number of gateways, this one included."`
 	EndpointCache string `aliases:"keep-list" help:"File that caches the endpoint list for the next start." type:"path"`
-	Capture       string `help:"File for a capture of all sockets." type:"path"`
-	Record        string `help:"File for a recording of the core." type:"path"`
+	Capture       string `help:"File to which the traffic of all sockets is captured." type:"path"`
+	Record        string `help:"File to which the core's inputs and actions are recorded." type:"path"`
 }
 
-// The texts of the command line's help that are too long for a tag.
+// helpTexts are the help texts that are too long for a struct tag.
 var helpTexts = kong.Vars{
-	"config_help": "The platform's configuration: the gateway speaks its protocols; of the other flags only " +
-		"--metrics and those of logs count then.",
-	"metrics_help": "Address where a gateway of the platform serves its state to Prometheus; none by default",
+	"config_help": "Configuration file of the platform; with it the gateway speaks the platform's protocols and " +
+		"ignores all other flags but --metrics and the log flags.",
+	"metrics_help": "Address at which a gateway of the platform serves Prometheus metrics; none by default",
 }
 
-// logFlushTimeout is how long the program waits at its end for the reader of its log.
+// logFlushTimeout is how long the program waits before it exits for its remaining log lines to be read.
 const logFlushTimeout = 200 * time.Millisecond
 
 func main() {
 	var f flags
-	kong.Parse(&f, kong.Name("gateway"), helpTexts, kong.Description("A gateway of lupinpond: takes requests and has "+
-		"workers run them. On SIGTERM it accepts no new requests, answers every request in flight and exits."))
+	kong.Parse(&f, kong.Name("gateway"), helpTexts, kong.Description("A gateway of lupinpond: accepts requests and "+
+		"runs them on workers. On SIGTERM it stops accepting requests, answers all requests in flight and exits."))
 	if err := run(f); err != nil {
 		fmt.Fprintln(os.Stderr, "gateway:", err)
 		os.Exit(1)
@@ -61,7 +62,7 @@
 }
 
 func run(f flags) error {
-	signal.Ignore(syscall.SIGPIPE) // of a log that nobody reads any more: writing it fails, and its lines are dropped
+	signal.Ignore(syscall.SIGPIPE) // if the reader of the log has closed the pipe, only log lines are lost
 	log, lossy := telemetry.NewLossyLogger(os.Stderr, f.Flags)
 	defer lossy.Close(logFlushTimeout)
 	if f.Config != "" {
@@ -70,7 +71,7 @@
 	return runFleet(f, log)
 }
 
-// runFleet runs a gateway of the invoke API until a signal ends it.
+// runFleet runs a gateway that serves the invoke API, until a signal stops it.
 func runFleet(f flags, log *slog.Logger) (err error) {
 	options, err := f.options(log)
 	if err != nil {
@@ -104,7 +105,7 @@
 	return g.Run(ctx, context.Background())
 }
 
-// options are those that the flags and the settings state.
+// options returns the gateway's options from the flags and the settings.
 func (f flags) options(log *slog.Logger) (gateway.Options, error) {
 	settings, err := f.settings()
 	if err != nil {
@@ -120,7 +121,7 @@
 	}
 	if f.EndpointCache != "" {
 		options.CachedEndpoints, err = gateway.ReadEndpointCache(f.EndpointCache)
-		if err != nil && !errors.Is(err, fs.ErrNotExist) { // the gateway starts without: the registry sends the list anew
+		if err != nil && !errors.Is(err, fs.ErrNotExist) { // not fatal: the registry sends the complete list
 			log.Warn("endpoint cache not read", "err", err)
 		}
 		options.OnEndpoints = func(event registry.WatchEvent) {
@@ -132,7 +133,7 @@
 	return options, nil
 }
 
-// settings reads the settings and checks them and the flags.
+// settings reads the settings, applies the flags that override them, and validates both.
 func (f flags) settings() (fleetconfig.File, error) {
 	settings, err := fleetconfig.Default()
 	if f.Settings != "" {
@@ -142,7 +143,7 @@
 		return settings, err
 	}
 	if f.Index < 0 || f.Index >= f.GatewayCount {
-		return settings, fmt.Errorf("--index %d: from 0 to one less than --gateways %d", f.Index, f.GatewayCount)
+		return settings, fmt.Errorf("--index %d: must be from 0 to one less than --gateways %d", f.Index, f.GatewayCount)
 	}
 	if f.Listen != "" {
 		settings.Gateway.Listen = f.Listen
@@ -150,7 +151,7 @@
 	return settings, config.CheckLoopback(settings.Gateway.Listen)
 }
 
-// startCapture starts a capture of all sockets; stop completes its file.
+// startCapture starts a capture of the traffic of all sockets. stop ends it and completes the file.
 func startCapture(f flags) (tap *capture.Tap, stop func() error, err error) {
 	file, err := os.Create(f.Capture)
 	if err != nil {
@@ -168,7 +169,7 @@
 	return capture.NewTap(base, writer.Add), stop, nil
 }
 
-// closeInto closes something and keeps its error where there is none yet.
+// closeInto calls closeFunc and stores its error in *err, unless *err already holds an error.
 func closeInto(err *error, closeFunc func() error) {
 	if closeErr := closeFunc(); *err == nil {
 		*err = closeErr
--- a/cmd/gateway/main_test.go
+++ b/cmd/gateway/main_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// programEnv, where it is set to a name and arguments, has the test's own program be the gateway.
+// programEnv is an environment variable. If it is set to a program name and arguments, the test binary runs the
+// gateway's main with them instead of the tests.
 const programEnv = "LPGATE_TEST_PROGRAM"
 
 func TestMain(m *testing.M) {
--- a/cmd/gateway/process_test.go
+++ b/cmd/gateway/process_test.go
@@ -14,16 +14,16 @@
 	"time"
 )
 
-// program is the gateway as a process of its own, with one worker whose requests a test reads.
+// program is a gateway process with one worker, whose received attempts a test reads.
 type program struct {
 	*exec.Cmd
 	t        *testing.T
-	addr     string
-	attempts chan []string  // requests as they arrived at the worker
-	arrivals chan time.Time // when each of them did
+	addr     string         // address for clients
+	attempts chan []string  // commands of the attempts that the worker received
+	arrivals chan time.Time // arrival time of each attempt, in the same order
 }
 
-// startProgram starts the gateway with arguments and waits until it is ready; log receives its log.
+// startProgram starts a gateway process with arguments and waits until it listens. It writes its log to log.
 func startProgram(t *testing.T, log *os.File, args ...string) *program {
 	t.Helper()
 	p := &program{t: t, attempts: make(chan []string, 10000), arrivals: make(chan time.Time, 10000)}
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = p.Process.Kill() // it may have ended
+		_ = p.Process.Kill() // fails if the process has already exited
 		_ = p.Wait()
 	})
 	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -62,12 +62,12 @@
 			return p
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("nobody listens")
+			t.Fatal("the gateway doesn't listen")
 		}
 	}
 }
 
-// send connects and sends a request.
+// send opens a connection, writes a request's frame to it and returns the connection.
 func (p *program) send(frame []byte) net.Conn {
 	p.t.Helper()
 	conn, err := net.Dial("tcp", p.addr)
@@ -80,14 +80,14 @@
 	return conn
 }
 
-// A request that waits in the kernel while the process is paused is older than it looks: its worker is told no more
-// time than its client has left, and one whose client has disconnected meanwhile is not sent at all, though its
-// disconnect is read later.
+// A request that waits in the socket buffer while the process is paused is older than the time at which the gateway
+// reads it. The gateway must not state more remaining time to the worker than the client has left, and must not send a
+// request whose client disconnected during the pause, even though it reads the disconnect after the request.
 func TestPausedWithQueuedRequests(t *testing.T) {
 	const pause = 700 * time.Millisecond
 	const clientWait = 2500 * time.Millisecond
 	p := startProgram(t, os.Stderr)
-	first := p.send(requestFrame(1, 1, clientWait)) // the replica is warm from now on
+	first := p.send(requestFrame(1, 1, clientWait)) // its attempt loads the replica
 	defer first.Close()
 	<-p.attempts
 	<-p.arrivals
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	if ok, err := roundTrip(waiting, nil); err != nil || !ok {
-		t.Error("the request that is waited for:", ok, err)
+		t.Error("request whose client still waits, completed:", ok, err)
 	}
 	for len(p.attempts) > 0 {
 		words, arrivedAt := <-p.attempts, <-p.arrivals
@@ -120,13 +120,13 @@
 			t.Fatal(err)
 		}
 		if left := clientWait - arrivedAt.Sub(sent); time.Duration(stated)*time.Millisecond > left+150*time.Millisecond {
-			t.Errorf("the worker is told %d ms, the client has %v left", stated, left)
+			t.Errorf("the attempt states %d ms of remaining time, the client has %v left", stated, left)
 		}
 	}
 }
 
-// Nobody reads the log: first its reader stalls until the pipe is full, then it is closed. Requests are served all
-// the same.
+// The gateway must serve requests when its log can't be written: first the reader of the log stalls until the pipe is
+// full, then it closes the pipe.
 func TestLogReaderStalled(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
@@ -146,13 +146,13 @@
 			conn.Close()
 		}
 	}
-	serve(300) // a pipe holds 64 KiB
+	serve(300) // logs more than the 64 KiB that the pipe holds
 	reader.Close()
 	serve(300)
 	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if err := p.Wait(); err != nil {
-		t.Error("it does not exit with status 0:", err)
+		t.Error("the gateway did not exit with status 0:", err)
 	}
 }
