--- a/cmd/artifact-store/main.go
+++ b/cmd/artifact-store/main.go
@@ -1,4 +1,4 @@
-// Command artifact-store serves function packages: releases and their chunks.
+// Command artifact-store stores and serves function packages: releases and the chunks that they consist of.
 package main
 
 import (
@@ -17,33 +17,33 @@
 )
 
 const (
-	// stopWindow is the time over which fetches are counted for --stop.
+	// stopWindow is the time window in which fetches are counted for --stop.
 	stopWindow = time.Second
 
-	// readTimeout bounds the time in which a request has to be read, with a chunk or a release in its body.
+	// readTimeout is the timeout for reading a request, including a chunk or a release in its body.
 	readTimeout = time.Minute
 
-	// gracePeriod is how long requests in flight have to complete on SIGTERM.
+	// gracePeriod is the time that requests in flight have to complete on SIGTERM.
 	gracePeriod = 10 * time.Second
 )
 
 type flags struct {
 	telemetry.Flags
 	Listen   string        `default:"127.0.0.1:8730" help:"Address for workers and publishers."`
-	Folder   string        `required:"" type:"path" help:"Folder of chunks and releases."`
-	Requests int           `default:"64" help:"Fetches at a time; more are rejected with a Retry-After."`
-	Rate     float64       `help:"MB a second that are served in all; 0: no limit."`
-	Stop     float64       `help:"This many times --requests in a second stop a full store for --stop-for; 0: never."`
-	StopFor  time.Duration `default:"5s" help:"How long a stopped store rejects everything."`
-	Grace    time.Duration `default:"1h" help:"How long a chunk that no release names is left before it is collected."`
-	Collect  time.Duration `default:"10m" help:"Time between two garbage collections."`
-	ReadOnly bool          `help:"Serve fetches only."`
+	Folder   string        `required:"" type:"path" help:"Folder for chunks and releases."`
+	Requests int           `default:"64" help:"Maximum number of parallel fetches; more are rejected with Retry-After."`
+	Rate     float64       `help:"Maximum total bandwidth of fetches in MB per second; 0: no limit."`
+	Stop     float64       `help:"Stop a full store for --stop-for at this multiple of --requests per second; 0: never."`
+	StopFor  time.Duration `default:"5s" help:"Time for which a stopped store rejects all requests."`
+	Grace    time.Duration `default:"1h" help:"Minimum age of an unreferenced chunk before it is removed."`
+	Collect  time.Duration `default:"10m" help:"Interval between garbage collections."`
+	ReadOnly bool          `help:"Reject publications; only serve fetches."`
 }
 
 func main() {
 	var f flags
 	kong.Parse(&f, kong.Name("artifact-store"),
-		kong.Description("The store of function packages: releases and chunks, served up to a stated capacity."))
+		kong.Description("The store of function packages: serves releases and chunks up to a configured capacity."))
 	if err := run(f); err != nil {
 		fmt.Fprintln(os.Stderr, "artifact-store:", err)
 		os.Exit(1)
@@ -55,7 +55,7 @@
 		return err
 	}
 	if f.Requests < 1 || f.StopFor <= 0 || f.Collect <= 0 || f.Rate < 0 || f.Stop < 0 || f.Grace < 0 {
-		return errors.New("--requests, --stop-for and --collect are above 0, --rate, --stop and --grace not below")
+		return errors.New("--requests, --stop-for and --collect must be above 0, --rate, --stop and --grace not below 0")
 	}
 	return nil
 }
--- a/cmd/lpctl/main.go
+++ b/cmd/lpctl/main.go
@@ -23,13 +23,13 @@
 	Up          upCmd          `cmd:"" help:"Run gateways, the registry and emulated workers in one process."`
 	Invoke      invokeCmd      `cmd:"" help:"Send one request to a gateway."`
 	Check       checkCmd       `cmd:"" help:"Validate a settings file, or print the built-in defaults."`
-	Workers     workersCmd     `cmd:"" help:"List the registered workers, after draining or removing one."`
+	Workers     workersCmd     `cmd:"" help:"List the registered workers; optionally drain or remove one first."`
 	Publish     publishCmd     `cmd:"" help:"Publish a package and print how much of it a worker fetches."`
 	Package     packageCmd     `cmd:"" help:"List, show and compare packages of the artifact store."`
 	InjectFault injectFaultCmd `cmd:"" help:"Make a worker misbehave for a limited time."`
 	Scenario    scenarioCmd    `cmd:"" help:"Run fault scenarios on loopback and check the five rules."`
 	CheckRules  checkRulesCmd  `cmd:"" help:"Check the five rules on a folder of captures."`
-	Replay      replayCmd      `cmd:"" help:"Replay a gateway core's recorded inputs and compare its actions."`
+	Replay      replayCmd      `cmd:"" help:"Replay a core's recorded inputs and check that its actions are unchanged."`
 	CostModel   costModelCmd   `cmd:"" help:"Measure the cost of the core at several fleet sizes, and fit curves."`
 	Scale       scaleCmd       `cmd:"" help:"${scale_help}"`
 	Soak        soakCmd        `cmd:"" help:"${soak_help}"`
--- a/cmd/lpctl/soak.go
+++ b/cmd/lpctl/soak.go
@@ -79,7 +79,7 @@
 			return err
 		}
 	}
-	fmt.Printf("seed %d, %d gateways, %d workers, %v requests a second each, %v of faults\n", c.Seed, c.Gateways,
+	fmt.Printf("seed %d, %d gateways, %d workers, %v requests per second each, faults for %v\n", c.Seed, c.Gateways,
 		c.Workers, c.Rate, c.For)
 	var out io.Writer
 	if c.Verbose {
@@ -129,7 +129,7 @@
 		counts.Attempts, counts.LoadRequests, counts.Queries, counts.Probes, counts.Faults, counts.Starts,
 		counts.BadClients)
 	if report.InOutage.Requests > 0 {
-		fmt.Printf("served before the outage %.3f, in it %.3f, after it %.3f\n", report.BeforeOutage.Share(),
+		fmt.Printf("share served before the outage %.3f, during it %.3f, after it %.3f\n", report.BeforeOutage.Share(),
 			report.InOutage.Share(), report.AfterOutage.Share())
 	}
 	for _, line := range report.Injected {
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -1,4 +1,4 @@
-// Command registry is the worker registry: workers register under a lease, gateways watch the endpoint list.
+// Command registry is the worker registry. Workers register in it under a lease, and gateways watch the endpoint list.
 package main
 
 import (
@@ -17,11 +17,11 @@
 	"lupinpond/internal/registry"
 )
 
-// flags are the command line. Aliases are the names of earlier versions.
+// flags are the flags of the command line. Aliases are names of earlier versions that still work.
 type flags struct {
 	telemetry.Flags
 	Listen     string        `default:"127.0.0.1:8710" help:"Address for gateways and workers."`
-	WatchDelay time.Duration `aliases:"late" help:"Send every change so much later, as a slow registry would."`
+	WatchDelay time.Duration `aliases:"late" help:"Delay of each change, to emulate a slow registry."`
 }
 
 func main() {
@@ -39,7 +39,7 @@
 		return err
 	}
 	if f.WatchDelay < 0 {
-		return errors.New("--watch-delay: at least 0s")
+		return errors.New("--watch-delay must be at least 0s")
 	}
 	log := telemetry.NewLogger(os.Stderr, f.Flags)
 	workers := registry.New(func(gateway string, _ time.Time, event registry.WatchEvent) {
--- a/cmd/registry/main_test.go
+++ b/cmd/registry/main_test.go
@@ -7,7 +7,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// The name that a flag had in earlier versions goes on working.
+// The name that a flag had in earlier versions must still work.
 func TestFormerFlagNames(t *testing.T) {
 	for _, name := range []string{"--watch-delay", "--late"} {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -1,4 +1,5 @@
-// Command sim-adapter runs the decision module on the simulator's wire, on standard input and output.
+// Command sim-adapter runs gateway cores on the simulator's protocol: it reads batches of inputs from standard input
+// and writes the cores' replies to standard output.
 package main
 
 import (
--- a/cmd/worker/main.go
+++ b/cmd/worker/main.go
@@ -1,5 +1,5 @@
-// Command worker is a worker: it loads packages and runs requests. It is also a register of idempotency keys for a
-// group of workers, and packs packages.
+// Command worker is a worker: it loads packages and runs requests. Its subcommands also serve a register of idempotency
+// keys for a group of workers, and write the manifest of a package.
 package main
 
 import (
@@ -14,12 +14,12 @@
 	"lupinpond/internal/base/telemetry"
 )
 
-// cli is the command line: its fields name the subcommands, and theirs the flags.
+// cli is the command line: each field is a subcommand, and each field of a subcommand a flag or an argument.
 type cli struct {
 	telemetry.Flags
 	Serve    serveCmd    `cmd:"" default:"withargs" help:"Load packages and run requests."`
 	Register registerCmd `cmd:"" help:"Store the idempotency keys of a group of workers."`
-	Pack     packCmd     `cmd:"" help:"Write the manifest of a package whose content stands in a folder."`
+	Pack     packCmd     `cmd:"" help:"Write the manifest of a package into the folder with its content."`
 	WasmCopy wasmCopyCmd `cmd:"" hidden:"" help:"Run one replica of a wasm package (started by the worker itself)."`
 }
 
--- a/cmd/worker/package.go
+++ b/cmd/worker/package.go
@@ -11,20 +11,20 @@
 	"lupinpond/internal/worker/runner"
 )
 
-// packCmd is the subcommand that writes a package's manifest.
+// packCmd is the subcommand that writes the manifest of a package.
 type packCmd struct {
-	Folder      string        `arg:"" type:"existingdir" help:"The package's folder, with its entry in it."`
-	Name        string        `required:"" help:"The function's name."`
-	Version     string        `required:"" help:"The release."`
-	Type        string        `required:"" help:"The event type."`
-	Kind        string        `enum:"wasm,process" required:"" help:"wasm or process."`
-	EntryPoint  string        `name:"entry" required:"" help:"The file that is run."`
-	Concurrency int           `name:"lanes" default:"1" help:"Requests that one replica runs at a time."`
-	Memory      int64         `default:"64" help:"MiB that a replica may hold."`
-	Timeout     time.Duration `name:"time" default:"10s" help:"Most time of one request."`
+	Folder      string        `arg:"" type:"existingdir" help:"Folder with the content of the package."`
+	Name        string        `required:"" help:"Name of the function."`
+	Version     string        `required:"" help:"Version of the release."`
+	Type        string        `required:"" help:"Request type of the function."`
+	Kind        string        `enum:"wasm,process" required:"" help:"Kind of package: wasm or process."`
+	EntryPoint  string        `name:"entry" required:"" help:"File of the folder that a replica runs."`
+	Concurrency int           `name:"lanes" default:"1" help:"Maximum number of requests that a replica runs at a time."`
+	Memory      int64         `default:"64" help:"Memory limit of a replica in MiB."`
+	Timeout     time.Duration `name:"time" default:"10s" help:"Maximum run time of a request."`
 }
 
-// Run writes the manifest.
+// Run writes the manifest and prints its path and the digest of the package.
 func (c *packCmd) Run() error {
 	written, err := manifest.Write(c.Folder, manifest.Manifest{
 		Name:        c.Name,
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// wasmCopyCmd is the subcommand that is a wasm replica.
+// wasmCopyCmd is the hidden subcommand with which the worker starts a replica of a wasm package.
 type wasmCopyCmd struct {
 	File        string `arg:"" type:"existingfile"`
 	Concurrency int    `name:"lanes" default:"1"`
@@ -52,7 +52,7 @@
 	Cache       string `required:""`
 }
 
-// Run runs a replica until it is asked to exit.
+// Run runs the replica until the worker tells it to exit.
 func (c *wasmCopyCmd) Run(ctx context.Context) error {
 	return runner.RunWasm(ctx, runner.WasmOptions{
 		File:             c.File,
--- a/cmd/worker/register.go
+++ b/cmd/worker/register.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	// registerSweepInterval is the time between two removals of expired keys.
+	// registerSweepInterval is the interval at which expired keys are removed.
 	registerSweepInterval = time.Second
-	// registerShutdownTimeout is how long requests under way are waited for at the end.
+	// registerShutdownTimeout is the time that requests in flight have to complete at shutdown.
 	registerShutdownTimeout = 10 * time.Second
 )
 
 // registerCmd is the subcommand that serves a register of idempotency keys.
 type registerCmd struct {
 	Listen  string `default:"127.0.0.1:0" help:"Address for workers."`
-	Folder  string `required:"" type:"path" help:"Folder of the register's file."`
-	MaxKeys int    `name:"most" default:"1000000" help:"Keys inside their windows; beyond it nothing is granted."`
+	Folder  string `required:"" type:"path" help:"Folder for the file with the keys."`
+	MaxKeys int    `name:"most" default:"1000000" help:"Maximum number of unexpired keys; at the limit no key is granted."`
 }
 
-// Run serves until a signal.
+// Run serves the register until a signal arrives.
 func (c *registerCmd) Run(ctx context.Context, log *slog.Logger) (err error) {
 	if err := config.CheckLoopback(c.Listen); err != nil {
 		return err
 	}
 	if c.MaxKeys < 1 {
-		return errors.New("most is more than 0")
+		return errors.New("--most must be above 0")
 	}
 	if err := os.MkdirAll(c.Folder, 0o755); err != nil {
 		return err
--- a/cmd/worker/registration.go
+++ b/cmd/worker/registration.go
@@ -12,25 +12,26 @@
 	"lupinpond/internal/registry"
 )
 
-// renewalsPerLease is how often a lease is renewed before it would expire.
+// renewalsPerLease is the number of renewals during the lease of a registration: one or two of them may fail without
+// the registry dropping the worker.
 const renewalsPerLease = 3
 
-// peerList has the workers that serve chunks, as the registry last listed them.
+// peerList holds the workers that serve chunks, from the latest list of the registry. It may be used concurrently.
 type peerList struct {
 	peers atomic.Pointer[[]distribution.Peer]
 }
 
-// newPeerList makes a list without peers.
+// newPeerList returns an empty list.
 func newPeerList() *peerList {
 	list := &peerList{}
 	list.peers.Store(&[]distribution.Peer{})
 	return list
 }
 
-// current is the list as it is; it is not to be changed.
+// current returns the peers. The caller must not change the slice.
 func (l *peerList) current() []distribution.Peer { return *l.peers.Load() }
 
-// set takes the peers from the registry's entries.
+// set replaces the peers with the entries that are in service and serve chunks.
 func (l *peerList) set(entries []registry.Entry) {
 	var peers []distribution.Peer
 	for _, entry := range entries {
@@ -41,7 +42,7 @@
 	l.peers.Store(&peers)
 }
 
-// registryEntry is the worker's entry while it serves.
+// registryEntry returns the entry under which the worker registers while it is in service.
 func (c *serveCmd) registryEntry(address, chunkAddress net.Addr) registry.Entry {
 	return registry.Entry{
 		Name:      c.Name,
@@ -56,8 +57,8 @@
 	}
 }
 
-// maintainRegistration keeps the worker registered until ctx ends, then registers it as draining. With each renewal it
-// learns which other workers serve chunks. Without a registry it waits for ctx.
+// maintainRegistration renews the worker's registration until ctx ends, then registers the worker as draining. After
+// each renewal it updates the list of workers that serve chunks. Without a registry it only waits for the end of ctx.
 func (c *serveCmd) maintainRegistration(
 	ctx context.Context, entry registry.Entry, peers *peerList, log *slog.Logger,
 ) {
@@ -67,13 +68,13 @@
 	}
 	client := registry.Client{BaseURL: c.Registry, HTTP: &http.Client{Timeout: c.Lease}}
 	renew := func() {
-		ctx := context.WithoutCancel(ctx) // the last renewal says that the worker is draining
+		ctx := context.WithoutCancel(ctx) // the last renewal, after ctx has ended, registers the worker as draining
 		if err := client.Register(ctx, entry, c.Lease); err != nil {
 			log.Warn("worker registration failed", "err", err)
 		}
 		entries, err := client.Workers(ctx)
 		if err != nil {
-			return // the peers known before go on being asked
+			return // keep using the previous list
 		}
 		peers.set(entries)
 	}
--- a/cmd/worker/serve.go
+++ b/cmd/worker/serve.go
@@ -22,65 +22,65 @@
 )
 
 const (
-	// maxInFlight is how many unanswered attempts one connection of a gateway may have.
+	// maxInFlight is the maximum number of unanswered attempts on one connection of a gateway.
 	maxInFlight = 256
-	// wasmOverhead is the memory in bytes of a wasm replica beside its module's own.
+	// wasmOverhead is the memory in bytes that a wasm replica uses in addition to the memory of its module.
 	wasmOverhead = 96 << 20
-	// maxResponseBytes is the longest response of a function.
+	// maxResponseBytes is the maximum size of a function's response.
 	maxResponseBytes = 12 << 20
-	// startTimeout bounds a load.
+	// startTimeout is the timeout of fetching a package and of starting a replica, each.
 	startTimeout = time.Minute
 	// gracePeriod is the time between SIGTERM and SIGKILL to a replica.
 	gracePeriod = time.Second
-	// memorySampleInterval is the time between two samples of the replicas' memory.
+	// memorySampleInterval is the interval at which the memory of the replicas is measured.
 	memorySampleInterval = 50 * time.Millisecond
-	// maxParallelChunks is how many chunks are fetched at a time.
+	// maxParallelChunks is the maximum number of chunks that are fetched in parallel.
 	maxParallelChunks = 16
-	// readHeaderTimeout bounds the headers of a request to an HTTP interface.
+	// readHeaderTimeout is the timeout for reading the headers of an HTTP request.
 	readHeaderTimeout = 5 * time.Second
-	// maxHeaderBytes is the most that these headers may have.
+	// maxHeaderBytes is the maximum size of the headers of a request for a chunk.
 	maxHeaderBytes = 16 << 10
-	// drainPollInterval is the time between two looks at what is left to drain.
+	// drainPollInterval is the interval at which a draining worker checks for attempts in flight.
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// serveCmd is the subcommand that serves. Where a field's name is not the flag's, name has the flag's.
+// serveCmd is the subcommand that runs the worker. A name tag gives the flag's name where it differs from the field's.
 type serveCmd struct {
-	Name   string `required:"" help:"Name in the worker registry."`
+	Name   string `required:"" help:"Name of the worker in the registry."`
 	Listen string `default:"127.0.0.1:0" help:"Address for gateways."`
-	Folder string `required:"" type:"path" help:"This worker's own folder: journal, fetched packages, compiled code."`
+	Folder string `required:"" type:"path" help:"Folder of this worker alone: journal, fetched packages, compiled code."`
 
 	Store        string        `default:"http://127.0.0.1:8730" help:"Address of the artifact store."`
-	Refresh      time.Duration `default:"2s" help:"Time between two polls for new releases."`
-	Chunks       string        `default:"127.0.0.1:0" help:"Address at which other workers fetch chunks."`
-	Cache        int64         `default:"1024" help:"MiB of chunks cached on disk."`
-	Network      float64       `default:"1000" help:"MB a second that the worker's network carries."`
-	UploadShare  float64       `name:"share" default:"0.25" help:"Most of that for uploads to other workers."`
-	ChunkTimeout time.Duration `name:"patience" default:"30s" help:"Time after which a chunk is given up."`
+	Refresh      time.Duration `default:"2s" help:"Interval at which the store is polled for new releases."`
+	Chunks       string        `default:"127.0.0.1:0" help:"Address from which other workers fetch chunks."`
+	Cache        int64         `default:"1024" help:"Size of the chunk cache on disk in MiB."`
+	Network      float64       `default:"1000" help:"Network bandwidth of the worker in MB per second."`
+	UploadShare  float64       `name:"share" default:"0.25" help:"Maximum share of --network for uploads to workers."`
+	ChunkTimeout time.Duration `name:"patience" default:"30s" help:"Timeout of fetching a chunk."`
 
 	Registry string        `name:"list" default:"http://127.0.0.1:8710" help:"Address of the registry; empty: none."`
-	Lease    time.Duration `default:"3s" help:"Time after which the registry drops the worker unless it renews."`
+	Lease    time.Duration `default:"3s" help:"Time after which the registry drops the worker if it doesn't renew."`
 	Zone     string        `default:"zone-0"`
 	Cell     string        `default:"0"`
-	Kind     string        `help:"Kind of machine, as fleet.workers.kinds names it; empty: unknown."`
-	Cores    float64       `default:"2" help:"Cores, as the registry lists them."`
+	Kind     string        `help:"Kind of machine, from fleet.workers.kinds of the settings; empty: unknown."`
+	Cores    float64       `default:"2" help:"Number of cores in the worker's registry entry."`
 
-	Memory      int64         `default:"2048" help:"MiB for all replicas."`
-	Running     int           `default:"8" help:"Requests at a time."`
-	Waiting     int           `default:"128" help:"Requests that may wait; more are rejected."`
-	Loads       int           `default:"2" help:"Loads at a time."`
+	Memory      int64         `default:"2048" help:"Memory for all replicas together in MiB."`
+	Running     int           `default:"8" help:"Maximum number of requests that run at a time."`
+	Waiting     int           `default:"128" help:"Maximum number of requests that wait; more are rejected."`
+	Loads       int           `default:"2" help:"Maximum number of replicas that load at a time."`
 	IdleTimeout time.Duration `name:"keep" default:"8s" help:"Time after which an idle replica is unloaded."`
-	Drain       time.Duration `default:"10s" help:"On SIGTERM, time for what runs or waits to end."`
-	LoadOnMiss  bool          `name:"on-miss" default:"true" negatable:"" help:"A request without a replica loads one."`
+	Drain       time.Duration `default:"10s" help:"Time that running and waiting requests have to complete on SIGTERM."`
+	LoadOnMiss  bool          `name:"on-miss" default:"true" negatable:"" help:"Load a replica if a request needs one."`
 
-	Registers []string `help:"Registers of the worker's group, HOST:PORT,...; an odd number, the same for all of it."`
-	Control   string   `help:"Address of the control interface, which injects faults; off unless named."`
+	Registers []string `help:"Idempotency registers, HOST:PORT,...; an odd number, the same in the whole group."`
+	Control   string   `help:"Address of the control interface, which injects faults; off by default."`
 
 	ReplicaLog     string `name:"effects" type:"path" help:"File for the logs of all replicas."`
-	ReplicaLogSize int64  `name:"most-log" default:"256" help:"MiB of that file; beyond it is rotated to NAME.1."`
+	ReplicaLogSize int64  `name:"most-log" default:"256" help:"Size in MiB at which that file is rotated to NAME.1."`
 }
 
-// Run serves until a signal; then it drains.
+// Run serves until a signal arrives, then drains the worker.
 func (c *serveCmd) Run(ctx context.Context, log *slog.Logger) (err error) {
 	if err := c.validate(); err != nil {
 		return err
@@ -121,7 +121,7 @@
 	return c.serve(ctx, w, options.Artifacts, peers, log)
 }
 
-// validate checks what the flags' types do not.
+// validate checks that addresses are on loopback and that numbers are within their bounds.
 func (c *serveCmd) validate() error {
 	for _, address := range []string{c.Listen, c.Control, c.Chunks} {
 		if address == "" {
@@ -134,13 +134,13 @@
 	positive := c.Memory >= 1 && c.Running >= 1 && c.Waiting >= 1 && c.Loads >= 1 && c.IdleTimeout > 0 && c.Cores > 0 &&
 		c.Lease > 0 && c.Refresh > 0 && c.Cache >= 1 && c.Network > 0 && c.ChunkTimeout > 0
 	if !positive || c.UploadShare <= 0 || c.UploadShare > 1 {
-		return errors.New("memory, running, waiting, loads, keep, cores, lease, refresh, cache, network and patience " +
-			"are more than 0, share is up to 1")
+		return errors.New("--memory, --running, --waiting, --loads, --keep, --cores, --lease, --refresh, --cache, " +
+			"--network and --patience must be above 0, --share above 0 and at most 1")
 	}
 	return nil
 }
 
-// workerOptions are the options that need nothing opened.
+// workerOptions returns the worker's options without the ones that need an open file or connection.
 func (c *serveCmd) workerOptions(log *slog.Logger) (worker.Options, error) {
 	executable, err := os.Executable()
 	if err != nil {
@@ -170,7 +170,7 @@
 	}, nil
 }
 
-// newDistributor opens the chunk cache and makes what fetches packages.
+// newDistributor opens the chunk cache and returns the distributor, which fetches packages and serves chunks.
 func (c *serveCmd) newDistributor(peers *peerList, log *slog.Logger) (*distribution.Distributor, error) {
 	chunks, err := cache.Open(c.Folder, c.Cache<<20, log)
 	if err != nil {
@@ -191,7 +191,8 @@
 	})
 }
 
-// serve listens and serves until ctx ends, then drains the worker and ends all servers.
+// serve serves gateways, other workers and the control interface until ctx ends, then drains the worker and stops all
+// servers.
 func (c *serveCmd) serve(
 	ctx context.Context, w *worker.Worker, artifacts *distribution.Distributor, peers *peerList, log *slog.Logger,
 ) error {
@@ -234,7 +235,7 @@
 	return group.Wait()
 }
 
-// drain has the worker admit nothing new, and waits for the end of what it has, for a time.
+// drain stops the admission of new requests and waits for those in flight to complete, at most c.Drain.
 func (c *serveCmd) drain(w *worker.Worker) {
 	w.Drain()
 	for end := time.Now().Add(c.Drain); time.Now().Before(end) && w.InFlight() > 0; {
