--- a/examples/misbehave/main.go
+++ b/examples/misbehave/main.go
@@ -1,6 +1,6 @@
-// Command misbehave is an example package that does what its input says: fail, spin, allocate, hold, panic, exit,
-// flood or sleep; it echoes any other. It writes "effect INPUT" to its log before anything else, so that tests can
-// count what ran.
+// Command misbehave is an example package for tests of failures. The first word of its input selects what it does:
+// fail, spin, allocate, hold, panic, exit, flood or sleep. It returns any other input unchanged. Before anything else,
+// it writes "effect INPUT" to its log, so that tests can count how often each request ran.
 package main
 
 import (
@@ -15,28 +15,28 @@
 )
 
 const (
-	allocationBytes = 4 << 20 // of one step of allocate
-	holdBytes       = 8 << 20
-	floodBytes      = 1 << 30
-	exitStatus      = 3
+	allocationBytes = 4 << 20 // memory that each iteration of allocate allocates
+	holdBytes       = 8 << 20 // memory that hold allocates and keeps
+	floodBytes      = 1 << 30 // size of the response of flood
+	exitStatus      = 3       // exit status of the process after exit
 )
 
-// retained is what allocate and hold have allocated: it stays in use.
+// retained references the memory that allocate and hold have allocated, so that it is never freed.
 var retained [][]byte
 
 func init() { function.Handle(misbehave) }
 
 func main() { function.MainConcurrent(2) }
 
-// misbehave does what its input says, and answers its input if it comes to that.
+// misbehave does what the first word of its input selects, and returns the input if it gets that far.
 func misbehave(_ context.Context, input []byte) ([]byte, error) {
 	fmt.Fprintf(os.Stderr, "effect %s\n", input)
-	what, rest, _ := strings.Cut(string(input), " ")
-	switch what {
+	action, argument, _ := strings.Cut(string(input), " ")
+	switch action {
 	case "fail":
 		return nil, errors.New("told to fail")
 	case "spin":
-		//lint:ignore SA5002 a function that never ends and uses a whole core is what tests ask for here
+		//lint:ignore SA5002 tests need a function that never returns and uses a whole core
 		for {
 		}
 	case "allocate":
@@ -52,7 +52,7 @@
 	case "flood":
 		return make([]byte, floodBytes), nil
 	case "sleep":
-		duration, err := time.ParseDuration(rest)
+		duration, err := time.ParseDuration(argument)
 		if err != nil {
 			return nil, err
 		}
@@ -61,7 +61,7 @@
 	return input, nil
 }
 
-// retain allocates memory for good. All of it is written to, as it would not be resident otherwise.
+// retain allocates memory that is never freed. It writes to all of it, because unwritten pages would not be resident.
 func retain(size int) {
 	block := make([]byte, size)
 	for i := range block {
--- a/examples/payroll/main.go
+++ b/examples/payroll/main.go
@@ -1,6 +1,6 @@
-// Command payroll is the example package that scenarios run: its input is "NAME WORK", it writes "effect NAME" to its
-// log, waits for so long in place of work, as one machine has not the cores of a fleet, and answers. What it writes is
-// counted, so that nothing runs twice unseen.
+// Command payroll is the example package that scenarios run. Its input is "NAME WORK", where WORK is a duration. It
+// writes "effect NAME" to its log, sleeps for the duration instead of computing, because one machine doesn't have the
+// cores of a fleet, and returns a result. Scenarios count the log lines to detect requests that ran twice.
 package main
 
 import (
--- a/examples/preview/main.go
+++ b/examples/preview/main.go
@@ -1,5 +1,5 @@
-// Command preview is an example package: a small model that scores a pay preview with fixed weights. It builds as
-// either kind, see docs/operate/worker.md.
+// Command preview is an example package: a small model that scores a pay preview with fixed weights. It can be built as
+// a process or as a wasm package, see docs/operate/worker.md.
 package main
 
 import (
--- a/examples/preview/score/score.go
+++ b/examples/preview/score/score.go
@@ -1,4 +1,4 @@
-// Package score is the model of the preview example: one linear layer and a logistic function, with its weights.
+// Package score implements the model of the preview example: one linear layer and a logistic function.
 package score
 
 import (
@@ -7,15 +7,15 @@
 	"math"
 )
 
-// weights of the model: one for each feature, the bias last.
+// weights are the model's weights, one for each feature, followed by the bias.
 var weights = []float64{0.42, -0.17, 0.08, 1.3}
 
 type request struct {
 	Features []float64 `json:"features"`
 }
 
-// Score reads features from JSON and answers the score as JSON, between 0 and 1. An input without exactly one number
-// for each weight is an error.
+// Score parses a JSON object with a list of features and returns their score, between 0 and 1, as JSON. It returns an
+// error unless there is exactly one feature for each weight but the bias.
 func Score(input []byte) ([]byte, error) {
 	var r request
 	if err := json.Unmarshal(input, &r); err != nil {
--- a/function/host.go
+++ b/function/host.go
@@ -18,7 +18,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Environment and headers of the runtime interface.
+// Environment variable and HTTP headers of the runtime interface.
 const (
 	envRuntime        = "LUPINPOND_RUNTIME"
 	headerInvocation  = "Lupin-Invocation"
@@ -26,13 +26,15 @@
 	headerCompileTime = "Lupin-Compiled-Us"
 )
 
-// errReplicaStopping ends the other goroutines once the interface has said that the replica is to exit.
+// errReplicaStopping reports that the replica must exit. It stops the goroutines of ServeCompiled and is not returned.
 var errReplicaStopping = errors.New("replica is stopping")
 
-// Main serves the runtime interface, one request at a time, until the replica is asked to exit.
+// Main takes requests from the runtime interface and runs them with the handler, one at a time. It returns when the
+// worker or a signal (SIGTERM, SIGINT) tells the replica to exit. On an error it exits the process with status 1.
 func Main() { MainConcurrent(1) }
 
-// MainConcurrent is Main with so many requests at a time: the handler is called by as many goroutines.
+// MainConcurrent is like Main, but runs up to concurrency requests at a time, each in its own goroutine. The handler
+// must be safe for concurrent use.
 func MainConcurrent(concurrency int) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -43,30 +45,31 @@
 	}
 }
 
-// MainLanes is the name that MainConcurrent had.
+// MainLanes is the former name of MainConcurrent.
 //
 // Deprecated: use MainConcurrent.
 func MainLanes(concurrency int) { MainConcurrent(concurrency) }
 
-// ServeConcurrent takes requests from the runtime interface, on so many goroutines, until ctx ends or the interface
-// says that the replica is to exit.
+// ServeConcurrent takes requests from the runtime interface and runs them with handle, up to concurrency at a time,
+// until ctx ends or the worker tells the replica to exit. It returns an error if the environment variable
+// LUPINPOND_RUNTIME, which holds the address of the runtime interface, is not set or if handle is nil.
 func ServeConcurrent(ctx context.Context, concurrency int, handle Handler) error {
 	return ServeCompiled(ctx, concurrency, 0, handle)
 }
 
-// ServeLanes is the name that ServeConcurrent had.
+// ServeLanes is the former name of ServeConcurrent.
 //
 // Deprecated: use ServeConcurrent.
 func ServeLanes(ctx context.Context, concurrency int, handle Handler) error {
 	return ServeConcurrent(ctx, concurrency, handle)
 }
 
-// ServeCompiled is ServeConcurrent for code that was compiled in this replica: each poll for a request tells how long
-// that took.
+// ServeCompiled is like ServeConcurrent, for a replica that compiled its code at its start: each poll for a request
+// reports the compile time to the worker. A compile time of 0 is not reported.
 func ServeCompiled(ctx context.Context, concurrency int, compileTime time.Duration, handle Handler) error {
 	base := os.Getenv(envRuntime)
 	if base == "" || handle == nil {
-		return errors.New("no " + envRuntime + " in the environment, or no handler")
+		return errors.New("no " + envRuntime + " in the environment, or no handler set")
 	}
 	httpClient := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: concurrency + 1}}
 	defer httpClient.CloseIdleConnections()
@@ -88,24 +91,24 @@
 	return nil
 }
 
-// runtimeClient is a replica's side of the runtime interface.
+// runtimeClient is the client of the runtime interface.
 type runtimeClient struct {
 	http        *http.Client
-	base        string
-	compileTime time.Duration // 0: unknown
+	base        string        // base URL of the runtime interface, with the replica's token
+	compileTime time.Duration // time that compiling the code took; 0: unknown
 }
 
-// invocation is a request as the runtime interface hands it out.
+// invocation is a request that a poll of the runtime interface returned.
 type invocation struct {
 	id       string
 	input    []byte
 	timeLeft time.Duration
 }
 
-// errNoInvocation says that a poll brought nothing, and that the next one may.
+// errNoInvocation reports that the request of a poll ended before it was returned; the caller polls again.
 var errNoInvocation = errors.New("request is over")
 
-// serveOne takes one request and posts its result. errReplicaStopping: there are no more.
+// serveOne polls for one request, runs it and posts its result. It returns errReplicaStopping if the replica must exit.
 func (c *runtimeClient) serveOne(ctx context.Context, handle Handler) error {
 	next, err := c.poll(ctx)
 	if errors.Is(err, errNoInvocation) {
@@ -117,11 +120,11 @@
 	callCtx, cancel := context.WithTimeout(ctx, next.timeLeft)
 	output, failure := handle(callCtx, next.input)
 	cancel()
-	// a result is posted even where the replica is asked to exit meanwhile
+	// the result is posted even if the replica was told to exit during the call
 	return c.postResult(context.WithoutCancel(ctx), next.id, output, failure)
 }
 
-// poll waits for a request.
+// poll waits until the runtime interface returns a request.
 func (c *runtimeClient) poll(ctx context.Context) (invocation, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/next", nil)
 	if err != nil {
@@ -160,7 +163,7 @@
 	}, nil
 }
 
-// postResult posts a request's output, or why it failed.
+// postResult posts the output of a request, or the reason of its failure if failure isn't nil.
 func (c *runtimeClient) postResult(ctx context.Context, id string, output []byte, failure error) error {
 	path, body := "/response", output
 	if failure != nil {
@@ -171,7 +174,7 @@
 	if err != nil {
 		return err
 	}
-	request.GetBody = nil // sent once
+	request.GetBody = nil // keeps net/http from sending the request a second time
 	response, err := c.http.Do(request)
 	if err != nil {
 		return fmt.Errorf("post result: %w", err)
--- a/function/wasip1.go
+++ b/function/wasip1.go
@@ -7,22 +7,23 @@
 	"unsafe"
 )
 
-// Main has nothing to do in a wasm package: the exports are called.
+// Main does nothing in a wasm package: the worker calls the exported functions of the module.
 func Main() {}
 
-// MainConcurrent has nothing to do either: concurrent requests have instances of their own.
+// MainConcurrent does nothing in a wasm package: the worker runs concurrent requests in separate instances of the
+// module.
 func MainConcurrent(int) {}
 
-// MainLanes is the name that MainConcurrent had.
+// MainLanes is the former name of MainConcurrent.
 //
 // Deprecated: use MainConcurrent.
 func MainLanes(int) {}
 
-// What stays in memory after a call, for the host to read: it is package-level because the exports are called one by
-// one.
+// Buffers that the worker writes or reads between calls of the exported functions. They are package-level variables, so
+// that the garbage collector keeps them from one call to the next.
 var input, output, reason []byte
 
-// lpInput allocates an input of so many bytes and returns its address.
+// lpInput returns the address of a buffer of size bytes, into which the worker writes the input of the next request.
 //
 //go:wasmexport lp_input
 func lpInput(size uint32) uint32 {
@@ -33,8 +34,8 @@
 	return uint32(uintptr(unsafe.Pointer(unsafe.SliceData(input))))
 }
 
-// lpCall runs the handler on the input. It returns the output's address in the upper half and its length in the
-// lower; an address of 0 means failed, and the length is the reason's.
+// lpCall runs the handler on the input. It returns the address of the output in the upper 32 bits and its length in the
+// lower 32 bits. An address of 0 means that the request failed; the length is then that of the reason.
 //
 //go:wasmexport lp_call
 func lpCall() uint64 {
@@ -50,7 +51,7 @@
 	return uint64(uintptr(unsafe.Pointer(unsafe.SliceData(output))))<<32 | uint64(len(output))
 }
 
-// lpReason returns the address of the last failure's reason.
+// lpReason returns the address of the reason for the latest failure.
 //
 //go:wasmexport lp_reason
 func lpReason() uint32 {
