--- a/internal/docs_test.go
+++ b/internal/docs_test.go
@@ -15,7 +15,7 @@
 
 const repositoryRoot = ".."
 
-// The pages that are checked, from the root of the repository.
+// Paths of checked pages, relative to the root of the repository.
 const (
 	architecturePage = "docs/ARCHITECTURE.md"
 	readmePage       = "README.md"
@@ -24,13 +24,14 @@
 var (
 	codeSpan = regexp.MustCompile("`([^`\n]+)`")
 	pageLink = regexp.MustCompile(`\]\(([^)#]+)`)
-	// qualifiedName is package.Name, package.Type.Method or package.Type.Field.
+	// qualifiedName matches package.Name, package.Type.Method and package.Type.Field.
 	qualifiedName = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Za-z_]\w*)(?:\.([A-Za-z_]\w*))?(?:\(\))?$`)
 	fileSuffix    = regexp.MustCompile(`\.(go|md|toml|yaml|json|conf|mod|sum|txt|bolt)$`)
 )
 
-// TestArchitecturePageNamesWhatExists fails for a quoted name or path of the architecture page that is not in the source.
-func TestArchitecturePageNamesWhatExists(t *testing.T) {
+// TestArchitecturePageReferencesExist fails if the architecture page quotes a name or path that is not in the source,
+// or has a link to a page that does not exist.
+func TestArchitecturePageReferencesExist(t *testing.T) {
 	page := readPage(t, architecturePage)
 	source := parseSource(t)
 	names, paths := 0, 0
@@ -44,7 +45,7 @@
 		case qualifiedName.MatchString(span) && !fileSuffix.MatchString(span):
 			parts := qualifiedName.FindStringSubmatch(span)
 			if !ast.IsExported(parts[2]) && source[parts[1]] == nil {
-				continue // a key of a settings file
+				continue // key of a settings file
 			}
 			names++
 			if !source.declares(parts[1], parts[2], parts[3]) {
@@ -53,18 +54,18 @@
 		}
 	}
 	if names == 0 || paths == 0 {
-		t.Errorf("%s: %d names and %d paths found, some of each expected", architecturePage, names, paths)
+		t.Errorf("%s: found %d names and %d paths, want at least one of each", architecturePage, names, paths)
 	}
 	for _, link := range pageLink.FindAllStringSubmatch(page, -1) {
 		if !strings.Contains(link[1], "://") && !exists(filepath.Join(filepath.Dir(architecturePage), link[1])) {
-			t.Errorf("%s links %s, which does not exist", architecturePage, link[1])
+			t.Errorf("%s links to %s, which does not exist", architecturePage, link[1])
 		}
 	}
 }
 
-// TestPagesNameWhatExists fails for a quoted path, or an exported name qualified by a package of the module, that is not in the source,
-// on every page below docs but those of incidents, which stay as they were written.
-func TestPagesNameWhatExists(t *testing.T) {
+// TestPageReferencesExist fails if a page in docs quotes a path, or an exported name with a package of the module, that
+// is not in the source. Pages on incidents are not checked, because they stay as they were written.
+func TestPageReferencesExist(t *testing.T) {
 	source := parseSource(t)
 	pages := 0
 	for _, pattern := range []string{"docs/*.md", "docs/design/*.md", "docs/operate/*.md"} {
@@ -80,31 +81,33 @@
 				switch {
 				case isPath(t, span) && !exists(span):
 					t.Errorf("%s names the path %s, which does not exist", page, span)
-				case parts != nil && ast.IsExported(parts[2]) && source[parts[1]] != nil && !source.declares(parts[1], parts[2], parts[3]):
+				case parts != nil && ast.IsExported(parts[2]) && source[parts[1]] != nil &&
+					!source.declares(parts[1], parts[2], parts[3]):
 					t.Errorf("%s names %s, which the source does not declare", page, span)
 				}
 			}
 		}
 	}
 	if pages < 10 {
-		t.Errorf("%d pages found, at least 10 expected", pages)
+		t.Errorf("found %d pages, want at least 10", pages)
 	}
 }
 
-// TestReadmeLayoutNamesWhatExists fails for a path of the README's layout that does not exist, and for a package that the layout
-// leaves out; examples are one folder there. A line begins with the folder that the line is about; what follows may be below it.
-func TestReadmeLayoutNamesWhatExists(t *testing.T) {
+// TestReadmeLayoutMatchesSource fails if the layout section of the README names a path that does not exist, or lacks a
+// package; the packages below examples are not named one by one. An entry of the layout begins with a folder, and its
+// other paths may be relative to that folder.
+func TestReadmeLayoutMatchesSource(t *testing.T) {
 	_, layout, found := strings.Cut(readPage(t, readmePage), "\n## Layout\n")
 	layout, _, ended := strings.Cut(layout, "\n## ")
 	if !found || !ended {
-		t.Fatalf("%s: no section Layout with another one after it", readmePage)
+		t.Fatalf("%s: section Layout, followed by another section, not found", readmePage)
 	}
 	named := map[string]bool{}
 	for _, entry := range strings.Split(layout, "\n- ") {
 		folder := ""
 		for _, span := range codeSpans(entry) {
 			if strings.HasPrefix(span, "bin/") || strings.ContainsRune(span, ' ') {
-				continue // a command
+				continue // command line, not a path
 			}
 			switch below := filepath.Join(folder, span); {
 			case folder != "" && exists(below):
@@ -126,7 +129,7 @@
 	}
 }
 
-// readPage reads a page of the repository.
+// readPage returns the content of a page. The name is relative to the root of the repository.
 func readPage(t *testing.T, name string) string {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join(repositoryRoot, name))
@@ -136,7 +139,7 @@
 	return string(b)
 }
 
-// codeSpans are the texts between single backquotes, those of indented blocks included.
+// codeSpans returns the texts between single backquotes, including those in indented blocks.
 func codeSpans(page string) (spans []string) {
 	for _, match := range codeSpan.FindAllStringSubmatch(page, -1) {
 		spans = append(spans, match[1])
@@ -144,10 +147,11 @@
 	return spans
 }
 
-// isPath reports whether a code span is a path of the repository: its first element is a folder or file at the root.
+// isPath reports whether a code span is a path of the repository: its first element is a folder or file at the root, or
+// it ends in .md.
 func isPath(t *testing.T, span string) bool {
 	t.Helper()
-	first, rest, deeper := strings.Cut(span, "/")
+	first, rest, hasSlash := strings.Cut(span, "/")
 	if strings.ContainsAny(span, " {}<>") || strings.HasPrefix(span, "/") || strings.HasPrefix(span, "-") {
 		return false
 	}
@@ -156,7 +160,7 @@
 		t.Fatal(err)
 	}
 	atRoot := slices.ContainsFunc(entries, func(e fs.DirEntry) bool { return e.Name() == first })
-	return atRoot && (rest != "" || !deeper) || strings.HasSuffix(span, ".md")
+	return atRoot && (rest != "" || !hasSlash) || strings.HasSuffix(span, ".md")
 }
 
 // exists reports whether a path from the root of the repository exists.
@@ -165,7 +169,7 @@
 	return err == nil
 }
 
-// packageFolders are the folders of the module with Go files that are no tests.
+// packageFolders returns the folders of the module that contain Go files other than tests.
 func packageFolders(t *testing.T) (folders []string) {
 	t.Helper()
 	walkSource(t, func(path string) {
@@ -177,7 +181,8 @@
 	return folders
 }
 
-// walkSource calls visit with the path of every Go file from the root of the repository.
+// walkSource calls visit with the path of each Go file, relative to the root of the repository. It skips hidden folders
+// and folders named testdata or bin.
 func walkSource(t *testing.T, visit func(path string)) {
 	t.Helper()
 	err := filepath.WalkDir(repositoryRoot, func(path string, entry fs.DirEntry, err error) error {
@@ -202,17 +207,18 @@
 	}
 }
 
-// sourceNames has the packages of the module by name, programs left out. Packages that share a name are taken together.
+// sourceNames holds the names that each package of the module declares, by package name. It leaves out main packages,
+// and merges packages of the same name.
 type sourceNames map[string]*packageNames
 
-// packageNames are the names that a package declares.
+// packageNames holds the names that a package declares.
 type packageNames struct {
-	declared map[string]bool            // at package level
+	declared map[string]bool            // names declared at package level
 	members  map[string]map[string]bool // methods and fields, by type
-	embedded map[string][]string        // embedded types, by type; with their package where it is another one
+	embedded map[string][]string        // embedded types, by type; qualified if they are from another package
 }
 
-// parseSource parses all Go files of the module that are no tests.
+// parseSource parses all Go files of the module but tests.
 func parseSource(t *testing.T) sourceNames {
 	t.Helper()
 	source := sourceNames{}
@@ -220,7 +226,8 @@
 		if strings.HasSuffix(path, "_test.go") {
 			return
 		}
-		file, err := parser.ParseFile(token.NewFileSet(), filepath.Join(repositoryRoot, path), nil, parser.SkipObjectResolution)
+		file, err := parser.ParseFile(token.NewFileSet(), filepath.Join(repositoryRoot, path), nil,
+			parser.SkipObjectResolution)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -239,7 +246,7 @@
 	return source
 }
 
-// add notes the names of one declaration.
+// add records the names of a declaration.
 func (p *packageNames) add(declaration ast.Decl) {
 	switch d := declaration.(type) {
 	case *ast.FuncDecl:
@@ -263,7 +270,7 @@
 	}
 }
 
-// addType notes the fields of a struct, or the methods of an interface.
+// addType records the fields of a struct type or the methods of an interface type.
 func (p *packageNames) addType(spec *ast.TypeSpec) {
 	var fields *ast.FieldList
 	switch t := spec.Type.(type) {
@@ -284,14 +291,14 @@
 	}
 }
 
-func (p *packageNames) addMember(of, name string) {
-	if p.members[of] == nil {
-		p.members[of] = map[string]bool{}
+func (p *packageNames) addMember(owner, name string) {
+	if p.members[owner] == nil {
+		p.members[owner] = map[string]bool{}
 	}
-	p.members[of][name] = true
+	p.members[owner][name] = true
 }
 
-// typeName names the type of a receiver or of an embedded field, with its package where it is another one.
+// typeName returns the name of the type of a receiver or an embedded field, qualified if it is from another package.
 func typeName(expression ast.Expr) string {
 	switch e := expression.(type) {
 	case *ast.Ident:
@@ -306,9 +313,10 @@
 	return ""
 }
 
-// declares reports whether a package declares a name, and a member of it where one is given, its own or a promoted one.
-func (s sourceNames) declares(in, name, member string) bool {
-	p := s[in]
+// declares reports whether a package declares a name and, unless member is empty, whether that type has the member
+// itself or by an embedded type.
+func (s sourceNames) declares(pkg, name, member string) bool {
+	p := s[pkg]
 	if p == nil || !p.declared[name] {
 		return false
 	}
@@ -318,7 +326,7 @@
 	return slices.ContainsFunc(p.embedded[name], func(embedded string) bool {
 		other, promoted, qualified := strings.Cut(embedded, ".")
 		if !qualified {
-			other, promoted = in, embedded
+			other, promoted = pkg, embedded
 		}
 		return s.declares(other, promoted, member)
 	})
--- a/internal/imports_test.go
+++ b/internal/imports_test.go
@@ -1,4 +1,5 @@
-// Package internal_test checks which packages of the module may import which.
+// Package internal_test checks the imports between the packages of the module, and the references of the documentation
+// to the source.
 package internal_test
 
 import (
@@ -9,33 +10,38 @@
 
 const module = "lupinpond/"
 
-// allowedImports lists, for each group of packages, the groups that it may import beside itself. A group is a folder below internal/, or
-// a folder at the root of the module. The test bed and the programs may import anything and are not listed.
+// allowedImports lists, for each group of packages, the other groups that it may import. A group is a folder below
+// internal/ or at the root of the module, with all packages in it. The test bed and the programs may import any package
+// and are not listed.
 var allowedImports = map[string][]string{
-	"scheduler":           {"internal/base"},
-	"function":            nil,
-	"internal/base":       nil,
-	"internal/workerrpc":  {"internal/base", "scheduler"},
-	"internal/registry":   {"internal/base", "scheduler", "internal/workerrpc"},
-	"internal/gateway":    {"internal/base", "scheduler", "internal/workerrpc", "internal/registry"},
-	"internal/artifact":   {"internal/base", "scheduler", "internal/workerrpc", "internal/registry"},
-	"internal/worker":     {"internal/base", "scheduler", "internal/workerrpc", "internal/registry", "internal/artifact", "function"},
+	"scheduler":          {"internal/base"},
+	"function":           nil,
+	"internal/base":      nil,
+	"internal/workerrpc": {"internal/base", "scheduler"},
+	"internal/registry":  {"internal/base", "scheduler", "internal/workerrpc"},
+	"internal/gateway":   {"internal/base", "scheduler", "internal/workerrpc", "internal/registry"},
+	"internal/artifact":  {"internal/base", "scheduler", "internal/workerrpc", "internal/registry"},
+	"internal/worker": {"internal/base", "scheduler", "internal/workerrpc", "internal/registry", "internal/artifact",
+		"function"},
 	"internal/simadapter": {"internal/base", "scheduler"},
 }
 
-// exceptions are single imports that no group allows; docs/ARCHITECTURE.md says why each of them exists.
+// exceptions are single imports that allowedImports doesn't allow, by importing package. docs/ARCHITECTURE.md gives the
+// reason for each.
 var exceptions = map[string]string{
 	"internal/simadapter":             "internal/gateway/core",
 	"internal/simadapter/simprotocol": "internal/gateway/settings",
 }
 
-// TestImportsStayWithinTheirGroups fails for an import that crosses the groups in a direction that is not listed.
+// TestImportsStayWithinTheirGroups fails if a package imports a package of another group, and neither allowedImports
+// nor exceptions allows it.
 func TestImportsStayWithinTheirGroups(t *testing.T) {
-	out, err := exec.CommandContext(t.Context(), "go", "list", "-f", `{{.ImportPath}} {{join .Imports " "}}`, module+"...").Output()
+	out, err := exec.CommandContext(t.Context(), "go", "list", "-f", `{{.ImportPath}} {{join .Imports " "}}`,
+		module+"...").Output()
 	if err != nil {
 		t.Fatalf("go list: %v", err)
 	}
-	listed := map[string]bool{}
+	groupsSeen := map[string]bool{}
 	for line := range strings.Lines(string(out)) {
 		paths := strings.Fields(line)
 		importer := strings.TrimPrefix(paths[0], module)
@@ -44,22 +50,23 @@
 		if !checked {
 			continue
 		}
-		listed[group] = true
+		groupsSeen[group] = true
 		for _, path := range paths[1:] {
-			imported, own := strings.CutPrefix(path, module)
-			if own && !mayImport(group, allowed, imported) && exceptions[importer] != imported {
+			imported, inModule := strings.CutPrefix(path, module)
+			if inModule && !mayImport(group, allowed, imported) && exceptions[importer] != imported {
 				t.Errorf("%s imports %s: %s may import %v", importer, imported, group, allowed)
 			}
 		}
 	}
 	for group := range allowedImports {
-		if !listed[group] {
-			t.Errorf("no package is in group %s", group)
+		if !groupsSeen[group] {
+			t.Errorf("group %s has no packages", group)
 		}
 	}
 }
 
-// mayImport reports whether a package of a group may import another package.
+// mayImport reports whether a package of a group may import another package, which is the case if that package is in
+// the same group or in one of the allowed groups.
 func mayImport(group string, allowed []string, imported string) bool {
 	other := groupOf(imported)
 	if other == group {
@@ -73,7 +80,7 @@
 	return false
 }
 
-// groupOf names the group of a package: internal/ and the folder below it, or the folder at the root.
+// groupOf returns the group of a package: internal/ and the folder below it, or the folder at the root.
 func groupOf(path string) string {
 	parts := strings.Split(path, "/")
 	if parts[0] == "internal" && len(parts) > 1 {
--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -1,9 +1,9 @@
-// Package scenarios holds the built-in fault scenarios, one YAML file each.
+// Package scenarios embeds the built-in fault scenarios, one YAML file each.
 package scenarios
 
 import "embed"
 
-// Files are the scenarios' files.
+// Files holds the YAML files of the scenarios.
 //
 //go:embed *.yaml
 var Files embed.FS
