--- a/cmd/lpctl/main.go
+++ b/cmd/lpctl/main.go
@@ -26,11 +26,11 @@
 	Workers     workersCmd     `cmd:"" help:"List the registered workers; optionally drain or remove one first."`
 	Publish     publishCmd     `cmd:"" help:"Publish a package and print how much of it a worker fetches."`
 	Package     packageCmd     `cmd:"" help:"List, show and compare packages of the artifact store."`
-	InjectFault injectFaultCmd `cmd:"" help:"Make a worker misbehave for a limited time."`
-	Scenario    scenarioCmd    `cmd:"" help:"Run fault scenarios on loopback and check the five rules."`
-	CheckRules  checkRulesCmd  `cmd:"" help:"Check the five rules on a folder of captures."`
+	InjectFault injectFaultCmd `cmd:"" help:"Make a worker misbehave for a limited time, over its control interface."`
+	Scenario    scenarioCmd    `cmd:"" help:"Run fault scenarios on loopback and check the rules of docs/design.md."`
+	CheckRules  checkRulesCmd  `cmd:"" help:"Check the five rules of docs/design.md on a folder of captures."`
 	Replay      replayCmd      `cmd:"" help:"Replay a core's recorded inputs and check that its actions are unchanged."`
-	CostModel   costModelCmd   `cmd:"" help:"Measure the cost of the core at several fleet sizes, and fit curves."`
+	CostModel   costModelCmd   `cmd:"" help:"Measure the cost of the decision core at several sizes, and fit curves."`
 	Scale       scaleCmd       `cmd:"" help:"${scale_help}"`
 	Soak        soakCmd        `cmd:"" help:"${soak_help}"`
 
@@ -47,8 +47,8 @@
 
 // helpTexts are the help texts that are too long for a struct tag.
 var helpTexts = kong.Vars{
-	"scale_help": "Run real and hollow gateways, emulated workers and a discovery service on loopback, at the size of a " +
-		"fleet.",
+	"scale_help": "Run a fleet on loopback: real gateways, hollow gateways (which generate their requests themselves), " +
+		"emulated workers and a discovery service.",
 	"soak_help": "Run real gateways on loopback through overlapping faults, and check the rules on the sockets' traffic.",
 	"up_gateways_help": "Number of gateways; the first listens at front.listen of the settings, the others on the " +
 		"ports after it.",
--- a/cmd/worker/registration.go
+++ b/cmd/worker/registration.go
@@ -12,8 +12,7 @@
 	"lupinpond/internal/registry"
 )
 
-// renewalsPerLease is the number of renewals during the lease of a registration: one or two of them may fail without
-// the registry dropping the worker.
+// renewalsPerLease is the number of renewals of the registration during one lease.
 const renewalsPerLease = 3
 
 // peerList holds the workers that serve chunks, from the latest list of the registry. It may be used concurrently.
