--- a/internal/worker/admission/admission.go
+++ b/internal/worker/admission/admission.go
@@ -26,8 +26,8 @@
 	initialMeanRun = 20 * time.Millisecond
 )
 
-// fairShareThreshold is a fraction of Limits.MaxWaiting: if at least MaxWaiting * fairShareThreshold calls are waiting,
-// each active tenant is limited to an equal share of the queue.
+// fairShareThreshold is a fraction of Limits.MaxWaiting: if at least MaxWaiting * fairShareThreshold calls are waiting
+// and several tenants are active, each active tenant is limited to an equal share of the queue.
 const fairShareThreshold = 0.5
 
 // starvationFactor sets when a function without an active replica is starving: once its oldest call has waited
--- a/internal/worker/admission/fairness.go
+++ b/internal/worker/admission/fairness.go
@@ -26,9 +26,9 @@
 	return tenant
 }
 
-// exceedsFairShare reports whether one more waiting call would exceed the tenant's share of the queue. The shares are
-// equal for all active tenants and apply from fairShareThreshold on if several tenants are active, so that one tenant
-// cannot fill the queue for the others.
+// exceedsFairShare reports whether one more waiting call would exceed the tenant's share of the queue, which is equal
+// for all active tenants, so that one tenant cannot fill the queue for the others. The shares apply only if several
+// tenants are active and at least MaxWaiting * fairShareThreshold calls are waiting.
 func (c *Controller) exceedsFairShare(name string, tenant *tenantState) bool {
 	if float64(c.waiting) < fairShareThreshold*float64(c.limits.MaxWaiting) {
 		return false
--- a/internal/worker/advance.go
+++ b/internal/worker/advance.go
@@ -33,7 +33,7 @@
 	w.advance()
 }
 
-// onWake is called when wakeTimer fires, at the time given by admission.Actions.WakeAfter at the latest.
+// onWake is called when wakeTimer fires, at the latest when admission.Actions.WakeAfter has passed.
 func (w *Worker) onWake() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/worker/faults.go
+++ b/internal/worker/faults.go
@@ -28,7 +28,8 @@
 	change(&w.faults)
 }
 
-// Silence blocks reads and writes on the worker's connections while on is set. The connections remain open.
+// Silence turns the silencing of the worker's connections on or off. While it is on, reads and writes block and the
+// connections remain open.
 func (w *Worker) Silence(on bool) { w.silencer.Set(on) }
 
 // ControlHandler returns the handler of the control interface. It serves POST /v1/trouble with a FaultRequest as JSON
--- a/internal/worker/idempotency/golden_test.go
+++ b/internal/worker/idempotency/golden_test.go
@@ -134,7 +134,8 @@
 }
 
 // The requests that a group sends to its registers, and its decision on each answer, must not change, as registers of
-// other versions parse and send them. Claims are random: the test replaces the claim that Claim returned by CLAIM.
+// other versions parse the requests and send the answers. Claims are random: the test replaces the claim that Claim
+// returned by CLAIM.
 func TestGoldenGroup(t *testing.T) {
 	claimRequest := `POST /v1/claim ` + "\n" + `{"key":"k-1","claim":"CLAIM","window-ms":1500}`
 	releaseRequest := `POST /v1/release ` + "\n" + `{"key":"k-1","claim":"CLAIM"}`
--- a/internal/worker/idempotency/idempotency_test.go
+++ b/internal/worker/idempotency/idempotency_test.go
@@ -254,7 +254,7 @@
 			key := strings.TrimSpace(line)
 			vote, entry, err := r.Claim(key, "another", time.Hour)
 			if vote != idempotency.VoteClaimed || entry.Claim != "first" || err != nil {
-				t.Errorf("%s: %v by %q, %v", key, vote, entry.Claim, err)
+				t.Errorf("key %s after a restart: got vote %v, owner %q, error %v", key, vote, entry.Claim, err)
 			}
 			granted++
 		}
@@ -263,7 +263,7 @@
 		}
 	}
 	if granted < 600 {
-		t.Error(granted, " claims")
+		t.Error(granted, " claims were granted in all rounds, want at least 600")
 	}
 }
 
--- a/internal/worker/idempotency/register.go
+++ b/internal/worker/idempotency/register.go
@@ -41,7 +41,7 @@
 type Register struct {
 	db      *bolt.DB
 	maxKeys int
-	now     func() time.Time // clock that continues across restarts even if the system time is changed
+	now     func() time.Time // clock that continues across restarts; the system time affects it only after a reboot
 }
 
 // Open opens the register's file in a folder, creating it if it does not exist. It fails if another process has the
--- a/internal/worker/journal.go
+++ b/internal/worker/journal.go
@@ -57,7 +57,7 @@
 	interruptedLoads []workerrpc.InterruptedLoad
 	warmUpDuration   time.Duration // warm-up time of the last incarnation that warmed up
 	log              *slog.Logger
-	now              func() time.Time // continues across restarts, independent of changes to the system clock
+	now              func() time.Time // continues across restarts; the system time affects it only after a reboot
 	clockMark        durableclock.Mark
 }
 
--- a/internal/worker/journal_keys.go
+++ b/internal/worker/journal_keys.go
@@ -11,8 +11,8 @@
 	// localClaim is the claim that the journal returns for every key. Claims need not be distinguished here because the
 	// journal has at most one claim of a key at a time.
 	localClaim = "own"
-	// maxStoredResponseBytes limits the total size of the responses stored in the journal. A response above the limit
-	// is not stored, and its duplicates are answered without a body.
+	// maxStoredResponseBytes limits the total size of the responses stored in the journal. A response that would exceed
+	// it is not stored, and duplicates of its request are answered without a body.
 	maxStoredResponseBytes = 64 << 20
 	// keySweepInterval is the minimum time between two removals of expired keys.
 	keySweepInterval = time.Second
--- a/internal/worker/memory_test.go
+++ b/internal/worker/memory_test.go
@@ -29,7 +29,7 @@
 	}
 	t.Logf("%d samples, maximum deviation %.1f %%", samples, 100*maxDeviation)
 	if samples < 50 || maxDeviation > 0.05 {
-		t.Errorf("%d samples, maximum deviation %.1f %%", samples, 100*maxDeviation)
+		t.Errorf("%d samples, maximum deviation %.1f %%; want at least 50 and at most 5 percent", samples, 100*maxDeviation)
 	}
 }
 
--- a/internal/worker/runner/call.go
+++ b/internal/worker/runner/call.go
@@ -8,7 +8,7 @@
 // Result is the result of a call.
 type Result struct {
 	Body     []byte
-	Duration time.Duration // time since the call was passed to the child; 0 if it was not
+	Duration time.Duration // time from passing the call to the child until its result; 0 if it was not passed
 	Err      error
 }
 
--- a/internal/worker/runner/replica.go
+++ b/internal/worker/runner/replica.go
@@ -143,8 +143,8 @@
 }
 
 // Stop stops the replica. If cause is nil, the replica gets SIGTERM, and SIGKILL after the grace period; its running
-// calls fail with ErrReplicaExited. If cause is not nil, the replica has violated a limit: it is killed immediately,
-// and its running calls fail with cause.
+// calls fail with ErrReplicaExited. If cause is not nil, because the replica has violated a limit or could not be
+// started, it is killed immediately, and its running calls fail with cause.
 func (r *Replica) Stop(cause error) {
 	r.mu.Lock()
 	if r.stopCause == nil {
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -54,7 +54,7 @@
 	// MaxResponseBytes is the maximum size of a function's response.
 	MaxResponseBytes int64
 	// StartTimeout is the timeout of fetching a package and, separately, of starting its replica. A load that exceeds
-	// either of them fails.
+	// either of them fails. It is also the timeout of the poll for releases in New.
 	StartTimeout time.Duration
 	// GracePeriod is the time between SIGTERM and SIGKILL when a replica is stopped.
 	GracePeriod time.Duration
@@ -64,7 +64,7 @@
 	ReleasePollInterval time.Duration
 	// FailPoint, if not nil, is called at each named step of a load. It is used by tests.
 	FailPoint func(point string)
-	// ReplicaLog receives the standard output and error of all replicas; if nil, they are discarded.
+	// ReplicaLog receives the standard output and error of all replicas; if nil, both are closed in the replicas.
 	ReplicaLog *os.File
 	// MaxReplicaLogBytes is the size above which ReplicaLog is rotated to NAME.1; 0 disables rotation.
 	MaxReplicaLogBytes int64
@@ -119,8 +119,8 @@
 }
 
 // New creates a worker that uses options.Folder and polls once for releases. If the artifact store does not answer, the
-// worker uses the releases that are already known. The folder must not be in use by another worker; packages that
-// earlier incarnations installed in it are removed.
+// worker uses the releases that are already known. The folder must not be in use by another worker; packages and
+// compiled code of earlier incarnations in it are removed.
 func New(options Options) (*Worker, error) {
 	if options.Log == nil {
 		options.Log = slog.New(slog.DiscardHandler)
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -159,8 +159,8 @@
 	return folder
 }
 
-// The worker has memory for one replica, and that replica is busy: a request of another function waits until the
-// replica is idle and has been evicted. A request of a package that exceeds the worker's memory is rejected
+// The worker has memory for one replica, and that replica is busy: a request for another function waits until the
+// replica is idle and has been evicted. A request for a function that needs more memory than the worker has is rejected
 // immediately. Two concurrent requests for a function that is not loaded cause one load.
 func TestMemoryPressure(t *testing.T) {
 	h := startWorker(t, func(options *worker.Options) {
