--- a/internal/workerrpc/client.go
+++ b/internal/workerrpc/client.go
@@ -32,7 +32,7 @@
 // Counts are the counters of a Client since its creation.
 type Counts struct {
 	Connections        int // connections made, with a successful handshake
-	UnmatchedResponses int // responses to no call, to a call already answered, or of the wrong kind for the call
+	UnmatchedResponses int // responses to no call in flight, or of the wrong kind or request ID for the call
 	LateResponses      int // responses to cancelled calls
 }
 
--- a/internal/workerrpc/connection.go
+++ b/internal/workerrpc/connection.go
@@ -28,7 +28,7 @@
 		c.mu.Unlock()
 		switch {
 		case !queued:
-		case backoffLeft > 0: // the calls were queued before the previous connection failed
+		case backoffLeft > 0: // the calls were queued before the last attempt to connect failed
 			c.failCalls(ErrBackoff)
 		default:
 			c.failCalls(c.serve(ctx))
--- a/internal/workerrpc/messages.go
+++ b/internal/workerrpc/messages.go
@@ -12,7 +12,7 @@
 	MaxFrame    int       `cbor:"5,keyasint,omitempty"` // longest frame that the sender accepts, in bytes
 	// InterruptedLoads are the loads that the worker's previous incarnation did not complete.
 	InterruptedLoads []InterruptedLoad `cbor:"6,keyasint,omitempty"`
-	// WarmUpTime is the warm-up time that the worker's previous incarnation measured; 0 if it is unknown.
+	// WarmUpTime is the warm-up time of the last earlier incarnation of the worker that warmed up; 0 if it is unknown.
 	WarmUpTime time.Duration `cbor:"7,keyasint,omitempty"`
 }
 
@@ -38,8 +38,8 @@
 	Function        string        `cbor:"4,keyasint"`
 	Type            string        `cbor:"5,keyasint"`
 	Tenant          string        `cbor:"6,keyasint"`
-	IdempotencyKey  string        `cbor:"7,keyasint,omitempty"`  // the worker runs at most one request per key
-	DedupWindow     time.Duration `cbor:"8,keyasint,omitempty"`  // how long the worker remembers the key
+	IdempotencyKey  string        `cbor:"7,keyasint,omitempty"`  // within DedupWindow, at most one request per key runs
+	DedupWindow     time.Duration `cbor:"8,keyasint,omitempty"`  // time for which the key is stored
 	TimeLeft        time.Duration `cbor:"9,keyasint"`            // time until the client's deadline
 	ClientRequestID string        `cbor:"10,keyasint,omitempty"` // request ID chosen by the client
 	Body            []byte        `cbor:"11,keyasint,omitempty"`
@@ -52,8 +52,8 @@
 const (
 	CodeOK         Code = iota // the attempt completed, or the replicas of the load request are ready
 	CodeFailed                 // the call failed; an attempt may have run
-	CodeOverloaded             // rejected before execution because the worker is overloaded
-	CodeNotFound               // the worker does not have the function
+	CodeOverloaded             // rejected before execution as the worker is overloaded; or not all replicas were loaded
+	CodeNotFound               // the worker does not have the function or could not load it
 	CodeNotStarted             // cancelled or rejected before execution started
 	CodeCancelled              // cancelled; an attempt may have run
 )
@@ -65,12 +65,12 @@
 type LoadReport struct {
 	QueueDepth     int     `cbor:"1,keyasint"`           // requests waiting at the worker
 	Running        int     `cbor:"2,keyasint"`           // requests running at the worker
-	CPUUtilization float64 `cbor:"3,keyasint"`           // fraction of the worker's cores in use
+	CPUUtilization float64 `cbor:"3,keyasint"`           // running requests per core of the worker, at most 1
 	MemoryBytes    int64   `cbor:"4,keyasint"`           // memory in use
 	ColdStartRate  float64 `cbor:"5,keyasint,omitempty"` // fraction of the latest attempts that found no warm replica
 }
 
-// ReplicaState is the state in which an attempt found the function's replica when it arrived at the worker.
+// ReplicaState is the state of the function's replicas when an attempt arrived at the worker, or ReplicaLoadFailed.
 type ReplicaState int
 
 // The replica states.
@@ -79,7 +79,7 @@
 	ReplicaWarm
 	ReplicaLoadStarted // the attempt started a load
 	ReplicaLoadAwaited // the attempt waited for a load that was already in progress
-	ReplicaLoadFailed
+	ReplicaLoadFailed  // the load that the attempt started or waited for failed
 )
 
 // AttemptResult is the answer to an attempt.
@@ -89,9 +89,9 @@
 	Code               Code          `cbor:"3,keyasint"`
 	ReplicaState       ReplicaState  `cbor:"4,keyasint,omitempty"`
 	ConcurrentRequests int           `cbor:"5,keyasint,omitempty"` // requests of the function at the worker on arrival
-	CPUTime            time.Duration `cbor:"6,keyasint,omitempty"`
+	CPUTime            time.Duration `cbor:"6,keyasint,omitempty"` // package worker reports elapsed time
 	Report             *LoadReport   `cbor:"7,keyasint,omitempty"`
-	Deduplicated       bool          `cbor:"8,keyasint,omitempty"` // did not run; this is the first run's result
+	Deduplicated       bool          `cbor:"8,keyasint,omitempty"` // did not run: its idempotency key was already claimed
 	Reason             string        `cbor:"9,keyasint,omitempty"`
 	Body               []byte        `cbor:"10,keyasint,omitempty"`
 }
@@ -101,7 +101,8 @@
 	Seq uint64 `cbor:"1,keyasint"`
 }
 
-// LoadRequest asks a worker to load replicas of a function until it has Replicas of them in total.
+// LoadRequest asks a worker to have Replicas replicas of a function in total. The worker loads those that are missing;
+// if it has more, it may unload idle ones.
 type LoadRequest struct {
 	Seq      uint64 `cbor:"1,keyasint"`
 	Function string `cbor:"2,keyasint"`
--- a/internal/workerrpc/queue.go
+++ b/internal/workerrpc/queue.go
@@ -102,7 +102,8 @@
 }
 
 // dropWithheld ends the calls at the heads of the queues that must no longer be sent. It stops at the first call of
-// each queue that may be sent. c.mu must be held.
+// each queue that may be sent, and checks attempts only while the limit of attempts in flight allows one to be written.
+// c.mu must be held.
 func (c *Client) dropWithheld() {
 	for len(c.controlQueue) > 0 && !c.controlQueue[0].mayBeSent() {
 		c.dropCall(c.controlQueue[0])
--- a/internal/workerrpc/server.go
+++ b/internal/workerrpc/server.go
@@ -19,7 +19,7 @@
 type Handler interface {
 	// HandleAttempt runs an attempt. cancel, which may be nil, cancels it; reply is still called after that.
 	HandleAttempt(gateway string, attempt *Attempt, reply func(*AttemptResult)) (cancel func())
-	// HandleLoadRequest loads replicas until the requested number is ready.
+	// HandleLoadRequest loads replicas until the requested number is ready or no more can be loaded.
 	HandleLoadRequest(gateway string, request *LoadRequest, reply func(*LoadResult))
 	// LoadReport returns the worker's current load.
 	LoadReport() *LoadReport
