--- a/internal/artifact/artifactstore/compat_test.go
+++ b/internal/artifact/artifactstore/compat_test.go
@@ -11,8 +11,9 @@
 	"lupinpond/internal/artifact/layer"
 )
 
-// Guards against format changes that make existing stores unreadable: a store folder written by an earlier version must
-// list its releases with the same digests, and each release must be complete, with all chunks verified.
+// TestOpenStoreOfEarlierVersion guards against format changes that make existing stores unreadable: a store folder
+// written by an earlier version must list its releases with the same digests, and each release must be complete, with
+// all chunks verified.
 func TestOpenStoreOfEarlierVersion(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/stored")); err != nil {
--- a/internal/artifact/artifactstore/releases.go
+++ b/internal/artifact/artifactstore/releases.go
@@ -97,7 +97,7 @@
 }
 
 // Packages returns the newest release of each package. Because every worker polls this list, it is cached and read from
-// the database only after a release was published.
+// the database only in the first call and after a release was published.
 func (s *Store) Packages() ([]PackageInfo, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/artifact/artifactstore/store.go
+++ b/internal/artifact/artifactstore/store.go
@@ -43,7 +43,7 @@
 type Options struct {
 	Folder      string
 	Capacity    Capacity
-	GracePeriod time.Duration // minimum time for which a chunk that no release references is kept
+	GracePeriod time.Duration // time since its last upload or POST /v1/missing for which an unreferenced chunk is kept
 	Log         *slog.Logger
 	FailPoint   func(FailPoint) // for tests: called at each fail point; may be nil
 }
--- a/internal/artifact/artifactstore/store_test.go
+++ b/internal/artifact/artifactstore/store_test.go
@@ -116,8 +116,9 @@
 	os.Exit(0)
 }
 
-// Guards against a publisher crash that corrupts the store: whichever step of publishing the process is killed at, the
-// newest release must be the old or the new one and complete, and publishing again must succeed.
+// TestKilledWhilePublishing guards against a crash during publishing that corrupts the store: whichever step of
+// publishing the process is killed at, the newest release must be the old or the new one and complete, and publishing
+// again must succeed. Every third step is tested.
 func TestKilledWhilePublishing(t *testing.T) {
 	points := map[string]int{}
 	for step, completed := 1, false; !completed; step += 3 {
