--- a/internal/artifact/cache/cache.go
+++ b/internal/artifact/cache/cache.go
@@ -171,8 +171,8 @@
 	return content, compressed, true
 }
 
-// quarantine removes a chunk that could not be read from the cache and moves its file to the quarantine folder. c.mu
-// must be held.
+// quarantine removes an unreadable chunk from the cache and moves its file to the quarantine folder, or deletes the
+// file if that holds maxQuarantined files or the move fails. c.mu must be held.
 func (c *Cache) quarantine(item *Item, cause error) {
 	c.removeItem(item)
 	if errors.Is(cause, layer.ErrCorrupt) {
@@ -274,7 +274,7 @@
 	return c.stats
 }
 
-// Size returns the total size of the cached chunks on disk in bytes.
+// Size returns the total size in bytes of the chunks on disk, including those that are being written.
 func (c *Cache) Size() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/artifact/cache/cache_test.go
+++ b/internal/artifact/cache/cache_test.go
@@ -40,9 +40,9 @@
 	return []byte(strings.Repeat(fmt.Sprint("chunk ", i, " "), 1000+i%1000))
 }
 
-// Guards against a crash that leaves corrupt chunks in use or exceeds the size limit. A process that writes chunks is
-// killed ten times at an arbitrary moment; after each kill, every chunk in the folder must be complete or be
-// quarantined when it is read.
+// TestKilledWhileWriting guards against a crash that leaves corrupt chunks in use or exceeds the size limit. A process
+// that writes chunks is killed ten times at an arbitrary moment; after each kill, every chunk in the folder must be
+// complete or be quarantined when it is read.
 func TestKilledWhileWriting(t *testing.T) {
 	folder := t.TempDir()
 	for range 10 {
--- a/internal/artifact/cache/compat_test.go
+++ b/internal/artifact/cache/compat_test.go
@@ -9,8 +9,9 @@
 	"lupinpond/internal/artifact/layer"
 )
 
-// Guards against format changes that make existing caches unreadable: chunks that an earlier version cached must be
-// found under their digests and verified. The digests are constants because stored releases reference them.
+// TestOpenCacheOfEarlierVersion guards against format changes that make existing caches unreadable: chunks that an
+// earlier version cached must be found under their digests and verified. The digests are constants because stored
+// releases reference them.
 func TestOpenCacheOfEarlierVersion(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/stored")); err != nil {
