--- a/internal/artifact/fetch/model_test.go
+++ b/internal/artifact/fetch/model_test.go
@@ -209,10 +209,11 @@
 	}
 }
 
-// Guards against searches that never end or are abandoned although the chunk is available, and against needless load on
-// the store. The test explores every order of steps and up to two faults in a fleet of three whose endpoint lists agree
-// or differ, and fleets without a store in which one worker has the chunk. If the lists agree, the store must deliver
-// the chunk at most once, and once more for each fault.
+// TestAllInterleavingsOfSmallFleets guards against searches that never end or are abandoned although the chunk is
+// available, and against needless load on the store. It explores every order of steps and up to two faults in a fleet
+// of three whose endpoint lists agree or differ (one fault if they differ), and fleets without a store in which one
+// worker has the chunk. If the lists agree, the store must deliver the chunk at most once, and once more for each
+// fault.
 func TestAllInterleavingsOfSmallFleets(t *testing.T) {
 	three := []string{"a", "b", "c"}
 	same := map[string][]string{"a": three, "b": three, "c": three}
--- a/internal/artifact/fetch/peer_health.go
+++ b/internal/artifact/fetch/peer_health.go
@@ -11,7 +11,8 @@
 	// further corrupt chunk.
 	corruptionBackoff = 10 * time.Second
 
-	// maxBackoffDoublings limits the doublings of both backoffs.
+	// maxBackoffDoublings limits the doublings of both backoffs. As the first failure doubles nothing, failureBackoff is
+	// doubled at most maxBackoffDoublings-1 times.
 	maxBackoffDoublings = 8
 
 	// maxCorruptChunks is the number of corrupt chunks after which a peer gets no requests any more.
--- a/internal/artifact/fetch/peer_response.go
+++ b/internal/artifact/fetch/peer_response.go
@@ -9,7 +9,7 @@
 	Missing                       // the peer does not have the chunk and does not fetch it
 	Pending                       // the peer is fetching the chunk
 	Busy                          // the peer has the chunk, but no capacity to send it
-	Failed                        // the peer could not be reached, or did not answer in time
+	Failed                        // the peer could not be reached, did not answer in time or sent an invalid reply
 	Corrupt                       // the peer sent content that does not match the digest
 )
 
--- a/internal/artifact/fetch/search.go
+++ b/internal/artifact/fetch/search.go
@@ -211,8 +211,9 @@
 	}
 }
 
-// recordPending records a Pending or Busy reply. It pauses the search until the peer may be asked again, unless an
-// untried replica can be asked meanwhile.
+// recordPending records a Pending or Busy reply. After maxPendingReplies of them the peer counts as tried in this
+// round. Before that, the search pauses until the peer may be asked again, for at most homeWait, unless an untried
+// replica can be asked meanwhile.
 func (s *Search) recordPending(now time.Duration, peer string, retryAfter time.Duration) {
 	s.anyPending = true
 	s.pendingReplies[peer]++
--- a/internal/artifact/fetch/store_guard.go
+++ b/internal/artifact/fetch/store_guard.go
@@ -28,8 +28,8 @@
 	Retry
 )
 
-// The concurrency limit is additive-increase, multiplicative-decrease: each success adds 1/limit, so that the limit
-// grows by one after that many successes; a rejection or failure multiplies it by limitReduction.
+// The concurrency limit is additive-increase, multiplicative-decrease: each success adds 1/limit, so that it takes
+// about limit successes to raise the limit by one; a rejection or failure multiplies it by limitReduction.
 const (
 	initialLimit   = 2.0
 	maxLimit       = 16.0
--- a/internal/artifact/fetch/store_guard_test.go
+++ b/internal/artifact/fetch/store_guard_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against overloading a store that is at capacity or failing, and against a guard that blocks for ever. There
-// must never be more requests in flight than the maximum limit, no request before the store's Retry-After, and a single
-// request at a time while the store fails. After any history, a request must be allowed in the end.
+// TestStoreGuard guards against overloading a store that is at capacity or failing, and against a guard that blocks for
+// ever. There must never be more requests in flight than the maximum limit, no request before the store's Retry-After,
+// and a single request at a time while the store fails. After any history, a request must be allowed in the end.
 func TestStoreGuard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		guard := NewStoreGuard()
