--- a/internal/artifact/distribution/distribution_test.go
+++ b/internal/artifact/distribution/distribution_test.go
@@ -22,11 +22,12 @@
 // homes is the number of workers that may fetch a chunk from the store if no worker has it.
 const homes = 3
 
-// Guards against overloading the store when a fleet installs a new package, and against using corrupt chunks. Fifty
-// workers install a package that no worker has: according to the store's counters, it must send each chunk at most
-// three times. Ten workers send corrupt chunks: each must be detected and counted.
+// TestFiftyColdStarts guards against overloading the store when a fleet installs a new package, and against using
+// corrupt chunks. Fifty workers install a package that no worker has: according to the store's counters, it must send
+// each chunk at most three times. Ten workers answer every other request with a corrupt chunk: each must be detected
+// and counted.
 func TestFiftyColdStarts(t *testing.T) {
-	// With this long timeout, workers wait for a home for the maximum time.
+	// With this long timeout, a worker waits up to 18.75 s (timeout / 32) for a home that is fetching the chunk.
 	f := newFleet(t, fleetOptions{workers: 50, capacity: ampleCapacity, chunkTimeout: 10 * time.Minute})
 	f.publish("1", 2<<20, 0)
 	f.refresh()
@@ -57,9 +58,9 @@
 	t.Logf("store: %+v, %d corrupt chunks detected", stats, detected)
 }
 
-// Guards against searches that fail when the store is overloaded and peers crash. The store has capacity for a tenth of
-// the fetches that the workers would send at once, and a fifth of the workers crash during the installation: all other
-// workers must complete it.
+// TestOverloadedStoreAndCrashedWorkers guards against searches that fail when the store is overloaded and peers crash.
+// The store has capacity for a tenth of the fetches that the workers would send at once, and a fifth of the workers
+// crash during the installation: all other workers must complete it.
 func TestOverloadedStoreAndCrashedWorkers(t *testing.T) {
 	f := newFleet(t, fleetOptions{workers: 20, capacity: artifactstore.Capacity{MaxConcurrent: 2, BytesPerSecond: 8e6},
 		chunkTimeout: 60 * time.Second})
--- a/internal/artifact/distribution/releases.go
+++ b/internal/artifact/distribution/releases.go
@@ -36,8 +36,9 @@
 	return manifests
 }
 
-// Refresh loads new releases from the store. If the store does not answer, the known releases are kept. A release that
-// can't be decoded or stored is logged and skipped.
+// Refresh loads new releases from the store. If the store does not answer, the known releases are kept. An error status
+// of the store ends Refresh with an error. A release that can't be downloaded otherwise or can't be decoded is logged
+// and skipped. One that can't be written to disk is logged as well, but is used until the next restart.
 func (d *Distributor) Refresh(ctx context.Context) error {
 	packages, err := d.options.Store.Packages(ctx)
 	if err != nil {
--- a/internal/artifact/distribution/serve.go
+++ b/internal/artifact/distribution/serve.go
@@ -89,8 +89,8 @@
 	})
 }
 
-// awaitChunk fetches a chunk for another worker. If the chunk does not arrive in time, it writes a reply and returns
-// false.
+// awaitChunk fetches a chunk for another worker. If the fetch fails or takes longer than request.wait, it writes a
+// reply and returns false. If the other worker disconnects, it returns false.
 func (d *Distributor) awaitChunk(w http.ResponseWriter, r *http.Request, request chunkRequest,
 ) (compressed []byte, ok bool) {
 	f := d.startFetch(request.digest)
