--- a/internal/base/capture/tap.go
+++ b/internal/base/capture/tap.go
@@ -38,7 +38,7 @@
 	ConnID   uint64        `cbor:"2,keyasint"`
 	Side     Side          `cbor:"3,keyasint"`
 	Peer     string        `cbor:"4,keyasint,omitempty"` // name of the worker at the other end
-	At       time.Duration `cbor:"5,keyasint"`           // time since the base: start of a write, end of another call
+	At       time.Duration `cbor:"5,keyasint"`           // time since base: start of a write or close, end of another call
 	Duration time.Duration `cbor:"6,keyasint,omitempty"` // Written: duration of the write
 	Data     []byte        `cbor:"7,keyasint,omitempty"` // bytes read or written; fewer than requested if the call failed
 	ByPeer   bool          `cbor:"8,keyasint,omitempty"` // Closed: the peer closed the connection
--- a/internal/base/durableclock/durableclock.go
+++ b/internal/base/durableclock/durableclock.go
@@ -21,8 +21,8 @@
 }
 
 // Continue returns a clock that continues from the mark last, which may be the zero value, and the new mark to store.
-// After a reboot the clock continues from the system time, but not from before last: a system clock that was set ahead
-// then can't be distinguished from elapsed time.
+// After a reboot the clock continues from the system time, or from the time of last if that is later. A system clock
+// that was set ahead can't be distinguished from elapsed time after a reboot.
 func Continue(last Mark) (now func() time.Time, mark Mark) {
 	return continueFrom(last, bootMark(), time.Now())
 }
--- a/internal/base/telemetry/lossy_writer.go
+++ b/internal/base/telemetry/lossy_writer.go
@@ -82,7 +82,7 @@
 }
 
 // Close writes the queued lines and returns when this is done or the timeout has elapsed. Lines that are passed to
-// Write after Close are dropped.
+// Write after Close are lost; Dropped counts only those of them that do not fit in the queue.
 func (w *LossyWriter) Close(timeout time.Duration) {
 	close(w.stop)
 	select {
