--- a/internal/worker/idempotency/idempotency.go
+++ b/internal/worker/idempotency/idempotency.go
@@ -1,8 +1,8 @@
 // Package idempotency detects duplicates of requests with an idempotency key in a group of workers. A group has a fixed
-// number of registers. Each register stores the first claim of a key until the end of the key's window. A worker claims
-// a key at all registers and runs the request only if a majority of them granted the claim. As any two majorities have
-// a register in common, at most one claim of a key is granted within its window, whichever registers, workers or
-// messages are lost.
+// number of registers. Each register stores the first claim of a key until the end of the key's window, or until the
+// claim is released because its request was not run. A worker claims a key at all registers and runs the request only
+// if a majority of them granted the claim. As any two majorities have a register in common, at most one claim of a key
+// that is not released is granted within the window, whichever registers, workers or messages are lost.
 //
 // This file has the decisions and does no I/O. register.go stores the entries of a register, http.go serves them to
 // workers, and group.go is the client of a group's registers.
--- a/internal/worker/idempotency/register.go
+++ b/internal/worker/idempotency/register.go
@@ -34,7 +34,7 @@
 	expiriesBucket = []byte("ends") // has a key from expiryKey for each entry, in the order of the windows' ends
 )
 
-// ErrFull is returned when a register already stores the maximum number of keys and the window of none has ended.
+// ErrFull is returned when a register already stores the maximum number of keys and none of their windows has ended.
 var ErrFull = errors.New("the register is full")
 
 // Register stores the claims of keys durably, so that they survive a crash of the process or the machine.
