--- a/internal/worker/replicas.go
+++ b/internal/worker/replicas.go
@@ -90,7 +90,8 @@
 }
 
 // startReplica starts a replica and journals the start and the end of its load. The start is synced to disk before the
-// load begins, and the end is journaled whether the load succeeds or fails: only a crash leaves a load without an end.
+// load begins, and the end is journaled whether the load succeeds or fails: only a crash or a failed write to the
+// journal leaves a load without an end.
 func (w *Worker) startReplica(
 	id uint64, release manifest.Manifest, fault error,
 ) (timings LoadTimings, process *runner.Replica, err error) {
