--- a/internal/worker/idempotency/register.go
+++ b/internal/worker/idempotency/register.go
@@ -34,14 +34,14 @@
 	expiriesBucket = []byte("ends") // has a key from expiryKey for each entry, in the order of the windows' ends
 )
 
-// ErrFull is returned when a register already stores the maximum number of keys and the window of none has ended.
+// ErrFull is returned when a register already stores the maximum number of keys and none of their windows has ended.
 var ErrFull = errors.New("the register is full")
 
 // Register stores the claims of keys durably, so that they survive a crash of the process or the machine.
 type Register struct {
 	db      *bolt.DB
 	maxKeys int
-	now     func() time.Time // clock that continues across restarts even if the system time is changed
+	now     func() time.Time // clock that continues across restarts; the system time affects it only after a reboot
 }
 
 // Open opens the register's file in a folder, creating it if it does not exist. It fails if another process has the
