--- a/internal/testbed/faultproxy/proxy.go
+++ b/internal/testbed/faultproxy/proxy.go
@@ -22,10 +22,10 @@
 
 // Fault is a fault that a Proxy injects. The zero value injects none.
 type Fault struct {
-	Blackhole       bool          // no data is forwarded and no connection is closed, as if the network were partitioned
+	Blackhole       bool          // data is held back until the fault ends; connections stay open until a peer closes them
 	Reject          bool          // new connections are reset at once, as if no process were listening
 	Delay           time.Duration // delay before each chunk of data is forwarded, in both directions
-	CloseAfterBytes int           // a connection is reset after this many response bytes; 0: no limit
+	CloseAfterBytes int           // a connection is reset instead of forwarding more response bytes; 0: no limit
 }
 
 // Proxy forwards TCP connections to one address.
@@ -129,8 +129,8 @@
 	delete(p.pairs, pair)
 }
 
-// copy forwards data in one direction until from ends. Then it closes both connections, with a reset unless from
-// ended with io.EOF.
+// copy forwards data in one direction until from ends or forward returns false. Then it closes both connections, with a
+// reset unless from ended with io.EOF.
 func (p *Proxy) copy(to, from net.Conn, forward func(to net.Conn, chunk []byte) bool) {
 	buffer := make([]byte, bufferBytes)
 	for {
