--- a/internal/testbed/emulator/model.go
+++ b/internal/testbed/emulator/model.go
@@ -16,7 +16,7 @@
 	Cores              float64
 	Memory             int64         // memory for replicas in bytes
 	QueueLimit         int           // number of requests that may wait; more are rejected as overload
-	ReplicaIdleTimeout time.Duration // time after which an idle replica is unloaded
+	ReplicaIdleTimeout time.Duration // idle time after which the next dispatch without requests unloads replicas
 	LoadOnMiss         bool          // load a replica for a request that finds none; false: reject it
 	InitialShare       float64       // share of the cores that is available at the start of a worker
 	WarmUpTime         time.Duration // time after the start until all cores are available
--- a/internal/testbed/emulator/replicas.go
+++ b/internal/testbed/emulator/replicas.go
@@ -29,8 +29,9 @@
 	return set
 }
 
-// startLoad starts to load a replica, and returns false if there is not enough memory. done, unless nil, is called with
-// the result of the load. w.mu must be held.
+// startLoad starts to load a replica, and returns false if there is not enough memory even without the idle replicas,
+// which it evicts. done, unless nil, is called with the result of the load, while w.mu is held; it isn't called if the
+// incarnation ends first. w.mu must be held.
 func (w *Worker) startLoad(set *replicaSet, done func(workerrpc.Code)) bool {
 	if !w.evictIdle(set.function.Memory) {
 		return false
--- a/internal/testbed/emulator/session.go
+++ b/internal/testbed/emulator/session.go
@@ -110,8 +110,8 @@
 	return workerrpc.ReplicaLoadStarted, workerrpc.CodeOK, ""
 }
 
-// dispatch runs queued requests while replicas have free capacity. Replicas that have been idle for longer than
-// ReplicaIdleTimeout are unloaded first. w.mu must be held.
+// dispatch runs queued requests while replicas have free capacity. If the set has no request, running or queued, and
+// has been idle for longer than ReplicaIdleTimeout, its replicas are unloaded. w.mu must be held.
 func (w *Worker) dispatch(set *replicaSet) {
 	unused := set.replicas > 0 && set.busy == 0 && len(set.queue) == 0
 	if unused && time.Since(set.idleSince) > w.model.ReplicaIdleTimeout {
--- a/internal/testbed/emulator/worker.go
+++ b/internal/testbed/emulator/worker.go
@@ -143,8 +143,8 @@
 	return w.server
 }
 
-// Redeploy makes the replicas of a function outdated. Idle ones are unloaded, so that the next request must wait for a
-// load; running requests finish on theirs. If requests are queued and no replica is left, a new load starts.
+// Redeploy unloads the idle replicas of a function, as after a new release. Busy replicas stay loaded. If no replica is
+// left, the next request must wait for a load, which starts at once if requests are queued.
 func (w *Worker) Redeploy(function string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
