--- a/internal/testbed/checker/slowstart.go
+++ b/internal/testbed/checker/slowstart.go
@@ -33,7 +33,8 @@
 }
 
 // checkSlowStart checks rule 4: the work that all gateways together send to a worker within any crash window while it
-// warms up stays within CrashMultiple times its capacity at that age, plus toleranceStdDevs standard deviations.
+// warms up stays within CrashMultiple times its capacity at the middle of the window, plus toleranceStdDevs standard
+// deviations.
 func (e *evaluation) checkSlowStart() {
 	if e.fleet.SlowStart.CrashMultiple <= 0 {
 		return
@@ -106,7 +107,7 @@
 		budget += toleranceStdDevs * math.Sqrt(budget*mean)
 		e.PeakSlowStartUse = max(e.PeakSlowStartUse, sent/budget)
 		// a gateway that was not yet notified of the start can't limit its load on the worker, so a window counts only
-		// if two thirds of its work came from notified gateways
+		// if at least two thirds of its work came from notified gateways
 		if sent > budget && notified >= 2*sent/3 {
 			e.violated(ruleSlowStart, attempt.place(), "overloaded while warming up: %v of work in %v, capacity %v",
 				time.Duration(sent), crashWindow, time.Duration(budget))
