--- a/internal/testbed/costmodel/fleet.go
+++ b/internal/testbed/costmodel/fleet.go
@@ -37,8 +37,8 @@
 	Loads        int `json:"loads"` // load requests for replicas that were not loaded
 	Probes       int `json:"probes"`
 	Served       int `json:"served"`
-	ColdStarts   int `json:"cold"` // attempts at workers without a loaded replica
-	Rejected     int `json:"refused"`
+	ColdStarts   int `json:"cold"`    // attempts at workers without a loaded replica
+	Rejected     int `json:"refused"` // requests that were rejected or failed
 }
 
 func newFleet(load Load) *fleet {
@@ -144,7 +144,7 @@
 // Reject counts a rejection.
 func (f *fleet) Reject(*scheduler.Request, time.Duration, bool) { f.counts.Rejected++ }
 
-// Fail counts a failure.
+// Fail counts a failure as a rejection.
 func (f *fleet) Fail(*scheduler.Request, int, bool) { f.counts.Rejected++ }
 
 // Cancel does nothing: the attempt runs to its end and the core ignores its result.
