--- a/internal/testbed/scale/collect.go
+++ b/internal/testbed/scale/collect.go
@@ -124,7 +124,7 @@
 }
 
 // finish waits until all hollow gateways have applied the last change, at most convergeTimeout, and completes the
-// result. It returns ErrListMismatch if the endpoint lists still differ.
+// result. It returns ErrListMismatch if the endpoint lists still differ or if changes were applied out of order.
 func (r *run) finish(ctx context.Context, result *Result) error {
 	deadline := time.Now().Add(convergeTimeout)
 	for {
--- a/internal/testbed/scale/rate.go
+++ b/internal/testbed/scale/rate.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// idlePollInterval is the interval at which a pacer with rate 0 checks whether the rate has changed.
+// idlePollInterval is the interval at which a pacer with rate 0 checks whether the rate has changed, and at which
+// run.finish checks whether all gateways have the same endpoint list.
 const idlePollInterval = 100 * time.Millisecond
 
 // requestRate is a number of requests per second that may change concurrently.
--- a/internal/testbed/scale/result.go
+++ b/internal/testbed/scale/result.go
@@ -52,7 +52,7 @@
 	LoadRequestRate     float64 `json:"order_rate"`        // load requests per second and gateway
 	ProbeRate           float64 `json:"probe_rate"`        // probes per second and gateway
 	HandshakeRate       float64 `json:"handshake_rate"`    // new worker connections per second and gateway
-	DiscoveryBytes      float64 `json:"list_bytes"`        // bytes/s per gateway from the discovery service
+	DiscoveryBytes      float64 `json:"list_bytes"`        // bytes/s per gateway to and from the discovery service
 	Connections         float64 `json:"connections"`       // open connections per worker
 	WorkerHandshakeRate float64 `json:"worker_handshakes"` // new connections per second and worker
 	Loads               float64 `json:"loads"`             // loads per second, sum of all workers
--- a/internal/testbed/scale/worker.go
+++ b/internal/testbed/scale/worker.go
@@ -238,8 +238,8 @@
 	w.after(time.Until(r.readyAt), conn, func() { w.answerControl(conn, tag, "ok", "n="+replicas, "") })
 }
 
-// handleAttempt runs a request when its replica is ready and a slot is free. It rejects the request if the queue is
-// full.
+// handleAttempt runs a request when its replica is ready and a slot is free. It rejects the request if more than
+// QueueLimit requests already wait for a slot.
 func (w *emulatedWorker) handleAttempt(conn net.Conn, id, function string) {
 	if len(w.queue) >= w.pool.plan.Workers.QueueLimit+1 {
 		w.pool.rejected.Add(1)
