--- a/internal/testbed/scenario/dedup.go
+++ b/internal/testbed/scenario/dedup.go
@@ -40,7 +40,8 @@
 	return groups
 }
 
-// duplicateExecutions returns the requests that must run once but ran more than once, as counted at the workers.
+// duplicateExecutions returns the requests that must run once but ran more than once, as counted at the workers. With
+// emulated workers it checks at-most-once requests only, with the worker runtime also keyed ones.
 func (r *run) duplicateExecutions(arrivals []arrival) (duplicates []string, err error) {
 	if r.runtime == nil {
 		for _, requestType := range r.options.Config.Fleet.Types {
--- a/internal/testbed/scenario/runtime.go
+++ b/internal/testbed/scenario/runtime.go
@@ -24,8 +24,8 @@
 
 	// claimServerCount is the number of servers that store claims of idempotency keys.
 	claimServerCount = 3
-	// claimFileBytes is the file size of a claim server.
-	claimFileBytes = 1 << 20
+	// maxClaims is the maximum number of unexpired claims at a claim server.
+	maxClaims = 1 << 20
 	// claimTimeout is the timeout of a worker's claim of an idempotency key.
 	claimTimeout = time.Second
 
@@ -109,7 +109,7 @@
 		if err := os.Mkdir(folder, 0o755); err != nil {
 			return nil, err
 		}
-		store, err := idempotency.Open(folder, claimFileBytes)
+		store, err := idempotency.Open(folder, maxClaims)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/testbed/scenario/stats.go
+++ b/internal/testbed/scenario/stats.go
@@ -11,7 +11,7 @@
 	Served     int
 	InTime     int // requests served within their latency objective
 	Failed     int `json:"Dead"`
-	Abandoned  int `json:"GaveUp"` // requests whose client ran out of attempts or time
+	Abandoned  int `json:"GaveUp"` // requests that the client stopped retrying after another outcome
 	Unanswered int
 	Attempts   int             `json:"Tries"`
 	Latencies  []time.Duration `json:"Took"` // served requests: time from the first attempt to the response
