--- a/cmd/artifact-store/main.go
+++ b/cmd/artifact-store/main.go
@@ -34,7 +34,7 @@
 	Requests int           `default:"64" help:"Maximum number of parallel fetches; more are rejected with Retry-After."`
 	Rate     float64       `help:"Maximum total bandwidth of fetches in MB per second; 0: no limit."`
 	Stop     float64       `help:"Stop a full store for --stop-for at this multiple of --requests per second; 0: never."`
-	StopFor  time.Duration `default:"5s" help:"Time for which a stopped store rejects all requests."`
+	StopFor  time.Duration `default:"5s" help:"Time for which a stopped store rejects all fetches."`
 	Grace    time.Duration `default:"1h" help:"Minimum age of an unreferenced chunk before it is removed."`
 	Collect  time.Duration `default:"10m" help:"Interval between garbage collections."`
 	ReadOnly bool          `help:"Reject publications; only serve fetches."`
