--- a/internal/testbed/soak/attempts.go
+++ b/internal/testbed/soak/attempts.go
@@ -55,13 +55,13 @@
 // expectedBody returns the body with which a worker answers a request.
 func expectedBody(id string) string { return "done " + id }
 
-// hasLongRuns reports whether a function's requests run long, as those of one function in four do.
+// hasLongRuns reports whether a function's requests run long: those of functions whose last digit is 0, 4 or 8 do.
 func hasLongRuns(function string) bool {
 	return function != "" && (function[len(function)-1]-'0')%4 == 0
 }
 
 // checkLoadRequest counts a load request, and passes it to the checker if the worker has been draining for longer than
-// drainSlack.
+// drainSlack, unless the request may have been read late.
 func (w *worker) checkLoadRequest(conn net.Conn, now time.Time, readLate bool) {
 	w.checker.count(func(counts *Counts) { counts.LoadRequests++ })
 	drainingSince := w.drainStart()
@@ -154,7 +154,8 @@
 }
 
 // checkSlowStart records a violation when a worker receives more requests within crashWindow than it can handle in slow
-// start; the limit is two standard deviations and two requests above the mean. w.mu must be held.
+// start. With mean, crashMultiple times the number of requests that its current capacity can run in crashWindow, the
+// limit is mean + 2*sqrt(mean) + 2: two standard deviations and two requests more. w.mu must be held.
 func (w *worker) checkSlowStart(now time.Time) {
 	w.recentRequests = append(w.recentRequests, now)
 	for len(w.recentRequests) > 0 && now.Sub(w.recentRequests[0]) > crashWindow {
@@ -194,7 +195,7 @@
 	time.AfterFunc(duration, func() { w.finish(j) })
 }
 
-// finish answers a request that has been executed, and runs queued requests in the free slots.
+// finish answers a request that has been executed, unless it was cancelled, and runs queued requests in the free slots.
 func (w *worker) finish(j *job) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testbed/soak/checker.go
+++ b/internal/testbed/soak/checker.go
@@ -15,7 +15,7 @@
 	wait           time.Duration // time limit of the client
 	body           string
 	idempotencyKey string
-	sentAt         time.Time // when its last byte was written
+	sentAt         time.Time // just before it was first written
 	disconnectedAt time.Time // when its client cancelled it or closed the connection; zero: the client is connected
 	answeredAt     time.Time
 	served         bool
@@ -216,7 +216,7 @@
 	c.counts.Attempts++
 	r := c.requests[a.id]
 	if r == nil {
-		return // sent by a bad client
+		return // no well-behaved client sent a request with this ID
 	}
 	r.attempts++
 	if c.stalled(a.receivedAt.Add(-checkerSlack), a.receivedAt) {
--- a/internal/testbed/soak/client.go
+++ b/internal/testbed/soak/client.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// functions is the number of functions that clients call.
+	// functions is the upper limit of the number of functions that clients call, see dispatchFrame.
 	functions = 12
 	// minClientWait is the shortest time limit of a request.
 	minClientWait = 200 * time.Millisecond
--- a/internal/testbed/soak/clientconn.go
+++ b/internal/testbed/soak/clientconn.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// dispatchFrame encodes the call that sends a request.
+// dispatchFrame encodes the call that sends a request. The first hexadecimal digit of the request's ID determines its
+// function; the 16 digits yield 10 functions.
 func dispatchFrame(seq int32, r *request) []byte {
 	w := thrift.NewWriter("dispatch", thrift.Call, seq)
 	function := fmt.Sprintf("%016x", uint64(len(r.id))*1000+uint64(r.id[0])%functions)
--- a/internal/testbed/soak/clientfaults.go
+++ b/internal/testbed/soak/clientfaults.go
@@ -15,7 +15,7 @@
 	networkRecovery = time.Second
 	// badConnections is the number of connections that bad clients open.
 	badConnections = 20
-	// healthCheckBurst is the number of health checks that a bad client sends at once.
+	// healthCheckBurst is the number of health checks that a bad client sends at once, after a first one.
 	healthCheckBurst = 40
 )
 
@@ -36,7 +36,8 @@
 	time.AfterFunc(networkRecovery, endFault)
 }
 
-// slowClientReads slows the transfer of a gateway's responses to its clients.
+// slowClientReads delays the data between a gateway and its clients, in both directions, so that responses are read
+// slowly.
 func (r *run) slowClientReads(ctx context.Context, gateway *gatewayProcess, random *rand.Rand) {
 	endFault := gateway.beginNetworkFault()
 	delay := randomDuration(random, 20*time.Millisecond, 120*time.Millisecond)
--- a/internal/testbed/soak/faults.go
+++ b/internal/testbed/soak/faults.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// claimGateway selects a random gateway that no other fault has claimed, and claims it; nil: none was found.
+// claimGateway selects a random gateway that accepts requests and that no other fault has claimed, and claims it; nil:
+// none was found.
 func (r *run) claimGateway(random *rand.Rand) *gatewayProcess {
 	for range len(r.gateways) {
 		if gateway := r.gateways[random.IntN(len(r.gateways))]; gateway.isAccepting() && gateway.claim() {
--- a/internal/testbed/soak/gateway.go
+++ b/internal/testbed/soak/gateway.go
@@ -210,7 +210,7 @@
 	return nil
 }
 
-// healthy reports whether a gateway answers a health check that it accepts requests.
+// healthy reports whether a gateway answers a health check, whatever the answer is.
 func healthy(addr string) bool {
 	conn, err := net.DialTimeout("tcp", addr, healthCheckTimeout)
 	if err != nil {
@@ -296,7 +296,7 @@
 }
 
 // stop sends the process a signal and waits for its end; after the timeout it kills the process. It reports whether the
-// process ended without being killed.
+// process ended within the timeout.
 func (g *gatewayProcess) stop(s syscall.Signal, timeout time.Duration) (graceful bool) {
 	ended := g.expectStop()
 	if ended == nil {
--- a/internal/testbed/soak/options.go
+++ b/internal/testbed/soak/options.go
@@ -50,7 +50,7 @@
 	// deadlineSlack is the maximum by which the time left stated in an attempt may exceed what the client has left.
 	deadlineSlack = 150 * time.Millisecond
 	// drainSlack is the maximum time between the moment at which a gateway is considered notified of a drain and the
-	// receipt of an attempt by the draining worker.
+	// receipt of an attempt or a load request by the draining worker.
 	drainSlack = drainGrace + checkerSlack
 	// crossingWindow is the maximum age at which an open request is considered to have crossed the close of its
 	// connection on the network.
--- a/internal/testbed/soak/outage.go
+++ b/internal/testbed/soak/outage.go
@@ -91,10 +91,10 @@
 	shortWait   = 700 * time.Millisecond
 )
 
-// RandomOutage generates a random outage, no longer than longest, from a seed. It affects one or all of the gateways,
-// with drains before it, early and late in it, and restarts, signals, address moves and suspensions of gateways; some
-// outages have a traffic spike. wait is the longest time limit of requests (Options.MaxWait): shortWait in some
-// outages, 0 in the others.
+// RandomOutage generates a random outage from a seed. It lasts from MinOutage up to longest (MinOutage if longest is
+// shorter) and affects one or all of the gateways, with drains before it, early and late in it, and with random actions
+// of all kinds on gateways; some outages have a traffic spike. wait is the longest time limit of requests
+// (Options.MaxWait): shortWait in some outages, 0 in the others.
 func RandomOutage(seed uint64, gateways int, longest time.Duration) (outage Outage, wait time.Duration) {
 	random := rand.New(rand.NewPCG(seed, outageStream))
 	outage = Outage{
--- a/internal/testbed/soak/report.go
+++ b/internal/testbed/soak/report.go
@@ -55,7 +55,7 @@
 	NotReady              Rule = "not_ready"            // a gateway was not ready in time after its start
 	Crashed               Rule = "crashed"              // a gateway process ended unexpectedly
 	InvariantViolated     Rule = "front_end_invariant"  // a gateway logged a violation of one of its invariants
-	ResentRequestRejected Rule = "exception_for_resent" // a resent request was rejected as a duplicate of the first copy
+	ResentRequestRejected Rule = "exception_for_resent" // a resent request got an exception: the first copy had been read
 )
 
 // Violation is one violation of a rule.
