--- a/function/host.go
+++ b/function/host.go
@@ -52,8 +52,8 @@
 
 // ServeConcurrent takes requests from the runtime interface and runs them with handle, up to concurrency at a time,
 // until ctx ends or the worker tells the replica to exit. It returns an error if the environment variable
-// LUPINPOND_RUNTIME, which holds the address of the runtime interface, is not set, if handle is nil, or if polling for a
-// request or posting a result fails.
+// LUPINPOND_RUNTIME, which holds the address of the runtime interface, is not set, if handle is nil, or if polling for
+// a request or posting a result fails.
 func ServeConcurrent(ctx context.Context, concurrency int, handle Handler) error {
 	return ServeCompiled(ctx, concurrency, 0, handle)
 }
--- a/internal/testbed/checker/checker_test.go
+++ b/internal/testbed/checker/checker_test.go
@@ -176,8 +176,8 @@
 }
 
 // TestMutantsAreCaught guards against a check that misses violations or reports false ones. Each mutant adds traffic to
-// the ordinary traffic, and some also change the settings; the checker must report the rule that the mutant violates, if
-// any, and no other.
+// the ordinary traffic, and some also change the settings; the checker must report the rule that the mutant violates,
+// if any, and no other.
 func TestMutantsAreCaught(t *testing.T) {
 	for _, m := range []struct {
 		name  string
