--- a/scheduler/decision.go
+++ b/scheduler/decision.go
@@ -31,7 +31,7 @@
 	LeaseEvents  []LeaseEvent  // changes of leases, for logs
 	Probes       []string      // workers to probe
 	Subscribe    bool          // the caller must subscribe to the worker registry
-	Next         time.Duration // maximum delay until the next call of Tick; 0: the next event decides
+	Next         time.Duration // maximum delay until the next call of Tick; 0: no call is due before an event
 }
 
 // Reason is the reason for which a request was rejected or failed.
@@ -41,7 +41,7 @@
 const (
 	NoReason          Reason = iota
 	QuotaExceeded            // it exceeds its tenant's quota, or its tenant's limit of retries
-	FleetOverloaded          // few workers have capacity, and it would miss its objective or exceeds its quota
+	FleetOverloaded          // the fleet is overloaded, and it would miss its objective or exceeds its quota
 	NoTimeLeft               // no response is possible before its deadline
 	AttemptsExhausted        // the maximum number of attempts have failed
 	NotRetryable             // it may have run, and its type allows no further attempt
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -8,8 +8,8 @@
 //	Tick:     the attempts, load requests, probes and final answers that are due, and when to call Tick again
 //
 // The other calls pass events: UpdateMembership, ReplaceMembership, WatchFailed, SetWatchLease,
-// ProbeCompleted, LoadCompleted and ClientDisconnected. The caller keeps the timers and the requests in
-// flight. Times are nanoseconds of any monotonic clock.
+// ProbeCompleted, LoadCompleted, ClientDisconnected and LimitDeadline. The caller keeps the timers and the
+// requests in flight. Times are nanoseconds of any monotonic clock.
 //
 // The design (docs/design.md): each function has a queue, from which requests are sent, oldest first, to free
 // slots of replicas that are assumed to be loaded. At each tick of a function, scaleUp applies a rule of four
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -11,7 +11,7 @@
 	withCapacity                                 // workers with capacity for an attempt
 	withCapacityIgnoringEjections                // workers with capacity, ejected or not
 	recentlyReported                             // workers with a recent load report
-	withoutQueue                                 // those without queued requests of other gateways
+	withoutQueue                                 // of these, workers without queued requests of other gateways
 	attemptsInFlight                             // attempts at workers that are not half-open
 	counterCount
 )
@@ -37,8 +37,8 @@
 	Workers      int  // workers that accept new work according to the registry
 	Ejected      int  // workers that are ejected or half-open
 	WithCapacity int  // workers with capacity for an attempt
-	InFlight     int  // attempts in flight
-	Overloaded   bool // few workers have capacity
+	InFlight     int  // attempts in flight at workers that are not half-open
+	Overloaded   bool // the fleet is overloaded, see updateFleetState
 	WatchExpired bool // the watch lease has expired: workers need leases of their own
 	Leased       int  // workers with a lease at the last count of renewLeases
 }
@@ -57,7 +57,8 @@
 }
 
 // updateFleetState determines, before each decision, the number of attempts in flight, whether ejections are
-// ignored, and whether the fleet is overloaded.
+// ignored, and whether the fleet is overloaded: the attempts in flight have reached the fleet's limit, few
+// workers have capacity, or few of those with a recent report are without queued requests of other gateways.
 func (s *Scheduler) updateFleetState(now time.Duration) {
 	s.expireDeadlines(now)
 	counts := &s.counters
--- a/scheduler/function.go
+++ b/scheduler/function.go
@@ -101,8 +101,8 @@
 // expectedLoadTime returns the load time that requests state, or else the latency objective.
 func (f *function) expectedLoadTime() time.Duration { return cmp.Or(f.loadTime, f.typ.Objective) }
 
-// expectedDuration returns the expected latency of a request of the function. The mean of the request type
-// bounds it from below, for functions with few outcomes.
+// expectedDuration returns the expected latency of a request of the function. Half the mean latency of the
+// request type bounds it from below, for functions with few outcomes.
 func (s *Scheduler) expectedDuration(f *function) time.Duration {
 	return max(f.meanRunTime(), f.typ.meanLatency/2)
 }
--- a/scheduler/internal/fleetindex/walk.go
+++ b/scheduler/internal/fleetindex/walk.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// skipEmptyBuckets moves a cursor that is past the end of its bucket to the next member on the circle.
+// skipEmptyBuckets moves a cursor that is past the end of its bucket to the next member on the circle, and
+// sets the cursor's node and distance.
 func (r *Ring[M]) skipEmptyBuckets(c *cursor[M]) {
 	for c.index >= len(r.buckets[c.bucket]) {
 		c.bucket++
--- a/scheduler/kinds.go
+++ b/scheduler/kinds.go
@@ -52,8 +52,8 @@
 	w.ringNode = nil
 }
 
-// updateMeanWeight updates the mean weight of the members after a membership update or an outcome has changed
-// the weight of a kind.
+// updateMeanWeight updates the mean weight of the members, each divided by the slowness of its kind, after a
+// membership update or an outcome has changed the weight of a kind.
 func (s *Scheduler) updateMeanWeight() {
 	s.meanWeight = 0
 	for _, kind := range s.orderedKinds {
--- a/scheduler/lease.go
+++ b/scheduler/lease.go
@@ -7,8 +7,8 @@
 // considered notified of every drain when it happens, and may send new work to a worker only for the drain
 // grace after the latest evidence that the worker accepts new work: each worker needs a lease of its own.
 //
-// Only accepted work renews a worker's lease, counted from when it was sent: a completed attempt or a granted
-// load request. A worker that rejects work may be draining or full; whether its other answers reveal a drain
+// Only accepted work renews a worker's lease, counted from when it was sent: a completed attempt or load
+// request. A worker that rejects work may be draining or full; whether its other answers reveal a drain
 // is not specified. verify.go renews leases in time, and regains those that have expired.
 
 // provisionalLease is the state of a worker's provisional lease: a worker without a lease that has answered a
@@ -38,7 +38,7 @@
 	provisional         provisionalLease
 	provisionalUsedAt   time.Duration // when the work of its provisional lease was sent
 	answeredQuerySentAt time.Duration // when the latest query that it answered successfully was sent
-	failedAt            time.Duration // when it was last unreachable, or a connection to it broke
+	failedAt            time.Duration // when it was last unreachable, a connection broke, or a query failed
 
 	verificationSentAt   time.Duration
 	querySentAt          time.Duration
@@ -173,8 +173,8 @@
 	WatchLeaseExpired   LeaseEventKind = iota // the registry was unreachable for too long
 	WatchLeaseRenewed                         // the registry is reachable again
 	WorkerLeaseExpired                        // there is no recent evidence that the worker accepts new work
-	WorkerLeaseRegained                       // there is again evidence that the worker accepts new work
-	WorkerRejects                             // the worker rejected work or a query after WatchLeaseExpired
+	WorkerLeaseRegained                       // the worker has a lease, for the first time or again
+	WorkerRejects                             // a worker rejected work or a query after the watch lease's expiry
 	QueriesReliable                           // a worker has rejected a replica query: queries are reliable
 	QueriesUnreliable                         // a rejecting worker has answered one: they are unreliable
 	LeaseEventKindCount                       // the number of kinds
--- a/scheduler/lease_test.go
+++ b/scheduler/lease_test.go
@@ -9,8 +9,9 @@
 
 const leaseGrace = 500 * ms
 
-// newLeaseHarness returns the harness of a single gateway. Its workers a and b both have a replica of function 1. The
-// watch lease expires after a second, and is not renewed.
+// newLeaseHarness returns the harness of a single gateway with workers a and b. One of them has a replica of function
+// 1, to which one request is in flight, and a second request is queued. The watch lease expires a second after the
+// start, of which 400 ms have passed, and is not renewed.
 func newLeaseHarness(t *testing.T, result scheduler.Result) *harness {
 	t.Helper()
 	h := newBareHarness(7, 0, 1)
@@ -18,10 +19,10 @@
 	h.SetDrainGrace(leaseGrace)
 	h.ReplaceMembership(h.now, []scheduler.Member{{Worker: "a"}, {Worker: "b"}})
 	h.SetWatchLease(h.now, h.now+time.Second)
-	for _, worker := range []string{"a", "b"} {
+	for _, worker := range []string{"a", "b"} { // ignored: no request has called function 1 yet
 		h.LoadCompleted(h.now, scheduler.LoadRequest{Worker: worker, Function: 1, Replicas: 1}, result, 0)
 	}
-	for range 2 { // both workers serve a request
+	for range 2 { // the first request is sent after a load, the second one stays queued
 		request := h.submitQuietly(1)
 		if !request.InFlight() {
 			for range 20 {
--- a/scheduler/loads.go
+++ b/scheduler/loads.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// LoadRequest asks a worker to load replicas of a function until it has the requested number.
+// LoadRequest asks a worker to load replicas of a function until it has the requested number or, with the
+// purpose QueryReplicas, how many it has loaded.
 type LoadRequest struct {
 	Worker   string
 	Function uint64
@@ -21,7 +22,8 @@
 }
 
 // scaleUp requests the replicas that a function's queue needs, once at each tick of the function, and returns
-// the time of the next tick.
+// the time at which it must be called again. While a replica query for the function is pending, it requests
+// none.
 func (s *Scheduler) scaleUp(f *function, now time.Duration, due *TickResult) time.Duration {
 	if len(f.queue) == 0 {
 		return never
@@ -65,8 +67,8 @@
 	return loaded, loading
 }
 
-// missingReplicas returns the number of replicas to request for a function by the four-condition rule: at
-// least one if it has none, enough for the arrivals while the first ones load, and otherwise enough for the
+// missingReplicas returns the number of replicas to request for a function by the four-condition rule: one if
+// none is loaded or loading, enough for the arrivals while the first ones load, and otherwise enough for the
 // queue if it is longer than the number of replicas and than the arrivals since the last tick, or if those
 // arrivals are at least as many as the replicas serve in a tick.
 func (s *Scheduler) missingReplicas(f *function, loaded, loading int) int {
@@ -170,7 +172,9 @@
 		s.verificationsSent.UpperSum(now)+1 <= verificationLoadShare*limit)
 }
 
-// LoadCompleted handles the result of a load request and its duration.
+// LoadCompleted handles the result of a load request and its duration. load.Replicas is the number of
+// replicas that the worker has loaded according to its answer. Results for a worker that is not a member or a
+// function without requests so far are ignored.
 func (s *Scheduler) LoadCompleted(
 	now time.Duration, load LoadRequest, result Result, duration time.Duration,
 ) {
--- a/scheduler/mutants_test.go
+++ b/scheduler/mutants_test.go
@@ -40,13 +40,13 @@
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
 			out, passed, err := mutationtest.RunTests(t.Context(), t.TempDir(), m.file, m.text, m.replacement,
-				"TestFleetViewIsWhatAWalkFinds", "-rapid.nofailfile", "-rapid.checks=1000", "-rapid.seed=1")
+				"TestFleetStateMatchesFullScan", "-rapid.nofailfile", "-rapid.checks=1000", "-rapid.seed=1")
 			if err != nil {
 				t.Fatal(err)
 			}
 			if passed {
 				t.Error("the mutant was not caught")
-			} else if !strings.Contains(out, "--- FAIL: TestFleetViewIsWhatAWalkFinds") && !strings.Contains(out, "panic: ") {
+			} else if !strings.Contains(out, "--- FAIL: TestFleetStateMatchesFullScan") && !strings.Contains(out, "panic: ") {
 				t.Errorf("the mutant failed before or outside of the comparison:\n%s", out)
 			}
 		})
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -22,9 +22,9 @@
 
 // iterateSharedOrder starts an iteration over the shared order of workers for a function, which is the same
 // at all gateways. It is multi-probe consistent hashing: workers are ordered by the distance from the nearest
-// preceding point of the function on a circle to the worker's point, divided by the worker's weight. The
-// position of a worker doesn't depend on other workers, so one that joins or leaves moves only the functions
-// that are placed on it.
+// preceding point of the function on a circle to the worker's point, divided by the weight of the worker's
+// kind. The point of a worker doesn't depend on other workers, so one that joins or leaves moves only the
+// functions that are placed on it.
 func (s *Scheduler) iterateSharedOrder(f *function) {
 	s.functionPoints = s.functionPoints[:0]
 	point := random.Mix(f.id)
--- a/scheduler/query.go
+++ b/scheduler/query.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// queryForQueues queries workers without a lease for functions with queued requests: workers with replicas of
-// the function or, if there are none, the worker that would be asked to load it.
+// queryForQueues queries workers without a lease for functions with queued requests: for each function a
+// worker with replicas of it or, if none of those can be queried and no usable worker has or loads a replica,
+// the worker that would be asked to load it.
 func (s *Scheduler) queryForQueues(now time.Duration, due *TickResult) {
 	if !s.watchExpired(now) {
 		return
@@ -22,7 +23,7 @@
 }
 
 // queryLoadedWorker queries one of the workers without a lease that have replicas of a function. It returns
-// false if there is none, or if a worker with a lease is preferred to load the function.
+// false if none can be queried now, or if a worker with a lease is preferred to load the function.
 func (s *Scheduler) queryLoadedWorker(f *function, now time.Duration, due *TickResult) bool {
 	if s.prefersLeased(f, now) {
 		return false
@@ -131,8 +132,8 @@
 }
 
 // recordQueryAnswer grants a provisional lease to a worker that answered a query, unless it has rejected work
-// recently or replica queries are unreliable, as when a worker that rejected a replica that it has loaded
-// answers one.
+// recently or replica queries are unreliable. Queries become unreliable when a worker that has rejected a
+// verification answers that it has replicas.
 func (s *Scheduler) recordQueryAnswer(w *worker, replicas int, sentAt, now time.Duration) {
 	if w.lease.verificationRejected && replicas > 0 && s.queryTrust != queriesUnreliable {
 		s.queryTrust = queriesUnreliable
@@ -151,7 +152,7 @@
 	w.lease.queryAfter = now + w.lease.queryBackoff
 }
 
-// sendQueryChecks queries the workers that have just rejected replicas that they have loaded.
+// sendQueryChecks queries the workers that have just rejected a verification.
 func (s *Scheduler) sendQueryChecks(now time.Duration, due *TickResult) {
 	for _, candidate := range s.queryChecks {
 		s.sendQuery(candidate.function, candidate.worker, now, due)
--- a/scheduler/reference_test.go
+++ b/scheduler/reference_test.go
@@ -424,9 +424,10 @@
 }
 
 // The incrementally maintained fleet state equals a full scan of all workers after every event of random sequences of
-// membership updates, requests, outcomes, probes, loads and time: each fleet counter, and the shared order and the
-// preferred workers for first replicas. A missed update would bias all later decisions.
-func TestFleetViewIsWhatAWalkFinds(t *testing.T) {
+// membership updates, requests, outcomes, probes, loads and time: the members, each fleet counter, the busy workers,
+// the weights, and the shared order and the preferred workers for first replicas. A missed update would bias all later
+// decisions.
+func TestFleetStateMatchesFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newFleetModel(t, rapid.IntRange(0, 20).Draw(t, "workers"))
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -34,7 +34,7 @@
 	// Worker kinds.
 	kinds        map[string]*workerKind
 	orderedKinds []*workerKind // in the order in which they were added
-	meanWeight   float64       // mean weight of the members
+	meanWeight   float64       // mean weight of the members, each divided by the slowness of its kind
 
 	// Functions.
 	functions             map[uint64]*function
@@ -45,19 +45,19 @@
 
 	// Placement.
 	sharedOrder           fleetindex.MergedRing[*worker] // the same order at all gateways
-	functionPoints        []uint64                       // points of the function that is iterated for
+	functionPoints        []uint64                       // points of the function whose shared order is iterated
 	preferredBuffer       []*worker                      // reused buffer
 	deprioritizedBuffer   []*worker                      // reused buffer
-	placementWidth        float64                        // preferred workers per worker that traffic fills
+	placementWidth        float64                        // preferred workers per worker filled by traffic
 	arrivalDiscount       float64                        // arrivals of a function attributed to chance
 	nextPlacementEstimate time.Duration
 
 	// State of the fleet at the last decision.
-	inFlight         int           // attempts in flight
+	inFlight         int           // attempts in flight at workers that are not half-open
 	fleetLimit       adaptiveLimit // limit of attempts in flight
 	limitRounding    float64       // random number below 1, for each decision
-	overloaded       bool          // few workers have capacity
-	ejectionsIgnored bool          // too many workers are ejected
+	overloaded       bool          // the fleet is overloaded, see updateFleetState
+	ejectionsIgnored bool          // ejections are ignored, because too many workers are ejected
 
 	attemptPolicy AttemptPolicy
 
@@ -92,8 +92,8 @@
 	leaseTime             time.Duration // duration of a worker's lease
 	leaseCandidates       []leaseCandidate
 	nextLeaseSelection    time.Duration
-	provisionalCandidates []leaseCandidate // workers with replicas that have just answered a query
-	queryChecks           []leaseCandidate // workers that have just rejected replicas that they have loaded
+	provisionalCandidates []leaseCandidate // workers that have just answered a query and have replicas
+	queryChecks           []leaseCandidate // workers that have just rejected a verification
 	queries               *window.Window
 	queryTrust            queryTrust
 	verificationsSent     *window.Window // verifications in the rate limit's window
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -25,7 +25,7 @@
 	// ReplicaIdleTimeout is the time after which a worker unloads an idle replica.
 	ReplicaIdleTimeout time.Duration `cbor:"3,keyasint"`
 
-	// RequestTimeout is the time after which an unanswered load request counts as lost.
+	// RequestTimeout is the longest time after which an unanswered load request counts as lost.
 	RequestTimeout time.Duration `cbor:"4,keyasint"`
 
 	// RateWindow is the window of the rate limit of load requests; 0: no limit. The limit in a window is
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -30,7 +30,7 @@
 	deviation := math.Sqrt(min(attempts, float64(s.gateways)))
 	attempts = max(attempts-slowStartDeviations*deviation, attempts/slowStartMinDivisor)
 	pause := float64(policy.CrashWindow) / max(attempts*share, 1e-9) // without measurements, attempts is 0
-	longest := time.Duration(s.gateways) * policy.CrashWindow        // each gateway may send one in this time
+	longest := time.Duration(s.gateways) * policy.CrashWindow        // each gateway may send one attempt
 	return time.Duration(min(pause, float64(longest)))
 }
 
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -10,7 +10,8 @@
 	"lupinpond/scheduler"
 )
 
-// Rule 4: a worker that has just started is sent few requests, and a warm worker is sent all.
+// Rule 4: a worker that has just started is sent no second request within 200 ms, and a warm worker is sent requests up
+// to its limit of 16 attempts in flight.
 func Example_coldWorker() {
 	for _, started := range []time.Duration{0, time.Hour} {
 		h := newHarness(1)
--- a/scheduler/submit.go
+++ b/scheduler/submit.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// withinQuota reports whether a request is accepted: its tenant's retries are always limited, and all
-// requests of its tenant in an overload.
+// withinQuota reports whether a request is accepted: the retries of a tenant are always limited, and in an
+// overload all requests of a tenant are limited to its quota.
 func (s *Scheduler) withinQuota(request *Request, now time.Duration) bool {
 	if t := s.tenants[request.Tenant]; t != nil {
 		quota := t.quota * s.trafficShare(now) * trafficWindow.Seconds()
--- a/scheduler/tuning.go
+++ b/scheduler/tuning.go
@@ -18,8 +18,9 @@
 
 // Measured averages.
 const (
-	// functionSamples is the number of outcomes in a function's average run time. In other averages it is the
-	// weight of the initial value, in samples.
+	// functionSamples is the number of outcomes in a function's average run time. In the averages of slowness
+	// and queue delay it is the weight of the initial value, in samples. In those of load slowdown and the
+	// excess latency of probes, a new sample has the weight 1 / functionSamples.
 	functionSamples = 10
 
 	// typeSamples is the maximum number of outcomes in the moving average of a request type or worker kind.
@@ -72,10 +73,12 @@
 
 // Adaptive limits of attempts in flight.
 const (
-	// initialWorkerLimit is the initial limit of attempts in flight at a worker, for all gateways together.
+	// initialWorkerLimit is the initial limit of attempts in flight at a worker, for all gateways together. It
+	// is also the initial limit of loads in flight of each gateway.
 	initialWorkerLimit = 16.0
 
-	// minWorkerLimit is the lowest limit of attempts in flight at a worker, for each gateway.
+	// minWorkerLimit is the lowest limit of attempts in flight at a worker, for each gateway. It is also the
+	// lowest limit of loads in flight of each gateway.
 	minWorkerLimit = 2.0
 
 	// minFleetLimit is the lowest limit of attempts in flight at all workers together, for each gateway.
@@ -140,7 +143,8 @@
 // Overload and rejection.
 const (
 	// overloadCapacityShare: the fleet is overloaded when less than this share of the eligible workers has
-	// capacity, or less than this share of the workers with a recent report has an empty queue.
+	// capacity, or less than this share of the workers with a recent report is without queued requests of other
+	// gateways.
 	overloadCapacityShare = 0.5
 
 	// minOverloadReports is the number of workers with a recent report from which reports alone can show an
@@ -154,11 +158,13 @@
 	// retryBurst is the number of a tenant's retries per traffic window that are accepted in any case.
 	retryBurst = 1.0
 
-	// retriesPerRequest is the number of a tenant's retries that are accepted per original request.
+	// retriesPerRequest is the number of a tenant's retries that are accepted per original request of all
+	// tenants at this gateway.
 	retriesPerRequest = 0.05
 
-	// rejectionBackoffShare: after n consecutive rejections by a worker, a tenant's requests are not sent there
-	// for objective * rejectionBackoffShare * 2^n.
+	// rejectionBackoffShare: after n consecutive rejections of a tenant by a worker, requests of the rejected
+	// function are not sent there for objective * rejectionBackoffShare * 2^n. If the worker reports an empty
+	// queue and only this tenant calls the function, this holds for all requests of the tenant.
 	rejectionBackoffShare = 0.125
 
 	// maxRejectionDoublings bounds n in the backoff after rejections.
@@ -167,14 +173,16 @@
 
 // Slow start.
 const (
-	// slowStartBudgetShare is the share of the load that a worker in slow start can handle which is used.
+	// slowStartBudgetShare: a worker in slow start is sent at most this share of the load that makes it crash.
 	slowStartBudgetShare = 0.9
 
-	// slowStartDeviations is the number of standard deviations of the attempts of all gateways by which this
-	// load is reduced, because no gateway has information about the attempts of the others.
+	// slowStartDeviations is the number of standard deviations of the attempts of all gateways by which the
+	// load on a worker in slow start is reduced further, because no gateway has information about the attempts
+	// of the others.
 	slowStartDeviations = 1.0
 
-	// slowStartMinDivisor: the reduced load is at least the load / slowStartMinDivisor.
+	// slowStartMinDivisor: the reduction by slowStartDeviations leaves at least 1 / slowStartMinDivisor of the
+	// load.
 	slowStartMinDivisor = 4
 
 	// completedWorkWindows: the fleet's completed work is averaged over CrashWindow * completedWorkWindows.
@@ -183,7 +191,9 @@
 
 // Load requests.
 const (
-	// loadTimeoutFactor: an unanswered load counts as lost after expected load time * loadTimeoutFactor.
+	// loadTimeoutFactor: an unanswered load counts as lost after expected load time * loadTimeoutFactor. For
+	// load requests this is multiplied by the load slowdown, if above 1, and bounded by the policy's
+	// RequestTimeout. A failed load counts in the limit as one that took at least this time.
 	loadTimeoutFactor = 4.0
 
 	// slowLoadFactor: the limit of loads in flight does not fall while loads take at most expected load time *
@@ -247,7 +257,8 @@
 	// that its share of the traffic fills.
 	maxPlacementWidth = 8.0
 
-	// minPlacementWidth is the lowest ratio of the preferred workers to that number, used where memory is short.
+	// minPlacementWidth is the lowest value of the ratio that maxPlacementWidth bounds, used where memory is
+	// short.
 	minPlacementWidth = 1.0
 
 	// firstReplicaMemoryShare is the share of the workers' memory that is for first replicas.
--- a/scheduler/verify.go
+++ b/scheduler/verify.go
@@ -59,8 +59,9 @@
 	return now + max(fractionOf(renewalCheckShare, s.leaseTime), s.minTickInterval)
 }
 
-// selectLeaseCandidates chooses the workers whose leases are renewed without traffic: those with replicas of
-// the most frequently called functions, as many as this gateway may verify continuously.
+// selectLeaseCandidates chooses the workers whose leases are renewed without traffic: workers with a lease
+// first, then those with replicas of the most frequently called functions, as many as this gateway may verify
+// continuously.
 func (s *Scheduler) selectLeaseCandidates(now time.Duration) {
 	byWorker := map[*worker]*leaseCandidate{}
 	for _, f := range s.functions {
@@ -134,7 +135,8 @@
 	return min(maxVerificationRate, maxVerificationRatePerWorker*workersPerGateway)
 }
 
-// renewLease verifies a worker whose lease expires soon, or queries it once its lease has expired.
+// renewLease verifies a worker whose lease expires soon or that has rejected work. It queries a worker whose
+// lease has expired, and one that has rejected work if no verification may be sent.
 func (s *Scheduler) renewLease(candidate leaseCandidate, now time.Duration, due *TickResult) {
 	w := candidate.worker
 	if !w.acceptsNewWork() {
@@ -182,7 +184,8 @@
 	s.provisionalCandidates = s.provisionalCandidates[:0]
 }
 
-// verify sends a verification to a worker. It returns false if the rate limit does not allow it.
+// verify sends a verification to a worker. It returns false if the load policy or its rate limit does not
+// allow it.
 func (s *Scheduler) verify(f *function, w *worker, now time.Duration, due *TickResult) bool {
 	if !s.verificationAllowed(now) {
 		return false
@@ -215,8 +218,9 @@
 	return s.firstByRendezvous(accepting, f)
 }
 
-// verificationCompleted handles the result of a verification that was sent at sentAt. A worker that rejects a
-// replica that it has loaded is queried at once: its answer shows whether replica queries are reliable.
+// verificationCompleted handles the result of a verification that was sent at sentAt. If a worker rejects a
+// replica that it has loaded, the lease of its accepted work ends, and the next Tick queries it: its answer
+// shows whether replica queries are reliable.
 func (s *Scheduler) verificationCompleted(f *function, w *worker, load LoadRequest, result Result,
 	sentAt, now time.Duration) {
 	s.recordWorkResult(w, result, sentAt, now)
--- a/scheduler/worker.go
+++ b/scheduler/worker.go
@@ -37,7 +37,7 @@
 	reportedAt      time.Duration
 	queueDepth      float64       // last reported or estimated queue
 	backloggedUntil time.Duration // until then requests of other gateways are assumed to be queued
-	slowUntil       time.Duration // until then it is chosen last, because an answer missed its objective
+	slowUntil       time.Duration // until then it is chosen last, because its only attempt missed its objective
 	probeInFlight   bool
 	probedAt        time.Duration
 	unresponsive    bool // the last probe failed, and no success has followed
@@ -76,8 +76,8 @@
 	return 0
 }
 
-// deprioritized reports whether a worker is chosen last: requests of other gateways are queued there, an
-// answer missed its objective, or the worker is unresponsive.
+// deprioritized reports whether a worker is chosen last: requests of other gateways are queued there, its
+// only attempt missed its objective, or the worker is unresponsive.
 func (w *worker) deprioritized(now time.Duration) bool {
 	return now < max(w.backloggedUntil, w.slowUntil) || w.probeOverdue(now)
 }
