--- a/internal/gateway/invariant/invariant.go
+++ b/internal/gateway/invariant/invariant.go
@@ -21,7 +21,7 @@
 	AttemptAfterClientLeft    Kind = iota // sent too long after the client disconnected or cancelled
 	AttemptAfterDeadline                  // sent after the client's deadline
 	DeadlineOverstated                    // the attempt states more time than the client has left
-	AttemptToDrainedWorker                // sent more than the drain grace after the worker was stopped
+	AttemptToDrainedWorker                // sent more than the drain grace after new work to the worker was stopped
 	AttemptToOtherIncarnation             // sent to another incarnation at the address of the chosen worker
 
 	// Retrying a request.
@@ -41,7 +41,7 @@
 	// Loading replicas.
 
 	LoadOverLimit       // more load requests sent than the settings allow
-	LoadOnDrainedWorker // sent more than the drain grace after the worker was stopped
+	LoadOnDrainedWorker // sent more than the drain grace after new work to the worker was stopped
 
 	kindCount
 )
