--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -99,7 +99,7 @@
 }
 
 // handleMessage decodes one message and passes it to the core of its gateway. The second value of every message names
-// the gateway.
+// the gateway. FIRST and NEIGHBOUR_SAYS are not passed on: their values are only checked.
 func (a *Adapter) handleMessage(message string, line *simprotocol.Line) error {
 	name := line.Text("instance")
 	if message == "SPAWN" {
