--- a/scheduler/members.go
+++ b/scheduler/members.go
@@ -113,7 +113,7 @@
 }
 
 // addMember adds a worker to the members of the fleet. Its slow start begins with a random part of the pause,
-// so that the gateways that receive its start at the same time don't all send at once.
+// so that the gateways that are notified of its start at the same time don't all send at once.
 func (s *Scheduler) addMember(name string, now time.Duration) *worker {
 	w := &worker{
 		hash:                random.Hash(name),
--- a/scheduler/tuning.go
+++ b/scheduler/tuning.go
@@ -2,9 +2,8 @@
 
 import "time"
 
-// This file holds the tuned values of all mechanisms. A constant named ...Share of a latency objective is
-// multiplied by the latency objective of a request type; "longest objective" is the longest latency objective
-// of all request types.
+// This file holds the tuned values of all mechanisms. In their comments "objective" is the latency objective
+// of a request type, and "longest objective" is the longest latency objective of all request types.
 
 // Queues and ticks of a function.
 const (
