--- a/internal/gateway/core/core.go
+++ b/internal/gateway/core/core.go
@@ -43,7 +43,7 @@
 // Members returns the workers listed by the registry, ordered by name.
 func (c *Core) Members() []scheduler.Member { return c.scheduler.Members() }
 
-// FleetState returns the fleet state as of the scheduler's latest decision.
+// FleetState returns the scheduler's state of the fleet.
 func (c *Core) FleetState() scheduler.FleetState { return c.scheduler.FleetState() }
 
 // UpdateMembership applies changes of the worker registry.
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// FleetState is the state of the fleet that the last decision was based on.
+// FleetState is the state of the fleet: Workers to InFlight after the last event, Overloaded as of the last
+// decision, and WatchExpired and Leased as of the last Tick. SetWatchLease may also end WatchExpired.
 type FleetState struct {
 	Workers      int  // workers that accept new work according to the registry
 	Ejected      int  // workers that are ejected or half-open
@@ -43,7 +44,7 @@
 	Leased       int  // workers with a lease at the last count of renewLeases
 }
 
-// FleetState returns the state of the fleet at the last decision.
+// FleetState returns the state of the fleet.
 func (s *Scheduler) FleetState() FleetState {
 	return FleetState{
 		Workers:      int(s.counters[eligible]),
