--- a/internal/gateway/core/core.go
+++ b/internal/gateway/core/core.go
@@ -16,7 +16,7 @@
 	requests          map[string]*trackedRequest // by request ID
 	lastSequence      uint64                     // sequence number of the latest request
 	enforcesDeadlines bool                       // the core itself times out attempts
-	deadlines         deadlineHeap               // all open requests, if enforcesDeadlines is set
+	deadlines         deadlineHeap               // open requests before their deadline, if enforcesDeadlines is set
 	shutdownDeadline  time.Duration              // latest time for the final answer of any request
 	timers            []time.Duration            // pending timers, the earliest last
 	recorder          func(Input)                // called with every input; nil if not recording
@@ -43,7 +43,7 @@
 // Members returns the workers listed by the registry, ordered by name.
 func (c *Core) Members() []scheduler.Member { return c.scheduler.Members() }
 
-// FleetState returns the fleet state as of the scheduler's latest decision.
+// FleetState returns the scheduler's state of the fleet.
 func (c *Core) FleetState() scheduler.FleetState { return c.scheduler.FleetState() }
 
 // UpdateMembership applies changes of the worker registry.
