--- a/internal/gateway/discovery/lease.go
+++ b/internal/gateway/discovery/lease.go
@@ -15,12 +15,12 @@
 type Freshness struct {
 	Age      time.Duration // time since the list was last known to be complete, or since the start if it never was
 	Expired  bool          // whether the lease has expired: the list may lack events
-	Answered int64         // number of polls whose answer was accepted
-	Failed   int64         // number of poll rounds without an accepted answer
+	Answered int64         // number of polls whose answer renewed the lease
+	Failed   int64         // number of poll rounds that ended with an error, except by a change of address
 }
 
-// OnLeaseChange sets f to be called with the expiry time of the list's lease, once immediately and then at each change. It
-// must be called before Run.
+// OnLeaseChange sets f to be called with the expiry time of the list's lease, once immediately and then at each change.
+// It must be called before Run.
 func (w *Watcher) OnLeaseChange(f func(expires time.Time)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -57,7 +57,7 @@
 	}
 }
 
-// renewLease records that the list was complete at sentAt, the time at which an accepted poll was sent, and renews the
+// renewLease records that the list was complete at sentAt, the time at which the answered poll was sent, and renews the
 // lease.
 func (w *Watcher) renewLease(sentAt time.Time) {
 	w.mu.Lock()
@@ -74,8 +74,8 @@
 	}
 }
 
-// recordFailedRound records a poll round without an accepted answer. A round that was ended by a change of the
-// service's address does not count as failed.
+// recordFailedRound records a poll round that ended with an error. A round that was ended by a change of the service's
+// address or by the end of Run does not count as failed.
 func (w *Watcher) recordFailedRound(err error) {
 	if errors.Is(err, context.Canceled) || errors.Is(err, errAddressChanged) {
 		return
--- a/internal/gateway/discovery/lease_test.go
+++ b/internal/gateway/discovery/lease_test.go
@@ -187,7 +187,7 @@
 	watcher.SetAddress(unresponsive.Listener.Addr().String())
 	expires, _ := leases.last()
 	if d := expires.Sub(moved); d > leaseLimits.AddressChangeBound+time.Second || d <= 0 {
-		t.Errorf("after the change of address the lease expires in %v, want at most the move bound", d)
+		t.Errorf("after the change of address the lease expires in %v, want at most AddressChangeBound", d)
 	}
 	other := httptest.NewServer(http.HandlerFunc(answerWithoutEvents))
 	t.Cleanup(other.Close)
--- a/internal/gateway/discovery/watcher.go
+++ b/internal/gateway/discovery/watcher.go
@@ -33,8 +33,8 @@
 	// service's events, whether it has received them or not.
 	DeliveryBound time.Duration
 
-	// AddressChangeBound is the time after a change of the service's address at which the gateway is considered notified of the
-	// service's events.
+	// AddressChangeBound is the time after a change of the service's address at which the gateway is considered notified
+	// of the service's events, whether it has received them or not.
 	AddressChangeBound time.Duration
 }
 
@@ -48,8 +48,8 @@
 	// earlyAnswerDivisor.
 	earlyAnswerDivisor = 2
 
-	// confirmWaitDivisor sets the wait of a poll when the last answer is old: Limits.PollWait / confirmWaitDivisor. The
-	// shorter wait shows sooner whether events are missing.
+	// confirmWaitDivisor sets the wait of a poll when the last answer is old or there is none from the current address:
+	// Limits.PollWait / confirmWaitDivisor. The shorter wait shows sooner whether events are missing.
 	confirmWaitDivisor = 8
 
 	// minEmptyWaitFraction is the fraction of the poll's wait that must have passed for an answer without new events to
@@ -68,7 +68,8 @@
 	// error the service would be polled in a tight loop.
 	errEarlyAnswer = errors.New("journal: empty batch before the end of the poll wait")
 
-	// errOldAnswer is returned for an answer that is older than the last one. It does not show what has happened since.
+	// errOldAnswer is returned for an answer that is older than the last one, or that only repeats events. It does not
+	// show what has happened since.
 	errOldAnswer = errors.New("journal: answer from an older position")
 )
 
@@ -91,10 +92,10 @@
 	position     int64              // position of the last event that was passed to notify
 	cancelPolls  context.CancelFunc // cancels the polls of the current round
 	completeAt   time.Time          // time at which the list was last known to be complete
-	confirmed    bool               // whether an answer from the current address was accepted
+	confirmed    bool               // whether an answer from the current address has renewed the lease
 	leaseExpires time.Time          // expiry time of the list's lease
-	answered     int64              // number of polls whose answer was accepted
-	failed       int64              // number of poll rounds without an accepted answer
+	answered     int64              // number of polls whose answer renewed the lease
+	failed       int64              // number of poll rounds that ended with an error, except by a change of address
 }
 
 // cursor is the address of the service and the position after which it is polled.
@@ -188,7 +189,8 @@
 }
 
 // accept applies the answer to a poll that was sent with the cursor from, unless the service's address has changed
-// since. It returns an error if the answer does not prove that the list is complete.
+// since. It renews the lease only if the answer proves that the list is complete. After an error Run waits before the
+// next poll.
 func (w *Watcher) accept(result pollResult, from cursor) error {
 	if w.currentCursor().addr != from.addr {
 		return errAddressChanged
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -116,9 +116,9 @@
 	return g, nil
 }
 
-// Run serves requests until ctx is done. It then shuts down gracefully: it accepts no new requests, answers every
-// request in flight, notifies the workers and returns, at the latest after the longest max age of the request types
-// plus the answer slack. When abort is done, Run stops immediately, without notifying clients or workers.
+// Run serves requests until ctx is done. It then shuts down gracefully: it accepts no new requests, waits until every
+// request in flight is answered, at most for the longest max age of the request types plus the answer slack, notifies
+// the workers and returns. When abort is done, Run stops immediately, without notifying clients or workers.
 func (g *Gateway) Run(ctx, abort context.Context) error {
 	abortable, stop := context.WithCancel(abort)
 	defer stop()
@@ -209,7 +209,8 @@
 	}
 }
 
-// Counts returns the counters of a running Gateway, or zeros if it has stopped.
+// Counts returns the counters of a running Gateway. It returns zeros if the Gateway has stopped or ctx is done before
+// the event loop replies.
 func (g *Gateway) Counts(ctx context.Context) (counts Counts) {
 	if !g.query(ctx, func() { counts = g.FinalCounts() }) {
 		return Counts{}
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -67,7 +67,7 @@
 	return first + "\r\nConnection: close\r\n" + rest
 }
 
-// The bytes of responses must not change: of a completed request and of requests that are not accepted as invalid.
+// The bytes of the responses to a completed request and to invalid requests must not change.
 func TestGoldenResponses(t *testing.T) {
 	r := startHarness(t, func(f *fleetconfig.File) { f.Gateway.Limits.Body = 64 })
 	const path = "/v1/functions/preview/invocations"
--- a/internal/gateway/invariants_test.go
+++ b/internal/gateway/invariants_test.go
@@ -264,7 +264,7 @@
 // stallMessage is logged if the process stalled during a scenario, because invariants are not checked across a stall.
 const stallMessage = "the process stalled"
 
-// No scenario must violate an invariant.
+// The guards must prevent violations: no scenario may violate an invariant or leave a request open.
 func TestInvariantsHold(t *testing.T) {
 	for name, run := range scenarios {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/sendpermit.go
+++ b/internal/gateway/sendpermit.go
@@ -33,8 +33,9 @@
 	statedAt       time.Time     // time at which statedTimeLeft was set
 }
 
-// TimeLeft returns the time left until the client's deadline, which is stated to the worker. It returns false if the
-// attempt must be withheld. It is called from any goroutine when the attempt's bytes are about to be written.
+// TimeLeft returns the time left until the deadline of the client or of the shutdown, which is stated to the worker. It
+// returns false if the attempt must be withheld. It may be called from any goroutine, when the attempt's bytes are
+// about to be written.
 func (p *SendPermit) TimeLeft() (time.Duration, bool) {
 	now := p.loop.Now()
 	if p.request.disconnectedAt.Load() != 0 {
@@ -75,8 +76,8 @@
 	sendBy    time.Duration // latest time at which the load request may be written to the connection; 0 for no limit
 }
 
-// MaySend reports whether the load request may be sent. It returns false if the process has stalled since the core's
-// decision: a drain notice that arrived during the stall may not have been read yet.
+// MaySend reports whether the load request may be sent. It returns false after sendBy, and if the process has stalled
+// since the core's decision: a drain notice that arrived during the stall may not have been read yet.
 func (p *LoadPermit) MaySend() bool {
 	now := p.loop.Now()
 	if p.sendBy > 0 && now >= p.sendBy {
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -116,7 +116,7 @@
 }
 
 // duplicateKey returns the key by which duplicates of a call in flight are detected. It is empty if the client did not
-// send an ID or if duplicates are harmless because the request type is redeliverable.
+// send an ID, if the call has no request type, or if duplicates are harmless because the type is redeliverable.
 func duplicateKey(call invoke.Call) string {
 	if call.ClientID == "" || call.Type.Name == "" || call.Type.Effect == "redeliverable" {
 		return ""
--- a/internal/gateway/settings/values.go
+++ b/internal/gateway/settings/values.go
@@ -91,7 +91,7 @@
 // of a few durations do not overflow.
 const maxMicroseconds = math.MaxInt64 / 4000
 
-// Seconds converts seconds to a Duration, rounded to the nearest microsecond.
+// Seconds converts seconds to a Duration, rounded to the nearest microsecond and limited to maxMicroseconds.
 func Seconds(seconds float64) time.Duration {
 	microseconds := math.Round(seconds * 1e6)
 	if microseconds > maxMicroseconds {
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -21,7 +21,7 @@
 	Attempts            int
 	LoadRequests        int
 	Probes              int
-	LateOutcomes        int `json:"LateAnswers"` // outcomes of attempts that already had an outcome
+	LateOutcomes        int `json:"LateAnswers"` // outcomes that the core ignored: the attempt already had an outcome
 	UnmatchedResponses  int `json:"Stray"`       // responses of workers that match no call
 	Connections         int // connections made to workers
 }
