--- a/internal/gateway/fleetconfig/schema.go
+++ b/internal/gateway/fleetconfig/schema.go
@@ -62,7 +62,8 @@
 	// DrainGrace is the time after the notice of a worker's drain within which requests may still be sent to the worker.
 	DrainGrace config.Duration `yaml:"stop-sending-within"`
 
-	// SubscribeInterval is the interval at which the gateway requests the endpoint list while it has no subscription.
+	// SubscribeInterval is the maximum interval at which the gateway requests the endpoint list while it has no
+	// subscription.
 	SubscribeInterval config.Duration `yaml:"ask-list-within"`
 
 	// MinTickInterval is the minimum time between two ticks of the scheduler.
