--- a/internal/gateway/lease_test.go
+++ b/internal/gateway/lease_test.go
@@ -13,7 +13,8 @@
 var requestLoadsNoTimeout = core.LoadPolicy{RequestLoads: true, LoadOnMiss: true, ReplicaIdleTimeout: time.Minute,
 	RequestTimeout: time.Minute}
 
-// expireSoon sets the watch's lease so that new work may be sent for another half of the drain grace.
+// expireSoon makes the watch's lease expire half a drain grace ago, so that new work may be sent for only a short time:
+// the rest of the scheduler's lease time, which is a little shorter than the drain grace.
 func (s *scenario) expireSoon() { s.loop.SetWatchLease(time.Now().Add(-testDrainGrace / 2)) }
 
 // An attempt waits for a connection until its worker's lease has expired: it must be withheld, and it must not count as
