--- a/internal/gateway/platform/config.go
+++ b/internal/gateway/platform/config.go
@@ -54,7 +54,7 @@
 	return config, nil
 }
 
-// configFile is the JSON structure of a configuration file. A field without a tag is encoded under its own name.
+// configFile is the JSON structure of a configuration file. A field without a tag is decoded from the key of its name.
 type configFile struct {
 	Name, Listen, Seed, Journal string
 	Limits                      struct {
--- a/internal/gateway/platform/engine.go
+++ b/internal/gateway/platform/engine.go
@@ -68,7 +68,7 @@
 // again before the platform considers its events delivered.
 func (c Config) discoveryLimits() discovery.Limits {
 	dial := c.dialTimeout()
-	// The list gets at most as old as two poll waits plus the time of an answer. It must not expire while the service
+	// The list gets at most as old as two poll waits plus the time of two answers. It must not expire while the service
 	// works normally.
 	freshWait := (deliveryBound + time.Duration(listAgeGraceFraction*float64(c.drainGrace())) - 2*dial) / 2
 	wait := max(min(pollWaitGraces*c.drainGrace(), freshWait, maxPollWait), dial)
--- a/internal/gateway/platform/golden_test.go
+++ b/internal/gateway/platform/golden_test.go
@@ -25,20 +25,23 @@
 var goldenConfig string
 
 // goldenValues is the configuration parsed from goldenConfig, which has every key, printed without field names.
-const goldenValues = "{n0 127.0.0.1:7002 127.0.0.1:7001 1.5 67108864 256 {1 []} map[family_info.keep:5 family_info.load_part:0.1 " +
-	"family_info.loads_anyway:20 family_info.loads_within:10 family_info.machine_mb:1000 family_info.machine_mb.count:1 " +
-	"family_info.miss_mode:load family_info.order_limit:4 family_info.orders:true index:0 instances:1 kinds:k kinds.count:1 " +
-	"locality:z orgs: orgs.0.name:acme orgs.0.quota_per_s:100 orgs.count:1 policy_limits.cancel:true " +
-	"policy_limits.conn_idle:15 policy_limits.dial_timeout:0.25 policy_limits.max_retry_after:2 policy_limits.max_streams:32 " +
-	"policy_limits.probing:true policy_limits.retry_after:true policy_limits.send_cap:3 prices.cross_zone:0.5 quantum:0.001 " +
-	"registry_mode:ask report.fields:busy_reqs,pending report.fields.count:2 report.source:inline request_classes: " +
+const goldenValues = "{n0 127.0.0.1:7002 127.0.0.1:7001 1.5 67108864 256 {1 []} map[family_info.keep:5 " +
+	"family_info.load_part:0.1 family_info.loads_anyway:20 family_info.loads_within:10 family_info.machine_mb:1000 " +
+	"family_info.machine_mb.count:1 family_info.miss_mode:load family_info.order_limit:4 family_info.orders:true " +
+	"index:0 instances:1 kinds:k kinds.count:1 locality:z orgs: orgs.0.name:acme orgs.0.quota_per_s:100 orgs.count:1 " +
+	"policy_limits.cancel:true policy_limits.conn_idle:15 policy_limits.dial_timeout:0.25 " +
+	"policy_limits.max_retry_after:2 policy_limits.max_streams:32 policy_limits.probing:true " +
+	"policy_limits.retry_after:true policy_limits.send_cap:3 prices.cross_zone:0.5 quantum:0.001 registry_mode:ask " +
+	"report.fields:busy_reqs,pending report.fields.count:2 report.source:inline request_classes: " +
 	"request_classes.0.aim:1 request_classes.0.effect:pure request_classes.0.give_up:600 request_classes.0.name:call " +
-	"request_classes.1.aim:1 request_classes.1.effect:side_effect request_classes.1.give_up:600 request_classes.1.name:pay " +
-	"request_classes.2.aim:1 request_classes.2.dedup_scope:zone request_classes.2.effect:token request_classes.2.give_up:600 " +
-	"request_classes.2.name:keyed request_classes.2.window:5 request_classes.count:3 rules.cold_from:0.2 rules.fall:1 " +
-	"rules.fall_multiple:2.5 rules.must_ask_in:12 rules.stop_sending_within:0.5 rules.warm_after:17 weight_source:nominal] " +
-	"{10096842570142050660 0 1 1ms [{call 0 2 0s 1s} {pay 2 2 0s 1s} {keyed 1 1 5s 1s}] [{acme 100}] 3 true true 2s {true " +
-	"true 5s 4s 10s 20 0.1} {0.2 17s 2.5 1s} 12s [{k 1000}] z 500ms true}} 1 {true [{w 127.0.0.1:7000 z k 3 up 4 0}]}"
+	"request_classes.1.aim:1 request_classes.1.effect:side_effect request_classes.1.give_up:600 " +
+	"request_classes.1.name:pay request_classes.2.aim:1 request_classes.2.dedup_scope:zone " +
+	"request_classes.2.effect:token request_classes.2.give_up:600 request_classes.2.name:keyed " +
+	"request_classes.2.window:5 request_classes.count:3 rules.cold_from:0.2 rules.fall:1 rules.fall_multiple:2.5 " +
+	"rules.must_ask_in:12 rules.stop_sending_within:0.5 rules.warm_after:17 weight_source:nominal] " +
+	"{10096842570142050660 0 1 1ms [{call 0 2 0s 1s} {pay 2 2 0s 1s} {keyed 1 1 5s 1s}] [{acme 100}] 3 true true 2s " +
+	"{true true 5s 4s 10s 20 0.1} {0.2 17s 2.5 1s} 12s [{k 1000}] z 500ms true}} " +
+	"1 {true [{w 127.0.0.1:7000 z k 3 up 4 0}]}"
 
 // A configuration that has every key must be parsed to the golden values.
 func TestGoldenConfig(t *testing.T) {
@@ -350,7 +353,8 @@
 		_, err = io.ReadFull(conn, b)
 	}
 	got := regexp.MustCompile(`(?s)after\x00\x00\x00.[0-9]+`).ReplaceAllString(string(b), "after=N")
-	want := "\x80\x01\x00\x02\x00\x00\x00\x08dispatch\x00\x00\x00\x01\x0c\x00\x01\x0d\x00\x01\x0b\x0b\x00\x00\x00\x01\x00\x00\x00\x05after=N\x00\x00"
+	want := "\x80\x01\x00\x02\x00\x00\x00\x08dispatch\x00\x00\x00\x01" +
+		"\x0c\x00\x01\x0d\x00\x01\x0b\x0b\x00\x00\x00\x01\x00\x00\x00\x05after=N\x00\x00"
 	if err != nil || got != want {
 		t.Errorf("\n got %q, %v\nwant %q", got, err, want)
 	}
--- a/internal/gateway/platform/limits.go
+++ b/internal/gateway/platform/limits.go
@@ -108,7 +108,7 @@
 	// lateArrivalPeriod is how long the platform may continue to send requests after SIGTERM.
 	lateArrivalPeriod = 700 * time.Millisecond
 
-	// terminationGrace is the time from SIGTERM to SIGKILL. If the longest maximum age of a request is shorter, the
-	// platform sends SIGKILL after that age.
+	// terminationGrace is the time from the end of lateArrivalPeriod to SIGKILL. If the longest maximum age of a request
+	// is shorter, the platform sends SIGKILL that age after the end of lateArrivalPeriod.
 	terminationGrace = 3 * time.Second
 )
--- a/internal/gateway/platform/platform_test.go
+++ b/internal/gateway/platform/platform_test.go
@@ -425,8 +425,8 @@
 	}
 }
 
-// After a reload the gateway must poll the discovery service at its new address. The test sees this as new requests are
-// rejected: only the new service reports that the worker is draining.
+// After a reload the gateway must poll the discovery service at its new address. Once it does, new requests are
+// rejected, because only the service at the new address reports that the worker is draining.
 func TestDiscoveryAddressChange(t *testing.T) {
 	h := start(t)
 	c := h.dial()
@@ -595,9 +595,9 @@
 	}
 }
 
-// The wait of a poll follows the drain grace. It must not exceed the platform's limit, and must be short enough to
-// detect a discovery service that does not answer before its events are considered delivered, two seconds after the
-// wait. The first poll waits 1/8 of that: until its answer the list in the configuration may be outdated.
+// The wait of a poll follows the drain grace and must not exceed the platform's limit of 5 s. The gateway then has
+// another 2 s to detect that the discovery service does not answer, before its events are considered delivered. The
+// first poll waits 1/8 of that wait: until its answer the list in the configuration may be outdated.
 func TestPollWait(t *testing.T) {
 	for grace, want := range map[string][]string{
 		"0.5": {"125", "1000"},
--- a/internal/gateway/platform/run.go
+++ b/internal/gateway/platform/run.go
@@ -19,8 +19,8 @@
 	DroppedLogLines func() int64 // returns the number of log lines dropped because they were not read; may be nil
 }
 
-// Run runs a gateway with a configuration file until SIGTERM. On SIGHUP it reads the file again, on SIGUSR1 it logs its
-// status.
+// Run runs a gateway with a configuration file until SIGTERM or an interrupt. On SIGHUP it reads the file again, on
+// SIGUSR1 it logs its status.
 func Run(path string, log *slog.Logger, options Options) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGUSR1)
@@ -67,7 +67,7 @@
 
 // handleSignals handles signals until the gateway has ended, and returns its error.
 func (g *Gateway) handleSignals(path string, signals <-chan os.Signal, ended <-chan error) error {
-	var retry <-chan time.Time // fires when a file that could not be read, perhaps half written, is to be read again
+	var retry <-chan time.Time // fires when a file that could not be read, perhaps half written, must be read again
 	var deadline time.Time     // time after which the file is not read again
 	for {
 		select {
--- a/internal/gateway/platform/shutdown_test.go
+++ b/internal/gateway/platform/shutdown_test.go
@@ -45,8 +45,9 @@
 // A connection on which a client sends continuously after SIGTERM must be closed before SIGKILL, at a moment when every
 // request read on it has been answered.
 //
-// This guards against a server that, on shutdown, closes a connection only once it has been idle for a while. Such a
-// connection is never idle, so it ended with SIGKILL while requests that had been read were unanswered.
+// This guards against a server that, on shutdown, closes a connection only once it has been idle for a while. Clients
+// send until their connection ends, so such a connection is never idle: it ended with SIGKILL, while requests that had
+// been read were unanswered.
 func TestShutdownEndsBusyConnection(t *testing.T) {
 	h := start(t)
 	h.worker.respondWith(func(_, _, body string) []string {
