--- a/internal/gateway/thrift/close.go
+++ b/internal/gateway/thrift/close.go
@@ -12,13 +12,13 @@
 // The reasons for closing a connection.
 const (
 	ClientDisconnected CloseReason = iota // the client closed or reset the connection
-	IdleTimedOut                          // the connection was idle for longer than the idle timeout
+	IdleTimedOut                          // the connection was idle for too long, or no first message arrived in time
 	Evicted                               // the connection was idle, and the limit was reached when a new one came
 	Drained                               // the connection was idle, and the server was draining
 	Malformed                             // a message was malformed or not allowed
 	IncompleteMessage                     // the rest of a message did not arrive in time
 	ClientNotReading                      // the client did not read its answers
-	ServerStopped                         // the server stopped without draining
+	ServerStopped                         // the server stopped without draining the connection
 	NoCapacity                            // the connection was new, and no idle one could be evicted for it
 	CloseReasonCount                      // number of reasons
 )
--- a/internal/gateway/thrift/conn.go
+++ b/internal/gateway/thrift/conn.go
@@ -47,7 +47,8 @@
 }
 
 // BeginCall opens a call. The connection calls cancelled if the client cancels the call or disconnects. BeginCall
-// returns false if the sequence ID is not higher than those of all earlier calls, or if too many calls are open.
+// returns false if the sequence ID is not higher than those of all earlier calls, if too many calls are open, or if the
+// connection has ended.
 func (c *Conn) BeginCall(seqID int32, cancelled func()) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gateway/thrift/conn_read.go
+++ b/internal/gateway/thrift/conn_read.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// awaitDeadline returns until when the reader waits for a message, and the error with which the connection is closed if
-// none arrives by then. The error is nil if the connection stays open.
+// awaitDeadline returns the time until which the reader waits for a message, and the error with which the connection is
+// closed if none arrives by then. The error is nil if the connection stays open.
 func (c *Conn) awaitDeadline() (deadline time.Time, closeErr error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gateway/thrift/decode.go
+++ b/internal/gateway/thrift/decode.go
@@ -7,7 +7,7 @@
 	// maxDepth is the maximum nesting depth of skipped values.
 	maxDepth = 16
 
-	// maxEntries is the maximum number of fields of a struct, and of entries of a map.
+	// maxEntries is the maximum number of fields of a struct, and of entries of a map, that is not skipped.
 	maxEntries = 256
 )
 
--- a/internal/gateway/thrift/message.go
+++ b/internal/gateway/thrift/message.go
@@ -1,7 +1,7 @@
 // Package thrift implements the strict binary protocol of Apache Thrift over the framed transport, limited to what a
 // server without generated code needs: messages, maps of strings, binaries, integers and booleans. The codec does no
-// I/O. Its input is not trusted: it does not allocate memory for a length before it has received that many bytes. The
-// package is independent of any service.
+// I/O. Its input is not trusted: it allocates no memory by a length in a message before it has checked that the message
+// has that many bytes; the size of a message itself is limited. The package is independent of any service.
 package thrift
 
 import (
--- a/internal/gateway/thrift/server.go
+++ b/internal/gateway/thrift/server.go
@@ -22,8 +22,8 @@
 	// MaxConns is the maximum number of connections. Once it is reached, idle connections are evicted for new ones.
 	MaxConns int
 
-	// MessageTimeout is the maximum time from the start of a connection to its first complete message, and from the
-	// first byte of a message to its last.
+	// MessageTimeout is the maximum time from the start of a connection to the first byte of its first message, and from
+	// the first byte of a message to its last.
 	MessageTimeout time.Duration
 
 	// IdleTimeout is how long a connection stays open without a call.
