--- a/internal/gateway/resp/call.go
+++ b/internal/gateway/resp/call.go
@@ -70,10 +70,10 @@
 	completed                   // the call has its result
 )
 
-// Cancel cancels the call. If its message has not been written, the message is not sent and the call ends immediately.
-// Otherwise command is written to the call's connection, and the call ends only then, so that no later message can
-// reach the worker before the command. The connection accepts no more calls, as a response to the cancelled call may
-// still arrive. If command is nil, the call ends immediately.
+// Cancel cancels the call. If the write of its message has not begun, the message is not sent and the call ends
+// immediately. Otherwise command is written to the call's connection, and the call ends only then, so that no later
+// message can reach the worker before the command. The connection accepts no more calls, as a response to the cancelled
+// call may still arrive. If command is nil, the call ends immediately.
 func (c *Call) Cancel(command []byte) {
 	w := c.worker
 	w.mu.Lock()
--- a/internal/gateway/resp/conn_write.go
+++ b/internal/gateway/resp/conn_write.go
@@ -45,8 +45,8 @@
 	return call, nil, true
 }
 
-// awaitWork waits until there may be something to write. It marks a connection as closing that has been idle for longer
-// than the idle timeout.
+// awaitWork waits until there may be something to write. It marks the connection as closing if that has been idle for
+// longer than the idle timeout.
 func (c *conn) awaitWork(idleCheck <-chan time.Time) {
 	select {
 	case <-c.wakeup:
--- a/internal/gateway/resp/golden_test.go
+++ b/internal/gateway/resp/golden_test.go
@@ -19,7 +19,8 @@
 	wire     string
 }{
 	{[]string{"FN", "00000000000000a1", "class=pay,key=7f3a9c21e0b4d655,wait=1500,once=m1", "body\r\nbytes"},
-		"*4\r\n$2\r\nFN\r\n$16\r\n00000000000000a1\r\n$48\r\nclass=pay,key=7f3a9c21e0b4d655,wait=1500,once=m1\r\n$11\r\nbody\r\nbytes\r\n"},
+		"*4\r\n$2\r\nFN\r\n$16\r\n00000000000000a1\r\n" +
+			"$48\r\nclass=pay,key=7f3a9c21e0b4d655,wait=1500,once=m1\r\n$11\r\nbody\r\nbytes\r\n"},
 	{[]string{"FN", "00000000000000a2", "class=pay,key=7f3a9c21e0b4d655,wait=1", ""},
 		"*4\r\n$2\r\nFN\r\n$16\r\n00000000000000a2\r\n$37\r\nclass=pay,key=7f3a9c21e0b4d655,wait=1\r\n$0\r\n\r\n"},
 	{[]string{"KILL", "00000000000000a1"}, "*2\r\n$4\r\nKILL\r\n$16\r\n00000000000000a1\r\n"},
