--- a/internal/gateway/resp/cancel_race_test.go
+++ b/internal/gateway/resp/cancel_race_test.go
@@ -82,7 +82,7 @@
 		}
 	}
 	if outcomes[resp.Answered] == 0 || outcomes[resp.Answered] == calls {
-		t.Errorf("the calls had no race, by outcome: %v", outcomes)
+		t.Errorf("no cancellation raced with a response; calls by outcome: %v", outcomes)
 	}
 	pool.AwaitOpenConns(0)
 	stop()
--- a/internal/gateway/thrift/eviction_test.go
+++ b/internal/gateway/thrift/eviction_test.go
@@ -245,7 +245,7 @@
 	close(d.listener.opened)
 	conn := dial(t, d.listener.Addr().String())
 	text := strings.Repeat("x", 8<<10)
-	const calls = 30 // whose answers take 0.6 s to write, longer than the write timeout
+	const calls = 30 // their answers take 0.6 s to write, longer than the write timeout
 	for seq := range int32(calls) {
 		write(t, conn, callFrame(seq+1, "a"))
 	}
