--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -189,8 +189,8 @@
 	return err
 }
 
-// notifyDraining notifies the workers that no more requests follow. It returns once all notices are about to be written,
-// or after stopGrace.
+// notifyDraining notifies the workers that no more requests follow. It returns once all notices are about to be
+// written, or after stopGrace.
 func (g *Gateway) notifyDraining() {
 	g.workerClientsMu.Lock()
 	defer g.workerClientsMu.Unlock()
