--- a/cmd/lpctl/costmodel.go
+++ b/cmd/lpctl/costmodel.go
@@ -11,7 +11,7 @@
 // costModelCmd measures the cost of the gateway's decision core at several sizes. The sizes run one after the other on
 // one processor core.
 type costModelCmd struct {
-	By        string  `enum:"workers,functions,rate,fleet" default:"workers" help:"${by_help}"`
+	By        string  `enum:"workers,functions,rate,fleet" default:"workers" help:"What grows: ${enum}. ${by_help}"`
 	Sizes     []int   `help:"Sizes to measure; by default those of the capacity page."`
 	Workers   int     `default:"400" help:"Number of workers, unless it grows."`
 	Functions int     `default:"21000" help:"Number of functions, unless it grows."`
--- a/cmd/lpctl/main.go
+++ b/cmd/lpctl/main.go
@@ -52,8 +52,8 @@
 	"soak_help": "Run real gateways on loopback through overlapping faults, and check the rules on the sockets' traffic.",
 	"up_gateways_help": "Number of gateways; the first listens at front.listen of the settings, the others on the " +
 		"ports after it.",
-	"by_help": "What grows: workers, functions, rate or fleet. With fleet, workers, gateways, functions and rate grow " +
-		"together, from today's fleet (size 0) to the target (size 100).",
+	"by_help": "With fleet, workers, gateways, functions and rate grow together, from today's fleet (size 0) to the " +
+		"target (size 100).",
 	"skew_help": "Exponent of the Zipf distribution of calls over functions; with 1.65 or more, most of 21,000 " +
 		"functions are called less than once a minute at 60,000 calls per second.",
 	"sweep_help":  "Run the plan once for each of --sizes and fit curves: none, workers, gateways or rate.",
